--- a/coord/src/planner/board.rs
+++ b/coord/src/planner/board.rs
@@ -1,4 +1,4 @@
-//! What all engines are like at one moment, worked out once for all prompts that get their turn then.
+//! State of all engines at one moment, computed once for all prompts that are placed at that moment.
 
 use std::cell::OnceCell;
 
@@ -9,43 +9,44 @@
 use crate::quarantine::Work;
 use crate::time::Moment;
 
-/// One engine at one moment.
+/// State of one engine at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct View {
-    /// Milliseconds of reading that are left.
+    /// Prefill that is pending, in milliseconds.
     pub pending_ms: f64,
-    /// Milliseconds until it could begin to read something new.
+    /// Time until a new prefill could start, in milliseconds.
     pub wait_ms: f64,
-    /// Milliseconds of reading that fit in before someone who writes here waits too long.
+    /// Prefill that fits in before the gap between two events of a decoding answer exceeds its limit, in
+    /// milliseconds.
     pub room_ms: f64,
-    /// Milliseconds of a pass in which nothing is read.
+    /// Duration of a pass without prefill, in milliseconds.
     pub pass_ms: f64,
-    /// The shortest pause that anyone who writes here wants, in milliseconds.
+    /// Smallest gap limit among the answers that decode here, in milliseconds; infinite if there is none.
     pub gap_ms: f64,
     /// Tokens that its memory holds.
     pub context: u64,
-    /// Tokens of its memory that may still be granted.
+    /// Tokens of its memory that can still be granted.
     pub free_memory: u64,
-    /// Answers that it writes, or will.
+    /// Answers that decode here, or will once their prompts are prefilled.
     pub seats: usize,
-    /// Those to short prompts.
+    /// Answers among them whose prompts are short.
     pub short_seats: usize,
-    /// Whether one more answer may be written here.
+    /// Whether one more answer may decode here.
     pub has_slot: bool,
-    /// Whether requests may be sent to it.
+    /// Whether its circuit breaker admits requests.
     pub admits: bool,
-    /// Whether the next request to it is a trial.
+    /// Whether the next request to it is a trial request of its circuit breaker.
     pub on_trial: bool,
-    /// Whether it takes one more request now by the limit that it names, if it names one.
+    /// Whether its announced rate limit, if any, admits one more request now.
     pub within_limit: bool,
-    /// Work that it has and that is suspected of ending engines.
+    /// Work at this engine that is suspected of crashing engines.
     pub suspect: Option<Work>,
-    /// How many times as long as it should everything takes there.
+    /// Slowdown factor; 1.0 is nominal speed.
     pub pace: f64,
 }
 
 impl View {
-    /// An engine as it is at `now`.
+    /// Computes the state of an engine at `now`.
     fn of(engine: &Engine, policy: &Policy, now: Moment) -> Self {
         let (pass_ms, gap_ms, context) = (engine.pass_ms(), engine.gap_ms(), engine.context());
         let pending_ms = engine.pending_ms(now);
@@ -70,54 +71,56 @@
         }
     }
 
-    /// Whether a team that it belongs to would wait for it.
+    /// Returns whether the engine is so slow that it would hold up a team.
     pub fn is_slow(&self) -> bool {
         self.pace > MOST_TEAM_PACE
     }
 
-    /// Whether it has a slot and memory for a job's answer.
+    /// Returns whether the engine has a slot and memory for the answer of a job.
     pub fn fits(&self, job: &Job) -> bool {
         self.has_slot && self.free_memory >= job.needs()
     }
 }
 
-/// Engines that may read a part of a long prompt now.
+/// Engines that can prefill a part of a long prompt now.
 #[derive(Clone, Debug)]
 pub struct Open {
-    /// Their places in the fleet, those first that can begin soonest.
+    /// Their indexes in the fleet, shortest wait first.
     pub by_wait: Vec<usize>,
-    /// Milliseconds of reading that fit in at each, the most first.
+    /// Their prefill budgets in milliseconds, largest first.
     rooms: Vec<f64>,
 }
 
 impl Open {
-    /// How many have room for so much reading.
+    /// Returns the number of engines whose prefill budget is at least `ms` milliseconds.
     pub fn roomy(&self, ms: f64) -> usize {
         self.rooms.partition_point(|room| *room >= ms)
     }
 }
 
-/// Which engines may be chosen now.
+/// Rules that exclude engines at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Choosable {
-    /// Whether those that failed of late are left out.
+    /// Whether engines that failed recently are excluded.
     leaves_out: bool,
-    /// Whether those with a suspect are left to it.
+    /// Whether engines that run a suspect are excluded.
     leaves_suspects_alone: bool,
 }
 
 impl Choosable {
-    /// The same for a suspect, which may go where it or its like is.
+    /// Returns the rules for a suspect, which may share an engine with other suspects.
     pub fn for_suspect(self) -> Self {
         Self { leaves_suspects_alone: false, ..self }
     }
 
-    /// The same where the rules together leave few: those that failed are rather tried than left without a prompt.
+    /// Returns the rules with recently failed engines allowed. Used where all rules together leave few engines:
+    /// trying a failed engine is better than holding the prompt.
     pub fn with_failing(self) -> Self {
         Self { leaves_out: false, ..self }
     }
 
-    /// Whether an engine may be chosen. One that has used up the limit that it names may not, however many others are left.
+    /// Returns whether an engine is eligible. An exhausted rate limit always excludes an engine, however few are
+    /// left.
     pub fn admits(&self, view: &View) -> bool {
         view.within_limit
             && (!self.leaves_out || view.admits)
@@ -125,25 +128,25 @@
     }
 }
 
-/// The first rule that keeps short prompts from an engine.
+/// Rule that excludes an engine from short prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bar {
-    /// It has used up the limit that it names.
+    /// Its rate limit is exhausted.
     Limited,
-    /// It failed too much of late to be sent anything.
+    /// It failed too often recently.
     Failing,
-    /// A trial is under way there.
+    /// A trial request is in flight there.
     OnTrial,
-    /// It runs work that is suspected of ending engines.
+    /// It runs work that is suspected of crashing engines.
     Suspect,
     /// All its slots are granted.
     Full,
-    /// What it has left to read would hold up someone who writes there.
+    /// Its pending prefill would already exceed the gap limit of an answer that decodes there.
     Reading,
 }
 
 impl Bar {
-    /// Its name in log lines.
+    /// Returns the name of the rule in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             Bar::Limited => "limited",
@@ -156,43 +159,43 @@
     }
 }
 
-/// How many engines are in which state, to explain why prompts wait.
+/// Number of engines by state, logged to explain why prompts wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// All engines.
     pub engines: usize,
-    /// Those that may be chosen.
+    /// Eligible engines.
     pub choosable: usize,
-    /// Those that failed too much of late to be sent anything.
+    /// Engines whose circuit breakers admit no request.
     pub failing: usize,
-    /// Those whose next request is a trial.
+    /// Engines whose next request is a trial request.
     pub on_trial: usize,
-    /// Those that have used up the limit that they name.
+    /// Engines whose rate limits are exhausted.
     pub limited: usize,
-    /// Those all of whose slots are granted.
+    /// Engines without a free slot.
     pub full: usize,
-    /// Those that have something left to read, as far as is known.
+    /// Engines with pending prefill.
     pub reading: usize,
 }
 
-/// All engines at one moment.
+/// State of all engines at one moment.
 #[derive(Debug, Default)]
 pub struct Board {
     views: Vec<View>,
-    /// Engines that admit requests.
+    /// Number of engines whose circuit breakers admit requests.
     admitted: usize,
-    /// Engines whose next request is a trial.
+    /// Number of engines whose next request is a trial request.
     on_trial: usize,
-    /// Engines that have a prompt which is suspected of ending engines.
+    /// Number of engines that run a suspect.
     with_suspect: usize,
-    /// Engines that are slow.
+    /// Number of slow engines.
     slow: usize,
-    /// For prompts of entries that reach all engines.
+    /// Prefill candidates for entries without excluded engines, computed on first use.
     open: OnceCell<Open>,
 }
 
 impl Board {
-    /// Looks at all engines anew.
+    /// Recomputes the state of all engines.
     pub fn refresh(&mut self, engines: &[Engine], policy: &Policy, now: Moment) {
         self.views.clear();
         self.views.extend(engines.iter().map(|engine| View::of(engine, policy, now)));
@@ -203,7 +206,7 @@
         self.open.take();
     }
 
-    /// Looks at one engine anew, the one at place `index`.
+    /// Recomputes the state of the engine at `index`.
     pub fn update(&mut self, index: usize, engine: &Engine, policy: &Policy, now: Moment) {
         let view = View::of(engine, policy, now);
         let old = std::mem::replace(&mut self.views[index], view);
@@ -214,12 +217,12 @@
         self.open.take();
     }
 
-    /// All engines, in the order of the fleet.
+    /// Returns the states in the order of the fleet.
     pub fn views(&self) -> &[View] {
         &self.views
     }
 
-    /// How many engines are in which state.
+    /// Counts the engines by state.
     pub fn tally(&self, policy: &Policy) -> Tally {
         let choosable = self.choosable(policy);
         let count = |is: &dyn Fn(&View) -> bool| self.views.iter().filter(|view| is(view)).count();
@@ -234,7 +237,7 @@
         }
     }
 
-    /// The first rule that keeps short prompts from each engine, by its place in the fleet.
+    /// Returns the index of each excluded engine, with the first rule that excludes it from short prompts.
     pub fn bars(&self, policy: &Policy) -> impl Iterator<Item = (usize, Bar)> {
         let Choosable { leaves_out, leaves_suspects_alone } = self.choosable(policy);
         let bar = move |view: &View| match view {
@@ -249,35 +252,35 @@
         self.views.iter().enumerate().filter_map(move |(index, view)| Some((index, bar(view)?)))
     }
 
-    /// Which engines may be chosen.
+    /// Returns the rules that are in force now.
     pub fn choosable(&self, policy: &Policy) -> Choosable {
         Choosable { leaves_out: self.leaves_out(policy), leaves_suspects_alone: self.leaves_suspects_alone(policy) }
     }
 
-    /// Whether engines that failed of late are left out: as long as that leaves most of them. What strikes many at once
-    /// is no fault of theirs.
+    /// Returns whether recently failed engines are excluded, which requires that most engines remain: a failure that
+    /// hits many engines at once has another cause.
     fn leaves_out(&self, policy: &Policy) -> bool {
         self.admitted as f64 > self.views.len() as f64 * policy.least_usable
     }
 
-    /// Whether engines with a suspect are left to it: as long as that leaves most of them.
+    /// Returns whether engines that run a suspect are excluded, which requires that most engines remain.
     fn leaves_suspects_alone(&self, policy: &Policy) -> bool {
         self.with_suspect > 0 && !self.is_too_many(self.with_suspect, policy)
     }
 
-    /// Whether so many engines wait for a trial that too few are left without them.
+    /// Returns whether so many engines are on trial that long prompts must use them too.
     pub fn must_try(&self, policy: &Policy) -> bool {
         self.is_too_many(self.on_trial, policy)
     }
 
-    /// Whether an engine is fast enough to be chosen beside others; where so many are slow that too few are left without
-    /// them, all are.
+    /// Returns whether an engine is fast enough to join a team. Slow engines count as fast enough where too few
+    /// others remain.
     pub fn is_fast_enough(&self, view: &View, policy: &Policy) -> bool {
         !view.is_slow() || self.is_too_many(self.slow, policy)
     }
 
-    /// Whether too few engines are left without those that failed, have a suspect, have used up their limits or are
-    /// `barred` for the entry at hand. Each rule looks only at those that it leaves out itself.
+    /// Returns whether too few engines remain once all rules are applied: recently failed, with a suspect, rate limit
+    /// exhausted, or `barred` for the entry. Each rule by itself considers only the engines that it excludes.
     pub fn leaves_few(&self, barred: &Barred, policy: &Policy) -> bool {
         let is_left = |view: &View| view.admits && view.within_limit && view.suspect.is_none();
         let views = self.views.iter().enumerate();
@@ -285,15 +288,15 @@
         self.is_too_many(out, policy)
     }
 
-    /// Whether too few engines are left without so many.
+    /// Returns whether too few engines remain without `engines` of them.
     fn is_too_many(&self, engines: usize, policy: &Policy) -> bool {
         engines as f64 >= self.views.len() as f64 * (1.0 - policy.least_usable)
     }
 
-    /// Those among engines that have next to nothing left to read.
+    /// Returns those of `engines` that have almost no pending prefill.
     pub fn open_among(&self, engines: impl Iterator<Item = usize>, policy: &Policy) -> Open {
         let tries = self.must_try(policy);
-        // One that fails holds up the whole team; short prompts try it.
+        // A failing engine would hold up the whole team, so trial requests are left to short prompts.
         let may = |view: &View| {
             let is_open = view.pending_ms <= policy.start_pending_ms;
             is_open && (tries || !view.on_trial) && self.is_fast_enough(view, policy)
@@ -305,7 +308,7 @@
         Open { by_wait, rooms }
     }
 
-    /// The same among all that may be chosen, worked out once between two grants.
+    /// Returns the prefill candidates among all eligible engines, computed once between two grants.
     pub fn open(&self, policy: &Policy) -> &Open {
         self.open.get_or_init(|| {
             let choosable = self.choosable(policy);
--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -1,4 +1,4 @@
-//! The planner's picture of one engine: what it has left to read, what it writes, what its memory holds.
+//! Model of one engine: its pending prefill, its decoding answers, and its memory.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,72 +13,71 @@
 use crate::quarantine::Work;
 use crate::time::Moment;
 
-/// A part of a prompt that an engine has still to read.
+/// Part of a prompt that is still to be prefilled.
 #[derive(Clone, Copy, Debug)]
 struct Part {
     job: Id,
-    /// Time that reading it takes, in milliseconds.
+    /// Expected prefill time, in milliseconds.
     ms: f64,
 }
 
-/// An answer that an engine writes, or will write once its prompt is read.
+/// Answer that decodes on an engine, or will once its prompt is prefilled.
 #[derive(Clone, Copy, Debug)]
 pub struct Seat {
-    /// Tokens that it holds.
+    /// Tokens that it holds in memory.
     pub tokens: u64,
-    /// Longest pause that its caller wants, in milliseconds; 0 if none is told.
+    /// Longest gap between two events that its caller accepts, in milliseconds; 0 if the caller names no limit.
     pub gap_ms: f64,
-    /// Whether its prompt is a short one.
+    /// Whether its prompt is short.
     pub short: bool,
-    /// The work of its prompt, if that is suspected of ending engines.
+    /// Work of its prompt, if that is suspected of crashing engines.
     pub suspect: Option<Work>,
 }
 
-/// Sums over the answers that an engine writes, kept so that a look at all engines does not add them up each time.
+/// Aggregates over the sequences of an engine, cached so that a scan of all engines does not recompute them.
 #[derive(Clone, Copy, Debug)]
 struct Sums {
     /// Tokens that the engine's memory holds.
     context: u64,
-    /// The shortest pause that anyone wants, in milliseconds; infinite if nobody minds.
+    /// Smallest gap limit, in milliseconds; infinite if no sequence has one.
     gap_ms: f64,
-    /// Milliseconds of a pass in which nothing is read.
+    /// Duration of a pass without prefill, in milliseconds.
     pass_ms: f64,
-    /// Answers to short prompts.
+    /// Number of sequences whose prompts are short.
     short_seats: usize,
-    /// Work of one of them that is suspected of ending engines.
+    /// Work of one of the sequences that is suspected of crashing engines.
     suspect: Option<Work>,
 }
 
-/// What the planner believes of one engine.
+/// State of one engine, as far as the planner knows.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its name.
     pub name: Name,
-    /// What requests have told of it, once one went badly.
+    /// Circuit breaker; `None` until the first failure.
     pub breaker: Option<Breaker>,
-    /// What may still be sent to it, if it names a limit of its own.
+    /// Allowance under the engine's announced rate limit; `None` if it announces no limit.
     pub limit: Option<Allowance>,
-    /// When something last came from it in time.
+    /// Time of the last first event that was not overdue.
     pub answered_at: Moment,
-    /// Its sizes and speeds, when it is as fast as it should be.
+    /// Sizes and speeds at nominal speed.
     sound: Arc<Figures>,
-    /// Its sizes and speeds now.
+    /// Sizes and speeds at the current slowdown.
     figures: Arc<Figures>,
-    /// How many times as long as it should everything takes, as the engine says.
+    /// Slowdown factor that the engine reported; 1.0 is nominal speed.
     pace: f64,
-    /// When it was last asked.
+    /// Time of the last slowdown probe.
     pub asked_at: Moment,
-    /// What it reads, in order.
+    /// Pending prefill, in order.
     parts: VecDeque<Part>,
-    /// When the first part began to be read.
+    /// Time at which prefill of the first part started.
     front_since: Moment,
-    /// What it writes.
+    /// Sequences by job.
     seats: BTreeMap<Id, Seat>,
     sums: Sums,
 }
 
 impl Engine {
-    /// An engine with nothing to do.
+    /// Creates an idle engine.
     pub fn new(name: Name, figures: Arc<Figures>) -> Self {
         Self {
             name,
@@ -96,66 +95,65 @@
         }
     }
 
-    /// Its sizes and speeds.
+    /// Returns the sizes and speeds at the current slowdown.
     pub fn figures(&self) -> &Arc<Figures> {
         &self.figures
     }
 
-    /// Its sizes and speeds when it is as fast as it should be.
+    /// Returns the sizes and speeds at nominal speed.
     pub fn sound(&self) -> &Arc<Figures> {
         &self.sound
     }
 
-    /// Gives it other sizes and speeds.
+    /// Replaces the sizes and speeds at nominal speed.
     pub fn set_figures(&mut self, figures: Arc<Figures>) {
         self.sound = figures;
         self.set_pace(self.pace);
     }
 
-    /// How many times as long as it should everything takes.
     pub fn pace(&self) -> f64 {
         self.pace
     }
 
-    /// Notes how many times as long as it should everything takes.
     pub fn set_pace(&mut self, pace: f64) {
         self.pace = pace;
         self.figures = if pace == 1.0 { self.sound.clone() } else { Arc::new(self.sound.at_pace(pace)) };
         self.sum_up();
     }
 
-    /// Tokens that its memory holds.
+    /// Returns the number of tokens that the engine's memory holds.
     pub fn context(&self) -> u64 {
         self.sums.context
     }
 
-    /// Answers that it writes, or will.
+    /// Returns the number of sequences.
     pub fn seats(&self) -> usize {
         self.seats.len()
     }
 
-    /// Answers to short prompts that it writes, or will.
+    /// Returns the number of sequences whose prompts are short.
     pub fn short_seats(&self) -> usize {
         self.sums.short_seats
     }
 
-    /// Work that it has and that is suspected of ending engines.
+    /// Returns work at this engine that is suspected of crashing engines.
     pub fn suspect(&self) -> Option<Work> {
         self.sums.suspect
     }
 
-    /// The shortest pause that anyone who writes here wants, in milliseconds.
+    /// Returns the smallest gap limit of the sequences, in milliseconds; infinite if no sequence has one.
     pub fn gap_ms(&self) -> f64 {
         self.sums.gap_ms
     }
 
-    /// Milliseconds of a pass in which nothing is read.
+    /// Returns the duration of a pass without prefill, in milliseconds.
     pub fn pass_ms(&self) -> f64 {
         self.sums.pass_ms
     }
 
-    /// Milliseconds of reading that are left. Parts that are long overdue, one after the other, no longer count: their
-    /// answers were lost, or other engines hold up their teams. The part behind those counts in full.
+    /// Returns the pending prefill in milliseconds. Parts at the front that are long overdue no longer count, because
+    /// their answers were lost or other engines hold up their teams. The first part that is not overdue counts in
+    /// full if overdue parts precede it.
     pub fn pending_ms(&self, now: Moment) -> f64 {
         if self.parts.is_empty() {
             return 0.0;
@@ -177,32 +175,31 @@
         next_left + parts.map(|part| part.ms).sum::<f64>()
     }
 
-    /// Whether what it reads takes noticeably longer than it should.
+    /// Returns whether the first part takes noticeably longer than expected.
     pub fn is_late(&self, now: Moment) -> bool {
         let Some(front) = self.parts.front() else { return false };
         let elapsed_ms = now.since(self.front_since).as_secs_f64() * 1e3;
         elapsed_ms > (front.ms + self.pass_ms()) * LATE + LATE_BY_MS
     }
 
-    /// Milliseconds until it could begin to read something new.
+    /// Returns the time until a new prefill could start, in milliseconds.
     pub fn wait_ms(&self, now: Moment) -> f64 {
         self.pending_ms(now) + self.pass_ms()
     }
 
-    /// Adds an answer that it will write.
     pub fn seat(&mut self, job: Id, seat: Seat) {
         self.seats.insert(job, seat);
         self.sum_up();
     }
 
-    /// Notes that an answer is over.
+    /// Removes the sequence of a finished job.
     pub fn unseat(&mut self, job: Id) {
         if self.seats.remove(&job).is_some() {
             self.sum_up();
         }
     }
 
-    /// Adds a part behind what is left to read.
+    /// Appends a part to the pending prefill.
     pub fn add_part(&mut self, job: Id, ms: f64, now: Moment) {
         if self.parts.is_empty() {
             self.front_since = now;
@@ -210,7 +207,7 @@
         self.parts.push_back(Part { job, ms });
     }
 
-    /// Notes that a job's part is read, or never will be.
+    /// Removes the part of a job that is prefilled or was withdrawn.
     pub fn drop_part(&mut self, job: Id, now: Moment) {
         let was_front = self.parts.front().is_some_and(|part| part.job == job);
         self.parts.retain(|part| part.job != job);
--- a/coord/src/planner/fleet.rs
+++ b/coord/src/planner/fleet.rs
@@ -1,4 +1,4 @@
-//! All engines of a service, by name.
+//! Engines of a service, by name.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use crate::engine::Figures;
 use crate::name::Name;
 
-/// The engines, in the order of their names.
+/// Engines in the order of their names.
 #[derive(Debug, Default)]
 pub struct Fleet(Vec<Engine>);
 
 impl Fleet {
-    /// Sets which engines there are; those that stay keep what is known of them.
+    /// Replaces the set of engines; engines that remain keep their state.
     pub fn set(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
         let old = std::mem::take(&mut self.0).into_iter();
         let mut old: BTreeMap<Name, Engine> = old.map(|engine| (engine.name.clone(), engine)).collect();
@@ -29,32 +29,28 @@
         }
     }
 
-    /// All of them.
     pub fn engines(&self) -> &[Engine] {
         &self.0
     }
 
-    /// All of them, to change them.
     pub fn engines_mut(&mut self) -> &mut [Engine] {
         &mut self.0
     }
 
-    /// The place of an engine among all.
+    /// Returns the index of an engine.
     pub fn position(&self, name: &Name) -> Option<usize> {
         self.0.binary_search_by(|engine| engine.name.cmp(name)).ok()
     }
 
-    /// The engine of a name.
     pub fn get(&self, name: &Name) -> Option<&Engine> {
         self.position(name).map(|index| &self.0[index])
     }
 
-    /// The engine of a name, to change it.
     pub fn get_mut(&mut self, name: &Name) -> Option<&mut Engine> {
         self.position(name).map(|index| &mut self.0[index])
     }
 
-    /// Sizes and speeds of engines that are as fast as they should be; all engines of a service are alike.
+    /// Returns the sizes and speeds at nominal speed, which are the same for all engines of a service.
     pub fn figures(&self) -> Option<&Arc<Figures>> {
         self.0.first().map(Engine::sound)
     }
--- a/coord/src/planner/granted.rs
+++ b/coord/src/planner/granted.rs
@@ -1,4 +1,4 @@
-//! Jobs that have their engines, and when their first events are overdue.
+//! Granted jobs, and the time at which their first events are overdue.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,39 +8,35 @@
 use crate::engine::millis;
 use crate::time::Moment;
 
-/// A job that has its engines.
 #[derive(Debug)]
 pub struct Grantee {
-    /// Its engines.
     pub team: Team,
-    /// When it got them.
     pub granted_at: Moment,
-    /// A first event that comes after this shows that an engine must be to blame.
+    /// Time after which a missing first event is blamed on an engine.
     overdue_after: Moment,
 }
 
 impl Grantee {
-    /// A job that got its engines at `now`, and whose first event is expected that many milliseconds later.
+    /// Creates a job that is granted at `now` and whose first event is expected `expected_ms` milliseconds later.
     pub fn new(team: Team, expected_ms: f64, now: Moment) -> Self {
         Self { team, granted_at: now, overdue_after: now + millis(expected_ms * SLOW + SLOW_BY_MS) }
     }
 
-    /// Whether its first event is so late that an engine must be to blame.
+    /// Returns whether the first event is so late that an engine must be at fault.
     pub fn is_overdue(&self, now: Moment) -> bool {
         now > self.overdue_after
     }
 }
 
-/// All jobs that have their engines.
 #[derive(Debug, Default)]
 pub struct Granted {
     jobs: BTreeMap<Id, Grantee>,
-    /// Those that are still being read, as far as is known, and not yet overdue, by when they will be.
+    /// Jobs that await their first events and are not yet overdue, by the time at which they become overdue.
     watched: BTreeSet<(Moment, Id)>,
 }
 
 impl Granted {
-    /// Adds a job; `reading` tells whether its first event has yet to come.
+    /// Adds a job; `reading` tells whether its first event is still to come.
     pub fn insert(&mut self, id: Id, job: Grantee, reading: bool) {
         self.remove(id);
         if reading {
@@ -49,19 +45,18 @@
         self.jobs.insert(id, job);
     }
 
-    /// Notes that a job's first event came, and returns the job.
+    /// Records that a job produced its first event; returns the job.
     pub fn first_event(&mut self, id: Id) -> Option<&Grantee> {
         let job = self.jobs.get(&id)?;
         self.watched.remove(&(job.overdue_after, id));
         Some(job)
     }
 
-    /// A job.
     pub fn get(&self, id: Id) -> Option<&Grantee> {
         self.jobs.get(&id)
     }
 
-    /// Expects the first events of the jobs of some entries so much later.
+    /// Postpones the expected first events of the jobs for which `is_late` returns true.
     pub fn postpone(&mut self, is_late: impl Fn(&Id) -> bool, by: Duration) {
         for (id, job) in self.jobs.iter_mut().filter(|(id, _)| is_late(id)) {
             let was_watched = self.watched.remove(&(job.overdue_after, *id));
@@ -72,19 +67,18 @@
         }
     }
 
-    /// Takes a job out.
     pub fn remove(&mut self, id: Id) -> Option<Grantee> {
         let job = self.jobs.remove(&id)?;
         self.watched.remove(&(job.overdue_after, id));
         Some(job)
     }
 
-    /// Identities of all.
+    /// Returns the identities of all granted jobs.
     pub fn ids(&self) -> impl Iterator<Item = &Id> {
         self.jobs.keys()
     }
 
-    /// The next job whose first event has become overdue, each once.
+    /// Returns the next job whose first event has become overdue; each job is returned once.
     pub fn next_overdue(&mut self, now: Moment) -> Option<&Grantee> {
         let (overdue_after, id) = *self.watched.first()?;
         if now <= overdue_after {
--- a/coord/src/planner/job.rs
+++ b/coord/src/planner/job.rs
@@ -1,4 +1,4 @@
-//! Prompts as the planner sees them, and the engines that it grants them.
+//! Jobs as the planner sees them, and the engines that it grants them.
 
 use std::time::Duration;
 
@@ -9,78 +9,79 @@
 use crate::quarantine::Work;
 use crate::time::Moment;
 
-/// Identity of a job: the entry that has it, and the entry's number for it.
+/// Identity of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// Who has the job: 0 for the planner's own process, else a connection.
+    /// Entry that has the job: 0 for the planner's own process, otherwise the number of a connection.
     pub entry: u64,
-    /// The entry's number for it.
+    /// Number that the entry gave the job.
     pub number: u64,
 }
 
-/// What a prompt asks for.
+/// Size, deadlines and priority of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Most output tokens.
+    /// Upper bound of the output tokens.
     pub output: u64,
-    /// When its first event is wanted.
+    /// Time by which the first event is wanted.
     pub aim: Moment,
-    /// Longest pause that its caller wants between events, in milliseconds; 0 if none is told.
+    /// Longest gap between two events that the caller accepts, in milliseconds; 0 if the caller names no limit.
     pub gap_ms: f64,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Moment,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// What it asks for, if that is known.
+    /// Fingerprint of the request, if it is known.
     pub work: Option<Work>,
 }
 
 impl Job {
-    /// Memory that it takes, in tokens.
+    /// Returns the memory that the job takes, in tokens.
     pub(in crate::planner) fn needs(&self) -> u64 {
         self.prompt + self.output.min(LIKELY_OUTPUT)
     }
 }
 
-/// An engine that reads a part of a prompt for another.
+/// Engine that prefills a part of a prompt for another engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Helper {
-    /// The engine.
+    /// Name of the engine.
     pub engine: Name,
-    /// Tokens of the prompt that it also holds until the answer is over; 0 if it only reads.
+    /// Tokens of the prompt that the helper holds in memory until the answer is complete; 0 if it only prefills.
     pub holds: u64,
 }
 
-/// The engines of one prompt.
+/// Engines of one prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// The engine that gets the request and writes the answer.
+    /// Engine that receives the request and decodes the answer.
     pub writer: Name,
-    /// Engines that read parts of the prompt.
+    /// Engines that prefill parts of the prompt.
     pub helpers: Vec<Helper>,
 }
 
 impl Team {
-    /// One engine that reads and writes all by itself.
+    /// Returns a team without helpers.
     pub(super) fn alone(engine: &Name) -> Self {
         Self { writer: engine.clone(), helpers: Vec::new() }
     }
 
-    /// All its engines, the writer first.
+    /// Returns all engines of the team, the writer first.
     pub fn engines(&self) -> impl Iterator<Item = &Name> + Clone {
         std::iter::once(&self.writer).chain(self.helpers.iter().map(|helper| &helper.engine))
     }
 }
 
-/// A decision: who reads and who writes.
+/// Decision of the planner: the engines of one job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The job.
+    /// Identity of the job.
     pub id: Id,
-    /// Its engines.
+    /// Engines of the job.
     pub team: Team,
-    /// If its first event takes longer it will probably never come; none where the planner cannot tell.
+    /// Time after the grant from which on a missing first event will probably never come; `None` while the planner
+    /// cannot predict the first event.
     pub silent_after: Option<Duration>,
 }
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -1,15 +1,14 @@
-//! Order and place for prompts over all engines of a service.
+//! Orders prompts and assigns them to the engines of a service.
 //!
-//! The planner keeps a picture of each engine: which prompts it reads, which answers it writes,
-//! and what its memory holds. A prompt is granted an engine, and helpers to read parts of it,
-//! when that keeps two promises as far as the model of [`crate::engine`] tells: the pauses of the
-//! answers that are being written stay within what their callers want, and the prompt's own first
-//! event is in time. Short prompts are granted at once and packed onto few engines, so that the
-//! others stay free of writers whom long reads would stall. Long prompts wait here, the shortest
-//! first, and are read in parts by many engines.
+//! The planner keeps a model of each engine: the prompts that it prefills, the answers that it decodes, and the
+//! tokens that its memory holds. It grants a prompt an engine, and helpers that prefill parts of it, if the time
+//! model of [`crate::engine`] predicts that two limits hold: no gap between the events of a decoding answer exceeds
+//! the limit of its caller, and the first event of the prompt is in time. Short prompts are granted at once and
+//! packed onto few engines, so that the other engines decode nothing that a long prefill would stall. Long prompts
+//! wait in the queue, shortest first, and are prefilled in parts by many engines.
 //!
-//! The same picture serves a process that decides for all entries and one that decides for
-//! itself alone; nothing that must hold depends on how complete it is.
+//! The same planner serves a process that decides for all entries and one that decides only for itself. No safety
+//! property depends on the model being complete.
 
 mod board;
 mod engine;
@@ -51,38 +50,38 @@
 use crate::rest;
 use crate::time::Moment;
 
-/// Engines that are named to explain why prompts wait: a line of some 300 bytes.
+/// Bounds the number of engines that are listed to explain why prompts wait; 12 give a log line of some 300 bytes.
 const MOST_BARS: usize = 12;
 
 /// The planner of one service.
 #[derive(Debug, Default)]
 pub struct Planner {
     policy: Policy,
-    /// Orders engines that are equally good; planners that know nothing of each other should not choose alike.
+    /// Breaks ties between equally good engines, so that planners that do not know of each other choose differently.
     salt: u64,
     fleet: Fleet,
-    /// The engines as they were at the last pump.
+    /// State of the engines at the last pump.
     board: Board,
     evidence: Evidence,
-    /// Long prompts wait until then: not all who have prompts at the engines have told yet.
+    /// Time before which long prompts must wait, because not all entries have reported their running jobs yet.
     settled_at: Moment,
     waiting: Waiting,
     granted: Granted,
     pressure: Pressure,
-    /// Work that is suspected of ending engines.
+    /// Work that is suspected of crashing engines.
     suspects: BTreeSet<Work>,
-    /// Engines that want nothing from an entry for a while, by entry.
+    /// Backoffs that engines requested, by entry.
     rests: BTreeMap<u64, rest::Register>,
 }
 
 impl Planner {
-    /// A planner with a policy and no engines. Planners of different `salt` prefer different engines.
+    /// Creates a planner without engines. Planners with different `salt` prefer different engines.
     pub fn new(policy: Policy, salt: u64) -> Self {
         let salt = if policy.salt { salt } else { 0 };
         Self { policy, salt, waiting: Waiting::new(policy.cheapest_first), ..Self::default() }
     }
 
-    /// Sets which engines take work. What runs on an engine that is left out is forgotten.
+    /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
     pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
         self.fleet.set(engines);
         self.evidence.keep(|name| self.fleet.position(name).is_some());
@@ -91,29 +90,29 @@
         self.waiting.renew(|job| estimate::prompt(job, figures, engines, &self.policy));
     }
 
-    /// Notes that others are about to tell what they have at the engines.
+    /// Starts the settling period, in which entries report the jobs that they have at the engines.
     pub fn unsettle(&mut self, now: Moment) {
         if self.policy.settling {
             self.settled_at = now + SETTLING;
         }
     }
 
-    /// Whether jobs wait.
+    /// Returns whether any job waits.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Takes a job in; [`Planner::pump`] grants it.
+    /// Adds a job to the queue; [`Planner::pump`] grants it.
     pub fn submit(&mut self, id: Id, job: Job) {
         self.waiting.insert(id, self.prompt(job));
     }
 
-    /// Takes in a job that was granted elsewhere.
+    /// Records a job that another planner granted. `reading` tells whether its prompt is still being prefilled.
     pub fn adopt(&mut self, id: Id, job: &Job, team: Team, reading: bool, now: Moment) {
         self.take_in(id, job, team, reading, now);
     }
 
-    /// Takes in a job that has its engines; returns the milliseconds after which its first event is expected.
+    /// Records a granted job; returns the expected time to its first event, in milliseconds.
     fn take_in(&mut self, id: Id, job: &Job, team: Team, reading: bool, now: Moment) -> f64 {
         self.waiting.remove(id);
         let parts = 1 + team.helpers.len();
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Notes that a job's first event came: its prompt is read.
+    /// Records that a job produced its first event, which means that its prompt is prefilled.
     pub fn first_event(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.first_event(id) else { return };
         let overdue = job.is_overdue(now) && self.policy.suspicion;
@@ -163,30 +162,31 @@
             }
         }
         if overdue && !alone {
-            // One of them is slow, who knows which.
+            // Any engine of the team may be the slow one.
             let (team, granted_at) = (job.team.clone(), job.granted_at);
             self.suspect(&team, granted_at, now);
         }
     }
 
-    /// Notes that an entry did not run for so long, or this process where none is named. What came meanwhile is heard late,
-    /// and that says nothing of the engines: each first event that was answered in time and heard of behind a freeze would
-    /// count as a failure, and some of them leave an engine out for the longest time.
+    /// Postpones the expected first events of an entry that was frozen, or of all entries if this process was. Events
+    /// that occurred during the freeze are handled late, which is no fault of the engines: without this, each first
+    /// event that was in time but handled after a freeze would count as a failure, and a few of those eject an engine
+    /// for the longest period.
     pub fn absent(&mut self, entry: Option<u64>, by: Duration) {
         self.granted.postpone(|id| entry.is_none_or(|entry| entry == id.entry), by);
     }
 
-    /// Sets which work is suspected of ending engines, and is placed apart.
+    /// Sets the work that is suspected of crashing engines; its prompts are isolated from others.
     pub fn set_suspects(&mut self, suspects: impl IntoIterator<Item = Work>) {
         self.suspects = suspects.into_iter().collect();
     }
 
-    /// A job's work, if it is suspected.
+    /// Returns the work of a job if that work is suspected.
     fn suspected_work(&self, job: &Job) -> Option<Work> {
         job.work.filter(|work| self.suspects.contains(work))
     }
 
-    /// Notes that a job is over, or no longer waits.
+    /// Removes a job that has finished or no longer waits.
     pub fn end(&mut self, id: Id, now: Moment) {
         self.waiting.remove(id);
         let Some(job) = self.granted.remove(id) else { return };
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Suspects the engines of prompts whose first events are overdue.
+    /// Puts the engines of prompts with overdue first events on trial.
     fn look_for_slow(&mut self, now: Moment) {
         if !self.policy.suspicion {
             return;
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Forgets all jobs of an entry.
+    /// Removes an entry with all its jobs.
     pub fn end_entry(&mut self, entry: u64, now: Moment) {
         let of_entry = |id: &&Id| id.entry == entry;
         let ids: Vec<Id> = self.waiting.ids().chain(self.granted.ids()).filter(of_entry).copied().collect();
@@ -219,20 +219,22 @@
         self.rests.remove(&entry);
     }
 
-    /// Notes that an engine failed a job of an entry: it is left out for a growing while.
+    /// Records that an engine failed a job of an entry. The engine is ejected for a period that grows with each
+    /// failure.
     pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
         let Some(known) = self.fleet.get_mut(engine).filter(|_| self.policy.breakers) else { return };
         let share = self.evidence.failed(entry, engine, now);
         known.breaker.get_or_insert_default().failed(share, now);
     }
 
-    /// Notes that an engine wants nothing from an entry for so long; others may go on sending there.
+    /// Records that an engine asked an entry to send it nothing for the period `rest`. Other entries are not
+    /// affected.
     pub fn rests(&mut self, entry: u64, engine: &Name, rest: Duration, now: Moment) {
         self.rests.entry(entry).or_default().hear(engine, rest, now);
     }
 
-    /// Notes that an engine started again under its name: it holds and reads nothing of before, and what was known of its
-    /// failures and its pace was of another run.
+    /// Resets an engine that restarted under the same name. Its memory and prefill queue are empty, and earlier
+    /// failures and slowdowns belong to the previous run.
     pub fn restarted(&mut self, engine: &Name) {
         self.evidence.keep(|name| name != engine);
         self.rests.values_mut().for_each(|rests| rests.forget(engine));
@@ -241,8 +243,8 @@
         }
     }
 
-    /// Sets the limit that an engine names, in requests a second, if it names one, and which `share` of it is granted here.
-    /// What helps to read a prompt counts as much as what writes its answer.
+    /// Sets the rate limit that an engine announces, in requests per second, and the `share` of it that this planner
+    /// may grant; `None` removes the limit. A request to a helper counts as much as one to the writer.
     pub fn set_limit(&mut self, engine: &Name, rate: Option<f64>, share: f64, now: Moment) {
         let salt = self.salt;
         let Some(engine) = self.fleet.get_mut(engine) else { return };
@@ -253,8 +255,8 @@
         }
     }
 
-    /// Notes that this planner grants in place of another: what that one granted of late it does not know, so that
-    /// nothing is saved up.
+    /// Resets the saved-up allowance of all rate limits. Needed when this planner takes over from another one whose
+    /// recent grants it does not know.
     pub fn restart_limits(&mut self, now: Moment) {
         let salt = self.salt;
         for engine in self.fleet.engines_mut() {
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Grants what may start now.
+    /// Grants the prompts that can start now.
     pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
         self.look_for_slow(now);
         let mut grants = Vec::new();
@@ -277,14 +279,15 @@
         let mut held_back = false;
         let mut timely_wait = false;
         for turn in &self.waiting.turns(now) {
-            // What is late anyway must not take the engines that one in time waits for.
+            // A late prompt must not take engines that a prompt still in time waits for.
             let reach = match turn.late && held_back && self.policy.late_last {
                 true if self.policy.late_shared => Reach::Shared,
                 true => break,
                 false => Reach::All,
             };
             let barred = self.barred(turn.id.entry, now);
-            // What is found for a suspect, or for an entry that engines want nothing from, says nothing of others.
+            // A failed placement of a suspect, or of an entry that engines asked to back off, does not predict the
+            // result for other prompts.
             let is_apart = self.suspected_work(&turn.prompt.job).is_some() || barred.has_resting();
             let is_hopeless = !is_apart && barred.is_empty() && hopeless.covers(&turn.prompt, reach);
             let placed = if is_hopeless { None } else { self.place(turn, reach, &barred, now) };
@@ -309,20 +312,21 @@
         grants
     }
 
-    /// For how long prompts that could be in time have found no engines, how many wait, and what the engines were like at
-    /// the last pump.
+    /// Returns for how long prompts that could be in time have found no engine, the number of waiting prompts, and
+    /// the engine counts of the last pump.
     pub fn held(&self, now: Moment) -> (Duration, usize, Tally) {
         (self.pressure.held_for(now), self.waiting.ids().count(), self.board.tally(&self.policy))
     }
 
-    /// The first rule that kept short prompts from each engine at the last pump, for some engines.
+    /// Returns the first rule that excluded each engine from short prompts at the last pump, for up to `MOST_BARS`
+    /// engines.
     pub fn bars(&self) -> Vec<(&Name, Bar)> {
         let engines = self.fleet.engines();
         let named = self.board.bars(&self.policy).filter_map(|(index, bar)| Some((&engines.get(index)?.name, bar)));
         named.take(MOST_BARS).collect()
     }
 
-    /// Gives a prompt its engines.
+    /// Records the grant and updates breakers, rate limits and the board.
     fn grant(&mut self, turn: &Turn, team: Team, now: Moment) -> Grant {
         let expected_ms = self.take_in(turn.id, &turn.prompt.job, team.clone(), true, now);
         for name in team.engines() {
@@ -335,14 +339,15 @@
             }
             self.board.update(index, &self.fleet.engines()[index], &self.policy, now);
         }
-        // While not all have told what runs, the expectation is no measure.
+        // The expected time is unreliable until all entries have reported their running jobs.
         let is_sure = self.policy.second_sends && now >= self.settled_at;
         let silent_after = is_sure.then(|| silence::after(expected_ms));
         Grant { id: turn.id, team, silent_after }
     }
 }
 
-/// The part of the first request to an engine that is there when its allowance begins: another at each planner.
+/// Returns the part of the first request, from 0 to 1, that an engine's allowance starts with. It differs between
+/// planners, so that together they do not exceed the limit at the start.
 fn start(salt: u64, engine: &Name) -> f64 {
     rendezvous(salt, engine) as f64 / u64::MAX as f64
 }
--- a/coord/src/planner/pace.rs
+++ b/coord/src/planner/pace.rs
@@ -1,12 +1,13 @@
-//! Engines that have turned slow, as they say themselves.
+//! Tracks engines that are slowed down.
 //!
-//! An engine that overheats, or shares its machine, works on with everything taking twice to four times as long. First
-//! events that are late show that something is wrong, but neither for how long nor with which engine of a team. Engines
-//! tell their pace when asked, and those that are late are asked: what that costs does not grow with the fleet. The slow
-//! are left out of teams, which all wait for their slowest, and get short prompts only where these are still in time.
-//! With 7 of 60 engines 3.4 times as slow, 0.97 in place of 0.94 of what short prompts are worth is earned and 0.87 in
-//! place of 0.86 of the longest; with 15 of 60 at half of their speed 0.97 in place of 0.83, and 0.81 in place of 0.78
-//! (`tests/planner_load/turnover.rs`, 16 to 40 seeds).
+//! An engine that overheats or shares its machine keeps working at a half to a quarter of its speed. Late first
+//! events show that something is wrong, but neither for how long nor which engine of a team is affected. Engines
+//! report their slowdown factor when probed, and only late engines are probed, so that the cost of probing does not
+//! grow with the fleet. Slow engines are left out of teams, because a team waits for its slowest member, and get
+//! short prompts only if these are still in time. In the simulation (`tests/planner_load/turnover.rs`, 16 to 40
+//! seeds) with 7 of 60 engines 3.4 times as slow, the earned share of the value rises from 0.94 to 0.97 for short
+//! prompts and from 0.86 to 0.87 for the longest; with 15 of 60 at half speed, from 0.83 to 0.97 and from 0.78 to
+//! 0.81.
 
 use std::time::Duration;
 
@@ -14,21 +15,22 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// A part that takes so many times as long as it should …
+/// Factor by which a part must exceed its expected time to be late.
 pub(super) const LATE: f64 = 1.3;
-/// … and so much longer, in milliseconds, is late: the ways through the network take some 5 ms, and a pass that was under
-/// way up to 60 ms.
+/// Time by which a late part must additionally exceed its expected time, in milliseconds. Network hops take some 5
+/// ms, and waiting for the current pass takes up to 60 ms.
 pub(super) const LATE_BY_MS: f64 = 50.0;
-/// Time between two questions to the same engine: what it says is some 200 ms old, and engines were seen to be slow for 5
+/// Interval between two probes of the same engine. A report is some 200 ms old when it arrives, and slowdowns last 5
 /// to 7 s.
 const PERIOD: Duration = Duration::from_millis(500);
-/// Largest pace that is believed: an engine beyond it is as good as gone.
+/// Largest slowdown factor that is accepted; a slower engine is practically unavailable.
 const MOST_PACE: f64 = 100.0;
-/// A pace below this is that of a sound engine, in times as long as it should take.
+/// Slowdown factor below which an engine counts as running at nominal speed.
 const SOUND: f64 = 1.05;
 
 impl Planner {
-    /// Engines that should be asked for their pace now: those that are late, and those that were slow.
+    /// Returns the engines that should be probed for their slowdown now: those that are late and those that were
+    /// slow.
     pub fn to_ask(&mut self, now: Moment) -> Vec<Name> {
         if !self.policy.ask_pace {
             return Vec::new();
@@ -44,7 +46,7 @@
         due
     }
 
-    /// Notes how many times as long as it should everything takes on an engine; returns whether that has changed.
+    /// Sets the slowdown factor of an engine; returns whether it changed.
     pub fn set_pace(&mut self, engine: &Name, pace: f64) -> bool {
         let Some(engine) = self.fleet.get_mut(engine) else { return false };
         let pace = if pace < SOUND || pace.is_nan() { 1.0 } else { pace.min(MOST_PACE) };
--- a/coord/src/planner/place/barred.rs
+++ b/coord/src/planner/place/barred.rs
@@ -1,11 +1,11 @@
-//! Engines that one entry should not get, whatever others get.
+//! Engines that are excluded for one entry but not for others.
 
-/// Places in the fleet of such engines.
+/// Indexes in the fleet of the excluded engines.
 #[derive(Clone, Debug, Default)]
 pub(in crate::planner) struct Barred {
-    /// Those that it probably does not reach; where nothing else is left they are tried.
+    /// Engines that the entry probably cannot reach; they are tried if no other engine remains.
     unreached: Vec<usize>,
-    /// Those that want nothing from it for a while.
+    /// Engines that asked the entry to back off.
     resting: Vec<usize>,
 }
 
@@ -14,27 +14,27 @@
         Self { unreached, resting }
     }
 
-    /// Whether it may get any.
+    /// Returns whether no engine is excluded.
     pub(in crate::planner) fn is_empty(&self) -> bool {
         self.unreached.is_empty() && self.resting.is_empty()
     }
 
-    /// Whether some want nothing from it.
+    /// Returns whether any engine asked the entry to back off.
     pub(in crate::planner) fn has_resting(&self) -> bool {
         !self.resting.is_empty()
     }
 
-    /// Whether the engine at a place wants nothing from it.
+    /// Returns whether the engine at `index` asked the entry to back off.
     pub(super) fn rests(&self, index: usize) -> bool {
         self.resting.contains(&index)
     }
 
-    /// Whether it probably does not reach the engine at a place.
+    /// Returns whether the entry probably cannot reach the engine at `index`.
     pub(super) fn is_unreached(&self, index: usize) -> bool {
         self.unreached.contains(&index)
     }
 
-    /// Whether the engine at a place is among them, for either reason.
+    /// Returns whether the engine at `index` is excluded for either reason.
     pub(in crate::planner) fn contains(&self, index: usize) -> bool {
         self.rests(index) || self.is_unreached(index)
     }
--- a/coord/src/planner/place/hopeless.rs
+++ b/coord/src/planner/place/hopeless.rs
@@ -1,17 +1,17 @@
-//! Short prompts that need not be looked at: a cheaper one just found no engine.
+//! Skips short prompts that cannot be placed because a cheaper one just found no engine.
 
 use super::Reach;
 use crate::planner::waiting::Prompt;
 
-/// What found no engine since the last grant.
+/// Short prompts that have found no engine since the last grant.
 ///
-/// Where a short prompt finds none, one that takes as long or longer to read, needs as much memory and minds the same
-/// pauses finds none either: each engine that it could take, the cheaper one could have taken. With 1,000 waiting at
-/// 150 engines this leaves a handful to look at in a turn.
+/// If a short prompt finds no engine, neither does one with the same gap limit that takes at least as long to prefill
+/// and needs at least as much memory: the cheaper prompt could have used any engine that fits the other. With 1,000
+/// prompts waiting at 150 engines, this leaves a handful to place in each pump.
 #[derive(Debug, Default)]
 pub(in crate::planner) struct Hopeless(Vec<Failure>);
 
-/// A short prompt that found no engine.
+/// Requirements of a short prompt that found no engine.
 #[derive(Debug)]
 struct Failure {
     reach: Reach,
@@ -21,7 +21,7 @@
 }
 
 impl Hopeless {
-    /// Whether a prompt need not be looked at.
+    /// Returns whether placement of a prompt can be skipped.
     pub(in crate::planner) fn covers(&self, prompt: &Prompt, reach: Reach) -> bool {
         let needs = prompt.job.needs();
         let is_cheaper = |failure: &Failure| {
@@ -33,7 +33,7 @@
         prompt.short && self.0.iter().any(is_cheaper)
     }
 
-    /// Notes that a prompt found no engine.
+    /// Records a prompt that found no engine; long prompts are ignored.
     pub(in crate::planner) fn note(&mut self, prompt: &Prompt, reach: Reach) {
         if prompt.short {
             let job = &prompt.job;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Forgets all: engines have changed.
+    /// Removes all records. Must be called when the state of an engine changes.
     pub(in crate::planner) fn clear(&mut self) {
         self.0.clear();
     }
--- a/coord/src/planner/place/long.rs
+++ b/coord/src/planner/place/long.rs
@@ -1,4 +1,4 @@
-//! Long prompts: a team of engines that each read a part, of which one writes the answer.
+//! Placement of long prompts: each engine of a team prefills a part, and one of them decodes the answer.
 
 use std::cmp::Reverse;
 
@@ -6,17 +6,17 @@
 use crate::planner::board::{Open, View};
 use crate::planner::job::{Helper, Team};
 
-/// Which engines may help to read.
+/// Engines that may serve as helpers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Helpers {
-    /// Those that write nothing.
+    /// Engines without sequences.
     NotWriting,
-    /// All that have room.
+    /// All engines with enough prefill budget.
     Any,
 }
 
 impl Choice<'_> {
-    /// Splits a long prompt over as many engines as can read a part without making anyone wait.
+    /// Returns the largest team whose members can each prefill a part without exceeding a gap limit.
     pub(super) fn long(&self) -> Option<Team> {
         let most = ((self.prompt().read_ms / self.policy().least_part_ms) as usize).clamp(1, self.policy().most_parts);
         let open = self.open();
@@ -26,18 +26,19 @@
         not_writing.or_else(|| team(Helpers::Any))
     }
 
-    /// Fewest engines that may read the prompt now.
+    /// Returns the smallest number of engines that may prefill the prompt now.
     fn fewest(&self, most: usize) -> usize {
         if self.turn.late {
             return self.fewest_late(most);
         }
-        // A team that is too small to be in time would be in the way of others for long.
+        // A team that is too small to be in time would block its engines for long.
         let slack_ms = self.job().aim.since(self.now).as_secs_f64() * 1e3;
         let in_time = (self.prompt().read_ms / (slack_ms * self.policy().in_time_share).max(1.0)).ceil() as usize;
         in_time.clamp(1, most)
     }
 
-    /// A late prompt takes what there is, if that is enough for its caller to see the first event at all, or is all.
+    /// Returns the smallest team for a late prompt: large enough to produce the first event before the caller gives
+    /// up, or all fast engines if that is impossible.
     fn fewest_late(&self, most: usize) -> usize {
         let left_ms = self.job().deadline.since(self.now).as_secs_f64() * 1e3 * self.policy().late_share;
         let enough = (self.prompt().read_ms / left_ms.max(1.0)).ceil() as usize;
@@ -45,7 +46,7 @@
         enough.clamp(1, most.min(helpful).max(1))
     }
 
-    /// A team of `parts` engines that have room for a part each.
+    /// Returns a team of `parts` engines that each have the prefill budget for one part.
     fn team(&self, open: &Open, parts: usize, helpers: Helpers) -> Option<Team> {
         let part_ms = self.prompt().read_ms / parts as f64;
         if open.roomy(part_ms) + 1 < parts {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A team whose writer holds the whole prompt.
+    /// Returns a team whose writer holds the whole prompt in memory.
     fn holding_alone(&self, roomy: &[usize], parts: usize, part_ms: f64, helpers: Helpers) -> Option<Team> {
         let fits = |index: &usize| self.view(*index).fits(self.job());
         let joined = self.joined(part_ms);
@@ -73,7 +74,8 @@
         (helpers.len() == parts - 1).then(|| Team { writer: self.name(writer).clone(), helpers })
     }
 
-    /// Engines that write long answers only and read a little yet, at which this one may be written too.
+    /// Returns engines that decode only long answers and have little pending prefill, so that one more long answer
+    /// may decode there.
     fn joined(&self, part_ms: f64) -> impl Iterator<Item = usize> {
         let policy = self.policy();
         let may = move |view: &View| {
@@ -88,7 +90,7 @@
         self.engines().filter(move |(_, view)| may(view)).map(|(index, _)| index)
     }
 
-    /// A team whose helpers hold what exceeds the writer's memory.
+    /// Returns a team whose helpers hold the tokens that exceed the writer's memory.
     fn holding_together(&self, roomy: &[usize], parts: usize) -> Option<Team> {
         if !self.policy().shared_memory {
             return None;
@@ -108,7 +110,8 @@
         (left == 0).then(|| Team { writer: self.name(writer).clone(), helpers })
     }
 
-    /// Long answers are written where others are, away from short ones, so that most engines only read.
+    /// Ranks writers, smallest first. Long answers decode beside other long answers and away from short ones, so that
+    /// most engines only prefill.
     fn writer_key(&self, view: &View) -> (u8, Reverse<usize>) {
         let class = match self.policy().gather {
             true if view.short_seats > 0 => 2,
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -1,4 +1,4 @@
-//! The choice of engines for one prompt.
+//! Selects engines for one prompt.
 
 mod apart;
 mod barred;
@@ -18,28 +18,27 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// Which engines a prompt may take.
+/// Engines that a prompt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reach {
     /// Any of them.
     All,
-    /// Only those that hold short answers already, which prompts that wait for a team do not wait for.
+    /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
     Shared,
 }
 
-/// A prompt that may start now, and what the choice of its engines depends on.
+/// Prompt to be placed, with all that the selection of its engines depends on.
 #[derive(Clone, Copy)]
 struct Choice<'a> {
     planner: &'a Planner,
     board: &'a Board,
     turn: &'a Turn,
-    /// Which engines it may take.
     reach: Reach,
-    /// Engines that its entry should not get.
+    /// Engines that are excluded for its entry.
     barred: &'a Barred,
-    /// Whether those that its entry probably does not reach are tried all the same.
+    /// Whether engines that its entry probably cannot reach are tried anyway.
     tries_unreached: bool,
-    /// Which engines may be chosen at all.
+    /// Rules that exclude engines for all entries.
     choosable: Choosable,
     now: Moment,
 }
@@ -61,7 +60,7 @@
         &self.planner.fleet.engines()[index].name
     }
 
-    /// Engines that may be chosen, with their places in the fleet.
+    /// Returns the eligible engines with their indexes in the fleet.
     fn engines(&self) -> impl Iterator<Item = (usize, &'a View)> {
         let views = self.board.views().iter().enumerate();
         views.filter(move |(index, view)| self.choosable.admits(view) && !self.is_barred(*index))
@@ -71,7 +70,7 @@
         self.barred.rests(index) || (!self.tries_unreached && self.barred.is_unreached(index))
     }
 
-    /// Engines that may read a part of a long prompt now.
+    /// Returns the engines that can prefill a part of a long prompt now.
     fn open(&self) -> Cow<'a, Open> {
         if self.barred.is_empty() {
             return Cow::Borrowed(self.board.open(self.policy()));
@@ -81,13 +80,13 @@
 }
 
 impl Planner {
-    /// Engines for a prompt that has its turn; none if it must wait.
+    /// Returns the engines for a prompt; `None` if the prompt must wait.
     pub(super) fn place(&self, turn: &Turn, reach: Reach, barred: &Barred, now: Moment) -> Option<Team> {
         let board = &self.board;
         let choosable = board.choosable(&self.policy);
         let mut choice = Choice { planner: self, board, turn, reach, barred, tries_unreached: false, choosable, now };
         if choice.engines().next().is_none() {
-            // Rather one that it may not reach than none.
+            // Trying an engine that the entry may fail to reach is better than using none.
             choice.tries_unreached = true;
         }
         if let Some(work) = self.suspected_work(&turn.prompt.job).filter(|_| choice.may_be_alone()) {
@@ -103,7 +102,7 @@
         choice.long()
     }
 
-    /// Engines that an entry should not get now.
+    /// Returns the engines that are excluded for an entry now.
     pub(super) fn barred(&self, entry: u64, now: Moment) -> Barred {
         let position = |name: &Name| self.fleet.position(name);
         let unreached = self.evidence.unreached(entry, now).filter_map(position).collect();
--- a/coord/src/planner/policy.rs
+++ b/coord/src/planner/policy.rs
@@ -1,66 +1,68 @@
-//! Settings of the planner's policy, and the figures that are fixed.
+//! Policy settings of the planner, and its fixed constants.
 
 use std::time::Duration;
 
-/// Settings of the policy. The values were found by measured rounds; see `docs/design/08-platform.md`.
+/// Policy settings. The reasons for the default values are in `docs/design/08-platform.md`.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Part of a wanted pause that a pass may take.
+    /// Share of a gap limit that a pass may take, prefill included.
     pub pause_share: f64,
-    /// Least time that a part is worth, in milliseconds: smaller ones cost more passes than they save.
+    /// Shortest worthwhile prefill part, in milliseconds; a smaller part costs more in passes than it saves.
     pub least_part_ms: f64,
-    /// Most engines that read one prompt.
+    /// Largest number of engines that prefill one prompt.
     pub most_parts: usize,
-    /// A long prompt starts on engines that have at most this left to read, in milliseconds.
+    /// Most pending prefill that an engine may have when it joins a team, in milliseconds.
     pub start_pending_ms: f64,
-    /// Part of an engine's slots that is granted; the rest absorbs what this planner does not see.
+    /// Share of an engine's slots that is granted; the rest absorbs load that this planner does not see.
     pub slot_share: f64,
-    /// Part of an engine's memory that is granted.
+    /// Share of an engine's memory that is granted.
     pub memory_share: f64,
-    /// Part of the engines that short prompts leave to long ones.
+    /// Share of the engines that short prompts leave to long ones.
     pub long_share: f64,
-    /// Part of the time that its caller still waits for which a late prompt may be read.
+    /// Share of the time until the caller gives up within which a late prompt must be prefilled.
     pub late_share: f64,
-    /// Part of the engines that is left when those that failed are left out; with fewer, none is.
+    /// Share of the engines that must remain when recently failed engines are excluded; otherwise none is excluded.
     pub least_usable: f64,
-    /// Part of the time to its aim within which a team must have read a prompt.
+    /// Share of the time until the wanted first event within which a team must have prefilled the prompt.
     pub in_time_share: f64,
-    /// Whether parts of long prompts go to engines that write nothing, as long as these are enough. Elsewhere they make
-    /// answers wait, whose seats are then taken for longer: at 150 engines and a burst of long prompts 150 long answers
-    /// were being written on 75 engines, and no prompt over 550,000 tokens found a dozen engines that it could use.
+    /// Whether parts of long prompts go to engines without sequences as long as there are enough. On other engines
+    /// they slow down decoding, which then occupies its slots for longer: in a burst of long prompts at 150 engines,
+    /// 150 long answers were decoding on 75 engines, and no prompt over 550,000 tokens found a dozen usable engines.
     pub spare_writers: bool,
-    /// Whether long answers are written where others are, so that more engines write nothing.
+    /// Whether long answers decode beside each other, so that more engines have no sequences.
     pub gather: bool,
-    /// A long answer may join others on an engine that has up to this left to read, in milliseconds.
+    /// Most pending prefill of an engine at which a long answer may join others, in milliseconds.
     pub join_pending_ms: f64,
-    /// Whether the cheapest prompt goes first among equals; else the one whose first event is wanted soonest.
+    /// Whether the cheapest prompt goes first within a priority; otherwise the one whose first event is wanted
+    /// soonest.
     pub cheapest_first: bool,
-    /// Whether what would be late anyway waits for what is in time.
+    /// Whether late prompts wait for prompts that can still be in time.
     pub late_last: bool,
-    /// Whether late short prompts may meanwhile go beside others of their kind.
+    /// Whether late short prompts may meanwhile use engines that already serve short prompts.
     pub late_shared: bool,
-    /// Whether prompts that wait in vain are refused at once.
+    /// Whether prompts that cannot be served before their callers give up are refused at once.
     pub refuse_early: bool,
-    /// Whether short prompts are packed onto few engines; else each goes where it can begin soonest.
+    /// Whether short prompts are packed onto few engines; otherwise each goes to the engine with the shortest wait.
     pub packing: bool,
-    /// Whether prompts beyond one engine's memory are held by several.
+    /// Whether several engines together may hold a prompt that exceeds the memory of one.
     pub shared_memory: bool,
-    /// Whether engines that fail are left alone for a while.
+    /// Whether engines that fail are ejected for a while.
     pub breakers: bool,
-    /// Whether engines are chosen against which something probable is known where all rules together leave few.
+    /// Whether engines that are excluded only by a suspicion are used where all rules together leave few.
     pub few_left: bool,
-    /// Whether engines of overdue prompts are suspected.
+    /// Whether engines of overdue prompts are put on trial.
     pub suspicion: bool,
-    /// Whether of a team that takes too long only those engines are suspected from which nothing has come since it was
-    /// granted; else all. With 5 of 60 hanging, 19 to 43 were left out of teams at once.
+    /// Whether an overdue team puts only those members on trial that have produced no first event since the grant;
+    /// otherwise all. With 5 of 60 engines hanging, suspecting all members excluded 19 to 43 engines from teams at
+    /// once.
     pub mute_only: bool,
-    /// Whether engines are asked for their pace.
+    /// Whether engines are probed for their slowdown factors.
     pub ask_pace: bool,
-    /// Whether prompts that are silent for longer than can be explained are sent elsewhere.
+    /// Whether prompts that stay unresponsive beyond any plausible delay are sent to other engines.
     pub second_sends: bool,
-    /// Whether a planner that is new waits until it knows what runs.
+    /// Whether a new planner holds long prompts until the entries have reported their running jobs.
     pub settling: bool,
-    /// Whether planners that know nothing of each other prefer different engines.
+    /// Whether planners that do not know of each other prefer different engines.
     pub salt: bool,
 }
 
@@ -98,28 +100,28 @@
     }
 }
 
-/// Time in which entries tell a planner that is new to them what they have at the engines. Those that meet a lost
-/// planner at the same moment were seen to take 0.1 s to find the next one.
+/// Length of the settling period, in which entries report their running jobs to a new planner. Entries that lose
+/// their planner at the same moment take 0.1 s to find the next one.
 pub(super) const SETTLING: Duration = Duration::from_millis(300);
-/// A first event that takes this many times as long as the model has it shows that an engine is slow …
+/// Factor by which the time to a first event must exceed the prediction to indicate a slow engine.
 pub(super) const SLOW: f64 = 2.5;
-/// … if it also takes so much longer, in milliseconds: a pass of a full engine and some ways through the network.
+/// Time by which it must additionally exceed the prediction, in milliseconds. Covers a pass of a full engine and
+/// several network hops.
 pub(super) const SLOW_BY_MS: f64 = 150.0;
-/// Engines on which everything takes more than so many times as long as it should are left out of teams: all of a team
-/// wait for its slowest.
+/// Largest slowdown factor of a team member; a team waits for its slowest member.
 pub(super) const MOST_TEAM_PACE: f64 = 1.25;
-/// A part that is overdue by this factor no longer counts as pending.
+/// Factor by which a part must exceed its expected time to no longer count as pending.
 pub(super) const OVERDUE: f64 = 3.0;
-/// A part that is being read and not yet overdue has at least this share of its time left; set, not measured.
+/// Smallest share of its expected time that a part counts as pending while it is prefilled and not overdue.
 pub(super) const LEAST_LEFT: f64 = 0.1;
-/// Tokens in an engine's memory that weigh as much as a wait of 1 ms when one is chosen to hold short answers;
-/// set, not measured.
+/// Tokens in an engine's memory that weigh as much as 1 ms of waiting when an engine is selected to start serving
+/// short prompts.
 pub(super) const TOKENS_A_MS: f64 = 1e3;
-/// Output tokens that a job is expected to write at most, for memory.
+/// Output tokens per job that memory is reserved for at most.
 pub(super) const LIKELY_OUTPUT: u64 = 4_096;
-/// Passes until a prompt that fits in has its first event, reading left out: on average half of the
-/// one under way, and the one that reads it.
+/// Passes until the first event of a prompt that is admitted, without its prefill: on average half of the pass under
+/// way, and the pass that produces the event.
 pub(super) const PASSES_TO_FIRST_EVENT: f64 = 1.5;
-/// A prompt that takes longer to read than this is long, in milliseconds: it would spend most of
-/// the 200 ms that the shortest wanted pause seen leaves beside a pass.
+/// Longest prefill of a short prompt, in milliseconds. A longer one would use most of the 200 ms that the strictest
+/// observed gap limit leaves beside a pass.
 pub(super) const SHORT_READ_MS: f64 = 125.0;
--- a/coord/src/planner/pressure.rs
+++ b/coord/src/planner/pressure.rs
@@ -1,9 +1,9 @@
-//! Prompts that will not get engines in time to be of use: their callers are told at once.
+//! Refuses prompts early that would get engines too late to be useful.
 //!
-//! While prompts that can be in time find no engines, those that are late already get what is left over. How much that is
-//! shows in what late prompts were granted of late; one that has more before it than its caller will wait for is refused,
-//! and its caller can go elsewhere or come back when the burst is over. This answers bursts that last longer than callers
-//! wait: without it prompts were held for 6.7 s, refused, came back at once and were refused again.
+//! While prompts that can be in time find no engine, late prompts get only the remaining capacity. The recent grants
+//! to late prompts measure that capacity. A late prompt whose predecessors in the queue need longer than its caller
+//! will wait is refused, so that the caller can go elsewhere or return after the burst. This handles bursts that last
+//! longer than callers wait: without it, prompts were held for 6.7 s, refused, retried at once and refused again.
 
 use std::time::Duration;
 
@@ -12,28 +12,29 @@
 use super::waiting::{Prompt, Turn};
 use crate::time::Moment;
 
-/// For how long prompts that could be in time must have found no engines: a short burst passes, and the late are served
-/// after it. Twice the time in which long answers were seen to be written, after which their engines are free.
+/// Time for which prompts that could be in time must have found no engine before late ones are refused. Short bursts
+/// end sooner, and late prompts are served after them. It is twice the time that decoding a long answer takes, after
+/// which its engines are free again.
 const PRESSED: Duration = Duration::from_secs(2);
-/// What was granted to late prompts counts half after this time: a second holds some dozens of grants.
+/// Half-life of the recorded grants to late prompts; one second covers some dozens of grants.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// Part of the time that it has left after which a refused caller should come back: callers wait no longer than a third,
-/// and the later it comes back, the likelier the burst is over.
+/// Retry delay of a refused prompt as a share of its remaining time. Callers wait no longer than a third of it, and a
+/// later retry is more likely to find the burst over.
 pub(super) const COME_BACK: f64 = 0.33;
 
-/// A prompt that gets no engines.
+/// Prompt that is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The job.
     pub id: Id,
-    /// When its caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// How much reading late prompts of a kind were granted of late.
+/// Decaying rate of prefill that was granted to late prompts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pace {
-    /// Milliseconds of engine time, faded.
+    /// Granted engine time in milliseconds, decayed to `at`.
     ms: f64,
     at: Moment,
 }
@@ -44,7 +45,7 @@
         self.at = now;
     }
 
-    /// Milliseconds of engine time a second.
+    /// Returns the granted engine time in milliseconds per second.
     fn per_s(&self, now: Moment) -> f64 {
         self.faded(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
@@ -54,28 +55,28 @@
     }
 }
 
-/// Whether there is more to do than engines for it.
+/// Tracks whether demand exceeds the engines.
 #[derive(Debug, Default)]
 pub struct Pressure {
-    /// Since when prompts that could be in time have waited without a break.
+    /// Start of the current period in which prompts that could be in time have been waiting.
     since: Option<Moment>,
     short: Pace,
     long: Pace,
 }
 
 impl Pressure {
-    /// Notes whether prompts that could be in time are left without engines.
+    /// Records whether prompts that could be in time are left without engines.
     pub fn note(&mut self, waits: bool, now: Moment) {
         self.since = if waits { self.since.or(Some(now)) } else { None };
     }
 
-    /// Notes that a late prompt got its engines.
+    /// Records a grant to a late prompt.
     pub fn granted_late(&mut self, prompt: &Prompt, now: Moment) {
         let pace = if prompt.short { &mut self.short } else { &mut self.long };
         pace.add(prompt.read_ms, now);
     }
 
-    /// For how long prompts that could be in time have found no engines without a break.
+    /// Returns for how long prompts that could be in time have been waiting without interruption.
     pub fn held_for(&self, now: Moment) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.since(since))
     }
@@ -86,7 +87,7 @@
 }
 
 impl Planner {
-    /// Takes out those that wait in vain; their callers are to be told.
+    /// Removes and returns the prompts that cannot be served in time to be useful.
     pub fn refuse(&mut self, now: Moment) -> Vec<Refusal> {
         if !self.policy.refuse_early {
             return Vec::new();
@@ -98,7 +99,7 @@
         refusals
     }
 
-    /// Takes out those that are late and have more before them than their callers will wait for.
+    /// Removes and returns the late prompts whose predecessors need longer than their callers will wait.
     fn refuse_late(&mut self, now: Moment) -> Vec<Refusal> {
         let (mut ahead_short, mut ahead_long) = (0.0, 0.0);
         let mut refusals = Vec::new();
@@ -119,7 +120,7 @@
         refusals
     }
 
-    /// For how many seconds more a prompt may wait and still be read before its caller gives up.
+    /// Returns for how many seconds a late prompt may still wait to be prefilled before its caller gives up.
     pub(super) fn useful_s(&self, turn: &Turn, now: Moment) -> f64 {
         turn.prompt.job.deadline.since(now).as_secs_f64() * self.policy.late_share
     }
--- a/coord/src/planner/rationed.rs
+++ b/coord/src/planner/rationed.rs
@@ -1,9 +1,9 @@
-//! Prompts for which the limits that engines name leave no room: their callers are told at once.
+//! Refuses prompts at once for which the rate limits of the engines leave no capacity in time.
 //!
-//! Where every engine names a limit, it is known when which of them takes the next request. A prompt whose turn comes too
-//! late for its caller by that is refused as soon as that is known, in place of being held; who comes next in time
-//! gets the turn. Eight engines that take 2 prompts a second each and 30 that come: 16 a second are served in time and
-//! the others are told within some milliseconds, with the time after which there would be room
+//! If every engine announces a rate limit, the time of each future send is known. A prompt whose send would come too
+//! late for its caller is refused at once instead of being held, and the send goes to the next prompt that can use
+//! it. With eight engines that accept 2 prompts per second each and 30 prompts per second arriving, 16 per second are
+//! served in time and the others are refused within milliseconds, with the time at which there will be capacity
 //! (`platform_limits::where_all_engines_...`).
 
 use std::cmp::Reverse;
@@ -16,10 +16,10 @@
 use crate::limit::Allowance;
 use crate::time::Moment;
 
-/// The times until engines take one more request each, the soonest first.
+/// Times at which the rate limits admit the next requests, earliest first.
 ///
-/// Not what they take a second divided by what waits: eight that were all used up at the same moment take nothing for a
-/// while and then eight at once.
+/// A simple average rate would not do: eight engines that were exhausted at the same moment admit nothing for a while
+/// and then eight requests at once.
 struct Slots<'a> {
     limits: Vec<&'a Allowance>,
     next: BinaryHeap<Reverse<(Duration, usize)>>,
@@ -32,7 +32,7 @@
         Self { limits, next }
     }
 
-    /// Takes the next `sends` out; returns the time until the last of them.
+    /// Consumes the next `sends` requests; returns the time until the last of them.
     fn take(&mut self, sends: usize) -> Duration {
         let mut last = Duration::ZERO;
         for _ in 0..sends {
@@ -45,23 +45,23 @@
 }
 
 impl Planner {
-    /// Takes out those for which the limits of all engines leave no room in time.
+    /// Removes and returns the prompts for which the rate limits of all engines leave no capacity in time.
     pub(super) fn refuse_rationed(&mut self, now: Moment) -> Vec<Refusal> {
         let limits: Option<Vec<&Allowance>> = self.fleet.engines().iter().map(|engine| engine.limit.as_ref()).collect();
         let Some(limits) = limits.filter(|limits| !limits.is_empty()) else { return Vec::new() };
         let turns = self.waiting.turns(now);
         let mut slots = Slots::new(limits, now);
-        // When the next that nobody has taken yet would be.
+        // Time until the first send that no earlier prompt has consumed.
         let mut wait = slots.take(1);
         let mut refusals = Vec::new();
         for (position, turn) in turns.iter().enumerate() {
             let further = self.fewest_sends(turn, now) - 1;
-            // Whoever is next gets the next slot: late, if nobody in time is there then.
+            // The first prompt always gets the next send, even if late, because no prompt in time is there to use it.
             if position == 0 || wait <= self.usable(turn, now) {
                 wait = slots.take(further + 1);
             } else {
                 let most = turn.prompt.job.deadline.since(now).mul_f64(COME_BACK);
-                // One after the other, so that they do not all come back at the same moment.
+                // Each refused prompt gets a later time, so that the retries do not coincide.
                 refusals.push(Refusal { id: turn.id, retry_after: wait.min(most) });
                 wait = slots.take(1);
             }
@@ -70,7 +70,7 @@
         refusals
     }
 
-    /// Engines that a prompt asks something of, if it is to be in time.
+    /// Returns the number of engines that a prompt must be sent to so that its first event is in time.
     fn fewest_sends(&self, turn: &Turn, now: Moment) -> usize {
         if turn.prompt.short {
             return 1;
@@ -80,8 +80,8 @@
         ((turn.prompt.read_ms / slack_ms.max(1.0)).ceil() as usize).clamp(1, most)
     }
 
-    /// For how much longer a prompt may wait and still be in time. A long one that cannot be is still of use; a short one
-    /// waits in vain then: as long as more comes than the limits allow, there is one in time for every slot.
+    /// Returns for how long a prompt may still wait. A late long prompt is useful until its caller gives up. A late
+    /// short prompt is refused, because under sustained overload another short prompt in time can use the send.
     fn usable(&self, turn: &Turn, now: Moment) -> Duration {
         match (turn.late, turn.prompt.short) {
             (false, _) => turn.prompt.late_after.since(now),
--- a/coord/src/planner/silence.rs
+++ b/coord/src/planner/silence.rs
@@ -1,11 +1,12 @@
-//! Prompts that were granted and from which nothing comes, and which of their engines is to blame.
+//! Detects granted prompts that produce no first event, and the engines at fault.
 //!
-//! An engine may run a prompt and lose its answer, or take it and never begin; its health and its report are good all the
-//! while. What the planner expects of a first event is exact enough to tell silence from slowness: of 2,305 prompts on a
-//! calm day two took longer than [`after`]. Those of which nothing ever came were waited for until their callers left, for
-//! 2 s and up to their deadlines. A second send when the time is over, on other engines, is still in time for a prompt
-//! whose caller waits 1.5 s or longer for its first event: with 4 of 60 engines hanging 0.96 of the longest are in time in
-//! place of 0.82, and with 15 answers of 100 lost 0.83 of the middle ones in place of 0.79 (`tests/planner_load/burst.rs`).
+//! An engine may process a prompt and lose its answer, or accept it and never start, while its health checks succeed.
+//! The predicted time to the first event is precise enough to tell such prompts from slow ones: of 2,305 prompts
+//! without faults, two took longer than [`after`]. Without this check, callers waited from 2 s up to their deadlines
+//! for events that never came. Sending the prompt to other engines after the timeout is still in time for callers
+//! that wait 1.5 s or longer for the first event. In the simulation (`tests/planner_load/burst.rs`) with 4 of 60
+//! engines hanging, the share of the longest prompts in time rises from 0.82 to 0.96; with 15 of 100 answers lost,
+//! that of middle prompts from 0.79 to 0.83.
 
 use std::time::Duration;
 
@@ -15,28 +16,28 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// A first event that takes so many times as long as expected …
+/// Factor by which the time to a first event must exceed the prediction before the prompt counts as unresponsive.
 const FACTOR: f64 = 3.0;
-/// … and so much longer, in milliseconds, will probably never come. Twice as long and 300 ms was tried: on days with
-/// slow engines long prompts were then sent a second time in vain, and fewer were in time (0.877 in place of 0.896).
+/// Time by which it must additionally exceed the prediction, in milliseconds. A factor of two and 300 ms resent long
+/// prompts needlessly on slow engines, and the share in time fell from 0.896 to 0.877.
 const MARGIN_MS: f64 = 800.0;
 
-/// Time from its grant after which a prompt is silent whose first event is expected `expected_ms` after it.
+/// Returns the time after the grant from which on a prompt counts as unresponsive.
 pub(super) fn after(expected_ms: f64) -> Duration {
     millis(expected_ms * FACTOR + MARGIN_MS)
 }
 
 impl Planner {
-    /// Notes that a granted prompt is silent; it will be submitted anew.
+    /// Records that a granted prompt is unresponsive. The caller submits it again.
     pub fn silent(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.get(id) else { return };
         let (team, granted_at) = (job.team.clone(), job.granted_at);
         self.suspect(&team, granted_at, now);
     }
 
-    /// Notes that a team took too long that was granted at `granted_at`: a trial shall tell of each of its engines from
-    /// which nothing has come since. Those that answered others meanwhile are not what holds it up. Each of the rest is
-    /// to blame in part; one that is in several such teams is left out.
+    /// Puts the engines of an overdue team on trial that have produced no first event since `granted_at`. The other
+    /// members have answered prompts meanwhile and do not hold up the team. The blame is shared equally, so that an
+    /// engine which belongs to several overdue teams is ejected.
     pub(super) fn suspect(&mut self, team: &Team, granted_at: Moment, now: Moment) {
         let all = !self.policy.mute_only;
         let is_mute = |name: &&Name| self.fleet.get(name).is_some_and(|engine| all || engine.answered_at < granted_at);
--- a/coord/src/planner/waiting.rs
+++ b/coord/src/planner/waiting.rs
@@ -1,7 +1,7 @@
-//! Prompts that wait, kept in the order in which they get their turn.
+//! Queue of waiting prompts in the order in which they are placed.
 //!
-//! Those that can still be in time go first; among them the more urgent rank, then the cheaper. What that
-//! depends on is worked out once, when a prompt comes in: a look at what waits costs no sorting.
+//! Prompts that can still be in time go first, then the more urgent priority, then the cheaper prompt. The estimates
+//! that this order depends on are computed once per prompt, so that a scan of the queue sorts nothing.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,35 +9,32 @@
 use super::job::{Id, Job};
 use crate::time::Moment;
 
-/// A prompt that waits, with what its turn and its engines depend on.
+/// Waiting prompt with the estimates that its queue position and its placement depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt {
-    /// What it asks for.
     pub job: Job,
-    /// Engine time that reading it takes, in milliseconds.
+    /// Engine time to prefill the prompt, in milliseconds.
     pub read_ms: f64,
-    /// Whether one engine can read it without a pause that someone like its caller would mind.
+    /// Whether one engine can prefill the prompt without exceeding the gap limit of an answer like its own.
     pub short: bool,
-    /// After this moment it would be late even if it started then.
+    /// Time after which the prompt would be late even if it started at once.
     pub late_after: Moment,
 }
 
-/// One that has its turn.
+/// Prompt to be placed next.
 #[derive(Clone, Copy, Debug)]
 pub struct Turn {
-    /// Its identity.
     pub id: Id,
-    /// The prompt.
     pub prompt: Prompt,
-    /// Whether it would be late even if it started now.
+    /// Whether the prompt would be late even if it started now.
     pub late: bool,
 }
 
-/// What the order among equals goes by.
+/// Sort key among prompts that are all in time or all late.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rank {
     priority: u32,
-    /// The cost, or the aim.
+    /// Prefill time in milliseconds, or the time of the wanted first event.
     weight: f64,
     id: Id,
 }
@@ -57,32 +54,30 @@
     }
 }
 
-/// All that waits.
 #[derive(Debug, Default)]
 pub struct Waiting {
     prompts: BTreeMap<Id, Prompt>,
-    /// Those that can still be in time, as of the last turn.
+    /// Prompts that could still be in time when the queue was last read.
     timely: BTreeMap<Rank, Prompt>,
-    /// Those that cannot.
+    /// Prompts that could not.
     late: BTreeMap<Rank, Prompt>,
-    /// When those that can still be in time no longer will be.
+    /// Times at which the prompts in `timely` become late.
     turning: BTreeSet<(Moment, Id)>,
-    /// Whether the cheapest goes first among equals; else the one that is wanted soonest.
+    /// Whether the cheapest prompt goes first within a priority; otherwise the one whose first event is wanted
+    /// soonest.
     cheapest_first: bool,
 }
 
 impl Waiting {
-    /// Nothing that waits.
     pub fn new(cheapest_first: bool) -> Self {
         Self { cheapest_first, ..Self::default() }
     }
 
-    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.prompts.is_empty()
     }
 
-    /// Adds a prompt; one of the same identity is replaced.
+    /// Replaces a prompt with the same identity.
     pub fn insert(&mut self, id: Id, prompt: Prompt) {
         self.remove(id);
         self.prompts.insert(id, prompt);
@@ -90,7 +85,7 @@
         self.turning.insert((prompt.late_after, id));
     }
 
-    /// Takes a prompt out, if it is there.
+    /// Removes a prompt if it is in the queue.
     pub fn remove(&mut self, id: Id) {
         let Some(prompt) = self.prompts.remove(&id) else { return };
         let rank = self.rank(id, &prompt);
@@ -101,12 +96,12 @@
         }
     }
 
-    /// Identities of all that wait.
+    /// Returns the identities of all waiting prompts.
     pub fn ids(&self) -> impl Iterator<Item = &Id> {
         self.prompts.keys()
     }
 
-    /// Works out anew what depends on the engines.
+    /// Recomputes all estimates after a change of the engines.
     pub fn renew(&mut self, prompt: impl Fn(Job) -> Prompt) {
         let old = std::mem::take(&mut self.prompts);
         self.timely.clear();
@@ -117,19 +112,19 @@
         }
     }
 
-    /// All that wait, in the order of their turns at `now`.
+    /// Returns all waiting prompts in the order in which they are to be placed at `now`.
     pub fn turns(&mut self, now: Moment) -> Vec<Turn> {
         self.move_late(now);
         turns(&self.timely, false).chain(turns(&self.late, true)).collect()
     }
 
-    /// Those of them that would be late even if they started now.
+    /// Returns the waiting prompts that would be late even if they started now.
     pub fn late_turns(&mut self, now: Moment) -> Vec<Turn> {
         self.move_late(now);
         turns(&self.late, true).collect()
     }
 
-    /// Puts those that would be late behind the others.
+    /// Moves the prompts that have become late behind the others.
     fn move_late(&mut self, now: Moment) {
         while let Some((late_after, id)) = self.turning.first().copied() {
             if now <= late_after {
--- a/coord/src/scheduler/message.rs
+++ b/coord/src/scheduler/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a scheduler and comes out of it.
+//! Input and output types of the scheduler.
 
 use std::time::Duration;
 
@@ -9,91 +9,91 @@
 /// Sizes and limits of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Jobs that may run at once.
+    /// Largest number of running jobs.
     pub slots: usize,
     /// KV memory of the engine, in tokens.
     pub memory_tokens: u64,
-    /// Most jobs waiting.
+    /// Largest number of waiting jobs.
     pub queue: usize,
-    /// Prompts up to this many tokens are short.
+    /// Longest prompt that counts as short, in tokens.
     pub short_tokens: u64,
-    /// Share of slots and memory that only short prompts may use.
+    /// Share of slots and memory that is reserved for short prompts.
     pub short_share: f64,
-    /// Whether long prompts are told apart by length, so that the shorter go first on the engine.
+    /// Whether long prompts get different priorities by length, so that the engine prefills shorter ones first.
     pub grade_long: bool,
-    /// How long outcomes of keys and void attempts are remembered.
+    /// Time for which key outcomes and cancelled attempts are remembered.
     pub window: Duration,
 }
 
-/// Why a job was not accepted. A refused job did not run and will not.
+/// Reason for refusing a job. A refused job did not run and will not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The endpoint is leaving.
+    /// The endpoint is draining.
     Leaving,
-    /// The endpoint does not answer.
+    /// The endpoint fails its health checks.
     Unhealthy,
-    /// The attempt was voided before it came.
+    /// The attempt was cancelled before it arrived.
     Voided,
-    /// The attempt was already offered.
+    /// The attempt was offered before.
     Repeated,
-    /// It cannot finish within its time.
+    /// The job cannot finish before its deadline.
     TooLate,
     /// Too many jobs wait.
     QueueFull,
-    /// It needs more memory than the engine has.
+    /// The job needs more memory than the engine has.
     TooLarge,
-    /// It waited here and cannot start for long: better elsewhere.
+    /// The job was waiting here but cannot start soon; it should go to another endpoint.
     Evicted,
 }
 
-/// A refusal with when to come back.
+/// Refusal with a retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Refusal,
-    /// When a like job could be accepted.
+    /// Time after which a similar job could be accepted.
     pub retry_after: Duration,
 }
 
-/// What the caller of the scheduler has to do.
+/// Action that the caller of the scheduler must take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start the job on the engine at this priority.
+    /// Start the job on the engine with this priority.
     Start(Attempt, Level),
-    /// Give the job up: its time ran out. It did not start.
+    /// Discard the job, because its deadline passed before it started.
     Expire(Attempt),
-    /// Stop the job on the engine: its time ran out while it ran.
+    /// Stop the job on the engine, because its deadline passed while it ran.
     Cancel(Attempt),
-    /// Send the job elsewhere: it did not start and will not.
+    /// Send the job to another endpoint; it did not start here and will not.
     Evict(Attempt),
-    /// Free the span on the engine: its lease has lapsed.
+    /// Free the span on the engine, because its lease expired.
     FreeSpan(Attempt),
 }
 
-/// Engine priority of a job: the prefill of a larger level goes first, and pauses that of smaller ones.
+/// Prefill priority of a job on the engine. Prefill of a higher level goes first and pauses that of lower levels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Level {
-    /// Of the longest prompts and of spans.
+    /// Prompts longer than long ones, and spans.
     Huge,
-    /// Of long prompts.
+    /// Long prompts.
     Long,
-    /// Of middling prompts.
+    /// Middle-sized prompts.
     Middle,
-    /// Of short prompts, which also have headroom of their own.
+    /// Short prompts, which also have reserved slots and memory.
     Short,
 }
 
-/// What became of a void.
+/// Result of cancelling an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Voided {
-    /// It had not started and never will.
+    /// The attempt had not started and never will.
     NotRun,
-    /// It had started and was stopped or is over.
+    /// The attempt had started; it is being stopped or has finished.
     Started,
 }
 
 impl Voided {
-    /// What a caller may be told of a voided attempt.
+    /// Returns whether the attempt ran, as far as a caller may be told.
     pub fn ran(self) -> Ran {
         match self {
             Voided::NotRun => Ran::No,
@@ -102,36 +102,36 @@
     }
 }
 
-/// What is known of a key bound to this incarnation.
+/// State of an idempotency key that is bound to this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Once {
-    /// The key is new here: this attempt may run it.
+    /// The key was new; this attempt is now bound to it and may run.
     First,
-    /// This attempt holds the key and is not over.
+    /// The given attempt is bound to the key and has not finished.
     Running(Attempt),
-    /// This attempt ran the key to its end.
+    /// The given attempt ran to completion under the key.
     Done(Attempt),
 }
 
-/// What an endpoint expects of a prompt, for an entry that asks.
+/// Estimates of an endpoint for a prompt, sent to an entry on request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quote {
     /// Expected time to the first token.
     pub ttft: Duration,
-    /// Expected time to the whole answer.
+    /// Expected time to the complete answer.
     pub whole: Duration,
-    /// Time by which it would hold up the first tokens of others here, summed.
+    /// Total delay that the prompt would add to the first tokens of other jobs here.
     pub harm: Duration,
-    /// Whether the endpoint would accept it now.
+    /// Whether the endpoint would accept the prompt now.
     pub open: bool,
-    /// If not, when to come back.
+    /// Time after which to retry if the endpoint would not accept the prompt.
     pub retry_after: Duration,
-    /// Jobs waiting and running.
+    /// Number of waiting and running jobs.
     pub outstanding: u32,
-    /// Prefill tokens waiting and running, and output tokens still to come.
+    /// Prefill tokens of waiting and running jobs, and output tokens still to be generated.
     pub active_tokens: u64,
     /// KV memory of the engine, in tokens.
     pub capacity_tokens: u64,
-    /// Of it, what is free.
+    /// Free part of the KV memory, in tokens.
     pub free_tokens: u64,
 }
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
-//! The scheduler of one endpoint: the only place where work for it is accepted.
+//! Scheduler of one endpoint, the only place that accepts work for it.
 //!
-//! It admits, queues, starts, expires and voids jobs, keeps the ledger of the
-//! engine's memory, and remembers the keys that were bound to this incarnation.
+//! The scheduler admits, queues, starts, expires and cancels jobs. It accounts for the engine's memory and remembers
+//! the idempotency keys that are bound to this incarnation.
 
 mod message;
 mod room;
@@ -28,16 +28,16 @@
     first_token: Option<Moment>,
 }
 
-/// Time an answer may need beyond its estimate before it is refused as too late.
+/// Factor on the estimated time of an answer; a job with less time left is refused as too late.
 const MARGIN: f64 = 1.25;
 
-/// When to come back to an endpoint that does not answer.
+/// Retry delay for an endpoint that fails its health checks.
 const UNHEALTHY_RETRY: Duration = Duration::from_secs(1);
 
-/// When to ask again for a span's memory.
+/// Retry delay for the memory of a span.
 const SPAN_RETRY: Duration = Duration::from_millis(50);
 
-/// The scheduler; see the module's text.
+/// Scheduler of one endpoint; see the module documentation.
 pub struct Scheduler {
     limits: Limits,
     estimate: Estimate,
@@ -47,18 +47,18 @@
     spans: Spans,
     /// Attempts that never started and never will.
     void: Remembered<Attempt>,
-    /// Attempts that started and are over.
+    /// Attempts that started and have finished.
     over: Remembered<Attempt>,
     keys: HashMap<Key, (Attempt, bool)>,
     key_ages: VecDeque<(Moment, Key)>,
     leaving: bool,
     unhealthy: bool,
-    /// A span has come to want memory since jobs were last looked through.
+    /// Whether a span has requested memory since the last eviction pass.
     span_came: bool,
 }
 
 impl Scheduler {
-    /// A scheduler for an idle endpoint.
+    /// Creates a scheduler for an idle endpoint.
     pub fn new(limits: Limits, estimate: Estimate, order: Box<dyn Order>) -> Self {
         let memory = Ledger::new(limits.memory_tokens);
         Self {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Expected cost of a prompt on the idle engine.
+    /// Returns the expected prefill time of a prompt on an idle engine.
     pub fn cost(&self, prefill_tokens: u64) -> Duration {
         self.estimate.prefill(prefill_tokens) + self.estimate.overhead()
     }
 
-    /// The estimates, to learn into.
+    /// Returns the estimates, to be updated with observed times.
     pub fn estimate_mut(&mut self) -> &mut Estimate {
         &mut self.estimate
     }
 
-    /// What is known of `key`; if nothing, `attempt` is bound to it from now on.
+    /// Returns the state of `key`, and binds it to `attempt` if it is new.
     pub fn once(&mut self, key: &Key, attempt: Attempt, now: Moment) -> Once {
         if let Some((holder, done)) = self.keys.get(key) {
             return if *done { Once::Done(*holder) } else { Once::Running(*holder) };
@@ -98,7 +98,7 @@
         Once::First
     }
 
-    /// Notes that the key's attempt is over.
+    /// Records that the attempt of a key has finished.
     pub fn once_done(&mut self, key: &Key, attempt: Attempt) {
         if let Some(held) = self.keys.get_mut(key) {
             crate::invariant!(held.0 == attempt, "only the attempt that a key is bound to ends it");
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Whether the key was bound here within the window.
+    /// Returns whether the key was bound here within the retention period.
     pub fn knows(&self, key: &Key) -> bool {
         self.keys.contains_key(key)
     }
 
-    /// Unbinds a key whose attempt is proven not to have run.
+    /// Releases a key whose attempt is proven not to have run.
     pub fn once_not_run(&mut self, key: &Key, attempt: Attempt) {
         if self.keys.get(key).is_some_and(|held| held.0 == attempt && !held.1) {
             self.keys.remove(key);
@@ -157,14 +157,14 @@
         Ok(())
     }
 
-    /// Expected time to the first token and to the whole answer of `job`.
+    /// Returns the expected times to the first token and to the complete answer of `job`.
     fn expect(&self, job: &Job, now: Moment) -> (Duration, Duration) {
         let ahead = self.queue.cost_ahead(job, now) + self.prefill_ahead(job, now) + self.slot_wait(job, now);
         let ttft = ahead + job.cost;
         (ttft, ttft + self.estimate.decode(job.output_tokens))
     }
 
-    /// Prefill already on the engine that goes before `job`'s.
+    /// Returns the remaining time of prefill on the engine that goes before that of `job`.
     fn prefill_ahead(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
         let spans = if level == Level::Huge { self.spans.prefill_left(now) } else { Duration::ZERO };
@@ -178,7 +178,7 @@
         running + spans
     }
 
-    /// Expected wait for a slot or memory, if `job` would not fit now.
+    /// Returns the expected wait for a slot or memory; zero if `job` fits now.
     fn slot_wait(&self, job: &Job, now: Moment) -> Duration {
         if self.room(now).fits(job) {
             return Duration::ZERO;
@@ -187,7 +187,8 @@
         ends.min().unwrap_or(Duration::ZERO) + self.spans_wait(now)
     }
 
-    /// Expected time until the spans here give their memory back: those that are still to be filled count whole.
+    /// Returns the expected time until the spans release their memory. Spans that are not filled yet count with their
+    /// whole prefill time.
     fn spans_wait(&self, now: Moment) -> Duration {
         let unfilled = self.spans.unfilled_tokens() + self.spans.wanted_tokens(now);
         self.cost(unfilled) + self.spans.prefill_left(now)
@@ -203,7 +204,7 @@
     }
 
     fn level(&self, job: &Job) -> Level {
-        // The baseline knows no lengths.
+        // FIFO order, the baseline, ignores prompt lengths.
         if !self.queue.keeps_headroom() {
             return Level::Huge;
         }
@@ -211,7 +212,7 @@
         if level == Level::Short || self.limits.grade_long { level } else { Level::Huge }
     }
 
-    /// What may start now.
+    /// Returns the free slots and memory.
     fn room(&self, now: Moment) -> Room {
         let share = if self.queue.keeps_headroom() { self.limits.short_share } else { 0.0 };
         let free_slots = self.limits.slots.saturating_sub(self.running.len());
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Time by which `job` would hold up others: each prefill that it pauses or goes before.
+    /// Returns the total delay that `job` would add to other jobs, whose prefill it pauses or precedes.
     fn harm(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
         let paused = self.running.values().filter(|run| run.first_token.is_none() && run.level < level).count();
@@ -234,7 +235,7 @@
         job.cost * (paused + spans) as u32
     }
 
-    /// What the endpoint expects of a job like `job`.
+    /// Returns the estimates for a job like `job`.
     pub fn quote(&self, job: &Job, now: Moment) -> Quote {
         let (ttft, whole) = self.expect(job, now);
         let waiting: u64 = self.queue.iter().map(|job| job.prefill_tokens + job.output_tokens).sum();
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Expires what ran out of time and starts what fits; to be called after every change and at timers.
+    /// Expires jobs whose deadlines passed and starts jobs that fit. Must be called after every change and on timers.
     pub fn advance(&mut self, now: Moment) -> Vec<Action> {
         let mut actions = Vec::new();
         self.forget(now);
@@ -292,8 +293,8 @@
         actions.extend(over.map(|run| Action::Cancel(run.job.attempt)));
     }
 
-    /// Sends away what waits for an endpoint that does not answer, or for memory that a span has come
-    /// to want. What is accepted later knew of the span, and stays.
+    /// Evicts waiting jobs if the endpoint fails its health checks, and long ones that do not fit beside the memory
+    /// that a new span waits for. Jobs that are accepted later take the span into account and stay.
     fn evict(&mut self, now: Moment, actions: &mut Vec<Action>) {
         let span_came = std::mem::take(&mut self.span_came);
         if !span_came && !self.unhealthy {
@@ -320,7 +321,7 @@
         }
     }
 
-    /// Notes the first token of an attempt and learns from it.
+    /// Records the first token of an attempt and updates the estimates.
     pub fn first_token(&mut self, attempt: Attempt, now: Moment) {
         let alone = self.running.values().filter(|run| run.first_token.is_none()).count() == 1;
         let Some(run) = self.running.get_mut(&attempt) else { return };
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Ends an attempt that started, with the number of output tokens it gave, and frees its memory.
+    /// Finishes a running attempt that generated `output_tokens` and frees its memory.
     pub fn finish(&mut self, attempt: Attempt, output_tokens: u64, now: Moment) {
         let Some(run) = self.running.remove(&attempt) else { return };
         self.memory.free_owner(attempt);
@@ -347,7 +348,8 @@
         crate::invariant!(!self.running.is_empty() || held == spans, "an idle endpoint holds no memory but spans'");
     }
 
-    /// Holds memory for a span under a lease until `until`, or collects for it and says when to ask again.
+    /// Reserves memory for a span under a lease until `until`. If too little memory is free, starts collecting it and
+    /// refuses with the time after which to retry.
     pub fn reserve(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> Result<(), Refused> {
         let refuse = |reason, retry_after| Err(Refused { reason, retry_after });
         if let Some(held) = self.spans.get_mut(span) {
@@ -370,7 +372,7 @@
         Ok(())
     }
 
-    /// Notes that a held span is being prefilled, or no longer; false if it is not held.
+    /// Records whether a held span is being prefilled; returns false if the span is not held.
     pub fn fill(&mut self, span: Attempt, filling: bool, now: Moment) -> bool {
         let Some(tokens) = self.spans.get_mut(span).map(|held| held.tokens) else { return false };
         let cost = self.cost(tokens);
@@ -380,17 +382,17 @@
         true
     }
 
-    /// Renews a span's lease; false if it is not held.
+    /// Renews the lease of a span; returns false if the span is not held.
     pub fn renew(&mut self, span: Attempt, until: Moment) -> bool {
         self.spans.get_mut(span).map(|held| held.until = until).is_some()
     }
 
-    /// Gives a span up; whether the engine has to free it.
+    /// Releases a span; returns whether the engine must free it.
     pub fn give_up(&mut self, span: Attempt) -> bool {
         self.spans.give_up(span)
     }
 
-    /// Notes that the engine has freed a span.
+    /// Records that the engine has freed a span.
     pub fn freed(&mut self, span: Attempt) {
         if self.spans.freed(span) {
             self.memory.free_owner(span);
@@ -398,9 +400,10 @@
         self.check_memory();
     }
 
-    /// Makes sure that an attempt that has not started never will.
+    /// Cancels an attempt if it has not started.
     ///
-    /// With a key that another attempt holds nothing is proven: that one may run.
+    /// If another attempt is bound to the key `once`, that attempt may run, so that the result is
+    /// [`Voided::Started`].
     pub fn void(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> Voided {
         let holder = once.and_then(|key| self.keys.get(key));
         if holder.is_some_and(|(holder, _)| *holder != attempt) {
@@ -414,52 +417,52 @@
         Voided::NotRun
     }
 
-    /// Refuses all new work from now on.
+    /// Starts draining: refuses all new work.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Takes new work again, after a drain was taken back.
+    /// Stops draining: accepts new work again.
     pub fn stay(&mut self) {
         self.leaving = false;
     }
 
-    /// Refuses new work while the endpoint does not answer.
+    /// Sets whether the endpoint fails its health checks; while it does, new work is refused.
     pub fn set_unhealthy(&mut self, unhealthy: bool) {
         self.unhealthy = unhealthy;
     }
 
-    /// Whether the endpoint is leaving.
+    /// Returns whether the endpoint is draining.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether nothing runs or waits.
+    /// Returns whether no job runs or waits and no span is held.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.queue.is_empty() && self.spans.is_empty()
     }
 
-    /// Jobs waiting.
+    /// Returns the number of waiting jobs.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Jobs running.
+    /// Returns the number of running jobs.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Tokens of memory held.
+    /// Returns the memory in use, in tokens.
     pub fn memory_held(&self) -> u64 {
         self.memory.held()
     }
 
-    /// Whether an attempt that runs, or a span that is held, has this name.
+    /// Returns whether `name` is a running attempt or a held span.
     pub fn owns(&self, name: Attempt) -> bool {
         self.running.contains_key(&name) || self.spans.is_held(name)
     }
 
-    /// Whether `attempt` runs.
+    /// Returns whether `attempt` is running.
     pub fn is_running(&self, attempt: Attempt) -> bool {
         self.running.contains_key(&attempt)
     }
--- a/coord/src/scheduler/room.rs
+++ b/coord/src/scheduler/room.rs
@@ -1,14 +1,14 @@
-//! What may start now: free slots and memory, and the headroom that short jobs keep.
+//! Free slots and memory of an endpoint, and the part that is reserved for short jobs.
 
 use super::message::Level;
 use crate::queue::Job;
 
-/// Most tokens of a middling prompt.
+/// Longest prompt of [`Level::Middle`], in tokens.
 const MIDDLE_TOKENS: u64 = 16_000;
-/// Most tokens of a long prompt.
+/// Longest prompt of [`Level::Long`], in tokens.
 const LONG_TOKENS: u64 = 100_000;
 
-/// The engine priority of a job.
+/// Returns the prefill priority of a job.
 pub fn level(job: &Job, short_tokens: u64) -> Level {
     match job.prefill_tokens {
         tokens if tokens <= short_tokens => Level::Short,
@@ -18,32 +18,32 @@
     }
 }
 
-/// Free slots and memory, and the part of them that only short jobs may take.
+/// Free slots and memory, and how much is reserved for short jobs.
 #[derive(Clone, Copy)]
 pub struct Room {
-    /// Slots free.
+    /// Free slots.
     pub free_slots: usize,
-    /// Of them, those that only short jobs may take.
+    /// Slots that are reserved for short jobs.
     pub kept_slots: usize,
-    /// Memory in all, in tokens.
+    /// Total memory, in tokens.
     pub capacity: u64,
-    /// Memory free, in tokens.
+    /// Free memory, in tokens.
     pub free_memory: u64,
-    /// Of it, what only short jobs may take.
+    /// Memory that is reserved for short jobs, in tokens.
     pub kept_memory: u64,
-    /// What is being collected for a span.
+    /// Memory that a span is waiting for, in tokens.
     pub wanted_memory: u64,
-    /// Prompts up to this many tokens are short.
+    /// Longest prompt that counts as short, in tokens.
     pub short_tokens: u64,
 }
 
 impl Room {
-    /// Whether the job may start now.
+    /// Returns whether the job can start now.
     pub fn fits(&self, job: &Job) -> bool {
         if level(job, self.short_tokens) == Level::Short {
             return self.free_slots > 0 && job.memory_tokens <= self.free_memory;
         }
-        // A prompt that could never fit beside the headroom may take it all on an empty engine.
+        // A prompt that never fits beside the reserved memory may use all of it on an otherwise empty engine.
         let kept = self.kept_memory.min(self.capacity.saturating_sub(job.memory_tokens));
         let taken = job.memory_tokens + kept + self.wanted_memory;
         self.free_slots > self.kept_slots && taken <= self.free_memory
--- a/coord/tests/plain/engine.rs
+++ b/coord/tests/plain/engine.rs
@@ -1,4 +1,4 @@
-//! The planner's picture of one engine: what it has left to read, what it writes, what its memory holds.
+//! Reference model of one engine: its pending prefill, its decoding answers, and its memory.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,54 +10,54 @@
 use coord::engine::Figures;
 use coord::time::Moment;
 
-/// A part of a prompt that an engine has still to read.
+/// Part of a prompt that is still to be prefilled.
 #[derive(Clone, Copy, Debug)]
 struct Part {
     job: Id,
-    /// Time that reading it takes, in milliseconds.
+    /// Expected prefill time, in milliseconds.
     ms: f64,
 }
 
-/// An answer that an engine writes, or will write once its prompt is read.
+/// Answer that decodes on an engine, or will once its prompt is prefilled.
 #[derive(Clone, Copy, Debug)]
 pub struct Seat {
-    /// Tokens that it holds.
+    /// Tokens that it holds in memory.
     pub tokens: u64,
-    /// Longest pause that its caller wants, in milliseconds; 0 if none is told.
+    /// Longest gap between two events that its caller accepts, in milliseconds; 0 if the caller names no limit.
     pub gap_ms: f64,
 }
 
-/// What the planner believes of one engine.
+/// State of one engine, as far as the planner knows.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its sizes and speeds.
     pub figures: Arc<Figures>,
-    /// What it reads, in order.
+    /// Pending prefill, in order.
     parts: VecDeque<Part>,
-    /// When the first part began to be read.
+    /// Time at which prefill of the first part started.
     front_since: Moment,
-    /// What it writes.
+    /// Sequences by job.
     pub seats: BTreeMap<Id, Seat>,
 }
 
 impl Engine {
-    /// An engine with nothing to do.
+    /// Creates an idle engine.
     pub fn new(figures: Arc<Figures>) -> Self {
         Self { figures, parts: VecDeque::new(), front_since: Moment::ZERO, seats: BTreeMap::new() }
     }
 
-    /// Tokens that its memory holds.
+    /// Returns the number of tokens that the engine's memory holds.
     pub fn context(&self) -> u64 {
         self.seats.values().map(|seat| seat.tokens).sum()
     }
 
-    /// Milliseconds of a pass in which nothing is read.
+    /// Returns the duration of a pass without prefill, in milliseconds.
     pub fn pass_ms(&self) -> f64 {
         if self.seats.is_empty() { 0.0 } else { self.figures.pass_ms(self.seats.len() as u32, self.context()) }
     }
 
-    /// Milliseconds of reading that are left. Parts that are long overdue, one after the other, no longer count: their
-    /// answers were lost, or other engines hold up their teams. The part behind those counts in full.
+    /// Returns the pending prefill in milliseconds. Parts at the front that are long overdue no longer count, because
+    /// their answers were lost or other engines hold up their teams. The first part that is not overdue counts in
+    /// full if overdue parts precede it.
     pub fn pending_ms(&self, now: Moment) -> f64 {
         let mut elapsed = now.since(self.front_since).as_secs_f64() * 1e3;
         let mut parts = self.parts.iter();
@@ -76,37 +76,38 @@
         next_left + parts.map(|part| part.ms).sum::<f64>()
     }
 
-    /// Milliseconds until it could begin to read something new.
+    /// Returns the time until a new prefill could start, in milliseconds.
     pub fn wait_ms(&self, now: Moment) -> f64 {
         self.pending_ms(now) + self.pass_ms()
     }
 
-    /// The shortest pause that anyone who writes here wants.
+    /// Returns the smallest gap limit of the sequences, in milliseconds; infinite if no sequence has one.
     pub fn gap_ms(&self) -> f64 {
         self.seats.values().map(|seat| seat.gap_ms).filter(|gap| *gap > 0.0).fold(f64::INFINITY, f64::min)
     }
 
-    /// Milliseconds of reading that fit in before someone who writes here waits too long.
+    /// Returns the prefill that fits in before the gap between two events of a sequence exceeds its limit, in
+    /// milliseconds.
     pub fn room_ms(&self, now: Moment, policy: &Policy) -> f64 {
         self.gap_ms() * policy.pause_share - self.pass_ms() - self.pending_ms(now)
     }
 
-    /// Tokens of its memory that may still be granted.
+    /// Returns the number of tokens of its memory that can still be granted.
     pub fn free_memory(&self, policy: &Policy) -> u64 {
         ((self.figures.memory as f64 * policy.memory_share) as u64).saturating_sub(self.context())
     }
 
-    /// Whether its memory has room for a job.
+    /// Returns whether its memory has room for a job.
     pub fn has_memory(&self, job: &Job, policy: &Policy) -> bool {
         self.free_memory(policy) >= needs(job)
     }
 
-    /// Whether one more answer may be written here.
+    /// Returns whether one more answer may decode here.
     pub fn has_slot(&self, policy: &Policy) -> bool {
         (self.seats.len() as f64) < f64::from(self.figures.slots) * policy.slot_share
     }
 
-    /// Adds a part behind what is left to read.
+    /// Appends a part to the pending prefill.
     pub fn add_part(&mut self, job: Id, ms: f64, now: Moment) {
         if self.parts.is_empty() {
             self.front_since = now;
@@ -114,7 +115,7 @@
         self.parts.push_back(Part { job, ms });
     }
 
-    /// Notes that a job's part is read, or never will be.
+    /// Removes the part of a job that is prefilled or was withdrawn.
     pub fn drop_part(&mut self, job: Id, now: Moment) {
         let was_front = self.parts.front().is_some_and(|part| part.job == job);
         self.parts.retain(|part| part.job != job);
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -1,5 +1,5 @@
-//! The planner in its plainest form: each pump ranks all that waits and lists all engines for each prompt. The planner
-//! proper must decide alike; see `planner_plain.rs`.
+//! Reference implementation of the planner. Each pump sorts all waiting prompts and scans all engines for each of
+//! them. `planner_plain.rs` checks that the planner in `src` makes the same decisions.
 
 mod engine;
 mod evidence;
@@ -26,25 +26,24 @@
 #[derive(Debug, Default)]
 pub struct Planner {
     policy: Policy,
-    /// Orders engines that are equally good; planners that know nothing of each other should not choose alike.
+    /// Breaks ties between equally good engines, so that planners that do not know of each other choose differently.
     salt: u64,
     engines: BTreeMap<Name, Engine>,
     evidence: Evidence,
-    /// Long prompts wait until then: not all who have prompts at the engines have told yet.
+    /// Time before which long prompts must wait, because not all entries have reported their running jobs yet.
     settled_at: Moment,
     waiting: BTreeMap<Id, Job>,
-    /// What was granted.
     granted: BTreeMap<Id, Granted>,
 }
 
 impl Planner {
-    /// A planner with a policy and no engines. Planners of different `salt` prefer different engines.
+    /// Creates a planner without engines. Planners with different `salt` prefer different engines.
     pub fn new(policy: Policy, salt: u64) -> Self {
         let salt = if policy.salt { salt } else { 0 };
         Self { policy, salt, ..Self::default() }
     }
 
-    /// Sets which engines take work. What runs on an engine that is left out is forgotten.
+    /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
     pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
         let mut old = std::mem::take(&mut self.engines);
         for (name, figures) in engines {
@@ -60,24 +59,24 @@
         self.evidence.keep(|name| self.engines.contains_key(name));
     }
 
-    /// Notes that others are about to tell what they have at the engines.
+    /// Starts the settling period, in which entries report the jobs that they have at the engines.
     pub fn unsettle(&mut self, now: Moment) {
         if self.policy.settling {
             self.settled_at = now + SETTLING;
         }
     }
 
-    /// Whether jobs wait.
+    /// Returns whether any job waits.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Takes a job in; [`Planner::pump`] grants it.
+    /// Adds a job to the queue; [`Planner::pump`] grants it.
     pub fn submit(&mut self, id: Id, job: Job) {
         self.waiting.insert(id, job);
     }
 
-    /// Takes in a job that was granted elsewhere.
+    /// Records a job that another planner granted. `reading` tells whether its prompt is still being prefilled.
     pub fn adopt(&mut self, id: Id, job: &Job, team: Team, reading: bool, now: Moment) {
         self.waiting.remove(&id);
         let parts = 1 + team.helpers.len();
@@ -97,7 +96,7 @@
         self.granted.insert(id, Granted { team, at: now, expected_ms, watched: reading });
     }
 
-    /// Milliseconds until a team that is granted now has read a prompt and writes its first event.
+    /// Returns the expected time from a grant at `now` to the first event, in milliseconds.
     fn expected_ms(&self, job: &Job, team: &Team, now: Moment) -> f64 {
         let engines = team.engines().filter_map(|name| self.engines.get(name));
         let wait = engines.clone().map(|engine| engine.wait_ms(now)).fold(0.0, f64::max);
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Notes that a job's first event came: its prompt is read.
+    /// Records that a job produced its first event, which means that its prompt is prefilled.
     pub fn first_event(&mut self, id: Id, now: Moment) {
         let Some(granted) = self.granted.get_mut(&id) else { return };
         let overdue = granted.is_overdue(now);
@@ -124,13 +123,13 @@
             match overdue && self.policy.suspicion {
                 false => self.evidence.succeeded(id.entry, name, now),
                 true if team.helpers.is_empty() => self.evidence.failed(id.entry, name, now),
-                // One of them is slow, who knows which.
+                // Any engine of the team may be the slow one.
                 true => self.evidence.suspect(name, now),
             }
         }
     }
 
-    /// Notes that a job is over, or no longer waits.
+    /// Removes a job that has finished or no longer waits.
     pub fn end(&mut self, id: Id, now: Moment) {
         self.waiting.remove(&id);
         let Some(granted) = self.granted.remove(&id) else { return };
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Suspects the engines of prompts whose first events are overdue.
+    /// Puts the engines of prompts with overdue first events on trial.
     fn look_for_slow(&mut self, now: Moment) {
         if !self.policy.suspicion {
             return;
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Forgets all jobs of an entry.
+    /// Removes an entry with all its jobs.
     pub fn end_entry(&mut self, entry: u64, now: Moment) {
         let of_entry = |id: &&Id| id.entry == entry;
         let ids: Vec<Id> = self.waiting.keys().chain(self.granted.keys()).filter(of_entry).copied().collect();
@@ -162,20 +161,21 @@
         }
     }
 
-    /// Notes that an engine failed a job of an entry: it is left out for a growing while.
+    /// Records that an engine failed a job of an entry. The engine is ejected for a period that grows with each
+    /// failure.
     pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
         if self.policy.breakers && self.engines.contains_key(engine) {
             self.evidence.failed(entry, engine, now);
         }
     }
 
-    /// Grants what may start now.
+    /// Grants the prompts that can start now.
     pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
         self.look_for_slow(now);
         let mut grants = Vec::new();
         let mut held_back = false;
         for Ranked { id, job, late, .. } in self.ranked(now) {
-            // What is late anyway must not take the engines that one in time waits for.
+            // A late prompt must not take engines that a prompt still in time waits for.
             let reach = match late && held_back && self.policy.late_last {
                 true if self.policy.late_shared => Reach::Shared,
                 true => break,
@@ -193,10 +193,10 @@
     }
 }
 
-/// Output tokens that a job is expected to write at most, for memory.
+/// Output tokens per job that memory is reserved for at most.
 const LIKELY_OUTPUT: u64 = 4_096;
 
-/// Memory that a job takes, in tokens.
+/// Returns the memory that a job takes, in tokens.
 fn needs(job: &Job) -> u64 {
     job.prompt + job.output.min(LIKELY_OUTPUT)
 }
--- a/coord/tests/plain/order.rs
+++ b/coord/tests/plain/order.rs
@@ -1,5 +1,4 @@
-//! The order in which waiting prompts get their turn, and the model's view of a prompt that this and
-//! the choice of engines depend on.
+//! Order of the waiting prompts, and the estimates that this order and the placement depend on.
 
 use super::Planner;
 use super::policy::{PASSES_TO_FIRST_EVENT, SHORT_READ_MS};
@@ -7,20 +6,19 @@
 use coord::planner::{Id, Job};
 use coord::time::Moment;
 
-/// A job that waits, with what its turn depends on.
+/// Waiting job with its sort keys.
 pub struct Ranked {
-    /// Its identity.
     pub id: Id,
-    /// What it asks for.
     pub job: Job,
-    /// Whether it would be late even if it started now.
+    /// Whether the job would be late even if it started now.
     pub late: bool,
-    /// Engine time that reading it takes, in milliseconds.
+    /// Engine time to prefill the prompt, in milliseconds.
     cost_ms: f64,
 }
 
 impl Planner {
-    /// What waits: prompts that can still be in time go first; among them the more urgent rank, then the cheaper.
+    /// Returns the waiting jobs in the order in which they are to be placed: jobs that can still be in time first,
+    /// then the more urgent priority, then the cheaper prompt.
     pub fn ranked(&self, now: Moment) -> Vec<Ranked> {
         let rank = |(id, job): (&Id, &Job)| Ranked {
             id: *id,
@@ -40,8 +38,8 @@
         ranked
     }
 
-    /// Whether a prompt would be late even if it started now: on one engine if short, else on all,
-    /// behind the rest of a pass and with the pass in which its first event is written.
+    /// Returns whether a prompt would be late even if it started now: on one engine if it is short, otherwise on all
+    /// engines, after half a pass that is under way and a pass that produces the first event.
     pub fn is_late(&self, job: &Job, now: Moment) -> bool {
         let Some(engine) = self.engines.values().next() else { return false };
         let engines = if self.is_short(job) { 1 } else { self.policy.most_parts.min(self.engines.len()) };
@@ -49,12 +47,12 @@
         now + millis(self.cost_ms(job) / engines as f64 + pass * PASSES_TO_FIRST_EVENT) > job.aim
     }
 
-    /// Engine time that reading a job takes, in milliseconds.
+    /// Returns the engine time to prefill a job's prompt, in milliseconds.
     pub fn cost_ms(&self, job: &Job) -> f64 {
         self.engines.values().next().map_or(job.prompt as f64, |engine| engine.figures.read_ms(job.prompt))
     }
 
-    /// Whether one engine can read the prompt without a pause that someone like its caller would mind.
+    /// Returns whether one engine can prefill the prompt without exceeding the gap limit of an answer like its own.
     pub fn is_short(&self, job: &Job) -> bool {
         let Some(engine) = self.engines.values().next() else { return true };
         let gap = if job.gap_ms > 0.0 { job.gap_ms } else { f64::INFINITY };
--- a/coord/tests/plain/place/long.rs
+++ b/coord/tests/plain/place/long.rs
@@ -1,4 +1,4 @@
-//! Long prompts: a team of engines that each read a part, of which one writes the answer.
+//! Placement of long prompts: each engine of a team prefills a part, and one of them decodes the answer.
 
 use std::cmp::Reverse;
 
@@ -8,7 +8,7 @@
 use coord::name::Name;
 use coord::planner::{Helper, Team};
 
-/// An engine that may read a part now.
+/// Engine that can prefill a part now.
 struct Open<'a> {
     name: &'a Name,
     engine: &'a Engine,
@@ -16,7 +16,7 @@
 }
 
 impl Choice<'_> {
-    /// Splits a long prompt over as many engines as can read a part without making anyone wait.
+    /// Returns the largest team whose members can each prefill a part without exceeding a gap limit.
     pub fn long(&self) -> Option<Team> {
         let most = ((self.read_ms / self.policy().least_part_ms) as usize).clamp(1, self.policy().most_parts);
         let open = self.open();
@@ -24,7 +24,7 @@
         sizes.rev().find_map(|parts| self.team(&open, parts))
     }
 
-    /// Engines that have next to nothing left to read, those first that can begin soonest.
+    /// Returns the engines with almost no pending prefill, shortest wait first.
     fn open(&self) -> Vec<Open<'_>> {
         let tries = self.must_try();
         let mut open: Vec<Open> = self
@@ -32,37 +32,38 @@
             .iter()
             .map(|(name, engine)| Open { name, engine, wait_ms: engine.wait_ms(self.now) })
             .filter(|open| open.engine.pending_ms(self.now) <= self.policy().start_pending_ms)
-            // One that fails holds up the whole team; short prompts try it.
+            // A failing engine would hold up the whole team, so trial requests are left to short prompts.
             .filter(|open| tries || !self.planner.evidence.is_on_trial(open.name, self.now))
             .collect();
         open.sort_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
         open
     }
 
-    /// Whether so many engines wait for a trial that too few are left without them.
+    /// Returns whether so many engines are on trial that long prompts must use them too.
     fn must_try(&self) -> bool {
         let on_trial = self.planner.evidence.on_trial(self.now) as f64;
         on_trial >= self.planner.engines.len() as f64 * (1.0 - self.policy().least_usable)
     }
 
-    /// Fewest engines that may read the prompt now.
+    /// Returns the smallest number of engines that may prefill the prompt now.
     fn fewest(&self, most: usize) -> usize {
         if self.planner.is_late(self.job, self.now) {
             return self.fewest_late(most);
         }
-        // A team that is too small to be in time would be in the way of others for long.
+        // A team that is too small to be in time would block its engines for long.
         let slack_ms = self.job.aim.since(self.now).as_secs_f64() * 1e3;
         let in_time = (self.read_ms / (slack_ms * self.policy().in_time_share).max(1.0)).ceil() as usize;
         in_time.clamp(1, most)
     }
 
-    /// A late prompt takes what there is, if that is enough for its caller to see the first event at all, or is all.
+    /// Returns the smallest team for a late prompt: large enough to produce the first event before the caller gives
+    /// up, or all engines if that is impossible.
     fn fewest_late(&self, most: usize) -> usize {
         let left_ms = self.job.deadline.since(self.now).as_secs_f64() * 1e3 * self.policy().late_share;
         ((self.read_ms / left_ms.max(1.0)).ceil() as usize).clamp(1, most.min(self.engines.len()))
     }
 
-    /// A team of `parts` engines that have room for a part each.
+    /// Returns a team of `parts` engines that each have the prefill budget for one part.
     fn team(&self, open: &[Open], parts: usize) -> Option<Team> {
         let part_ms = self.read_ms / parts as f64;
         let has_room = |open: &&Open| open.engine.room_ms(self.now, self.policy()) >= part_ms;
@@ -73,7 +74,7 @@
         self.holding_alone(&roomy, parts).or_else(|| self.holding_together(&roomy, parts))
     }
 
-    /// A team whose writer holds the whole prompt.
+    /// Returns a team whose writer holds the whole prompt in memory.
     fn holding_alone(&self, roomy: &[&Open], parts: usize) -> Option<Team> {
         let fits = |engine: &Engine| engine.has_slot(self.policy()) && engine.has_memory(self.job, self.policy());
         let fitting = roomy.iter().filter(|open| fits(open.engine));
@@ -83,7 +84,7 @@
         Some(Team { writer: writer.name.clone(), helpers })
     }
 
-    /// A team whose helpers hold what exceeds the writer's memory.
+    /// Returns a team whose helpers hold the tokens that exceed the writer's memory.
     fn holding_together(&self, roomy: &[&Open], parts: usize) -> Option<Team> {
         if !self.policy().shared_memory {
             return None;
@@ -103,7 +104,8 @@
         (left == 0).then(|| Team { writer: writer.name.clone(), helpers })
     }
 
-    /// Long answers are written where others are, away from short ones, so that most engines only read.
+    /// Ranks writers, smallest first. Long answers decode beside other long answers and away from short ones, so that
+    /// most engines only prefill.
     fn writer_key(&self, engine: &Engine) -> (bool, Reverse<usize>) {
         (engine.gap_ms() < self.job.gap_ms, Reverse(engine.seats.len()))
     }
--- a/coord/tests/plain/place/mod.rs
+++ b/coord/tests/plain/place/mod.rs
@@ -1,4 +1,4 @@
-//! The choice of engines for one prompt.
+//! Selects engines for one prompt.
 
 mod long;
 mod short;
@@ -9,24 +9,23 @@
 use coord::planner::{Grant, Id, Job, Policy};
 use coord::time::Moment;
 
-/// Which engines a prompt may take.
+/// Engines that a prompt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
     /// Any of them.
     All,
-    /// Only those that hold short answers already, which prompts that wait for a team do not wait for.
+    /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
     Shared,
 }
 
-/// A prompt that may start now, and what the choice of its engines depends on.
+/// Prompt to be placed, with all that the selection of its engines depends on.
 struct Choice<'a> {
     planner: &'a Planner,
     job: &'a Job,
-    /// Engines that may be chosen.
+    /// Eligible engines.
     engines: Vec<(&'a Name, &'a Engine)>,
-    /// Which of them.
     reach: Reach,
-    /// Engine time that reading the prompt takes, in milliseconds.
+    /// Engine time to prefill the prompt, in milliseconds.
     read_ms: f64,
     now: Moment,
 }
@@ -38,7 +37,7 @@
 }
 
 impl Planner {
-    /// Engines for a prompt that may start now; none if it must wait.
+    /// Returns the engines for a prompt; `None` if the prompt must wait.
     pub fn place(&self, id: Id, job: &Job, reach: Reach, now: Moment) -> Option<Grant> {
         let engines = self.candidates(id.entry, now);
         if engines.is_empty() {
@@ -54,8 +53,8 @@
         choice.long().map(|team| Grant { id, team, silent_after: None })
     }
 
-    /// Engines that may be chosen for a job of an entry: those that failed of late are left out, as long as that
-    /// leaves most of them; what strikes many at once is no fault of theirs.
+    /// Returns the eligible engines for a job of `entry`. Recently failed engines are excluded as long as most
+    /// engines remain: a failure that hits many engines at once has another cause.
     fn candidates(&self, entry: u64, now: Moment) -> Vec<(&Name, &Engine)> {
         let admitted: Vec<_> = self.engines.iter().filter(|(name, _)| self.evidence.admits(name, now)).collect();
         let most = admitted.len() as f64 > self.engines.len() as f64 * self.policy.least_usable;
--- a/coord/tests/plain/place/short.rs
+++ b/coord/tests/plain/place/short.rs
@@ -1,4 +1,4 @@
-//! Short prompts: one engine each, packed onto few.
+//! Placement of short prompts: one engine each, packed onto few engines.
 
 use std::cmp::Ordering;
 
@@ -11,8 +11,9 @@
 use coord::planner::Team;
 
 impl Choice<'_> {
-    /// Packs a short prompt onto an engine that has others like it, as long as all stay in time. Who waits to be
-    /// tried goes first: only short prompts try engines.
+    /// Returns an engine for a short prompt. Engines on trial come first, because only short prompts try engines.
+    /// Otherwise the prompt is packed onto an engine that already serves short prompts, as long as all gap limits and
+    /// first events are kept.
     pub fn short(&self) -> Option<Team> {
         let engine = match self.reach {
             Reach::All if !self.policy().packing => self.tried().or_else(|| self.soonest()),
@@ -22,13 +23,13 @@
         engine.map(|writer| Team { writer: writer.clone(), helpers: Vec::new() })
     }
 
-    /// The engine that can begin soonest among those that hold answers like this one's and keep their pauses.
+    /// Returns the engine with the shortest wait among those that serve similar answers and keep their gap limits.
     fn shared(&self) -> Option<&Name> {
         let may = |engine: &Engine| self.fits(engine) && self.is_like(engine) && self.has_room(engine);
         self.first_free(self.engines.iter().filter(|(_, engine)| may(engine)))
     }
 
-    /// An engine that waits for a trial.
+    /// Returns an engine that is on trial.
     fn tried(&self) -> Option<&Name> {
         let is_on_trial = |name| self.planner.evidence.is_on_trial(name, self.now);
         let mut engines = self.engines.iter();
@@ -36,14 +37,15 @@
         found.map(|(name, _)| *name)
     }
 
-    /// The engine with the most answers among those that hold short ones and read the prompt in time.
+    /// Returns the engine with the most sequences among those that serve similar answers and prefill the prompt in
+    /// time.
     fn packed(&self) -> Option<&Name> {
         let may = |engine: &Engine| self.fits(engine) && self.is_like(engine) && self.in_time(engine);
         let engines = self.engines.iter().filter(|(_, engine)| may(engine));
         engines.max_by_key(|(_, engine)| engine.seats.len()).map(|(name, _)| *name)
     }
 
-    /// One more engine to hold short answers, unless long prompts need those that are left.
+    /// Returns an engine that serves no similar answers yet, unless the remaining ones are reserved for long prompts.
     fn opened(&self) -> Option<&Name> {
         let like = self.engines.iter().filter(|(_, engine)| self.is_like(engine)).count();
         if like as f64 >= self.engines.len() as f64 * (1.0 - self.policy().long_share) {
@@ -53,39 +55,38 @@
         engines.min_by(|a, b| self.by_opening_cost(a, b)).map(|(name, _)| *name)
     }
 
-    /// The engine that can begin soonest among those that keep their pauses; the prompt may be late.
+    /// Returns the engine with the shortest wait among those that keep their gap limits; the first event may be late.
     fn soonest(&self) -> Option<&Name> {
         self.first_free(self.engines.iter().filter(|(_, engine)| self.fits(engine) && self.has_room(engine)))
     }
 
-    /// The engine among these that can begin soonest.
+    /// Returns the engine with the shortest wait.
     fn first_free<'b>(&self, engines: impl Iterator<Item = &'b (&'b Name, &'b Engine)>) -> Option<&'b Name> {
         let wait_ms = |engine: &Engine| engine.wait_ms(self.now);
         engines.min_by(|(_, a), (_, b)| wait_ms(a).total_cmp(&wait_ms(b))).map(|(name, _)| *name)
     }
 
-    /// Whether the engine has a slot and memory for the answer.
     fn fits(&self, engine: &Engine) -> bool {
         engine.has_slot(self.policy()) && engine.has_memory(self.job, self.policy())
     }
 
-    /// Whether the engine writes for callers who want pauses as short as this one does.
+    /// Returns whether the engine already decodes an answer whose gap limit is at least as strict.
     fn is_like(&self, engine: &Engine) -> bool {
         engine.gap_ms() <= self.job.gap_ms
     }
 
-    /// Whether the prompt can be read without a pause that someone who writes at the engine would mind.
+    /// Returns whether the engine can prefill the prompt without exceeding the gap limit of a sequence.
     fn has_room(&self, engine: &Engine) -> bool {
         engine.room_ms(self.now, self.policy()) >= self.read_ms
     }
 
-    /// Whether that is so and the prompt's own first event is in time.
+    /// Returns whether the engine also produces the first event in time.
     fn in_time(&self, engine: &Engine) -> bool {
         let first_event_ms = engine.wait_ms(self.now) + self.read_ms + engine.pass_ms();
         self.has_room(engine) && self.now + millis(first_event_ms) <= self.job.aim
     }
 
-    /// Orders engines by what it costs to make them hold short answers.
+    /// Compares two engines by the cost of starting to serve short prompts there.
     fn by_opening_cost(&self, (a, of_a): &(&Name, &Engine), (b, of_b): &(&Name, &Engine)) -> Ordering {
         let cost = |engine: &Engine| engine.wait_ms(self.now) + engine.context() as f64 / TOKENS_A_MS;
         let salt = self.planner.salt;
--- a/coord/tests/plain/policy.rs
+++ b/coord/tests/plain/policy.rs
@@ -1,24 +1,25 @@
-//! The figures that the planner fixes, as it has them.
+//! Constants of the planner's policy, repeated for the reference implementation.
 
 use std::time::Duration;
 
-/// Time in which entries tell a planner that is new to them what they have at the engines. Those that meet a lost
-/// planner at the same moment were seen to take 0.1 s to find the next one.
+/// Length of the settling period, in which entries report their running jobs to a new planner. Entries that lose
+/// their planner at the same moment take 0.1 s to find the next one.
 pub const SETTLING: Duration = Duration::from_millis(300);
-/// A first event that takes this many times as long as the model has it shows that an engine is slow …
+/// Factor by which the time to a first event must exceed the prediction to indicate a slow engine.
 pub const SLOW: f64 = 2.5;
-/// … if it also takes so much longer, in milliseconds: a pass of a full engine and some ways through the network.
+/// Time by which it must additionally exceed the prediction, in milliseconds. Covers a pass of a full engine and
+/// several network hops.
 pub const SLOW_BY_MS: f64 = 150.0;
-/// A part that is overdue by this factor no longer counts as pending.
+/// Factor by which a part must exceed its expected time to no longer count as pending.
 pub const OVERDUE: f64 = 3.0;
-/// A part that is being read and not yet overdue has at least this share of its time left; set, not measured.
+/// Smallest share of its expected time that a part counts as pending while it is prefilled and not overdue.
 pub const LEAST_LEFT: f64 = 0.1;
-/// Tokens in an engine's memory that weigh as much as a wait of 1 ms when one is chosen to hold short answers;
-/// set, not measured.
+/// Tokens in an engine's memory that weigh as much as 1 ms of waiting when an engine is selected to start serving
+/// short prompts.
 pub const TOKENS_A_MS: f64 = 1e3;
-/// Passes until a prompt that fits in has its first event, reading left out: on average half of the
-/// one under way, and the one that reads it.
+/// Passes until the first event of a prompt that is admitted, without its prefill: on average half of the pass under
+/// way, and the pass that produces the event.
 pub const PASSES_TO_FIRST_EVENT: f64 = 1.5;
-/// A prompt that takes longer to read than this is long, in milliseconds: it would spend most of
-/// the 200 ms that the shortest wanted pause seen leaves beside a pass.
+/// Longest prefill of a short prompt, in milliseconds. A longer one would use most of the 200 ms that the strictest
+/// observed gap limit leaves beside a pass.
 pub const SHORT_READ_MS: f64 = 125.0;
--- a/coord/tests/planner_absent.rs
+++ b/coord/tests/planner_absent.rs
@@ -1,4 +1,5 @@
-//! The planner behind a freeze of its process, or of an entry: what is heard late says nothing of the engines.
+//! Tests the planner after a freeze of its process or of an entry. Events that are handled late because of the freeze
+//! must not count against the engines.
 
 mod common;
 #[path = "common/short.rs"]
@@ -12,7 +13,7 @@
 use coord::planner::{Grant, Id, Planner, Policy};
 use coord::time::Moment;
 
-/// Prompts at one engine when the freeze comes.
+/// Prompts that run on one engine when the freeze begins.
 const RUNNING: u64 = 12;
 const FROZEN: Duration = Duration::from_millis(1_500);
 
@@ -22,7 +23,7 @@
     planner
 }
 
-/// Grants prompts of an entry, numbered from `first`.
+/// Submits prompts of an entry, numbered from `first`, and returns the grants.
 fn grant(planner: &mut Planner, entry: u64, first: u64, now: Moment) -> Vec<Grant> {
     (first..first + RUNNING).for_each(|number| planner.submit(Id { entry, number }, short::job(500, now)));
     planner.pump(now)
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -1,4 +1,5 @@
-//! The planner where engines end: those that start again under their names, and prompts suspected of ending them.
+//! Tests the planner with crashing engines: engines that restart under the same name, and prompts suspected of
+//! crashing them.
 
 mod common;
 #[path = "common/short.rs"]
@@ -39,7 +40,7 @@
     assert!(again >= granted, "{again} after {granted}");
 }
 
-/// Engines of `number` short prompts of the same work.
+/// Submits `number` short prompts of the same work and returns their engines.
 fn writers(planner: &mut Planner, first: u64, number: u64, work: Option<Work>, now: Moment) -> Vec<Name> {
     (first..first + number).for_each(|number| planner.submit(id(number), Job { work, ..short::job(3_000, now) }));
     planner.pump(now).into_iter().map(|grant| grant.team.writer).collect()
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -1,9 +1,9 @@
-//! What callers get whose engines all have something against them that is mild by itself.
+//! Tests that several mild exclusion rules together do not leave an idle engine unused.
 //!
-//! Each rule that leaves engines out leaves most of them. One that failed, one that this entry did not reach of late, one
-//! with a suspect and one that has used up the limit that it names are four: together they leave none, or one that is
-//! full, and short prompts were held and refused beside an engine with nothing to do. Played here: two, three, four and
-//! eight engines in all states.
+//! Each rule that excludes engines keeps most of them. With four engines, one that failed, one that is unreachable
+//! for the entry, one with a suspect and one with an exhausted rate limit together left no engine, or only a full
+//! one, and short prompts were held and refused beside an idle engine. The tests cover two, three, four and eight
+//! engines in all combinations of states.
 
 mod common;
 #[path = "common/short.rs"]
@@ -17,27 +17,27 @@
 use coord::quarantine::Work;
 use coord::time::Moment;
 
-/// The entry whose prompts are looked at.
+/// Entry whose prompts are checked.
 const OWN: u64 = 0;
-/// Another one, whose requests tell of engines as well.
+/// Another entry, whose requests also affect the state of the engines.
 const OTHER: u64 = 1;
-/// Part of the engines that is most of them.
+/// Share of the engines that counts as most of them.
 const MOST: f64 = 0.6;
-/// Work that is suspected of ending engines.
+/// Work that is suspected of crashing engines.
 const SUSPECT: Work = Work([7; 16]);
 
-/// What is known of an engine.
+/// State that the planner knows of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing.
+    /// Idle, with no fault known.
     Free,
-    /// It failed of late.
+    /// Its circuit breaker is open after a recent failure.
     Open,
-    /// The entry did not reach it of late; another did since.
+    /// The entry failed to reach it recently; another entry has reached it since.
     Unreached,
-    /// It has used up the limit that it names.
+    /// Its rate limit is exhausted.
     Limited,
-    /// It runs work that is suspected of ending engines.
+    /// It runs work that is suspected of crashing engines.
     Suspect,
     /// All its slots are granted.
     Full,
@@ -49,7 +49,7 @@
     format!("engine-{index}").into()
 }
 
-/// A planner with engines in these states at the moment that is returned.
+/// Returns a planner with engines in these states, and the moment at which they have them.
 fn planner(states: &[State]) -> (Planner, Moment) {
     let mut planner = Planner::new(Policy::default(), 0);
     planner.set_engines((0..states.len()).map(|index| (name(index), figures(16, 46))));
@@ -64,7 +64,7 @@
     };
     for (index, _) in states.iter().enumerate().filter(|(_, state)| **state == State::Unreached) {
         planner.failed(OWN, &name(index), unreached);
-        // Behind the time for which it was left out, a prompt of another entry is served.
+        // After the breaker has closed, the engine serves a prompt of another entry.
         let later = unreached + Duration::from_millis(900);
         let id = adopt(&mut planner, OTHER, index, &short::job(500, later), later);
         planner.first_event(id, later);
@@ -88,14 +88,14 @@
     (planner, now)
 }
 
-/// Grants for `count` short prompts of the entry.
+/// Submits `count` short prompts of the entry and returns the grants.
 fn grants(planner: &mut Planner, count: u64, now: Moment) -> Vec<Grant> {
     (0..count).for_each(|number| planner.submit(Id { entry: OWN, number }, short::job(500, now)));
     planner.pump(now)
 }
 
-/// Whether a prompt must be granted at once: an engine with nothing to do and within its limit is there, against which
-/// nothing is known, or all rules together leave few.
+/// Returns whether a prompt must be granted at once: an idle engine within its rate limit has no known fault, or has
+/// only a mild one while all rules together leave few engines.
 fn must_be_served(states: &[State]) -> bool {
     let any = |wanted: &[State]| states.iter().any(|state| wanted.contains(state));
     let left = states.iter().filter(|state| matches!(state, State::Free | State::Full)).count();
@@ -113,7 +113,7 @@
     }
 }
 
-/// All ways to have `count` engines in some state.
+/// Returns all combinations of states of `count` engines.
 fn all(count: usize) -> Vec<Vec<State>> {
     let longer = |ways: Vec<Vec<State>>| {
         let one_more = |way: Vec<State>| STATES.iter().map(move |state| [way.as_slice(), &[*state]].concat());
@@ -131,7 +131,7 @@
 
 #[test]
 fn so_they_do_where_there_are_eight() {
-    // Four in any states beside four that are alike.
+    // Combines all states of four engines with four more engines that share one state.
     for four in all(4) {
         for state in STATES {
             check(&[four.as_slice(), &[state; 4]].concat());
@@ -139,7 +139,8 @@
     }
 }
 
-/// As in the played soak: one engine failed, one is not reached, one runs a suspect, one has used up its limit.
+/// Reproduces the combination from the simulated soak: one engine failed, one unreachable, one with a suspect, one
+/// with an exhausted rate limit.
 #[test]
 fn one_of_each_are_four_and_a_prompt_is_served() {
     let states = [State::Open, State::Unreached, State::Suspect, State::Limited];
@@ -148,7 +149,7 @@
     assert_eq!(granted.len(), 12, "{granted:?}");
 }
 
-/// Why prompts wait is told for each engine.
+/// The reason why prompts wait must be reported for each engine.
 #[test]
 fn what_keeps_prompts_from_each_engine_is_named() {
     let states = [State::Limited, State::Full, State::Suspect, State::Open, State::Free];
--- a/coord/tests/planner_load/burst.rs
+++ b/coord/tests/planner_load/burst.rs
@@ -1,4 +1,4 @@
-//! A burst of long prompts, alone and while engines are slow, hang or lose answers.
+//! Simulates a burst of long prompts, without faults and with engines that are slow, hang or lose answers.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::mix::{Count, Kind};
 use crate::play::{Play, Served};
 
-/// A burst of long prompts: short ones ebb meanwhile.
+/// Returns a load with many long prompts and few short ones.
 fn long_burst() -> [Kind; 3] {
     [
         Kind {
@@ -35,7 +35,8 @@
     ]
 }
 
-/// How the kinds are served while some engines are slower than they should be, or answers are lost.
+/// Simulates the load with the engines `slow.0` slowed down by the factor `slow.1`, or with a share `lost` of the
+/// answers lost. Returns the results by kind of prompt.
 fn played_with_faults(policy: Policy, kinds: &[Kind], slow: (std::ops::Range<usize>, f64), lost: f64) -> Vec<Served> {
     let mut sums = vec![Served::default(); kinds.len()];
     for seed in 1..=4 {
@@ -48,7 +49,7 @@
     sums
 }
 
-/// How the kinds and those over 400,000 tokens are served, over some seeds.
+/// Simulates the load; returns the results by kind of prompt, and those of prompts over 400,000 tokens.
 fn played(policy: Policy, kinds: &[Kind]) -> (Vec<Served>, Served) {
     let mut sums = vec![Served::default(); kinds.len()];
     let mut large = Served::default();
@@ -91,7 +92,7 @@
 fn while_some_engines_are_slow_the_others_go_on_reading_in_teams() {
     let mut kinds = long_burst();
     kinds[2].per_s = |_| 3.0;
-    // What second sends gain is another matter.
+    // Resending is tested separately.
     let policy = Policy { second_sends: false, ..Policy::default() };
     let with = played_with_faults(policy, &kinds, (10..16, 3.0), 0.0);
     let without = played_with_faults(Policy { mute_only: false, ..policy }, &kinds, (10..16, 3.0), 0.0);
--- a/coord/tests/planner_load/main.rs
+++ b/coord/tests/planner_load/main.rs
@@ -1,4 +1,4 @@
-//! Plays loads on engines that work in passes, and looks at what callers get.
+//! Load tests of the planner against simulated engines that work in passes.
 
 mod burst;
 #[path = "../common/mod.rs"]
--- a/coord/tests/planner_load/mix.rs
+++ b/coord/tests/planner_load/mix.rs
@@ -1,16 +1,16 @@
-//! What a load is made of: kinds of prompts, how many come, and how long they are.
+//! Definition of a load: kinds of prompts, their arrival rates and their sizes.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// How many of something there are.
+/// Distribution of a count.
 #[derive(Clone)]
 pub enum Count {
-    /// So many.
+    /// Always the same count.
     Just(u64),
-    /// Each of these is as likely.
+    /// Uniform distribution over a range.
     Even(std::ops::Range<u64>),
-    /// Log-normal: mean, deviation of the logarithm, and the largest.
+    /// Log-normal distribution: mean, standard deviation of the logarithm, and upper bound.
     Skewed(f64, f64, f64),
 }
 
@@ -35,15 +35,15 @@
     }
 }
 
-/// A draw from the standard normal distribution.
+/// Draws from the standard normal distribution.
 fn normal(rng: &mut StdRng) -> f64 {
     let radius = (-2.0 * rng.random_range(1e-12..1.0f64).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.random_range(0.0..1.0f64)).cos()
 }
 
-/// One kind of prompt in the load.
+/// Kind of prompt in the load.
 pub struct Kind {
-    /// Arrivals a second at a time in seconds.
+    /// Arrivals per second, as a function of the time in seconds.
     pub per_s: fn(f64) -> f64,
     pub prompts: Count,
     pub aim_ms: u64,
--- a/coord/tests/planner_load/play.rs
+++ b/coord/tests/planner_load/play.rs
@@ -1,8 +1,8 @@
-//! Plays a load on engines that work in passes, and looks at what callers get.
+//! Discrete-event simulation of a load on engines that work in passes.
 //!
-//! An engine begins a pass when it has something to do: it reads all parts that it has by then, and each answer that it
-//! writes gets one event at the pass's end. A caller is served in time if the first event comes within its aim and no
-//! pause between two events is longer than it wants.
+//! An engine starts a pass when it has work: the pass prefills all parts that are pending at its start, and each
+//! sequence gets one event at its end. A prompt is served in time if the first event meets its target and no gap
+//! between two events exceeds its limit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -19,13 +19,13 @@
 use crate::mix::Kind;
 
 const ENGINES: usize = 60;
-/// Time between two looks at what waits, as the entry that plans has them, in microseconds.
+/// Interval between two pumps of the planner, as in an entry that plans, in microseconds.
 const TICK: u64 = 10_000;
-/// Time within which callers come back whom nobody answered, in microseconds.
+/// Longest delay before a caller retries after an outage of all entries, in microseconds.
 const COMING_BACK: u64 = 400_000;
-/// Part of what an answer in time is worth that a late one is.
+/// Value of a late answer as a share of the value of an answer in time.
 const LATE_WORTH: f64 = 0.25;
-/// Time for which a caller waits for engines.
+/// Time for which a caller waits for a grant.
 const PATIENCE: Duration = Duration::from_millis(6_700);
 
 #[derive(Clone, Debug)]
@@ -39,42 +39,40 @@
     ComeBack(Caller),
 }
 
-/// A caller with a prompt.
 #[derive(Clone, Copy, Debug)]
 struct Caller {
     kind: usize,
     tokens: u64,
     events: u64,
-    /// When it first sent it.
+    /// Time at which the caller first sent the prompt, in microseconds.
     since: u64,
 }
 
-/// A prompt on its way.
 struct Prompt {
     kind: usize,
     tokens: u64,
     job: Job,
     arrived: u64,
-    /// Events of its whole answer.
+    /// Number of events of the whole answer.
     events: u64,
     parts_left: usize,
-    /// When it last got engines, and whether what comes from them is lost.
+    /// Time of the last grant, in microseconds, and whether the answer to it is lost.
     sent: u64,
     lost: bool,
-    /// Whether it has had engines.
+    /// Whether the prompt was ever granted.
     read: bool,
     writer: usize,
     events_left: u32,
     last_event: Option<u64>,
     in_time: bool,
-    /// When it was refused, or its caller gave up, without engines.
+    /// Time at which the prompt was refused or its caller gave up without a grant.
     turned_away: Option<u64>,
-    /// Whether its caller came back with another.
+    /// Whether the caller sent the prompt again after an outage.
     came_back: bool,
 }
 
 impl Prompt {
-    /// How it was served.
+    /// Classifies how the prompt was served.
     fn outcome(&self, kind: &Kind) -> Served {
         let answered = self.last_event.is_some() && !self.lost;
         let in_time = answered && self.in_time;
@@ -101,10 +99,10 @@
 
 #[derive(Default)]
 struct Engine {
-    /// Parts to read: whose, and milliseconds.
+    /// Pending prefill: number of the prompt, and milliseconds.
     parts: Vec<(u64, f64)>,
     writers: Vec<u64>,
-    /// What the pass under way reads, and for whom it ends an event.
+    /// Prompts that the current pass prefills, and sequences that get an event at its end.
     reading: Vec<u64>,
     writing: Vec<u64>,
     busy: bool,
@@ -115,13 +113,13 @@
 pub struct Served {
     pub all: u32,
     pub in_time: u32,
-    /// Those whose first event came, but late, or that were paused for too long.
+    /// Prompts whose first event or a later gap exceeded its limit.
     pub late: u32,
     pub turned_away: u32,
-    /// What all are worth together, each by its size, and what was earned of it: all in time, a quarter if late.
+    /// Total value of the prompts, by their sizes, and the value earned: all of it in time, a quarter late.
     pub owed: f64,
     pub earned: f64,
-    /// Time for which those were kept waiting, in milliseconds.
+    /// Total time that refused prompts had been held, in milliseconds.
     held_ms: u64,
 }
 
@@ -140,12 +138,12 @@
         self.held_ms += other.held_ms;
     }
 
-    /// Share of what they are worth that was earned.
+    /// Returns the share of the value that was earned.
     pub fn worth(self) -> f64 {
         self.earned / self.owed.max(f64::MIN_POSITIVE)
     }
 
-    /// Milliseconds for which a caller that was turned away had been kept waiting, on average.
+    /// Returns the mean time that refused prompts had been held, in milliseconds.
     pub fn mean_held_ms(self) -> f64 {
         self.held_ms as f64 / f64::from(self.turned_away.max(1))
     }
@@ -153,7 +151,7 @@
 
 pub struct Play {
     policy: Policy,
-    /// Until when there is no entry.
+    /// End of the outage of all entries, if there is one.
     down_until: Option<u64>,
     planner: Planner,
     figures: Arc<Figures>,
@@ -161,13 +159,13 @@
     prompts: BTreeMap<u64, Prompt>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
-    /// Engines that take so many times as long as they should.
+    /// Slow engines and their slowdown factor.
     pub slow: (std::ops::Range<usize>, f64),
-    /// Share of the answers that are lost: their callers hear nothing, though engines read and write.
+    /// Share of the answers that are lost: engines prefill and decode, but the caller receives nothing.
     pub lost: f64,
     next: u64,
     rng: StdRng,
-    /// Decides whose answers are lost, so that arrivals are the same whatever is granted.
+    /// Separate random source for lost answers, so that arrivals do not depend on the grants.
     luck: StdRng,
     now: u64,
 }
@@ -196,12 +194,12 @@
         }
     }
 
-    /// Has all entries lose their power at a time in seconds, and be back after `down`.
+    /// Schedules a power loss of all entries at `second`, for the time `down`.
     pub fn lose_power_at(&mut self, second: f64, down: Duration) {
         self.schedule((second * 1e6) as u64, Event::LosePower { down });
     }
 
-    /// Has the planner know how slow engines are.
+    /// Reports the slowdown factors of slow engines to the planner.
     pub fn tell_pace(&mut self) {
         let (slow, pace) = self.slow.clone();
         for index in slow {
@@ -219,7 +217,8 @@
         self.queue.push(Reverse((at, self.next)));
     }
 
-    /// Plays the load for `span`; returns how prompts of each kind, and those over `large` tokens, were served.
+    /// Runs the load for `span`; returns the results by kind of prompt, and those of prompts with at least `large`
+    /// tokens.
     pub fn run(mut self, kinds: &[Kind], span: Duration, large: u64) -> (Vec<Served>, Served) {
         let end = self.now + span.as_micros() as u64;
         for kind in 0..kinds.len() {
@@ -243,7 +242,7 @@
             }
             self.pump();
         }
-        // Those that came last had no time to be served.
+        // The last arrivals had too little time to be served.
         let settled = |prompt: &&Prompt| prompt.arrived + 6_000_000 < end && !prompt.came_back;
         let mut served = vec![Served::default(); kinds.len()];
         let mut largest = Served::default();
@@ -270,7 +269,7 @@
         }
     }
 
-    /// A caller finds nobody, and comes back soon after `until`.
+    /// Schedules a retry of a caller soon after the outage ends at `until`.
     fn come_back(&mut self, caller: Caller, until: u64) {
         let at = until + self.luck.random_range(0..COMING_BACK);
         self.schedule(at, Event::ComeBack(caller));
@@ -314,7 +313,8 @@
         self.planner.submit(Id { entry: 0, number }, job);
     }
 
-    /// All entries lose their power: nobody hears what engines go on to write, and the next planner knows nothing of it.
+    /// Simulates a power loss of all entries: the engines keep decoding for callers that are gone, and the next
+    /// planner knows nothing of these sequences.
     fn lose_power(&mut self, down: Duration) {
         let until = self.now + down.as_micros() as u64;
         self.down_until = Some(until);
@@ -359,7 +359,7 @@
         }
     }
 
-    /// A prompt that has no engines is refused, or its caller gives up.
+    /// Refuses a prompt that has no engines, or lets its caller give up.
     fn turn_away(&mut self, number: u64) {
         let Some(prompt) = self.prompts.get_mut(&number).filter(|prompt| prompt.parts_left == 0) else { return };
         if prompt.last_event.is_none() && prompt.turned_away.is_none() && !prompt.read {
@@ -369,11 +369,11 @@
         }
     }
 
-    /// A prompt from whose engines nothing came is taken from them and waits for others.
+    /// Withdraws a prompt from unresponsive engines and submits it again.
     fn send_again(&mut self, number: u64, at: u64) {
         let moment = self.moment();
         let Some(prompt) = self.prompts.get_mut(&number) else { return };
-        // The entry that watched for a caller who came back is gone.
+        // The entry that watched this prompt is gone if the caller has retried.
         let is_over = prompt.events_left == 0 || prompt.sent != at || prompt.came_back;
         if is_over || (prompt.last_event.is_some() && !prompt.lost) {
             return;
@@ -417,7 +417,7 @@
             let Some(prompt) = self.prompts.get_mut(&number) else { continue };
             prompt.parts_left -= 1;
             if prompt.parts_left == 0 {
-                // The pass that reads the last of it writes its first event.
+                // The pass that prefills the last part produces the first event.
                 let writer = prompt.writer;
                 self.engines[writer].writers.push(number);
                 self.write(kinds, writer, number);
@@ -427,14 +427,14 @@
         self.begin_pass(engine);
     }
 
-    /// One event of an answer.
+    /// Produces one event of an answer.
     fn write(&mut self, kinds: &[Kind], engine: usize, number: u64) {
         let moment = self.moment();
         let Some(prompt) = self.prompts.get_mut(&number) else { return };
         let kind = &kinds[prompt.kind];
         let id = Id { entry: 0, number };
         match prompt.last_event {
-            // Nobody hears of it.
+            // Nobody receives the event.
             _ if prompt.lost => {}
             None => {
                 prompt.in_time &= self.now - prompt.arrived <= kind.aim_ms * 1_000;
--- a/coord/tests/planner_load/turnover.rs
+++ b/coord/tests/planner_load/turnover.rs
@@ -1,4 +1,4 @@
-//! A mix of prompts that turns over every few seconds.
+//! Simulates a mix of prompts that alternates between short and long ones every few seconds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::mix::{Count, Kind};
 use crate::play::{Play, Served};
 
-/// Engines of a large model, on which long prompts cost most by their pairs.
+/// Returns engines with a large model, where attention dominates the cost of long prompts.
 fn figures() -> Arc<Figures> {
     Arc::new(Figures {
         slots: 12,
@@ -25,14 +25,15 @@
     })
 }
 
-/// Seconds for which the mix stays as it is.
+/// Time for which the mix stays the same, in seconds.
 const TURN_S: f64 = 9.5;
 
 fn is_short_turn(second: f64) -> bool {
     ((second / TURN_S) as u64).is_multiple_of(2)
 }
 
-/// Short prompts at 2.4 times their rate and hardly any of the longest, then few short ones and 2.7 times the longest.
+/// Alternates between 2.4 times the rate of short prompts with hardly any of the longest, and few short ones with 2.7
+/// times the rate of the longest.
 fn mix() -> [Kind; 3] {
     [
         Kind {
@@ -59,19 +60,19 @@
     ]
 }
 
-/// What is wrong with some of the 60 engines.
+/// Fault of some of the 60 engines, or of the entries.
 #[derive(Clone, Copy)]
 enum Fault {
     None,
-    /// So many take so many times as long as they should.
+    /// The given number of engines is slow by the given factor.
     Slow(usize, f64),
-    /// The same, and the planner is told.
+    /// Like `Slow`, with the slowdown reported to the planner.
     SlowAndTold(usize, f64),
-    /// All entries lose their power, at a time in seconds.
+    /// All entries lose power at the given time, in seconds.
     Loss(f64),
 }
 
-/// How each kind is served over some seeds.
+/// Returns the results by kind of prompt, summed over several seeds.
 fn played(policy: Policy, fault: Fault) -> Vec<Served> {
     let kinds = mix();
     let mut sums = vec![Served::default(); kinds.len()];
@@ -92,7 +93,7 @@
     sums
 }
 
-/// What part of what they are worth is earned with the short prompts, the middle ones and the longest.
+/// Returns the earned share of the value for short, middle and longest prompts.
 fn worth(policy: Policy, fault: Fault) -> [f64; 3] {
     let served = played(policy, fault);
     [served[0].worth(), served[1].worth(), served[2].worth()]
@@ -113,15 +114,15 @@
         let untold = worth(Policy::default(), Fault::Slow(engines, pace));
         assert!(told[0] >= untold[0] + 0.02, "short prompts: {told:?} and {untold:?}");
         assert!(told[1] >= untold[1], "middle ones: {told:?} and {untold:?}");
-        // Some 100 are played, of which one makes 0.01 to 0.04.
+        // Some 100 prompts of this kind are simulated, and each accounts for 0.01 to 0.04 of the value.
         assert!(told[2] + 0.05 >= untold[2], "the longest: {told:?} and {untold:?}");
     }
 }
 
 #[test]
 fn after_a_loss_of_all_entries_those_who_come_back_are_served() {
-    // In a burst of short prompts: some 700 callers come back within 0.4 s to engines that still write for nobody. What was
-    // cut, and short prompts that found nobody, are late whatever is done.
+    // The loss occurs in a burst of short prompts: some 700 callers retry within 0.4 s at engines that still decode
+    // for lost callers. Interrupted prompts, and short prompts that found no entry, are late in any case.
     let [short, middle, longest] = worth(Policy::default(), Fault::Loss(27.0));
     assert!(short >= 0.8 && middle >= 0.9 && longest >= 0.8, "{short:.3} {middle:.3} {longest:.3}");
 }
--- a/coord/tests/planner_machine.rs
+++ b/coord/tests/planner_machine.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of the planner: nothing is granted twice, memory and slots are never overdrawn,
-//! and everything that waits starts once the engines are free.
+//! Randomised tests of the planner: nothing is granted twice, memory and slots are never over-committed, and every
+//! waiting prompt starts once the engines are free.
 
 mod common;
 
@@ -72,7 +72,7 @@
     ]
 }
 
-/// Memory that the granted jobs hold at each engine, and how many write there.
+/// Returns the memory that granted jobs hold at each engine, and the number of sequences there.
 fn held(granted: &BTreeMap<Id, (Job, Grant)>) -> BTreeMap<Name, (u64, u32)> {
     let mut held: BTreeMap<Name, (u64, u32)> = BTreeMap::new();
     for (job, grant) in granted.values() {
@@ -128,7 +128,7 @@
                     let name = Name::from(format!("engine-{engine:02}"));
                     alive.remove(&name);
                     planner.set_engines(engines(18).into_iter().filter(|(name, _)| alive.contains(name)));
-                    // What used a lost engine is over for the model, as it is for its entry.
+                    // The model drops jobs of a removed engine, as their entry does.
                     let over: Vec<Id> = granted.iter().filter(|(_, (_, grant))| grant.team.engines().any(|e| *e == name)).map(|(id, _)| *id).collect();
                     for id in over {
                         granted.remove(&id);
@@ -158,7 +158,7 @@
                 prop_assert!(writers <= 16, "{engine} has {writers} writers");
             }
         }
-        // Everything that waits starts sooner or later when what runs ends.
+        // Every waiting job must start eventually once the running jobs finish.
         for _ in 0..2_000 {
             if !planner.has_waiting() {
                 break;
@@ -177,7 +177,7 @@
     }
 }
 
-/// Grants of one pump, by job number.
+/// Pumps the planner once; returns the grants by job number.
 fn pump(planner: &mut Planner, now: Moment) -> BTreeMap<u64, Grant> {
     planner.pump(now).into_iter().map(|grant| (grant.id.number, grant)).collect()
 }
@@ -253,7 +253,7 @@
     let late = now + Duration::from_millis(3_100);
     assert!(pump(&mut planner, late).contains_key(&1));
     planner.set_engines(engines(8));
-    // Five engines read 600,000 tokens in 3.8 s, all eight in 2.4 s; the aim is 3 s.
+    // Five engines prefill 600,000 tokens in 3.8 s and all eight in 2.4 s; the target is 3 s.
     planner.submit(id(2), job(600_000, late));
     assert!(pump(&mut planner, late).is_empty());
     let later = late + Duration::from_millis(3_100);
@@ -264,7 +264,8 @@
 fn engines_that_are_busy_for_long_are_not_waited_for() {
     let now = Moment::from_millis(10_000);
     let mut planner = planner(18);
-    // A late giant takes all but six engines for seconds; the rest serves those who can be in time.
+    // A late, very long prompt occupies all but six engines for seconds; the others must serve prompts that can be in
+    // time.
     planner.set_engines(engines(12));
     planner.submit(id(1), job(990_000, now));
     let late = now + Duration::from_millis(3_100);
@@ -282,7 +283,7 @@
     let bad: Name = "engine-03".into();
     let (mut at_bad, mut elsewhere) = (0, 0);
     for number in 0..2_000 {
-        // Ten prompts a second; what goes well takes a second, and the bad engine answers an error in 1 ms.
+        // Ten prompts per second. A success takes a second; the failing engine returns an error in 1 ms.
         let now = Moment::from_millis(10_000 + number * 100);
         planner.submit(id(number), job(4_000, now));
         for (number, grant) in pump(&mut planner, now) {
@@ -310,7 +311,7 @@
     for engine in 0..6 {
         planner.failed(1, &format!("engine-{engine:02}").into(), now);
     }
-    // Half of the engines would be left out if each report counted in full; the first two do.
+    // If each report counted in full, half of the engines would be ejected; the first two reports count that much.
     let entry = |entry, number| Id { entry, number };
     let mut used = BTreeSet::new();
     for number in 0..60 {
@@ -345,7 +346,8 @@
     assert!(pump(&mut planner, now + Duration::from_millis(310)).contains_key(&1));
 }
 
-/// Plays prompts at 50 a second on six engines of which one is slow; returns the prompts that it got in each second.
+/// Simulates 50 prompts per second on six engines, of which one is slow; returns the number of prompts that it got in
+/// each second.
 fn play_with_a_slow_engine(slow: &Name, factor: f64) -> Vec<usize> {
     let mut planner = planner(6);
     let mut first_events: BTreeMap<(u64, u64), Id> = BTreeMap::new();
@@ -416,7 +418,7 @@
 fn parts_that_nobody_reports_as_read_do_not_keep_engines_busy_for_ever() {
     let mut planner = planner(4);
     let mut now = Moment::ZERO + Duration::from_secs(1);
-    // Two prompts that all engines read, one behind the other, and whose answers are lost.
+    // Two prompts that all engines prefill one after the other, and whose answers are lost.
     let team = |number: usize| coord::planner::Team {
         writer: format!("engine-{number:02}").into(),
         helpers: (0..4usize)
--- a/coord/tests/planner_plain.rs
+++ b/coord/tests/planner_plain.rs
@@ -1,4 +1,4 @@
-//! The planner decides as its plainest form does, whatever comes in whatever order.
+//! Checks that the planner makes the same decisions as the reference implementation for random sequences of events.
 
 mod common;
 mod plain;
@@ -12,7 +12,7 @@
 use coord::time::Moment;
 use proptest::prelude::*;
 
-/// Both planners, which get to know the same.
+/// Both planners, driven by the same events.
 struct Pair {
     quick: Planner,
     plain: plain::Planner,
@@ -21,7 +21,7 @@
 
 impl Pair {
     fn new(policy: Policy) -> Self {
-        // The plain form knows none of them.
+        // The reference implementation does not support these settings.
         let off = Policy { spare_writers: false, gather: false, mute_only: false, ..policy };
         let policy = Policy { second_sends: false, few_left: false, ..off };
         Self { quick: Planner::new(policy, 7), plain: plain::Planner::new(policy, 7), running: Vec::new() }
@@ -123,7 +123,7 @@
             Step::Adopt { prompt, writer, helpers, reading } => {
                 let helper = |index| coord::planner::Helper { engine: name((writer + index) % 24), holds: 0 };
                 let team = Team { writer: name(writer), helpers: (1..=helpers).map(helper).collect() };
-                // The plain form counts engines that are gone among those on trial.
+                // The reference implementation counts removed engines among those on trial.
                 if !team.engines().all(|engine| engines.contains(engine)) {
                     continue;
                 }
@@ -149,7 +149,7 @@
             Step::Lose(engine) if engines.len() > 1 => {
                 engines.remove(&name(engine));
                 pair.set_engines(&engines, slots);
-                // What runs there is over, as it is for the entries that have it.
+                // Jobs on a removed engine end, as they do for their entries.
                 for id in std::mem::take(&mut pair.running) {
                     pair.end(id, now);
                 }
@@ -170,7 +170,7 @@
             Step::Wait(millis) => now = now + Duration::from_millis(millis),
             _ => {}
         }
-        // Some events are looked at together.
+        // Pumping only every third step makes the planners handle several events at once.
         if number.is_multiple_of(3) {
             pair.pump(now)?;
         }
--- a/coord/tests/planner_rests.rs
+++ b/coord/tests/planner_rests.rs
@@ -1,4 +1,4 @@
-//! Engines that want nothing from one entry for a while go to others only, however few are left.
+//! Tests that an engine which asked an entry to back off gets no prompt of that entry, however few engines remain.
 
 mod common;
 #[path = "common/short.rs"]
@@ -19,7 +19,7 @@
     format!("engine-{index}").into()
 }
 
-/// A planner of some engines, of which the first `resting` want nothing from entry 1.
+/// Returns a planner of whose engines the first `resting` asked entry 1 to back off.
 fn planner(resting: usize) -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
     planner.set_engines((0..ENGINES).map(|index| (name(index), figures(16, 46))));
@@ -36,7 +36,7 @@
     grants.iter().any(|grant| grant.team.engines().any(|used| used == engine))
 }
 
-/// A prompt that several engines read.
+/// Returns a prompt that several engines prefill.
 fn long(now: Moment) -> Job {
     Job {
         prompt: 200_000,
--- a/coord/tests/scheduler_machine.rs
+++ b/coord/tests/scheduler_machine.rs
@@ -1,8 +1,8 @@
-//! Long random runs of the scheduler against a small model of what it may do.
+//! Long random runs of the scheduler, checked against a small model.
 //!
-//! The invariants inside the scheduler panic in tests; the model adds what only an
-//! outsider can tell: nothing starts twice, nothing starts after it was voided, and
-//! memory given out is what the started jobs and held spans asked for.
+//! The invariants inside the scheduler panic in tests. The model adds checks that need an outside view: nothing
+//! starts twice, nothing starts after it was cancelled, and the memory in use equals the requests of started jobs and
+//! held spans.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 const MEMORY: u64 = 10_000;
 const SLOTS: usize = 4;
 
-/// What has been asked of the scheduler so far: enough to ask something sensible next.
+/// Requests made so far, from which the next step is chosen.
 #[derive(Clone, Debug, Default)]
 struct Asked {
     next: u128,
@@ -68,7 +68,7 @@
             3 => attempt.clone().prop_map(Step::FirstToken),
             4 => attempt.clone().prop_map(Step::Finish),
             2 => attempt.prop_map(Step::Void),
-            // An attempt that overtakes its own void on the way.
+            // A cancellation that arrives before its attempt.
             1 => (1..4u128).prop_map(move |ahead| Step::Void(next + ahead)),
             2 => (1..8_000u64, 1..3_000u64).prop_map(move |(tokens, lease_ms)| Step::Hold { span: next, tokens, lease_ms }),
             1 => span.prop_map(Step::GiveUp),
@@ -259,7 +259,7 @@
     }
 }
 
-/// Runs of CI; `SORRELPASS_LONG=1` runs a hundred times as many.
+/// Returns the proptest configuration; `SORRELPASS_LONG=1` runs a hundred times as many cases.
 fn config() -> ProptestConfig {
     let cases = if std::env::var_os("SORRELPASS_LONG").is_some() { 20_000 } else { 200 };
     ProptestConfig {
