--- a/coord/src/planner/estimate.rs
+++ b/coord/src/planner/estimate.rs
@@ -4,7 +4,7 @@
 use super::engine::Engine;
 use super::job::{Job, Team};
 use super::policy::{PASSES_TO_FIRST_EVENT, Policy, SHORT_READ_MS};
-use super::waiting::Prompt;
+use super::wait_queue::Prompt;
 use crate::engine::{Figures, millis};
 use crate::time::Moment;
 
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -10,38 +10,38 @@
 //! The same planner serves a process that decides for all entries and one that decides only for itself. No safety
 //! property depends on the model being complete.
 
-mod board;
 mod engine;
 mod estimate;
-mod evidence;
 mod fleet;
 mod granted;
 mod job;
+mod overload;
 mod pace;
+mod path_failures;
 mod place;
 mod policy;
-mod pressure;
 mod rationed;
-mod silence;
-mod waiting;
+mod snapshot;
+mod unresponsive;
+mod wait_queue;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::board::Board;
-pub use self::board::{Bar, Tally};
 use self::engine::{Engine, Seat};
-use self::evidence::Evidence;
 use self::fleet::Fleet;
 use self::granted::{Granted, Grantee};
 pub use self::job::{Grant, Helper, Id, Job, Team};
+use self::overload::Pressure;
+pub use self::overload::Refusal;
+use self::path_failures::Evidence;
 use self::place::{Hopeless, Reach};
 pub use self::policy::Policy;
 use self::policy::SETTLING;
-use self::pressure::Pressure;
-pub use self::pressure::Refusal;
-use self::waiting::{Turn, Waiting};
+use self::snapshot::Board;
+pub use self::snapshot::{Bar, Tally};
+use self::wait_queue::{Turn, Waiting};
 use crate::engine::Figures;
 use crate::limit::Allowance;
 use crate::name::Name;
@@ -341,7 +341,7 @@
         }
         // The expected time is unreliable until all entries have reported their running jobs.
         let is_sure = self.policy.second_sends && now >= self.settled_at;
-        let silent_after = is_sure.then(|| silence::after(expected_ms));
+        let silent_after = is_sure.then(|| unresponsive::after(expected_ms));
         Grant { id: turn.id, team, silent_after }
     }
 }
--- a/coord/src/planner/pressure.rs
+++ b/coord/src/planner/overload.rs
@@ -9,7 +9,7 @@
 
 use super::Planner;
 use super::job::Id;
-use super::waiting::{Prompt, Turn};
+use super::wait_queue::{Prompt, Turn};
 use crate::time::Moment;
 
 /// Time for which prompts that could be in time must have found no engine before late ones are refused. Short bursts
--- a/coord/src/planner/place/apart.rs
+++ b/coord/src/planner/place/apart.rs
@@ -2,7 +2,7 @@
 //! least.
 
 use super::Choice;
-use crate::planner::board::View;
+use crate::planner::snapshot::View;
 use crate::quarantine::Work;
 
 impl<'a> Choice<'a> {
--- a/coord/src/planner/place/long.rs
+++ b/coord/src/planner/place/long.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 
 use super::Choice;
-use crate::planner::board::{Open, View};
 use crate::planner::job::{Helper, Team};
+use crate::planner::snapshot::{Open, View};
 
 /// Engines that may serve as helpers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -1,20 +1,20 @@
 //! Selects engines for one prompt.
 
 mod apart;
-mod barred;
-mod hopeless;
+mod excluded;
 mod long;
 mod short;
+mod unplaceable;
 
 use std::borrow::Cow;
 
-pub(super) use self::barred::Barred;
-pub(super) use self::hopeless::Hopeless;
+pub(super) use self::excluded::Barred;
+pub(super) use self::unplaceable::Hopeless;
 use super::Planner;
-use super::board::{Board, Choosable, Open, View};
 use super::job::{Job, Team};
 use super::policy::Policy;
-use super::waiting::{Prompt, Turn};
+use super::snapshot::{Board, Choosable, Open, View};
+use super::wait_queue::{Prompt, Turn};
 use crate::name::Name;
 use crate::time::Moment;
 
--- a/coord/src/planner/place/short.rs
+++ b/coord/src/planner/place/short.rs
@@ -5,8 +5,8 @@
 use super::{Choice, Reach};
 use crate::engine::millis;
 use crate::pick::rendezvous;
-use crate::planner::board::View;
 use crate::planner::policy::TOKENS_A_MS;
+use crate::planner::snapshot::View;
 
 impl<'a> Choice<'a> {
     /// Returns the index of an engine for a short prompt. Engines on trial come first, because only short prompts try
--- a/coord/src/planner/place/hopeless.rs
+++ b/coord/src/planner/place/unplaceable.rs
@@ -1,7 +1,7 @@
 //! Skips short prompts that cannot be placed because a cheaper one just found no engine.
 
 use super::Reach;
-use crate::planner::waiting::Prompt;
+use crate::planner::wait_queue::Prompt;
 
 /// Short prompts that have found no engine since the last grant.
 ///
--- a/coord/src/planner/rationed.rs
+++ b/coord/src/planner/rationed.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use super::Planner;
-use super::pressure::{COME_BACK, Refusal};
-use super::waiting::Turn;
+use super::overload::{COME_BACK, Refusal};
+use super::wait_queue::Turn;
 use crate::limit::Allowance;
 use crate::time::Moment;
 
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -3,14 +3,14 @@
 //! The scheduler admits, queues, starts, expires and cancels jobs. It accounts for the engine's memory and remembers
 //! the idempotency keys that are bound to this incarnation.
 
+mod capacity;
 mod message;
-mod room;
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
+use self::capacity::{Room, level};
 pub use self::message::*;
-use self::room::{Room, level};
 use crate::claim::Key;
 use crate::estimate::Estimate;
 use crate::memory::Ledger;
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -2,8 +2,8 @@
 //! them. `planner_plain.rs` checks that the planner in `src` makes the same decisions.
 
 mod engine;
-mod evidence;
 mod granted;
+mod health;
 mod order;
 mod place;
 mod policy;
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 use self::engine::{Engine, Seat};
-use self::evidence::Evidence;
 use self::granted::Granted;
+use self::health::Evidence;
 use self::order::Ranked;
 use self::place::Reach;
 use self::policy::SETTLING;
