--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::job::Id;
-use super::pace::{LATE, LATE_BY_MS};
-use super::policy::{LEAST_LEFT, OVERDUE};
+use super::pace::{LATE_FACTOR, LATE_MARGIN_MS};
+use super::policy::{MIN_PENDING_SHARE, OVERDUE_FACTOR};
 use crate::breaker::Breaker;
 use crate::engine::Figures;
 use crate::limit::Allowance;
@@ -18,38 +18,38 @@
 struct Part {
     job: Id,
     /// Expected prefill time, in milliseconds.
-    ms: f64,
+    prefill_ms: f64,
 }
 
 /// Answer that decodes on an engine, or will once its prompt is prefilled.
 #[derive(Clone, Copy, Debug)]
-pub struct Seat {
+pub struct Sequence {
     /// Tokens that it holds in memory.
     pub tokens: u64,
-    /// Longest gap between two events that its caller accepts, in milliseconds; 0 if the caller names no limit.
-    pub gap_ms: f64,
+    /// Gap target of its caller, in milliseconds; 0 if the caller sets none.
+    pub gap_target_ms: f64,
     /// Whether its prompt is short.
-    pub short: bool,
-    /// Work of its prompt, if that is suspected of crashing engines.
+    pub is_short: bool,
+    /// Fingerprint of its request, if it is suspected of crashing engines.
     pub suspect: Option<Work>,
 }
 
 /// Aggregates over the sequences of an engine, cached so that a scan of all engines does not recompute them.
 #[derive(Clone, Copy, Debug)]
-struct Sums {
+struct Aggregates {
     /// Tokens that the engine's memory holds.
-    context: u64,
-    /// Smallest gap limit, in milliseconds; infinite if no sequence has one.
-    gap_ms: f64,
+    context_tokens: u64,
+    /// Smallest gap target, in milliseconds; infinite if no sequence has one.
+    min_gap_target_ms: f64,
     /// Duration of a pass without prefill, in milliseconds.
     pass_ms: f64,
     /// Number of sequences whose prompts are short.
-    short_seats: usize,
-    /// Work of one of the sequences that is suspected of crashing engines.
+    short_sequence_count: usize,
+    /// Fingerprint of one of the sequences that is suspected of crashing engines.
     suspect: Option<Work>,
 }
 
-/// State of one engine, as far as the planner knows.
+/// State of one engine as known to the planner. It may be incomplete, because other planners may use the engine too.
 #[derive(Debug)]
 pub struct Engine {
     pub name: Name,
@@ -59,96 +59,104 @@
     pub limit: Option<Allowance>,
     /// Time of the last first event that was not overdue.
     pub answered_at: Moment,
-    /// Sizes and speeds at nominal speed.
-    sound: Arc<Figures>,
-    /// Sizes and speeds at the current slowdown.
-    figures: Arc<Figures>,
+    /// Profile at nominal speed.
+    nominal_profile: Arc<Figures>,
+    /// Profile at the current slowdown.
+    profile: Arc<Figures>,
     /// Slowdown factor that the engine reported; 1.0 is nominal speed.
-    pace: f64,
+    slowdown: f64,
     /// Time of the last slowdown probe.
-    pub asked_at: Moment,
+    pub probed_at: Moment,
     /// Pending prefill, in order.
     parts: VecDeque<Part>,
     /// Time at which prefill of the first part started.
-    front_since: Moment,
+    front_started_at: Moment,
     /// Sequences by job.
-    seats: BTreeMap<Id, Seat>,
-    sums: Sums,
+    sequences: BTreeMap<Id, Sequence>,
+    aggregates: Aggregates,
 }
 
 impl Engine {
     /// Creates an idle engine.
-    pub fn new(name: Name, figures: Arc<Figures>) -> Self {
+    pub fn new(name: Name, profile: Arc<Figures>) -> Self {
         Self {
             name,
             breaker: None,
             limit: None,
             answered_at: Moment::ZERO,
-            sound: figures.clone(),
-            figures,
-            pace: 1.0,
-            asked_at: Moment::ZERO,
+            nominal_profile: profile.clone(),
+            profile,
+            slowdown: 1.0,
+            probed_at: Moment::ZERO,
             parts: VecDeque::new(),
-            front_since: Moment::ZERO,
-            seats: BTreeMap::new(),
-            sums: Sums { context: 0, gap_ms: f64::INFINITY, pass_ms: 0.0, short_seats: 0, suspect: None },
+            front_started_at: Moment::ZERO,
+            sequences: BTreeMap::new(),
+            aggregates: Aggregates {
+                context_tokens: 0,
+                min_gap_target_ms: f64::INFINITY,
+                pass_ms: 0.0,
+                short_sequence_count: 0,
+                suspect: None,
+            },
         }
     }
 
-    /// Returns the sizes and speeds at the current slowdown.
-    pub fn figures(&self) -> &Arc<Figures> {
-        &self.figures
+    /// Returns the profile at the current slowdown.
+    pub fn profile(&self) -> &Arc<Figures> {
+        &self.profile
     }
 
-    /// Returns the sizes and speeds at nominal speed.
-    pub fn sound(&self) -> &Arc<Figures> {
-        &self.sound
+    pub fn nominal_profile(&self) -> &Arc<Figures> {
+        &self.nominal_profile
     }
 
-    /// Replaces the sizes and speeds at nominal speed.
-    pub fn set_figures(&mut self, figures: Arc<Figures>) {
-        self.sound = figures;
-        self.set_pace(self.pace);
+    /// Replaces the profile at nominal speed and applies the current slowdown to it.
+    pub fn set_profile(&mut self, profile: Arc<Figures>) {
+        self.nominal_profile = profile;
+        self.set_slowdown(self.slowdown);
     }
 
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
-    pub fn set_pace(&mut self, pace: f64) {
-        self.pace = pace;
-        self.figures = if pace == 1.0 { self.sound.clone() } else { Arc::new(self.sound.at_pace(pace)) };
-        self.sum_up();
+    pub fn set_slowdown(&mut self, slowdown: f64) {
+        self.slowdown = slowdown;
+        self.profile = if slowdown == 1.0 {
+            self.nominal_profile.clone()
+        } else {
+            Arc::new(self.nominal_profile.at_pace(slowdown))
+        };
+        self.update_aggregates();
     }
 
     /// Returns the number of tokens that the engine's memory holds.
-    pub fn context(&self) -> u64 {
-        self.sums.context
+    pub fn context_tokens(&self) -> u64 {
+        self.aggregates.context_tokens
     }
 
-    /// Returns the number of sequences.
-    pub fn seats(&self) -> usize {
-        self.seats.len()
+    pub fn sequence_count(&self) -> usize {
+        self.sequences.len()
     }
 
     /// Returns the number of sequences whose prompts are short.
-    pub fn short_seats(&self) -> usize {
-        self.sums.short_seats
+    pub fn short_sequence_count(&self) -> usize {
+        self.aggregates.short_sequence_count
     }
 
-    /// Returns work at this engine that is suspected of crashing engines.
+    /// Returns the fingerprint of a request at this engine that is suspected of crashing engines.
     pub fn suspect(&self) -> Option<Work> {
-        self.sums.suspect
+        self.aggregates.suspect
     }
 
-    /// Returns the smallest gap limit of the sequences, in milliseconds; infinite if no sequence has one.
-    pub fn gap_ms(&self) -> f64 {
-        self.sums.gap_ms
+    /// Returns the smallest gap target of the sequences, in milliseconds; infinite if no sequence has one.
+    pub fn min_gap_target_ms(&self) -> f64 {
+        self.aggregates.min_gap_target_ms
     }
 
     /// Returns the duration of a pass without prefill, in milliseconds.
     pub fn pass_ms(&self) -> f64 {
-        self.sums.pass_ms
+        self.aggregates.pass_ms
     }
 
     /// Returns the pending prefill in milliseconds. Parts at the front that are long overdue no longer count, because
@@ -158,28 +166,32 @@
         if self.parts.is_empty() {
             return 0.0;
         }
-        let mut elapsed = now.since(self.front_since).as_secs_f64() * 1e3;
+        let mut elapsed_ms = now.since(self.front_started_at).as_secs_f64() * 1e3;
         let mut parts = self.parts.iter();
         let mut is_front = true;
         let next = parts.find(|part| {
-            let overdue_after = part.ms * OVERDUE + self.pass_ms();
-            let overdue = elapsed > overdue_after;
-            if overdue {
-                elapsed -= overdue_after;
+            let overdue_after_ms = part.prefill_ms * OVERDUE_FACTOR + self.pass_ms();
+            let is_overdue = elapsed_ms > overdue_after_ms;
+            if is_overdue {
+                elapsed_ms -= overdue_after_ms;
                 is_front = false;
             }
-            !overdue
+            !is_overdue
         });
         let Some(next) = next else { return 0.0 };
-        let next_left = if is_front { (next.ms - elapsed).max(next.ms * LEAST_LEFT) } else { next.ms };
-        next_left + parts.map(|part| part.ms).sum::<f64>()
+        let remaining_ms = if is_front {
+            (next.prefill_ms - elapsed_ms).max(next.prefill_ms * MIN_PENDING_SHARE)
+        } else {
+            next.prefill_ms
+        };
+        remaining_ms + parts.map(|part| part.prefill_ms).sum::<f64>()
     }
 
     /// Returns whether the first part takes noticeably longer than expected.
     pub fn is_late(&self, now: Moment) -> bool {
         let Some(front) = self.parts.front() else { return false };
-        let elapsed_ms = now.since(self.front_since).as_secs_f64() * 1e3;
-        elapsed_ms > (front.ms + self.pass_ms()) * LATE + LATE_BY_MS
+        let elapsed_ms = now.since(self.front_started_at).as_secs_f64() * 1e3;
+        elapsed_ms > (front.prefill_ms + self.pass_ms()) * LATE_FACTOR + LATE_MARGIN_MS
     }
 
     /// Returns the time until a new prefill could start, in milliseconds.
@@ -187,43 +199,44 @@
         self.pending_ms(now) + self.pass_ms()
     }
 
-    pub fn seat(&mut self, job: Id, seat: Seat) {
-        self.seats.insert(job, seat);
-        self.sum_up();
+    pub fn add_sequence(&mut self, job: Id, sequence: Sequence) {
+        self.sequences.insert(job, sequence);
+        self.update_aggregates();
     }
 
     /// Removes the sequence of a finished job.
-    pub fn unseat(&mut self, job: Id) {
-        if self.seats.remove(&job).is_some() {
-            self.sum_up();
+    pub fn remove_sequence(&mut self, job: Id) {
+        if self.sequences.remove(&job).is_some() {
+            self.update_aggregates();
         }
     }
 
     /// Appends a part to the pending prefill.
-    pub fn add_part(&mut self, job: Id, ms: f64, now: Moment) {
+    pub fn add_part(&mut self, job: Id, prefill_ms: f64, now: Moment) {
         if self.parts.is_empty() {
-            self.front_since = now;
+            self.front_started_at = now;
         }
-        self.parts.push_back(Part { job, ms });
+        self.parts.push_back(Part { job, prefill_ms });
     }
 
     /// Removes the part of a job that is prefilled or was withdrawn.
-    pub fn drop_part(&mut self, job: Id, now: Moment) {
+    pub fn remove_part(&mut self, job: Id, now: Moment) {
         let was_front = self.parts.front().is_some_and(|part| part.job == job);
         self.parts.retain(|part| part.job != job);
         if was_front {
-            self.front_since = now;
+            self.front_started_at = now;
         }
     }
 
-    fn sum_up(&mut self) {
-        let context = self.seats.values().map(|seat| seat.tokens).sum();
-        let gaps = self.seats.values().map(|seat| seat.gap_ms).filter(|gap| *gap > 0.0);
-        let gap_ms = gaps.fold(f64::INFINITY, f64::min);
-        let writers = self.seats.len() as u32;
-        let pass_ms = if writers == 0 { 0.0 } else { self.figures.pass_ms(writers, context) };
-        let short_seats = self.seats.values().filter(|seat| seat.short).count();
-        let suspect = self.seats.values().find_map(|seat| seat.suspect);
-        self.sums = Sums { context, gap_ms, pass_ms, short_seats, suspect };
+    fn update_aggregates(&mut self) {
+        let context_tokens = self.sequences.values().map(|sequence| sequence.tokens).sum();
+        let gap_targets =
+            self.sequences.values().map(|sequence| sequence.gap_target_ms).filter(|gap_target| *gap_target > 0.0);
+        let min_gap_target_ms = gap_targets.fold(f64::INFINITY, f64::min);
+        let sequence_count = self.sequences.len() as u32;
+        let pass_ms = if sequence_count == 0 { 0.0 } else { self.profile.pass_ms(sequence_count, context_tokens) };
+        let short_sequence_count = self.sequences.values().filter(|sequence| sequence.is_short).count();
+        let suspect = self.sequences.values().find_map(|sequence| sequence.suspect);
+        self.aggregates = Aggregates { context_tokens, min_gap_target_ms, pass_ms, short_sequence_count, suspect };
     }
 }
--- a/coord/src/planner/fleet.rs
+++ b/coord/src/planner/fleet.rs
@@ -14,16 +14,16 @@
 impl Fleet {
     /// Replaces the set of engines; engines that remain keep their state.
     pub fn set(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
-        let old = std::mem::take(&mut self.0).into_iter();
-        let mut old: BTreeMap<Name, Engine> = old.map(|engine| (engine.name.clone(), engine)).collect();
+        let previous = std::mem::take(&mut self.0).into_iter();
+        let mut previous: BTreeMap<Name, Engine> = previous.map(|engine| (engine.name.clone(), engine)).collect();
         let engines: BTreeMap<Name, Arc<Figures>> = engines.into_iter().collect();
-        for (name, figures) in engines {
-            let engine = match old.remove(&name) {
+        for (name, profile) in engines {
+            let engine = match previous.remove(&name) {
                 Some(mut engine) => {
-                    engine.set_figures(figures);
+                    engine.set_profile(profile);
                     engine
                 }
-                None => Engine::new(name, figures),
+                None => Engine::new(name, profile),
             };
             self.0.push(engine);
         }
@@ -50,8 +50,8 @@
         self.position(name).map(|index| &mut self.0[index])
     }
 
-    /// Returns the sizes and speeds at nominal speed, which are the same for all engines of a service.
-    pub fn figures(&self) -> Option<&Arc<Figures>> {
-        self.0.first().map(Engine::sound)
+    /// Returns the profile at nominal speed, which is the same for all engines of a service.
+    pub fn nominal_profile(&self) -> Option<&Arc<Figures>> {
+        self.0.first().map(Engine::nominal_profile)
     }
 }
--- a/coord/src/planner/granted.rs
+++ b/coord/src/planner/granted.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 
 use super::job::{Id, Team};
-use super::policy::{SLOW, SLOW_BY_MS};
+use super::policy::{SLOW_FACTOR, SLOW_MARGIN_MS};
 use crate::engine::millis;
 use crate::time::Moment;
 
 #[derive(Debug)]
-pub struct Grantee {
+pub struct GrantedJob {
     pub team: Team,
     pub granted_at: Moment,
     /// Time after which a missing first event is blamed on an engine.
     overdue_after: Moment,
 }
 
-impl Grantee {
+impl GrantedJob {
     /// Creates a job that is granted at `now` and whose first event is expected `expected_ms` milliseconds later.
     pub fn new(team: Team, expected_ms: f64, now: Moment) -> Self {
-        Self { team, granted_at: now, overdue_after: now + millis(expected_ms * SLOW + SLOW_BY_MS) }
+        Self { team, granted_at: now, overdue_after: now + millis(expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS) }
     }
 
     /// Returns whether the first event is so late that an engine must be at fault.
@@ -29,47 +29,47 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Granted {
-    jobs: BTreeMap<Id, Grantee>,
+pub struct GrantedJobs {
+    jobs: BTreeMap<Id, GrantedJob>,
     /// Jobs that await their first events and are not yet overdue, by the time at which they become overdue.
-    watched: BTreeSet<(Moment, Id)>,
+    awaiting_first_event: BTreeSet<(Moment, Id)>,
 }
 
-impl Granted {
-    /// Adds a job; `reading` tells whether its first event is still to come.
-    pub fn insert(&mut self, id: Id, job: Grantee, reading: bool) {
+impl GrantedJobs {
+    /// Adds a job; `is_prefilling` tells whether its first event is still to come.
+    pub fn insert(&mut self, id: Id, job: GrantedJob, is_prefilling: bool) {
         self.remove(id);
-        if reading {
-            self.watched.insert((job.overdue_after, id));
+        if is_prefilling {
+            self.awaiting_first_event.insert((job.overdue_after, id));
         }
         self.jobs.insert(id, job);
     }
 
-    /// Records that a job produced its first event; returns the job.
-    pub fn first_event(&mut self, id: Id) -> Option<&Grantee> {
+    /// Records that a job produced its first event, and returns the job.
+    pub fn first_event(&mut self, id: Id) -> Option<&GrantedJob> {
         let job = self.jobs.get(&id)?;
-        self.watched.remove(&(job.overdue_after, id));
+        self.awaiting_first_event.remove(&(job.overdue_after, id));
         Some(job)
     }
 
-    pub fn get(&self, id: Id) -> Option<&Grantee> {
+    pub fn get(&self, id: Id) -> Option<&GrantedJob> {
         self.jobs.get(&id)
     }
 
-    /// Postpones the expected first events of the jobs for which `is_late` returns true.
-    pub fn postpone(&mut self, is_late: impl Fn(&Id) -> bool, by: Duration) {
-        for (id, job) in self.jobs.iter_mut().filter(|(id, _)| is_late(id)) {
-            let was_watched = self.watched.remove(&(job.overdue_after, *id));
-            job.overdue_after = job.overdue_after + by;
-            if was_watched {
-                self.watched.insert((job.overdue_after, *id));
+    /// Postpones the expected first events of the jobs for which `is_affected` returns true.
+    pub fn postpone(&mut self, is_affected: impl Fn(&Id) -> bool, delay: Duration) {
+        for (id, job) in self.jobs.iter_mut().filter(|(id, _)| is_affected(id)) {
+            let was_awaiting_first_event = self.awaiting_first_event.remove(&(job.overdue_after, *id));
+            job.overdue_after = job.overdue_after + delay;
+            if was_awaiting_first_event {
+                self.awaiting_first_event.insert((job.overdue_after, *id));
             }
         }
     }
 
-    pub fn remove(&mut self, id: Id) -> Option<Grantee> {
+    pub fn remove(&mut self, id: Id) -> Option<GrantedJob> {
         let job = self.jobs.remove(&id)?;
-        self.watched.remove(&(job.overdue_after, id));
+        self.awaiting_first_event.remove(&(job.overdue_after, id));
         Some(job)
     }
 
@@ -79,12 +79,12 @@
     }
 
     /// Returns the next job whose first event has become overdue; each job is returned once.
-    pub fn next_overdue(&mut self, now: Moment) -> Option<&Grantee> {
-        let (overdue_after, id) = *self.watched.first()?;
+    pub fn next_overdue(&mut self, now: Moment) -> Option<&GrantedJob> {
+        let (overdue_after, id) = *self.awaiting_first_event.first()?;
         if now <= overdue_after {
             return None;
         }
-        self.watched.pop_first();
+        self.awaiting_first_event.pop_first();
         self.jobs.get(&id)
     }
 }
--- a/coord/src/planner/job.rs
+++ b/coord/src/planner/job.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::policy::LIKELY_OUTPUT;
+use super::policy::MAX_RESERVED_OUTPUT_TOKENS;
 use crate::name::Name;
 use crate::quarantine::Work;
 use crate::time::Moment;
 
-/// Identity of a job.
+/// Identity of a job, unique within one planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
     /// Entry that has the job: 0 for the planner's own process, otherwise the number of a connection.
@@ -25,9 +25,10 @@
     pub prompt: u64,
     /// Upper bound of the output tokens.
     pub output: u64,
-    /// Time by which the first event is wanted.
+    /// Target time of the first event.
     pub aim: Moment,
-    /// Longest gap between two events that the caller accepts, in milliseconds; 0 if the caller names no limit.
+    /// Gap target: longest time between two events that the caller accepts, in milliseconds; 0 if the caller sets
+    /// none.
     pub gap_ms: f64,
     /// Time at which the caller gives up.
     pub deadline: Moment,
@@ -39,8 +40,8 @@
 
 impl Job {
     /// Returns the memory that the job takes, in tokens.
-    pub(in crate::planner) fn needs(&self) -> u64 {
-        self.prompt + self.output.min(LIKELY_OUTPUT)
+    pub(in crate::planner) fn memory_tokens(&self) -> u64 {
+        self.prompt + self.output.min(MAX_RESERVED_OUTPUT_TOKENS)
     }
 }
 
@@ -64,11 +65,11 @@
 
 impl Team {
     /// Returns a team without helpers.
-    pub(super) fn alone(engine: &Name) -> Self {
+    pub(super) fn without_helpers(engine: &Name) -> Self {
         Self { writer: engine.clone(), helpers: Vec::new() }
     }
 
-    /// Returns all engines of the team, the writer first.
+    /// Returns all engines of the team, the decoding engine first.
     pub fn engines(&self) -> impl Iterator<Item = &Name> + Clone {
         std::iter::once(&self.writer).chain(self.helpers.iter().map(|helper| &helper.engine))
     }
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! The planner keeps a model of each engine: the prompts that it prefills, the answers that it decodes, and the
 //! tokens that its memory holds. It grants a prompt an engine, and helpers that prefill parts of it, if the time
-//! model of [`crate::engine`] predicts that two limits hold: no gap between the events of a decoding answer exceeds
-//! the limit of its caller, and the first event of the prompt is in time. Short prompts are granted at once and
-//! packed onto few engines, so that the other engines decode nothing that a long prefill would stall. Long prompts
-//! wait in the queue, shortest first, and are prefilled in parts by many engines.
+//! model of [`crate::engine`] predicts that two conditions hold: no gap between the events of a decoding answer
+//! exceeds the target of its caller, and the first event of the prompt is in time. Short prompts are granted at once
+//! and packed onto few engines, so that the other engines decode nothing that a long prefill would stall. Long
+//! prompts wait in the queue, shortest first, and are prefilled in parts by many engines.
 //!
 //! The same planner serves a process that decides for all entries and one that decides only for itself. No safety
 //! property depends on the model being complete.
@@ -29,19 +29,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::engine::{Engine, Seat};
+use self::engine::{Engine, Sequence};
 use self::fleet::Fleet;
-use self::granted::{Granted, Grantee};
+use self::granted::{GrantedJob, GrantedJobs};
 pub use self::job::{Grant, Helper, Id, Job, Team};
-use self::overload::Pressure;
+use self::overload::Overload;
 pub use self::overload::Refusal;
-use self::path_failures::Evidence;
-use self::place::{Hopeless, Reach};
+use self::path_failures::PathFailures;
+use self::place::{CandidateScope, Unplaceable};
 pub use self::policy::Policy;
-use self::policy::SETTLING;
-use self::snapshot::Board;
-pub use self::snapshot::{Bar, Tally};
-use self::wait_queue::{Turn, Waiting};
+use self::policy::SETTLING_PERIOD;
+use self::snapshot::FleetSnapshot;
+pub use self::snapshot::{EngineCounts, Exclusion};
+use self::wait_queue::{Candidate, WaitQueue};
 use crate::engine::Figures;
 use crate::limit::Allowance;
 use crate::name::Name;
@@ -51,7 +51,7 @@
 use crate::time::Moment;
 
 /// Bounds the number of engines that are listed to explain why prompts wait; 12 give a log line of some 300 bytes.
-const MOST_BARS: usize = 12;
+const MAX_LISTED_EXCLUSIONS: usize = 12;
 
 /// The planner of one service.
 #[derive(Debug, Default)]
@@ -61,39 +61,39 @@
     salt: u64,
     fleet: Fleet,
     /// State of the engines at the last pump.
-    board: Board,
-    evidence: Evidence,
+    snapshot: FleetSnapshot,
+    path_failures: PathFailures,
     /// Time before which long prompts must wait, because not all entries have reported their running jobs yet.
     settled_at: Moment,
-    waiting: Waiting,
-    granted: Granted,
-    pressure: Pressure,
-    /// Work that is suspected of crashing engines.
+    waiting: WaitQueue,
+    granted: GrantedJobs,
+    overload: Overload,
+    /// Fingerprints of requests that are suspected of crashing engines.
     suspects: BTreeSet<Work>,
     /// Backoffs that engines requested, by entry.
-    rests: BTreeMap<u64, rest::Register>,
+    backoffs: BTreeMap<u64, rest::Register>,
 }
 
 impl Planner {
     /// Creates a planner without engines. Planners with different `salt` prefer different engines.
     pub fn new(policy: Policy, salt: u64) -> Self {
         let salt = if policy.salt { salt } else { 0 };
-        Self { policy, salt, waiting: Waiting::new(policy.cheapest_first), ..Self::default() }
+        Self { policy, salt, waiting: WaitQueue::new(policy.cheapest_first), ..Self::default() }
     }
 
     /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
     pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
         self.fleet.set(engines);
-        self.evidence.keep(|name| self.fleet.position(name).is_some());
-        let figures = self.fleet.figures().map(AsRef::as_ref);
+        self.path_failures.retain_engines(|name| self.fleet.position(name).is_some());
+        let profile = self.fleet.nominal_profile().map(AsRef::as_ref);
         let engines = self.fleet.engines().len();
-        self.waiting.renew(|job| estimate::prompt(job, figures, engines, &self.policy));
+        self.waiting.recompute_estimates(|job| estimate::estimate_prompt(job, profile, engines, &self.policy));
     }
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
     pub fn unsettle(&mut self, now: Moment) {
         if self.policy.settling {
-            self.settled_at = now + SETTLING;
+            self.settled_at = now + SETTLING_PERIOD;
         }
     }
 
@@ -104,86 +104,87 @@
 
     /// Adds a job to the queue; [`Planner::pump`] grants it.
     pub fn submit(&mut self, id: Id, job: Job) {
-        self.waiting.insert(id, self.prompt(job));
+        self.waiting.insert(id, self.estimate_prompt(job));
     }
 
-    /// Records a job that another planner granted. `reading` tells whether its prompt is still being prefilled.
-    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, reading: bool, now: Moment) {
-        self.take_in(id, job, team, reading, now);
+    /// Records a job that another planner granted. `is_prefilling` tells whether its prompt is still being prefilled.
+    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
+        self.record_grant(id, job, team, is_prefilling, now);
     }
 
     /// Records a granted job; returns the expected time to its first event, in milliseconds.
-    fn take_in(&mut self, id: Id, job: &Job, team: Team, reading: bool, now: Moment) -> f64 {
+    fn record_grant(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) -> f64 {
         self.waiting.remove(id);
         let parts = 1 + team.helpers.len();
-        let held: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
-        let prompt = self.prompt(*job);
-        let expected_ms = self.expected_ms(prompt.read_ms, &team, now);
-        if reading {
+        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
+        let prompt = self.estimate_prompt(*job);
+        let expected_ms = self.expected_ms(prompt.prefill_ms, &team, now);
+        if is_prefilling {
             for name in team.engines() {
                 let Some(engine) = self.fleet.get_mut(name) else { continue };
-                let ms = engine.figures().part_ms(job.prompt, parts);
+                let ms = engine.profile().part_ms(job.prompt, parts);
                 engine.add_part(id, ms, now);
             }
         }
-        let suspect = self.suspected_work(job);
-        let seat = |tokens, suspect| Seat { tokens, gap_ms: job.gap_ms, short: prompt.short, suspect };
-        self.seat(&team.writer, id, seat(job.needs().saturating_sub(held), suspect));
+        let suspect = self.suspected_fingerprint(job);
+        let sequence =
+            |tokens, suspect| Sequence { tokens, gap_target_ms: job.gap_ms, is_short: prompt.is_short, suspect };
+        self.add_sequence(&team.writer, id, sequence(job.memory_tokens().saturating_sub(held_tokens), suspect));
         for helper in team.helpers.iter().filter(|helper| helper.holds > 0) {
-            self.seat(&helper.engine, id, seat(helper.holds, None));
+            self.add_sequence(&helper.engine, id, sequence(helper.holds, None));
         }
-        self.granted.insert(id, Grantee::new(team, expected_ms, now), reading);
+        self.granted.insert(id, GrantedJob::new(team, expected_ms, now), is_prefilling);
         expected_ms
     }
 
-    fn seat(&mut self, engine: &Name, id: Id, seat: Seat) {
+    fn add_sequence(&mut self, engine: &Name, id: Id, sequence: Sequence) {
         if let Some(engine) = self.fleet.get_mut(engine) {
-            engine.seat(id, seat);
+            engine.add_sequence(id, sequence);
         }
     }
 
     /// Records that a job produced its first event, which means that its prompt is prefilled.
     pub fn first_event(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.first_event(id) else { return };
-        let overdue = job.is_overdue(now) && self.policy.suspicion;
-        let alone = job.team.helpers.is_empty();
+        let is_overdue = job.is_overdue(now) && self.policy.suspicion;
+        let has_no_helpers = job.team.helpers.is_empty();
         for name in job.team.engines() {
             let Some(engine) = self.fleet.get_mut(name) else { continue };
-            engine.drop_part(id, now);
-            if !overdue {
+            engine.remove_part(id, now);
+            if !is_overdue {
                 engine.answered_at = now;
-                self.evidence.succeeded(id.entry, name);
+                self.path_failures.record_success(id.entry, name);
                 if let Some(breaker) = &mut engine.breaker {
                     breaker.succeeded(now);
                 }
-            } else if alone {
-                let share = self.evidence.failed(id.entry, name, now);
+            } else if has_no_helpers {
+                let share = self.path_failures.record_failure(id.entry, name, now);
                 engine.breaker.get_or_insert_default().failed(share, now);
             }
         }
-        if overdue && !alone {
+        if is_overdue && !has_no_helpers {
             // Any engine of the team may be the slow one.
             let (team, granted_at) = (job.team.clone(), job.granted_at);
-            self.suspect(&team, granted_at, now);
+            self.suspect_team(&team, granted_at, now);
         }
     }
 
-    /// Postpones the expected first events of an entry that was frozen, or of all entries if this process was. Events
-    /// that occurred during the freeze are handled late, which is no fault of the engines: without this, each first
-    /// event that was in time but handled after a freeze would count as a failure, and a few of those eject an engine
-    /// for the longest period.
-    pub fn absent(&mut self, entry: Option<u64>, by: Duration) {
-        self.granted.postpone(|id| entry.is_none_or(|entry| entry == id.entry), by);
+    /// Postpones the expected first events of an entry that was suspended, or of all entries if this process was.
+    /// Events that occurred meanwhile are handled late, which is no fault of the engines: without this, each first
+    /// event that was in time but handled after the suspension would count as a failure, and a few of those eject an
+    /// engine for the longest period.
+    pub fn absent(&mut self, entry: Option<u64>, delay: Duration) {
+        self.granted.postpone(|id| entry.is_none_or(|entry| entry == id.entry), delay);
     }
 
-    /// Sets the work that is suspected of crashing engines; its prompts are isolated from others.
+    /// Sets the fingerprints that are suspected of crashing engines; their prompts are isolated from others.
     pub fn set_suspects(&mut self, suspects: impl IntoIterator<Item = Work>) {
         self.suspects = suspects.into_iter().collect();
     }
 
-    /// Returns the work of a job if that work is suspected.
-    fn suspected_work(&self, job: &Job) -> Option<Work> {
-        job.work.filter(|work| self.suspects.contains(work))
+    /// Returns the fingerprint of a job if it is suspected.
+    fn suspected_fingerprint(&self, job: &Job) -> Option<Work> {
+        job.work.filter(|fingerprint| self.suspects.contains(fingerprint))
     }
 
     /// Removes a job that has finished or no longer waits.
@@ -192,20 +193,20 @@
         let Some(job) = self.granted.remove(id) else { return };
         for name in job.team.engines() {
             if let Some(engine) = self.fleet.get_mut(name) {
-                engine.drop_part(id, now);
-                engine.unseat(id);
+                engine.remove_part(id, now);
+                engine.remove_sequence(id);
             }
         }
     }
 
-    /// Puts the engines of prompts with overdue first events on trial.
-    fn look_for_slow(&mut self, now: Moment) {
+    /// Requires trial requests of the engines of prompts with overdue first events.
+    fn suspect_overdue(&mut self, now: Moment) {
         if !self.policy.suspicion {
             return;
         }
         while let Some(job) = self.granted.next_overdue(now) {
             let (team, granted_at) = (job.team.clone(), job.granted_at);
-            self.suspect(&team, granted_at, now);
+            self.suspect_team(&team, granted_at, now);
         }
     }
 
@@ -216,42 +217,41 @@
         for id in ids {
             self.end(id, now);
         }
-        self.rests.remove(&entry);
+        self.backoffs.remove(&entry);
     }
 
     /// Records that an engine failed a job of an entry. The engine is ejected for a period that grows with each
     /// failure.
     pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
-        let Some(known) = self.fleet.get_mut(engine).filter(|_| self.policy.breakers) else { return };
-        let share = self.evidence.failed(entry, engine, now);
-        known.breaker.get_or_insert_default().failed(share, now);
+        let Some(state) = self.fleet.get_mut(engine).filter(|_| self.policy.breakers) else { return };
+        let share = self.path_failures.record_failure(entry, engine, now);
+        state.breaker.get_or_insert_default().failed(share, now);
     }
 
-    /// Records that an engine asked an entry to send it nothing for the period `rest`. Other entries are not
-    /// affected.
-    pub fn rests(&mut self, entry: u64, engine: &Name, rest: Duration, now: Moment) {
-        self.rests.entry(entry).or_default().hear(engine, rest, now);
+    /// Records that an engine asked an entry to send it nothing for `period`. Other entries are not affected.
+    pub fn rests(&mut self, entry: u64, engine: &Name, period: Duration, now: Moment) {
+        self.backoffs.entry(entry).or_default().hear(engine, period, now);
     }
 
     /// Resets an engine that restarted under the same name. Its memory and prefill queue are empty, and earlier
     /// failures and slowdowns belong to the previous run.
     pub fn restarted(&mut self, engine: &Name) {
-        self.evidence.keep(|name| name != engine);
-        self.rests.values_mut().for_each(|rests| rests.forget(engine));
-        if let Some(known) = self.fleet.get_mut(engine) {
-            *known = Engine::new(engine.clone(), known.sound().clone());
+        self.path_failures.retain_engines(|name| name != engine);
+        self.backoffs.values_mut().for_each(|backoffs| backoffs.forget(engine));
+        if let Some(state) = self.fleet.get_mut(engine) {
+            *state = Engine::new(engine.clone(), state.nominal_profile().clone());
         }
     }
 
     /// Sets the rate limit that an engine announces, in requests per second, and the `share` of it that this planner
-    /// may grant; `None` removes the limit. A request to a helper counts as much as one to the writer.
+    /// may grant; `None` removes the limit. A request to a helper counts as much as one to the decoding engine.
     pub fn set_limit(&mut self, engine: &Name, rate: Option<f64>, share: f64, now: Moment) {
         let salt = self.salt;
         let Some(engine) = self.fleet.get_mut(engine) else { return };
         match (rate, &mut engine.limit) {
             (None, limit) => *limit = None,
             (Some(rate), Some(limit)) => limit.set(rate, share, now),
-            (Some(rate), limit) => *limit = Some(Allowance::new(rate, share, start(salt, &engine.name), now)),
+            (Some(rate), limit) => *limit = Some(Allowance::new(rate, share, initial_share(salt, &engine.name), now)),
         }
     }
 
@@ -261,74 +261,77 @@
         let salt = self.salt;
         for engine in self.fleet.engines_mut() {
             if let Some(limit) = &mut engine.limit {
-                limit.restart(start(salt, &engine.name), now);
+                limit.restart(initial_share(salt, &engine.name), now);
             }
         }
     }
 
     /// Grants the prompts that can start now.
     pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
-        self.look_for_slow(now);
+        self.suspect_overdue(now);
         let mut grants = Vec::new();
         if self.waiting.is_empty() || self.fleet.engines().is_empty() {
-            self.pressure.note(false, now);
+            self.overload.record(false, now);
             return grants;
         }
-        self.board.refresh(self.fleet.engines(), &self.policy, now);
-        let mut hopeless = Hopeless::default();
-        let mut held_back = false;
-        let mut timely_wait = false;
-        for turn in &self.waiting.turns(now) {
+        self.snapshot.refresh(self.fleet.engines(), &self.policy, now);
+        let mut unplaceable = Unplaceable::default();
+        let mut has_unplaced = false;
+        let mut has_timely_unplaced = false;
+        for candidate in &self.waiting.list_ordered(now) {
             // A late prompt must not take engines that a prompt still in time waits for.
-            let reach = match turn.late && held_back && self.policy.late_last {
-                true if self.policy.late_shared => Reach::Shared,
+            let scope = match candidate.is_late && has_unplaced && self.policy.late_last {
+                true if self.policy.late_shared => CandidateScope::SharedOnly,
                 true => break,
-                false => Reach::All,
+                false => CandidateScope::All,
             };
-            let barred = self.barred(turn.id.entry, now);
+            let excluded = self.excluded_engines(candidate.id.entry, now);
             // A failed placement of a suspect, or of an entry that engines asked to back off, does not predict the
             // result for other prompts.
-            let is_apart = self.suspected_work(&turn.prompt.job).is_some() || barred.has_resting();
-            let is_hopeless = !is_apart && barred.is_empty() && hopeless.covers(&turn.prompt, reach);
-            let placed = if is_hopeless { None } else { self.place(turn, reach, &barred, now) };
+            let is_exceptional = self.suspected_fingerprint(&candidate.prompt.job).is_some() || excluded.has_backoffs();
+            let is_unplaceable = !is_exceptional && excluded.is_empty() && unplaceable.covers(&candidate.prompt, scope);
+            let placed = if is_unplaceable { None } else { self.place(candidate, scope, &excluded, now) };
             let Some(team) = placed else {
-                if is_apart {
+                if is_exceptional {
                     continue;
                 }
-                held_back = true;
-                timely_wait |= !turn.late;
-                if barred.is_empty() && !is_hopeless {
-                    hopeless.note(&turn.prompt, reach);
+                has_unplaced = true;
+                has_timely_unplaced |= !candidate.is_late;
+                if excluded.is_empty() && !is_unplaceable {
+                    unplaceable.record(&candidate.prompt, scope);
                 }
                 continue;
             };
-            hopeless.clear();
-            if turn.late {
-                self.pressure.granted_late(&turn.prompt, now);
+            unplaceable.clear();
+            if candidate.is_late {
+                self.overload.record_late_grant(&candidate.prompt, now);
             }
-            grants.push(self.grant(turn, team, now));
+            grants.push(self.grant(candidate, team, now));
         }
-        self.pressure.note(timely_wait, now);
+        self.overload.record(has_timely_unplaced, now);
         grants
     }
 
     /// Returns for how long prompts that could be in time have found no engine, the number of waiting prompts, and
     /// the engine counts of the last pump.
-    pub fn held(&self, now: Moment) -> (Duration, usize, Tally) {
-        (self.pressure.held_for(now), self.waiting.ids().count(), self.board.tally(&self.policy))
+    pub fn held(&self, now: Moment) -> (Duration, usize, EngineCounts) {
+        (self.overload.duration(now), self.waiting.ids().count(), self.snapshot.count_engines(&self.policy))
     }
 
-    /// Returns the first rule that excluded each engine from short prompts at the last pump, for up to `MOST_BARS`
-    /// engines.
-    pub fn bars(&self) -> Vec<(&Name, Bar)> {
+    /// Returns the first rule that excluded each engine from short prompts at the last pump, for up to
+    /// `MAX_LISTED_EXCLUSIONS` engines.
+    pub fn bars(&self) -> Vec<(&Name, Exclusion)> {
         let engines = self.fleet.engines();
-        let named = self.board.bars(&self.policy).filter_map(|(index, bar)| Some((&engines.get(index)?.name, bar)));
-        named.take(MOST_BARS).collect()
+        let exclusions = self
+            .snapshot
+            .exclusions(&self.policy)
+            .filter_map(|(index, exclusion)| Some((&engines.get(index)?.name, exclusion)));
+        exclusions.take(MAX_LISTED_EXCLUSIONS).collect()
     }
 
-    /// Records the grant and updates breakers, rate limits and the board.
-    fn grant(&mut self, turn: &Turn, team: Team, now: Moment) -> Grant {
-        let expected_ms = self.take_in(turn.id, &turn.prompt.job, team.clone(), true, now);
+    /// Records the grant and updates breakers, rate limits and the snapshot.
+    fn grant(&mut self, candidate: &Candidate, team: Team, now: Moment) -> Grant {
+        let expected_ms = self.record_grant(candidate.id, &candidate.prompt.job, team.clone(), true, now);
         for name in team.engines() {
             let Some(index) = self.fleet.position(name) else { continue };
             if let Some(breaker) = self.fleet.get_mut(name).and_then(|engine| engine.breaker.as_mut()) {
@@ -337,17 +340,17 @@
             if let Some(limit) = self.fleet.get_mut(name).and_then(|engine| engine.limit.as_mut()) {
                 limit.take(now);
             }
-            self.board.update(index, &self.fleet.engines()[index], &self.policy, now);
+            self.snapshot.update(index, &self.fleet.engines()[index], &self.policy, now);
         }
         // The expected time is unreliable until all entries have reported their running jobs.
-        let is_sure = self.policy.second_sends && now >= self.settled_at;
-        let silent_after = is_sure.then(|| unresponsive::after(expected_ms));
-        Grant { id: turn.id, team, silent_after }
+        let can_predict = self.policy.second_sends && now >= self.settled_at;
+        let silent_after = can_predict.then(|| unresponsive::first_event_timeout(expected_ms));
+        Grant { id: candidate.id, team, silent_after }
     }
 }
 
 /// Returns the part of the first request, from 0 to 1, that an engine's allowance starts with. It differs between
 /// planners, so that together they do not exceed the limit at the start.
-fn start(salt: u64, engine: &Name) -> f64 {
+fn initial_share(salt: u64, engine: &Name) -> f64 {
     rendezvous(salt, engine) as f64 / u64::MAX as f64
 }
--- a/coord/src/planner/pace.rs
+++ b/coord/src/planner/pace.rs
@@ -16,17 +16,17 @@
 use crate::time::Moment;
 
 /// Factor by which a part must exceed its expected time to be late.
-pub(super) const LATE: f64 = 1.3;
+pub(super) const LATE_FACTOR: f64 = 1.3;
 /// Time by which a late part must additionally exceed its expected time, in milliseconds. Network hops take some 5
 /// ms, and waiting for the current pass takes up to 60 ms.
-pub(super) const LATE_BY_MS: f64 = 50.0;
+pub(super) const LATE_MARGIN_MS: f64 = 50.0;
 /// Interval between two probes of the same engine. A report is some 200 ms old when it arrives, and slowdowns last 5
 /// to 7 s.
-const PERIOD: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Largest slowdown factor that is accepted; a slower engine is practically unavailable.
-const MOST_PACE: f64 = 100.0;
+const MAX_SLOWDOWN: f64 = 100.0;
 /// Slowdown factor below which an engine counts as running at nominal speed.
-const SOUND: f64 = 1.05;
+const NOMINAL_SLOWDOWN_LIMIT: f64 = 1.05;
 
 impl Planner {
     /// Returns the engines that should be probed for their slowdown now: those that are late and those that were
@@ -35,25 +35,26 @@
         if !self.policy.ask_pace {
             return Vec::new();
         }
-        let mut due = Vec::new();
+        let mut engines = Vec::new();
         for engine in self.fleet.engines_mut() {
-            let in_doubt = engine.pace() > 1.0 || engine.is_late(now);
-            if in_doubt && now.since(engine.asked_at) >= PERIOD {
-                engine.asked_at = now;
-                due.push(engine.name.clone());
+            let needs_probe = engine.slowdown() > 1.0 || engine.is_late(now);
+            if needs_probe && now.since(engine.probed_at) >= PROBE_INTERVAL {
+                engine.probed_at = now;
+                engines.push(engine.name.clone());
             }
         }
-        due
+        engines
     }
 
     /// Sets the slowdown factor of an engine; returns whether it changed.
-    pub fn set_pace(&mut self, engine: &Name, pace: f64) -> bool {
+    pub fn set_pace(&mut self, engine: &Name, slowdown: f64) -> bool {
         let Some(engine) = self.fleet.get_mut(engine) else { return false };
-        let pace = if pace < SOUND || pace.is_nan() { 1.0 } else { pace.min(MOST_PACE) };
-        let changed = engine.pace() != pace;
-        if changed {
-            engine.set_pace(pace);
+        let slowdown =
+            if slowdown < NOMINAL_SLOWDOWN_LIMIT || slowdown.is_nan() { 1.0 } else { slowdown.min(MAX_SLOWDOWN) };
+        let is_changed = engine.slowdown() != slowdown;
+        if is_changed {
+            engine.set_slowdown(slowdown);
         }
-        changed
+        is_changed
     }
 }
--- a/coord/src/planner/path_failures.rs
+++ b/coord/src/planner/path_failures.rs
@@ -11,48 +11,48 @@
 use crate::time::Moment;
 
 /// Time for which an entry gets no grant at an engine that failed one of its requests.
-const PAIR_PENALTY: Duration = Duration::from_millis(1_500);
+const PATH_BACKOFF: Duration = Duration::from_millis(1_500);
 /// Period in which failures of an entry at other engines reduce the weight of its next failure.
-const MEMORY: Duration = Duration::from_secs(3);
+const FAILURE_WINDOW: Duration = Duration::from_secs(3);
 
 /// Recent failures on the paths to all engines of a service.
 #[derive(Debug, Default)]
-pub struct Evidence {
+pub struct PathFailures {
     /// Time of the last failure, by entry and engine.
     failed_at: BTreeMap<u64, BTreeMap<Name, Moment>>,
 }
 
-impl Evidence {
+impl PathFailures {
     /// Records that a request of `entry` failed at `engine`; returns the engine's share of the blame, from 0 to 1.
-    pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) -> f64 {
-        self.retain(|_, at| now.since(at) < MEMORY);
-        let of_entry = self.failed_at.entry(entry).or_default();
-        of_entry.insert(engine.clone(), now);
-        1.0 / of_entry.len() as f64
+    pub fn record_failure(&mut self, entry: u64, engine: &Name, now: Moment) -> f64 {
+        self.retain(|_, at| now.since(at) < FAILURE_WINDOW);
+        let entry_failures = self.failed_at.entry(entry).or_default();
+        entry_failures.insert(engine.clone(), now);
+        1.0 / entry_failures.len() as f64
     }
 
     /// Records that a request of `entry` succeeded at `engine`.
-    pub fn succeeded(&mut self, entry: u64, engine: &Name) {
-        if let Some(of_entry) = self.failed_at.get_mut(&entry) {
-            of_entry.remove(engine);
+    pub fn record_success(&mut self, entry: u64, engine: &Name) {
+        if let Some(entry_failures) = self.failed_at.get_mut(&entry) {
+            entry_failures.remove(engine);
         }
     }
 
-    /// Retains only engines for which `known` returns true.
-    pub fn keep(&mut self, known: impl Fn(&Name) -> bool) {
-        self.retain(|engine, _| known(engine));
+    /// Retains only engines for which `is_known` returns true.
+    pub fn retain_engines(&mut self, is_known: impl Fn(&Name) -> bool) {
+        self.retain(|engine, _| is_known(engine));
     }
 
     /// Returns the engines that `entry` failed to reach recently.
-    pub fn unreached(&self, entry: u64, now: Moment) -> impl Iterator<Item = &Name> {
-        let of_entry = self.failed_at.get(&entry).into_iter().flatten();
-        of_entry.filter(move |(_, at)| now.since(**at) < PAIR_PENALTY).map(|(engine, _)| engine)
+    pub fn unreachable_engines(&self, entry: u64, now: Moment) -> impl Iterator<Item = &Name> {
+        let entry_failures = self.failed_at.get(&entry).into_iter().flatten();
+        entry_failures.filter(move |(_, at)| now.since(**at) < PATH_BACKOFF).map(|(engine, _)| engine)
     }
 
     fn retain(&mut self, keep: impl Fn(&Name, Moment) -> bool) {
-        self.failed_at.retain(|_, of_entry| {
-            of_entry.retain(|engine, at| keep(engine, *at));
-            !of_entry.is_empty()
+        self.failed_at.retain(|_, entry_failures| {
+            entry_failures.retain(|engine, at| keep(engine, *at));
+            !entry_failures.is_empty()
         });
     }
 }
--- a/coord/src/planner/place/excluded.rs
+++ b/coord/src/planner/place/excluded.rs
@@ -2,40 +2,40 @@
 
 /// Indexes in the fleet of the excluded engines.
 #[derive(Clone, Debug, Default)]
-pub(in crate::planner) struct Barred {
+pub(in crate::planner) struct ExcludedEngines {
     /// Engines that the entry probably cannot reach; they are tried if no other engine remains.
-    unreached: Vec<usize>,
+    unreachable: Vec<usize>,
     /// Engines that asked the entry to back off.
-    resting: Vec<usize>,
+    in_backoff: Vec<usize>,
 }
 
-impl Barred {
-    pub(super) fn new(unreached: Vec<usize>, resting: Vec<usize>) -> Self {
-        Self { unreached, resting }
+impl ExcludedEngines {
+    pub(super) fn new(unreachable: Vec<usize>, in_backoff: Vec<usize>) -> Self {
+        Self { unreachable, in_backoff }
     }
 
     /// Returns whether no engine is excluded.
     pub(in crate::planner) fn is_empty(&self) -> bool {
-        self.unreached.is_empty() && self.resting.is_empty()
+        self.unreachable.is_empty() && self.in_backoff.is_empty()
     }
 
     /// Returns whether any engine asked the entry to back off.
-    pub(in crate::planner) fn has_resting(&self) -> bool {
-        !self.resting.is_empty()
+    pub(in crate::planner) fn has_backoffs(&self) -> bool {
+        !self.in_backoff.is_empty()
     }
 
     /// Returns whether the engine at `index` asked the entry to back off.
-    pub(super) fn rests(&self, index: usize) -> bool {
-        self.resting.contains(&index)
+    pub(super) fn has_backoff(&self, index: usize) -> bool {
+        self.in_backoff.contains(&index)
     }
 
     /// Returns whether the entry probably cannot reach the engine at `index`.
-    pub(super) fn is_unreached(&self, index: usize) -> bool {
-        self.unreached.contains(&index)
+    pub(super) fn is_unreachable(&self, index: usize) -> bool {
+        self.unreachable.contains(&index)
     }
 
     /// Returns whether the engine at `index` is excluded for either reason.
     pub(in crate::planner) fn contains(&self, index: usize) -> bool {
-        self.rests(index) || self.is_unreached(index)
+        self.has_backoff(index) || self.is_unreachable(index)
     }
 }
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -8,52 +8,52 @@
 
 use std::borrow::Cow;
 
-pub(super) use self::excluded::Barred;
-pub(super) use self::unplaceable::Hopeless;
+pub(super) use self::excluded::ExcludedEngines;
+pub(super) use self::unplaceable::Unplaceable;
 use super::Planner;
 use super::job::{Job, Team};
 use super::policy::Policy;
-use super::snapshot::{Board, Choosable, Open, View};
-use super::wait_queue::{Prompt, Turn};
+use super::snapshot::{Eligibility, EngineState, FleetSnapshot, PrefillEngines};
+use super::wait_queue::{Candidate, Prompt};
 use crate::name::Name;
 use crate::time::Moment;
 
 /// Engines that a prompt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum CandidateScope {
     /// Any of them.
     All,
     /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
-    Shared,
+    SharedOnly,
 }
 
-/// Prompt to be placed, with all that the selection of its engines depends on.
+/// Prompt to be placed, with the state that the selection of its engines depends on.
 #[derive(Clone, Copy)]
-struct Choice<'a> {
+struct PlacementContext<'a> {
     planner: &'a Planner,
-    board: &'a Board,
-    turn: &'a Turn,
-    reach: Reach,
+    snapshot: &'a FleetSnapshot,
+    candidate: &'a Candidate,
+    scope: CandidateScope,
     /// Engines that are excluded for its entry.
-    barred: &'a Barred,
+    excluded: &'a ExcludedEngines,
     /// Whether engines that its entry probably cannot reach are tried anyway.
-    tries_unreached: bool,
+    tries_unreachable: bool,
     /// Rules that exclude engines for all entries.
-    choosable: Choosable,
+    eligibility: Eligibility,
     now: Moment,
 }
 
-impl<'a> Choice<'a> {
+impl<'a> PlacementContext<'a> {
     fn policy(&self) -> &'a Policy {
         &self.planner.policy
     }
 
     fn prompt(&self) -> &'a Prompt {
-        &self.turn.prompt
+        &self.candidate.prompt
     }
 
     fn job(&self) -> &'a Job {
-        &self.turn.prompt.job
+        &self.candidate.prompt.job
     }
 
     fn name(&self, index: usize) -> &'a Name {
@@ -61,53 +61,73 @@
     }
 
     /// Returns the eligible engines with their indexes in the fleet.
-    fn engines(&self) -> impl Iterator<Item = (usize, &'a View)> {
-        let views = self.board.views().iter().enumerate();
-        views.filter(move |(index, view)| self.choosable.admits(view) && !self.is_barred(*index))
+    fn eligible_engines(&self) -> impl Iterator<Item = (usize, &'a EngineState)> {
+        let states = self.snapshot.states().iter().enumerate();
+        states.filter(move |(index, state)| self.eligibility.is_eligible(state) && !self.is_excluded(*index))
     }
 
-    fn is_barred(&self, index: usize) -> bool {
-        self.barred.rests(index) || (!self.tries_unreached && self.barred.is_unreached(index))
+    fn is_excluded(&self, index: usize) -> bool {
+        self.excluded.has_backoff(index) || (!self.tries_unreachable && self.excluded.is_unreachable(index))
     }
 
     /// Returns the engines that can prefill a part of a long prompt now.
-    fn open(&self) -> Cow<'a, Open> {
-        if self.barred.is_empty() {
-            return Cow::Borrowed(self.board.open(self.policy()));
+    fn prefill_engines(&self) -> Cow<'a, PrefillEngines> {
+        if self.excluded.is_empty() {
+            return Cow::Borrowed(self.snapshot.prefill_engines(self.policy()));
         }
-        Cow::Owned(self.board.open_among(self.engines().map(|(index, _)| index), self.policy()))
+        Cow::Owned(self.snapshot.prefill_engines_among(self.eligible_engines().map(|(index, _)| index), self.policy()))
     }
 }
 
 impl Planner {
     /// Returns the engines for a prompt; `None` if the prompt must wait.
-    pub(super) fn place(&self, turn: &Turn, reach: Reach, barred: &Barred, now: Moment) -> Option<Team> {
-        let board = &self.board;
-        let choosable = board.choosable(&self.policy);
-        let mut choice = Choice { planner: self, board, turn, reach, barred, tries_unreached: false, choosable, now };
-        if choice.engines().next().is_none() {
+    pub(super) fn place(
+        &self,
+        candidate: &Candidate,
+        scope: CandidateScope,
+        excluded: &ExcludedEngines,
+        now: Moment,
+    ) -> Option<Team> {
+        let snapshot = &self.snapshot;
+        let eligibility = snapshot.eligibility(&self.policy);
+        let mut context = PlacementContext {
+            planner: self,
+            snapshot,
+            candidate,
+            scope,
+            excluded,
+            tries_unreachable: false,
+            eligibility,
+            now,
+        };
+        if context.eligible_engines().next().is_none() {
             // Trying an engine that the entry may fail to reach is better than using none.
-            choice.tries_unreached = true;
+            context.tries_unreachable = true;
         }
-        if let Some(work) = self.suspected_work(&turn.prompt.job).filter(|_| choice.may_be_alone()) {
-            choice.choosable = choosable.for_suspect();
-            return choice.apart(work).map(|index| Team::alone(choice.name(index)));
+        if let Some(fingerprint) =
+            self.suspected_fingerprint(&candidate.prompt.job).filter(|_| context.can_be_isolated())
+        {
+            context.eligibility = eligibility.allow_suspects();
+            return context.select_isolated(fingerprint).map(|index| Team::without_helpers(context.name(index)));
         }
-        if turn.prompt.short {
-            return choice.short().or_else(|| choice.left_out()).map(|index| Team::alone(choice.name(index)));
+        if candidate.prompt.is_short {
+            return context
+                .select_short()
+                .or_else(|| context.select_ejected())
+                .map(|index| Team::without_helpers(context.name(index)));
         }
-        if now < self.settled_at || reach == Reach::Shared {
+        if now < self.settled_at || scope == CandidateScope::SharedOnly {
             return None;
         }
-        choice.long()
+        context.select_team()
     }
 
     /// Returns the engines that are excluded for an entry now.
-    pub(super) fn barred(&self, entry: u64, now: Moment) -> Barred {
+    pub(super) fn excluded_engines(&self, entry: u64, now: Moment) -> ExcludedEngines {
         let position = |name: &Name| self.fleet.position(name);
-        let unreached = self.evidence.unreached(entry, now).filter_map(position).collect();
-        let rests = self.rests.get(&entry);
-        let resting = rests.into_iter().flat_map(|rests| rests.resting(now));
-        Barred::new(unreached, resting.filter_map(|(name, _)| position(name)).collect())
+        let unreachable = self.path_failures.unreachable_engines(entry, now).filter_map(position).collect();
+        let backoffs = self.backoffs.get(&entry);
+        let in_backoff = backoffs.into_iter().flat_map(|backoffs| backoffs.resting(now));
+        ExcludedEngines::new(unreachable, in_backoff.filter_map(|(name, _)| position(name)).collect())
     }
 }
--- a/coord/src/planner/place/short.rs
+++ b/coord/src/planner/place/short.rs
@@ -2,106 +2,117 @@
 
 use std::cmp::Ordering;
 
-use super::{Choice, Reach};
+use super::{CandidateScope, PlacementContext};
 use crate::engine::millis;
 use crate::pick::rendezvous;
-use crate::planner::policy::TOKENS_A_MS;
-use crate::planner::snapshot::View;
+use crate::planner::policy::TOKENS_PER_WAIT_MS;
+use crate::planner::snapshot::EngineState;
 
-impl<'a> Choice<'a> {
-    /// Returns the index of an engine for a short prompt. Engines on trial come first, because only short prompts try
-    /// engines. Otherwise the prompt is packed onto an engine that already serves short prompts, as long as all gap
-    /// limits and first events are kept.
-    pub(super) fn short(&self) -> Option<usize> {
-        match self.reach {
-            Reach::All if !self.policy().packing => self.tried().or_else(|| self.soonest()),
-            Reach::All => self.tried().or_else(|| self.packed()).or_else(|| self.opened()).or_else(|| self.soonest()),
-            Reach::Shared => self.shared(),
+impl<'a> PlacementContext<'a> {
+    /// Returns the index of an engine for a short prompt. Half-open engines come first, because only short prompts
+    /// are used as trial requests. Otherwise the prompt is packed onto an engine that already serves short prompts,
+    /// as long as all gap targets are met and the first event is in time.
+    pub(super) fn select_short(&self) -> Option<usize> {
+        match self.scope {
+            CandidateScope::All if !self.policy().packing => self.select_half_open().or_else(|| self.select_soonest()),
+            CandidateScope::All => self
+                .select_half_open()
+                .or_else(|| self.select_packed())
+                .or_else(|| self.select_additional())
+                .or_else(|| self.select_soonest()),
+            CandidateScope::SharedOnly => self.select_shared(),
         }
     }
 
     /// Returns the index of an ejected engine where all rules together leave few engines. With four engines, one
     /// recently failed, one unreachable for the entry and two with exhausted rate limits exclude all, and prompts
     /// were refused although an engine was idle.
-    pub(super) fn left_out(&self) -> Option<usize> {
-        if !self.policy().few_left || !self.board.leaves_few(self.barred, self.policy()) {
+    pub(super) fn select_ejected(&self) -> Option<usize> {
+        if !self.policy().few_left || !self.snapshot.leaves_few_usable(self.excluded, self.policy()) {
             return None;
         }
-        let choosable = self.choosable.with_failing();
-        Choice { tries_unreached: true, choosable, ..*self }.short()
+        let eligibility = self.eligibility.allow_failing();
+        PlacementContext { tries_unreachable: true, eligibility, ..*self }.select_short()
     }
 
-    /// Returns the engine with the shortest wait among those that serve similar answers and keep their gap limits.
-    fn shared(&self) -> Option<usize> {
-        let may = |view: &View| self.fits(view) && self.is_like(view) && self.has_room(view);
-        self.first_free(self.engines().filter(|(_, view)| may(view)))
+    /// Returns the engine with the shortest wait among those that serve similar answers and still meet their gap
+    /// targets.
+    fn select_shared(&self) -> Option<usize> {
+        let is_suitable =
+            |state: &EngineState| self.fits(state) && self.serves_similar(state) && self.has_prefill_budget(state);
+        self.select_shortest_wait(self.eligible_engines().filter(|(_, state)| is_suitable(state)))
     }
 
-    /// Returns an engine that is on trial. Slow engines are not tried, because the cause of their late answers is
-    /// known.
-    fn tried(&self) -> Option<usize> {
-        let mut engines = self.engines();
-        let may = |view: &View| view.on_trial && !view.is_slow() && self.fits(view) && self.in_time(view);
-        let found = engines.find(|(_, view)| may(view));
+    /// Returns a half-open engine. Slow engines need no trial, because the cause of their late answers is known.
+    fn select_half_open(&self) -> Option<usize> {
+        let mut engines = self.eligible_engines();
+        let is_suitable =
+            |state: &EngineState| state.is_half_open && !state.is_slow() && self.fits(state) && self.is_in_time(state);
+        let found = engines.find(|(_, state)| is_suitable(state));
         found.map(|(index, _)| index)
     }
 
     /// Returns the engine with the most sequences among those that serve similar answers and prefill the prompt in
     /// time.
-    fn packed(&self) -> Option<usize> {
-        let may = |view: &View| self.fits(view) && self.is_like(view) && self.in_time(view);
-        let engines = self.engines().filter(|(_, view)| may(view));
-        engines.max_by_key(|(_, view)| view.seats).map(|(index, _)| index)
+    fn select_packed(&self) -> Option<usize> {
+        let is_suitable =
+            |state: &EngineState| self.fits(state) && self.serves_similar(state) && self.is_in_time(state);
+        let engines = self.eligible_engines().filter(|(_, state)| is_suitable(state));
+        engines.max_by_key(|(_, state)| state.sequence_count).map(|(index, _)| index)
     }
 
     /// Returns an engine that serves no similar answers yet, unless the remaining ones are reserved for long prompts.
-    fn opened(&self) -> Option<usize> {
-        let like = self.engines().filter(|(_, view)| self.is_like(view)).count();
-        let all = self.engines().count();
-        if like as f64 >= all as f64 * (1.0 - self.policy().long_share) {
+    fn select_additional(&self) -> Option<usize> {
+        let similar = self.eligible_engines().filter(|(_, state)| self.serves_similar(state)).count();
+        let all = self.eligible_engines().count();
+        if similar as f64 >= all as f64 * (1.0 - self.policy().long_share) {
             return None;
         }
-        let is_fast_enough = |view: &View| self.board.is_fast_enough(view, self.policy());
-        let may = |view: &View| self.fits(view) && !self.is_like(view) && is_fast_enough(view);
-        let engines = self.engines().filter(|(_, view)| may(view));
-        engines.min_by(|a, b| self.by_opening_cost(*a, *b)).map(|(index, _)| index)
+        let is_fast_enough = |state: &EngineState| self.snapshot.is_fast_enough(state, self.policy());
+        let is_suitable =
+            |state: &EngineState| self.fits(state) && !self.serves_similar(state) && is_fast_enough(state);
+        let engines = self.eligible_engines().filter(|(_, state)| is_suitable(state));
+        engines.min_by(|a, b| self.cmp_start_cost(*a, *b)).map(|(index, _)| index)
     }
 
-    /// Returns the engine with the shortest wait among those that keep their gap limits; the first event may be late.
-    fn soonest(&self) -> Option<usize> {
-        self.first_free(self.engines().filter(|(_, view)| self.fits(view) && self.has_room(view)))
+    /// Returns the engine with the shortest wait among those that still meet their gap targets; the first event may
+    /// be late.
+    fn select_soonest(&self) -> Option<usize> {
+        self.select_shortest_wait(
+            self.eligible_engines().filter(|(_, state)| self.fits(state) && self.has_prefill_budget(state)),
+        )
     }
 
-    /// Returns the engine with the shortest wait.
-    fn first_free(&self, engines: impl Iterator<Item = (usize, &'a View)>) -> Option<usize> {
+    fn select_shortest_wait(&self, engines: impl Iterator<Item = (usize, &'a EngineState)>) -> Option<usize> {
         engines.min_by(|(_, a), (_, b)| a.wait_ms.total_cmp(&b.wait_ms)).map(|(index, _)| index)
     }
 
-    fn fits(&self, view: &View) -> bool {
-        view.fits(self.job())
+    fn fits(&self, state: &EngineState) -> bool {
+        state.fits(self.job())
     }
 
-    /// Returns whether the engine already decodes an answer whose gap limit is at least as strict.
-    fn is_like(&self, view: &View) -> bool {
-        view.gap_ms <= self.job().gap_ms
+    /// Returns whether the engine already decodes an answer whose gap target is at least as strict.
+    fn serves_similar(&self, state: &EngineState) -> bool {
+        state.min_gap_target_ms <= self.job().gap_ms
     }
 
-    /// Returns whether the engine can prefill the prompt without exceeding the gap limit of a sequence.
-    fn has_room(&self, view: &View) -> bool {
-        view.room_ms >= self.prompt().read_ms * view.pace
+    /// Returns whether the engine can prefill the prompt without exceeding the gap target of a sequence.
+    fn has_prefill_budget(&self, state: &EngineState) -> bool {
+        state.prefill_budget_ms >= self.prompt().prefill_ms * state.slowdown
     }
 
-    /// Returns whether the engine also produces the first event in time.
-    fn in_time(&self, view: &View) -> bool {
-        let first_event_ms = view.wait_ms + self.prompt().read_ms * view.pace + view.pass_ms;
-        self.has_room(view) && self.now + millis(first_event_ms) <= self.job().aim
+    /// Returns whether the engine meets all gap targets and produces the first event in time.
+    fn is_in_time(&self, state: &EngineState) -> bool {
+        let first_event_ms = state.wait_ms + self.prompt().prefill_ms * state.slowdown + state.pass_ms;
+        self.has_prefill_budget(state) && self.now + millis(first_event_ms) <= self.job().aim
     }
 
     /// Compares two engines by the cost of starting to serve short prompts there.
-    fn by_opening_cost(&self, (a, of_a): (usize, &View), (b, of_b): (usize, &View)) -> Ordering {
-        let extra_ms = |view: &View| self.prompt().read_ms * (view.pace - 1.0);
-        let cost = |view: &View| view.wait_ms + view.context as f64 / TOKENS_A_MS + extra_ms(view);
-        let salted = |index| rendezvous(self.planner.salt, self.name(index));
-        cost(of_a).total_cmp(&cost(of_b)).then_with(|| salted(a).cmp(&salted(b)))
+    fn cmp_start_cost(&self, (a, state_a): (usize, &EngineState), (b, state_b): (usize, &EngineState)) -> Ordering {
+        let extra_ms = |state: &EngineState| self.prompt().prefill_ms * (state.slowdown - 1.0);
+        let cost =
+            |state: &EngineState| state.wait_ms + state.context_tokens as f64 / TOKENS_PER_WAIT_MS + extra_ms(state);
+        let tie_break = |index| rendezvous(self.planner.salt, self.name(index));
+        cost(state_a).total_cmp(&cost(state_b)).then_with(|| tie_break(a).cmp(&tie_break(b)))
     }
 }
--- a/coord/src/planner/place/unplaceable.rs
+++ b/coord/src/planner/place/unplaceable.rs
@@ -1,43 +1,48 @@
 //! Skips short prompts that cannot be placed because a cheaper one just found no engine.
 
-use super::Reach;
+use super::CandidateScope;
 use crate::planner::wait_queue::Prompt;
 
 /// Short prompts that have found no engine since the last grant.
 ///
-/// If a short prompt finds no engine, neither does one with the same gap limit that takes at least as long to prefill
-/// and needs at least as much memory: the cheaper prompt could have used any engine that fits the other. With 1,000
-/// prompts waiting at 150 engines, this leaves a handful to place in each pump.
+/// If a short prompt finds no engine, neither does one with the same gap target that takes at least as long to
+/// prefill and needs at least as much memory: the cheaper prompt could have used any engine that fits the other. With
+/// 1,000 prompts waiting at 150 engines, this leaves a handful to place in each pump.
 #[derive(Debug, Default)]
-pub(in crate::planner) struct Hopeless(Vec<Failure>);
+pub(in crate::planner) struct Unplaceable(Vec<Requirements>);
 
 /// Requirements of a short prompt that found no engine.
 #[derive(Debug)]
-struct Failure {
-    reach: Reach,
-    gap_ms: f64,
-    read_ms: f64,
-    needs: u64,
+struct Requirements {
+    scope: CandidateScope,
+    gap_target_ms: f64,
+    prefill_ms: f64,
+    memory_tokens: u64,
 }
 
-impl Hopeless {
+impl Unplaceable {
     /// Returns whether placement of a prompt can be skipped.
-    pub(in crate::planner) fn covers(&self, prompt: &Prompt, reach: Reach) -> bool {
-        let needs = prompt.job.needs();
-        let is_cheaper = |failure: &Failure| {
-            failure.reach == reach
-                && failure.gap_ms == prompt.job.gap_ms
-                && failure.read_ms <= prompt.read_ms
-                && failure.needs <= needs
+    pub(in crate::planner) fn covers(&self, prompt: &Prompt, scope: CandidateScope) -> bool {
+        let memory_tokens = prompt.job.memory_tokens();
+        let is_cheaper = |requirements: &Requirements| {
+            requirements.scope == scope
+                && requirements.gap_target_ms == prompt.job.gap_ms
+                && requirements.prefill_ms <= prompt.prefill_ms
+                && requirements.memory_tokens <= memory_tokens
         };
-        prompt.short && self.0.iter().any(is_cheaper)
+        prompt.is_short && self.0.iter().any(is_cheaper)
     }
 
     /// Records a prompt that found no engine; long prompts are ignored.
-    pub(in crate::planner) fn note(&mut self, prompt: &Prompt, reach: Reach) {
-        if prompt.short {
+    pub(in crate::planner) fn record(&mut self, prompt: &Prompt, scope: CandidateScope) {
+        if prompt.is_short {
             let job = &prompt.job;
-            self.0.push(Failure { reach, gap_ms: job.gap_ms, read_ms: prompt.read_ms, needs: job.needs() });
+            self.0.push(Requirements {
+                scope,
+                gap_target_ms: job.gap_ms,
+                prefill_ms: prompt.prefill_ms,
+                memory_tokens: job.memory_tokens(),
+            });
         }
     }
 
--- a/coord/src/planner/policy.rs
+++ b/coord/src/planner/policy.rs
@@ -5,11 +5,11 @@
 /// Policy settings. The reasons for the default values are in `docs/design/08-platform.md`.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Share of a gap limit that a pass may take, prefill included.
+    /// Share of a gap target that a pass may take, prefill included.
     pub pause_share: f64,
     /// Shortest worthwhile prefill part, in milliseconds; a smaller part costs more in passes than it saves.
     pub least_part_ms: f64,
-    /// Largest number of engines that prefill one prompt.
+    /// Largest number of engines that prefill one prompt together.
     pub most_parts: usize,
     /// Most pending prefill that an engine may have when it joins a team, in milliseconds.
     pub start_pending_ms: f64,
@@ -23,7 +23,7 @@
     pub late_share: f64,
     /// Share of the engines that must remain when recently failed engines are excluded; otherwise none is excluded.
     pub least_usable: f64,
-    /// Share of the time until the wanted first event within which a team must have prefilled the prompt.
+    /// Share of the time until the target of the first event within which a team must have prefilled the prompt.
     pub in_time_share: f64,
     /// Whether parts of long prompts go to engines without sequences as long as there are enough. On other engines
     /// they slow down decoding, which then occupies its slots for longer: in a burst of long prompts at 150 engines,
@@ -33,8 +33,8 @@
     pub gather: bool,
     /// Most pending prefill of an engine at which a long answer may join others, in milliseconds.
     pub join_pending_ms: f64,
-    /// Whether the cheapest prompt goes first within a priority; otherwise the one whose first event is wanted
-    /// soonest.
+    /// Whether the cheapest prompt goes first within a priority; otherwise the one with the earliest first-event
+    /// target.
     pub cheapest_first: bool,
     /// Whether late prompts wait for prompts that can still be in time.
     pub late_last: bool,
@@ -48,11 +48,11 @@
     pub shared_memory: bool,
     /// Whether engines that fail are ejected for a while.
     pub breakers: bool,
-    /// Whether engines that are excluded only by a suspicion are used where all rules together leave few.
+    /// Whether engines with a mild exclusion, such as a recent failure, are used where all rules together leave few.
     pub few_left: bool,
-    /// Whether engines of overdue prompts are put on trial.
+    /// Whether engines of overdue prompts become half-open.
     pub suspicion: bool,
-    /// Whether an overdue team puts only those members on trial that have produced no first event since the grant;
+    /// Whether an overdue team makes only those members half-open that have produced no first event since the grant;
     /// otherwise all. With 5 of 60 engines hanging, suspecting all members excluded 19 to 43 engines from teams at
     /// once.
     pub mute_only: bool,
@@ -102,26 +102,27 @@
 
 /// Length of the settling period, in which entries report their running jobs to a new planner. Entries that lose
 /// their planner at the same moment take 0.1 s to find the next one.
-pub(super) const SETTLING: Duration = Duration::from_millis(300);
+pub(super) const SETTLING_PERIOD: Duration = Duration::from_millis(300);
 /// Factor by which the time to a first event must exceed the prediction to indicate a slow engine.
-pub(super) const SLOW: f64 = 2.5;
+pub(super) const SLOW_FACTOR: f64 = 2.5;
 /// Time by which it must additionally exceed the prediction, in milliseconds. Covers a pass of a full engine and
 /// several network hops.
-pub(super) const SLOW_BY_MS: f64 = 150.0;
+pub(super) const SLOW_MARGIN_MS: f64 = 150.0;
 /// Largest slowdown factor of a team member; a team waits for its slowest member.
-pub(super) const MOST_TEAM_PACE: f64 = 1.25;
+pub(super) const MAX_TEAM_SLOWDOWN: f64 = 1.25;
 /// Factor by which a part must exceed its expected time to no longer count as pending.
-pub(super) const OVERDUE: f64 = 3.0;
-/// Smallest share of its expected time that a part counts as pending while it is prefilled and not overdue.
-pub(super) const LEAST_LEFT: f64 = 0.1;
+pub(super) const OVERDUE_FACTOR: f64 = 3.0;
+/// Share of its expected time that a part still counts as pending, at least, while it is being prefilled and is not
+/// overdue.
+pub(super) const MIN_PENDING_SHARE: f64 = 0.1;
 /// Tokens in an engine's memory that weigh as much as 1 ms of waiting when an engine is selected to start serving
 /// short prompts.
-pub(super) const TOKENS_A_MS: f64 = 1e3;
-/// Output tokens per job that memory is reserved for at most.
-pub(super) const LIKELY_OUTPUT: u64 = 4_096;
+pub(super) const TOKENS_PER_WAIT_MS: f64 = 1e3;
+/// Largest number of output tokens that a job is expected to generate; no more memory is reserved for its answer.
+pub(super) const MAX_RESERVED_OUTPUT_TOKENS: u64 = 4_096;
 /// Passes until the first event of a prompt that is admitted, without its prefill: on average half of the pass under
 /// way, and the pass that produces the event.
 pub(super) const PASSES_TO_FIRST_EVENT: f64 = 1.5;
 /// Longest prefill of a short prompt, in milliseconds. A longer one would use most of the 200 ms that the strictest
-/// observed gap limit leaves beside a pass.
-pub(super) const SHORT_READ_MS: f64 = 125.0;
+/// observed gap target leaves beside a pass.
+pub(super) const MAX_SHORT_PREFILL_MS: f64 = 125.0;
--- a/coord/src/planner/rationed.rs
+++ b/coord/src/planner/rationed.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use super::Planner;
-use super::overload::{COME_BACK, Refusal};
-use super::wait_queue::Turn;
+use super::overload::{RETRY_AFTER_SHARE, Refusal};
+use super::wait_queue::Candidate;
 use crate::limit::Allowance;
 use crate::time::Moment;
 
@@ -20,25 +20,25 @@
 ///
 /// A simple average rate would not do: eight engines that were exhausted at the same moment admit nothing for a while
 /// and then eight requests at once.
-struct Slots<'a> {
+struct SendSlots<'a> {
     limits: Vec<&'a Allowance>,
-    next: BinaryHeap<Reverse<(Duration, usize)>>,
+    next_sends: BinaryHeap<Reverse<(Duration, usize)>>,
 }
 
-impl<'a> Slots<'a> {
+impl<'a> SendSlots<'a> {
     fn new(limits: Vec<&'a Allowance>, now: Moment) -> Self {
-        let waits = limits.iter().enumerate().map(|(index, limit)| Reverse((limit.wait(now), index)));
-        let next = waits.collect();
-        Self { limits, next }
+        let sends = limits.iter().enumerate().map(|(index, limit)| Reverse((limit.wait(now), index)));
+        let next_sends = sends.collect();
+        Self { limits, next_sends }
     }
 
     /// Consumes the next `sends` requests; returns the time until the last of them.
-    fn take(&mut self, sends: usize) -> Duration {
+    fn consume(&mut self, sends: usize) -> Duration {
         let mut last = Duration::ZERO;
         for _ in 0..sends {
-            let Some(Reverse((wait, index))) = self.next.pop() else { return Duration::MAX };
+            let Some(Reverse((wait, index))) = self.next_sends.pop() else { return Duration::MAX };
             last = wait;
-            self.next.push(Reverse((wait + self.limits[index].pause(), index)));
+            self.next_sends.push(Reverse((wait + self.limits[index].pause(), index)));
         }
         last
     }
@@ -46,24 +46,24 @@
 
 impl Planner {
     /// Removes and returns the prompts for which the rate limits of all engines leave no capacity in time.
-    pub(super) fn refuse_rationed(&mut self, now: Moment) -> Vec<Refusal> {
+    pub(super) fn refuse_rate_limited(&mut self, now: Moment) -> Vec<Refusal> {
         let limits: Option<Vec<&Allowance>> = self.fleet.engines().iter().map(|engine| engine.limit.as_ref()).collect();
         let Some(limits) = limits.filter(|limits| !limits.is_empty()) else { return Vec::new() };
-        let turns = self.waiting.turns(now);
-        let mut slots = Slots::new(limits, now);
+        let candidates = self.waiting.list_ordered(now);
+        let mut send_slots = SendSlots::new(limits, now);
         // Time until the first send that no earlier prompt has consumed.
-        let mut wait = slots.take(1);
+        let mut next_wait = send_slots.consume(1);
         let mut refusals = Vec::new();
-        for (position, turn) in turns.iter().enumerate() {
-            let further = self.fewest_sends(turn, now) - 1;
+        for (position, candidate) in candidates.iter().enumerate() {
+            let extra_sends = self.min_sends(candidate, now) - 1;
             // The first prompt always gets the next send, even if late, because no prompt in time is there to use it.
-            if position == 0 || wait <= self.usable(turn, now) {
-                wait = slots.take(further + 1);
+            if position == 0 || next_wait <= self.max_wait(candidate, now) {
+                next_wait = send_slots.consume(extra_sends + 1);
             } else {
-                let most = turn.prompt.job.deadline.since(now).mul_f64(COME_BACK);
+                let max_retry_after = candidate.prompt.job.deadline.since(now).mul_f64(RETRY_AFTER_SHARE);
                 // Each refused prompt gets a later time, so that the retries do not coincide.
-                refusals.push(Refusal { id: turn.id, retry_after: wait.min(most) });
-                wait = slots.take(1);
+                refusals.push(Refusal { id: candidate.id, retry_after: next_wait.min(max_retry_after) });
+                next_wait = send_slots.consume(1);
             }
         }
         refusals.iter().for_each(|refusal| self.waiting.remove(refusal.id));
@@ -71,21 +71,21 @@
     }
 
     /// Returns the number of engines that a prompt must be sent to so that its first event is in time.
-    fn fewest_sends(&self, turn: &Turn, now: Moment) -> usize {
-        if turn.prompt.short {
+    fn min_sends(&self, candidate: &Candidate, now: Moment) -> usize {
+        if candidate.prompt.is_short {
             return 1;
         }
-        let slack_ms = turn.prompt.job.aim.since(now).as_secs_f64() * 1e3;
-        let most = self.policy.most_parts.min(self.fleet.engines().len()).max(1);
-        ((turn.prompt.read_ms / slack_ms.max(1.0)).ceil() as usize).clamp(1, most)
+        let slack_ms = candidate.prompt.job.aim.since(now).as_secs_f64() * 1e3;
+        let max_sends = self.policy.most_parts.min(self.fleet.engines().len()).max(1);
+        ((candidate.prompt.prefill_ms / slack_ms.max(1.0)).ceil() as usize).clamp(1, max_sends)
     }
 
     /// Returns for how long a prompt may still wait. A late long prompt is useful until its caller gives up. A late
     /// short prompt is refused, because under sustained overload another short prompt in time can use the send.
-    fn usable(&self, turn: &Turn, now: Moment) -> Duration {
-        match (turn.late, turn.prompt.short) {
-            (false, _) => turn.prompt.late_after.since(now),
-            (true, false) => Duration::from_secs_f64(self.useful_s(turn, now)),
+    fn max_wait(&self, candidate: &Candidate, now: Moment) -> Duration {
+        match (candidate.is_late, candidate.prompt.is_short) {
+            (false, _) => candidate.prompt.late_after.since(now),
+            (true, false) => Duration::from_secs_f64(self.max_wait_s(candidate, now)),
             (true, true) => Duration::ZERO,
         }
     }
--- a/coord/src/planner/wait_queue.rs
+++ b/coord/src/planner/wait_queue.rs
@@ -14,28 +14,28 @@
 pub struct Prompt {
     pub job: Job,
     /// Engine time to prefill the prompt, in milliseconds.
-    pub read_ms: f64,
-    /// Whether one engine can prefill the prompt without exceeding the gap limit of an answer like its own.
-    pub short: bool,
+    pub prefill_ms: f64,
+    /// Whether one engine can prefill the prompt without exceeding the gap target of an answer like its own.
+    pub is_short: bool,
     /// Time after which the prompt would be late even if it started at once.
     pub late_after: Moment,
 }
 
-/// Prompt to be placed next.
+/// Prompt in the order of placement.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct Candidate {
     pub id: Id,
     pub prompt: Prompt,
     /// Whether the prompt would be late even if it started now.
-    pub late: bool,
+    pub is_late: bool,
 }
 
 /// Sort key among prompts that are all in time or all late.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rank {
     priority: u32,
-    /// Prefill time in milliseconds, or the time of the wanted first event.
-    weight: f64,
+    /// Prefill time in milliseconds, or the first-event target in microseconds.
+    sort_key: f64,
     id: Id,
 }
 
@@ -44,7 +44,7 @@
 impl Ord for Rank {
     fn cmp(&self, other: &Self) -> Ordering {
         let by_priority = self.priority.cmp(&other.priority);
-        by_priority.then_with(|| self.weight.total_cmp(&other.weight)).then_with(|| self.id.cmp(&other.id))
+        by_priority.then_with(|| self.sort_key.total_cmp(&other.sort_key)).then_with(|| self.id.cmp(&other.id))
     }
 }
 
@@ -55,20 +55,20 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct WaitQueue {
     prompts: BTreeMap<Id, Prompt>,
     /// Prompts that could still be in time when the queue was last read.
     timely: BTreeMap<Rank, Prompt>,
-    /// Prompts that could not.
+    /// Prompts that would have been late.
     late: BTreeMap<Rank, Prompt>,
     /// Times at which the prompts in `timely` become late.
-    turning: BTreeSet<(Moment, Id)>,
-    /// Whether the cheapest prompt goes first within a priority; otherwise the one whose first event is wanted
-    /// soonest.
+    late_times: BTreeSet<(Moment, Id)>,
+    /// Whether the cheapest prompt goes first within a priority; otherwise the one with the earliest first-event
+    /// target.
     cheapest_first: bool,
 }
 
-impl Waiting {
+impl WaitQueue {
     pub fn new(cheapest_first: bool) -> Self {
         Self { cheapest_first, ..Self::default() }
     }
@@ -77,12 +77,12 @@
         self.prompts.is_empty()
     }
 
-    /// Replaces a prompt with the same identity.
+    /// Adds a prompt; an earlier one with the same identity is replaced.
     pub fn insert(&mut self, id: Id, prompt: Prompt) {
         self.remove(id);
         self.prompts.insert(id, prompt);
         self.timely.insert(self.rank(id, &prompt), prompt);
-        self.turning.insert((prompt.late_after, id));
+        self.late_times.insert((prompt.late_after, id));
     }
 
     /// Removes a prompt if it is in the queue.
@@ -90,7 +90,7 @@
         let Some(prompt) = self.prompts.remove(&id) else { return };
         let rank = self.rank(id, &prompt);
         if self.timely.remove(&rank).is_some() {
-            self.turning.remove(&(prompt.late_after, id));
+            self.late_times.remove(&(prompt.late_after, id));
         } else {
             self.late.remove(&rank);
         }
@@ -102,35 +102,35 @@
     }
 
     /// Recomputes all estimates after a change of the engines.
-    pub fn renew(&mut self, prompt: impl Fn(Job) -> Prompt) {
-        let old = std::mem::take(&mut self.prompts);
+    pub fn recompute_estimates(&mut self, estimate: impl Fn(Job) -> Prompt) {
+        let previous = std::mem::take(&mut self.prompts);
         self.timely.clear();
         self.late.clear();
-        self.turning.clear();
-        for (id, known) in old {
-            self.insert(id, prompt(known.job));
+        self.late_times.clear();
+        for (id, queued) in previous {
+            self.insert(id, estimate(queued.job));
         }
     }
 
     /// Returns all waiting prompts in the order in which they are to be placed at `now`.
-    pub fn turns(&mut self, now: Moment) -> Vec<Turn> {
-        self.move_late(now);
-        turns(&self.timely, false).chain(turns(&self.late, true)).collect()
+    pub fn list_ordered(&mut self, now: Moment) -> Vec<Candidate> {
+        self.demote_late(now);
+        list_ordered(&self.timely, false).chain(list_ordered(&self.late, true)).collect()
     }
 
     /// Returns the waiting prompts that would be late even if they started now.
-    pub fn late_turns(&mut self, now: Moment) -> Vec<Turn> {
-        self.move_late(now);
-        turns(&self.late, true).collect()
+    pub fn list_late(&mut self, now: Moment) -> Vec<Candidate> {
+        self.demote_late(now);
+        list_ordered(&self.late, true).collect()
     }
 
     /// Moves the prompts that have become late behind the others.
-    fn move_late(&mut self, now: Moment) {
-        while let Some((late_after, id)) = self.turning.first().copied() {
+    fn demote_late(&mut self, now: Moment) {
+        while let Some((late_after, id)) = self.late_times.first().copied() {
             if now <= late_after {
                 return;
             }
-            self.turning.pop_first();
+            self.late_times.pop_first();
             let prompt = self.prompts[&id];
             let rank = self.rank(id, &prompt);
             self.timely.remove(&rank);
@@ -139,11 +139,11 @@
     }
 
     fn rank(&self, id: Id, prompt: &Prompt) -> Rank {
-        let weight = if self.cheapest_first { prompt.read_ms } else { prompt.job.aim.as_micros() as f64 };
-        Rank { priority: prompt.job.priority, weight, id }
+        let sort_key = if self.cheapest_first { prompt.prefill_ms } else { prompt.job.aim.as_micros() as f64 };
+        Rank { priority: prompt.job.priority, sort_key, id }
     }
 }
 
-fn turns(prompts: &BTreeMap<Rank, Prompt>, late: bool) -> impl Iterator<Item = Turn> {
-    prompts.iter().map(move |(rank, prompt)| Turn { id: rank.id, prompt: *prompt, late })
+fn list_ordered(prompts: &BTreeMap<Rank, Prompt>, is_late: bool) -> impl Iterator<Item = Candidate> {
+    prompts.iter().map(move |(rank, prompt)| Candidate { id: rank.id, prompt: *prompt, is_late })
 }
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -1,9 +1,9 @@
 //! Tests that several mild exclusion rules together do not leave an idle engine unused.
 //!
 //! Each rule that excludes engines keeps most of them. With four engines, one that failed, one that is unreachable
-//! for the entry, one with a suspect and one with an exhausted rate limit together left no engine, or only a full
-//! one, and short prompts were held and refused beside an idle engine. The tests cover two, three, four and eight
-//! engines in all combinations of states.
+//! for the entry, one with a suspected request and one with an exhausted rate limit together left no engine, or only
+//! a full one, and short prompts were held and refused beside an idle engine. The tests cover two, three, four and
+//! eight engines in all combinations of states.
 
 mod common;
 #[path = "common/short.rs"]
@@ -13,149 +13,165 @@
 
 use common::figures;
 use coord::name::Name;
-use coord::planner::{Bar, Grant, Id, Job, Planner, Policy};
+use coord::planner::{Exclusion, Grant, Id, Job, Planner, Policy};
 use coord::quarantine::Work;
 use coord::time::Moment;
 
 /// Entry whose prompts are checked.
-const OWN: u64 = 0;
-/// Another entry, whose requests also affect the state of the engines.
-const OTHER: u64 = 1;
+const CHECKED_ENTRY: u64 = 0;
+/// Another entry, whose requests also change the state of the engines.
+const OTHER_ENTRY: u64 = 1;
 /// Share of the engines that counts as most of them.
-const MOST: f64 = 0.6;
-/// Work that is suspected of crashing engines.
+const MIN_USABLE_SHARE: f64 = 0.6;
+/// Fingerprint of a request that is suspected of crashing engines.
 const SUSPECT: Work = Work([7; 16]);
 
-/// State that the planner knows of an engine.
+/// State of an engine that the planner is brought to assume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum EngineState {
     /// Idle, with no fault known.
-    Free,
+    Idle,
     /// Its circuit breaker is open after a recent failure.
-    Open,
+    BreakerOpen,
     /// The entry failed to reach it recently; another entry has reached it since.
-    Unreached,
+    Unreachable,
     /// Its rate limit is exhausted.
-    Limited,
-    /// It runs work that is suspected of crashing engines.
+    RateLimited,
+    /// It runs a request that is suspected of crashing engines.
     Suspect,
     /// All its slots are granted.
     Full,
 }
 
-const STATES: [State; 6] = [State::Free, State::Open, State::Unreached, State::Limited, State::Suspect, State::Full];
+const ALL_STATES: [EngineState; 6] = [
+    EngineState::Idle,
+    EngineState::BreakerOpen,
+    EngineState::Unreachable,
+    EngineState::RateLimited,
+    EngineState::Suspect,
+    EngineState::Full,
+];
 
 fn name(index: usize) -> Name {
     format!("engine-{index}").into()
 }
 
 /// Returns a planner with engines in these states, and the moment at which they have them.
-fn planner(states: &[State]) -> (Planner, Moment) {
+fn planner_with(states: &[EngineState]) -> (Planner, Moment) {
     let mut planner = Planner::new(Policy::default(), 0);
     planner.set_engines((0..states.len()).map(|index| (name(index), figures(16, 46))));
-    let unreached = Moment::from_millis(10_000);
-    let now = unreached + Duration::from_millis(1_000);
-    let alone = |index: usize| coord::planner::Team { writer: name(index), helpers: Vec::new() };
+    let unreachable_at = Moment::from_millis(10_000);
+    let now = unreachable_at + Duration::from_millis(1_000);
+    let team_of = |index: usize| coord::planner::Team { writer: name(index), helpers: Vec::new() };
     let mut number = 1_000;
     let mut adopt = |planner: &mut Planner, entry: u64, index: usize, job: &Job, at: Moment| {
         number += 1;
-        planner.adopt(Id { entry, number }, job, alone(index), true, at);
+        planner.adopt(Id { entry, number }, job, team_of(index), true, at);
         Id { entry, number }
     };
-    for (index, _) in states.iter().enumerate().filter(|(_, state)| **state == State::Unreached) {
-        planner.failed(OWN, &name(index), unreached);
-        // After the breaker has closed, the engine serves a prompt of another entry.
-        let later = unreached + Duration::from_millis(900);
-        let id = adopt(&mut planner, OTHER, index, &short::job(500, later), later);
+    for (index, _) in states.iter().enumerate().filter(|(_, state)| **state == EngineState::Unreachable) {
+        planner.failed(CHECKED_ENTRY, &name(index), unreachable_at);
+        // After the open period of its breaker, the engine serves a prompt of another entry.
+        let later = unreachable_at + Duration::from_millis(900);
+        let id = adopt(&mut planner, OTHER_ENTRY, index, &short::job(500, later), later);
         planner.first_event(id, later);
         planner.end(id, later);
     }
     planner.set_suspects([SUSPECT]);
     for (index, state) in states.iter().enumerate() {
         match state {
-            State::Open => planner.failed(OTHER, &name(index), now),
-            State::Limited => planner.set_limit(&name(index), Some(0.0), 0.1, now),
-            State::Suspect => {
-                adopt(&mut planner, OTHER, index, &Job { work: Some(SUSPECT), ..short::job(500, now) }, now);
+            EngineState::BreakerOpen => planner.failed(OTHER_ENTRY, &name(index), now),
+            EngineState::RateLimited => planner.set_limit(&name(index), Some(0.0), 0.1, now),
+            EngineState::Suspect => {
+                adopt(&mut planner, OTHER_ENTRY, index, &Job { work: Some(SUSPECT), ..short::job(500, now) }, now);
             }
-            State::Full => (0..16).for_each(|_| {
-                let id = adopt(&mut planner, OTHER, index, &short::job(500, now), now);
+            EngineState::Full => (0..16).for_each(|_| {
+                let id = adopt(&mut planner, OTHER_ENTRY, index, &short::job(500, now), now);
                 planner.first_event(id, now);
             }),
-            State::Free | State::Unreached => {}
+            EngineState::Idle | EngineState::Unreachable => {}
         }
     }
     (planner, now)
 }
 
 /// Submits `count` short prompts of the entry and returns the grants.
-fn grants(planner: &mut Planner, count: u64, now: Moment) -> Vec<Grant> {
-    (0..count).for_each(|number| planner.submit(Id { entry: OWN, number }, short::job(500, now)));
+fn submit_and_pump(planner: &mut Planner, count: u64, now: Moment) -> Vec<Grant> {
+    (0..count).for_each(|number| planner.submit(Id { entry: CHECKED_ENTRY, number }, short::job(500, now)));
     planner.pump(now)
 }
 
 /// Returns whether a prompt must be granted at once: an idle engine within its rate limit has no known fault, or has
 /// only a mild one while all rules together leave few engines.
-fn must_be_served(states: &[State]) -> bool {
-    let any = |wanted: &[State]| states.iter().any(|state| wanted.contains(state));
-    let left = states.iter().filter(|state| matches!(state, State::Free | State::Full)).count();
-    let few = left as f64 <= states.len() as f64 * MOST;
-    any(&[State::Free]) || (few && any(&[State::Unreached, State::Open]))
+fn must_be_served(states: &[EngineState]) -> bool {
+    let has_any = |kinds: &[EngineState]| states.iter().any(|state| kinds.contains(state));
+    let usable = states.iter().filter(|state| matches!(state, EngineState::Idle | EngineState::Full)).count();
+    let leaves_few = usable as f64 <= states.len() as f64 * MIN_USABLE_SHARE;
+    has_any(&[EngineState::Idle]) || (leaves_few && has_any(&[EngineState::Unreachable, EngineState::BreakerOpen]))
 }
 
-fn check(states: &[State]) {
-    let (mut planner, now) = planner(states);
-    let granted = grants(&mut planner, 5, now);
+fn check_placement(states: &[EngineState]) {
+    let (mut planner, now) = planner_with(states);
+    let granted = submit_and_pump(&mut planner, 5, now);
     assert!(!must_be_served(states) || granted.len() == 5, "{states:?}: {} of 5 granted", granted.len());
     for grant in &granted {
         let index = (0..states.len()).find(|index| name(*index) == grant.team.writer).expect("one of them");
-        assert!(!matches!(states[index], State::Limited | State::Full), "{states:?}: {grant:?}");
+        assert!(!matches!(states[index], EngineState::RateLimited | EngineState::Full), "{states:?}: {grant:?}");
     }
 }
 
 /// Returns all combinations of states of `count` engines.
-fn all(count: usize) -> Vec<Vec<State>> {
-    let longer = |ways: Vec<Vec<State>>| {
-        let one_more = |way: Vec<State>| STATES.iter().map(move |state| [way.as_slice(), &[*state]].concat());
-        ways.into_iter().flat_map(one_more).collect()
+fn all_combinations(count: usize) -> Vec<Vec<EngineState>> {
+    let extend = |prefixes: Vec<Vec<EngineState>>| {
+        let append =
+            |prefix: Vec<EngineState>| ALL_STATES.iter().map(move |state| [prefix.as_slice(), &[*state]].concat());
+        prefixes.into_iter().flat_map(append).collect()
     };
-    (0..count).fold(vec![Vec::new()], |ways, _| longer(ways))
+    (0..count).fold(vec![Vec::new()], |combinations, _| extend(combinations))
 }
 
 #[test]
-fn short_prompts_go_to_an_engine_with_nothing_to_do_whatever_is_mildly_against_it() {
+fn short_prompts_use_an_idle_engine_despite_mild_exclusions() {
     for count in [2, 3, 4] {
-        all(count).iter().for_each(|states| check(states));
+        all_combinations(count).iter().for_each(|states| check_placement(states));
     }
 }
 
 #[test]
-fn so_they_do_where_there_are_eight() {
+fn short_prompts_use_an_idle_engine_among_eight() {
     // Combines all states of four engines with four more engines that share one state.
-    for four in all(4) {
-        for state in STATES {
-            check(&[four.as_slice(), &[state; 4]].concat());
+    for states in all_combinations(4) {
+        for state in ALL_STATES {
+            check_placement(&[states.as_slice(), &[state; 4]].concat());
         }
     }
 }
 
-/// Reproduces the combination from the simulated soak: one engine failed, one unreachable, one with a suspect, one
-/// with an exhausted rate limit.
+/// Reproduces a combination from a simulated soak test: one engine failed, one unreachable, one with a suspected
+/// request, one with an exhausted rate limit.
 #[test]
-fn one_of_each_are_four_and_a_prompt_is_served() {
-    let states = [State::Open, State::Unreached, State::Suspect, State::Limited];
-    let (mut planner, now) = planner(&states);
-    let granted = grants(&mut planner, 12, now);
+fn four_engines_with_one_exclusion_each_serve_a_prompt() {
+    let states = [EngineState::BreakerOpen, EngineState::Unreachable, EngineState::Suspect, EngineState::RateLimited];
+    let (mut planner, now) = planner_with(&states);
+    let granted = submit_and_pump(&mut planner, 12, now);
     assert_eq!(granted.len(), 12, "{granted:?}");
 }
 
 /// The reason why prompts wait must be reported for each engine.
 #[test]
-fn what_keeps_prompts_from_each_engine_is_named() {
-    let states = [State::Limited, State::Full, State::Suspect, State::Open, State::Free];
-    let (mut planner, now) = planner(&states);
-    assert_eq!(grants(&mut planner, 1, now).len(), 1);
-    let bars: Vec<(Name, Bar)> = planner.bars().into_iter().map(|(engine, bar)| (engine.clone(), bar)).collect();
-    let expected = [(0, Bar::Limited), (1, Bar::Full), (2, Bar::Suspect), (3, Bar::Failing)];
-    assert_eq!(bars, expected.map(|(index, bar)| (name(index), bar)));
+fn the_exclusion_of_each_engine_is_reported() {
+    let states = [
+        EngineState::RateLimited,
+        EngineState::Full,
+        EngineState::Suspect,
+        EngineState::BreakerOpen,
+        EngineState::Idle,
+    ];
+    let (mut planner, now) = planner_with(&states);
+    assert_eq!(submit_and_pump(&mut planner, 1, now).len(), 1);
+    let exclusions: Vec<(Name, Exclusion)> =
+        planner.bars().into_iter().map(|(engine, exclusion)| (engine.clone(), exclusion)).collect();
+    let expected =
+        [(0, Exclusion::RateLimited), (1, Exclusion::Full), (2, Exclusion::Suspect), (3, Exclusion::Failing)];
+    assert_eq!(exclusions, expected.map(|(index, exclusion)| (name(index), exclusion)));
 }
