--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use self::capacity::{Room, level};
+use self::capacity::{Capacity, level};
 pub use self::message::*;
 use crate::claim::Key;
 use crate::estimate::Estimate;
@@ -21,40 +21,40 @@
 use crate::time::Moment;
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningJob {
     job: Job,
     level: Level,
-    started: Moment,
-    first_token: Option<Moment>,
+    started_at: Moment,
+    first_token_at: Option<Moment>,
 }
 
 /// Factor on the estimated time of an answer; a job with less time left is refused as too late.
-const MARGIN: f64 = 1.25;
+const ESTIMATE_MARGIN: f64 = 1.25;
 
 /// Retry delay for an endpoint that fails its health checks.
-const UNHEALTHY_RETRY: Duration = Duration::from_secs(1);
+const UNHEALTHY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Retry delay for the memory of a span.
-const SPAN_RETRY: Duration = Duration::from_millis(50);
+const SPAN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Scheduler of one endpoint; see the module documentation.
 pub struct Scheduler {
     limits: Limits,
     estimate: Estimate,
     queue: Queue,
-    running: HashMap<Attempt, Running>,
+    running: HashMap<Attempt, RunningJob>,
     memory: Ledger<Attempt>,
     spans: Spans,
     /// Attempts that never started and never will.
-    void: Remembered<Attempt>,
+    cancelled: Remembered<Attempt>,
     /// Attempts that started and have finished.
-    over: Remembered<Attempt>,
+    finished: Remembered<Attempt>,
     keys: HashMap<Key, (Attempt, bool)>,
-    key_ages: VecDeque<(Moment, Key)>,
-    leaving: bool,
-    unhealthy: bool,
+    keys_by_age: VecDeque<(Moment, Key)>,
+    is_draining: bool,
+    is_unhealthy: bool,
     /// Whether a span has requested memory since the last eviction pass.
-    span_came: bool,
+    has_new_span: bool,
 }
 
 impl Scheduler {
@@ -68,13 +68,13 @@
             running: HashMap::new(),
             memory,
             spans: Spans::default(),
-            void: Remembered::new(),
-            over: Remembered::new(),
+            cancelled: Remembered::new(),
+            finished: Remembered::new(),
             keys: HashMap::new(),
-            key_ages: VecDeque::new(),
-            leaving: false,
-            unhealthy: false,
-            span_came: false,
+            keys_by_age: VecDeque::new(),
+            is_draining: false,
+            is_unhealthy: false,
+            has_new_span: false,
         }
     }
 
@@ -90,19 +90,19 @@
 
     /// Returns the state of `key`, and binds it to `attempt` if it is new.
     pub fn once(&mut self, key: &Key, attempt: Attempt, now: Moment) -> Once {
-        if let Some((holder, done)) = self.keys.get(key) {
-            return if *done { Once::Done(*holder) } else { Once::Running(*holder) };
+        if let Some((bound_attempt, is_done)) = self.keys.get(key) {
+            return if *is_done { Once::Done(*bound_attempt) } else { Once::Running(*bound_attempt) };
         }
         self.keys.insert(key.clone(), (attempt, false));
-        self.key_ages.push_back((now, key.clone()));
+        self.keys_by_age.push_back((now, key.clone()));
         Once::First
     }
 
     /// Records that the attempt of a key has finished.
     pub fn once_done(&mut self, key: &Key, attempt: Attempt) {
-        if let Some(held) = self.keys.get_mut(key) {
-            crate::invariant!(held.0 == attempt, "only the attempt that a key is bound to ends it");
-            held.1 = true;
+        if let Some(binding) = self.keys.get_mut(key) {
+            crate::invariant!(binding.0 == attempt, "only the attempt that is bound to a key may finish it");
+            binding.1 = true;
         }
     }
 
@@ -113,9 +113,9 @@
 
     /// Releases a key whose attempt is proven not to have run.
     pub fn once_not_run(&mut self, key: &Key, attempt: Attempt) {
-        if self.keys.get(key).is_some_and(|held| held.0 == attempt && !held.1) {
+        if self.keys.get(key).is_some_and(|binding| binding.0 == attempt && !binding.1) {
             self.keys.remove(key);
-            self.key_ages.retain(|(_, held)| held != key);
+            self.keys_by_age.retain(|(_, other_key)| other_key != key);
         }
     }
 
@@ -128,18 +128,18 @@
 
     fn check_offer(&self, job: &Job, now: Moment) -> Result<(), Refused> {
         let refuse = |reason, retry_after| Err(Refused { reason, retry_after });
-        if self.leaving {
+        if self.is_draining {
             return refuse(Refusal::Leaving, Duration::ZERO);
         }
-        if self.unhealthy {
-            return refuse(Refusal::Unhealthy, UNHEALTHY_RETRY);
+        if self.is_unhealthy {
+            return refuse(Refusal::Unhealthy, UNHEALTHY_RETRY_AFTER);
         }
-        if self.void.contains(job.attempt) {
+        if self.cancelled.contains(job.attempt) {
             return refuse(Refusal::Voided, Duration::ZERO);
         }
-        if self.over.contains(job.attempt)
+        if self.finished.contains(job.attempt)
             || self.running.contains_key(&job.attempt)
-            || self.queue.iter().any(|other| other.attempt == job.attempt)
+            || self.queue.iter().any(|queued| queued.attempt == job.attempt)
         {
             return refuse(Refusal::Repeated, Duration::ZERO);
         }
@@ -147,18 +147,18 @@
             return refuse(Refusal::TooLarge, Duration::ZERO);
         }
         if self.queue.len() >= self.limits.queue {
-            return refuse(Refusal::QueueFull, self.drained_in(job, now));
+            return refuse(Refusal::QueueFull, self.queue_wait(job, now));
         }
-        let needed = self.expect(job, now).1.mul_f64(MARGIN);
-        let left = job.deadline.since(now);
-        if needed > left {
-            return refuse(Refusal::TooLate, needed - left);
+        let needed = self.estimate_times(job, now).1.mul_f64(ESTIMATE_MARGIN);
+        let time_left = job.deadline.since(now);
+        if needed > time_left {
+            return refuse(Refusal::TooLate, needed - time_left);
         }
         Ok(())
     }
 
     /// Returns the expected times to the first token and to the complete answer of `job`.
-    fn expect(&self, job: &Job, now: Moment) -> (Duration, Duration) {
+    fn estimate_times(&self, job: &Job, now: Moment) -> (Duration, Duration) {
         let ahead = self.queue.cost_ahead(job, now) + self.prefill_ahead(job, now) + self.slot_wait(job, now);
         let ttft = ahead + job.cost;
         (ttft, ttft + self.estimate.decode(job.output_tokens))
@@ -171,20 +171,20 @@
         let running: Duration = self
             .running
             .values()
-            .filter(|run| run.first_token.is_none())
+            .filter(|run| run.first_token_at.is_none())
             .filter(|run| run.level >= level)
-            .map(|run| run.job.cost.saturating_sub(now.since(run.started)))
+            .map(|run| run.job.cost.saturating_sub(now.since(run.started_at)))
             .sum();
         running + spans
     }
 
     /// Returns the expected wait for a slot or memory; zero if `job` fits now.
     fn slot_wait(&self, job: &Job, now: Moment) -> Duration {
-        if self.room(now).fits(job) {
+        if self.capacity(now).fits(job) {
             return Duration::ZERO;
         }
-        let ends = self.running.values().map(|run| self.expected_left(run, now));
-        ends.min().unwrap_or(Duration::ZERO) + self.spans_wait(now)
+        let times_left = self.running.values().map(|run| self.expected_time_left(run, now));
+        times_left.min().unwrap_or(Duration::ZERO) + self.spans_wait(now)
     }
 
     /// Returns the expected time until the spans release their memory. Spans that are not filled yet count with their
@@ -194,13 +194,13 @@
         self.cost(unfilled) + self.spans.prefill_left(now)
     }
 
-    fn expected_left(&self, run: &Running, now: Moment) -> Duration {
-        let whole = run.job.cost + self.estimate.decode(run.job.output_tokens);
-        whole.saturating_sub(now.since(run.started))
+    fn expected_time_left(&self, run: &RunningJob, now: Moment) -> Duration {
+        let total = run.job.cost + self.estimate.decode(run.job.output_tokens);
+        total.saturating_sub(now.since(run.started_at))
     }
 
-    fn drained_in(&self, job: &Job, now: Moment) -> Duration {
-        self.expect(job, now).0.max(Duration::from_millis(10))
+    fn queue_wait(&self, job: &Job, now: Moment) -> Duration {
+        self.estimate_times(job, now).0.max(Duration::from_millis(10))
     }
 
     fn level(&self, job: &Job) -> Level {
@@ -213,38 +213,38 @@
     }
 
     /// Returns the free slots and memory.
-    fn room(&self, now: Moment) -> Room {
+    fn capacity(&self, now: Moment) -> Capacity {
         let share = if self.queue.keeps_headroom() { self.limits.short_share } else { 0.0 };
         let free_slots = self.limits.slots.saturating_sub(self.running.len());
-        Room {
+        Capacity {
             free_slots,
-            kept_slots: (self.limits.slots as f64 * share) as usize,
-            capacity: self.limits.memory_tokens,
+            reserved_slots: (self.limits.slots as f64 * share) as usize,
+            total_memory: self.limits.memory_tokens,
             free_memory: self.memory.free(),
-            kept_memory: (self.limits.memory_tokens as f64 * share) as u64,
-            wanted_memory: self.spans.wanted_tokens(now),
+            reserved_memory: (self.limits.memory_tokens as f64 * share) as u64,
+            span_memory: self.spans.wanted_tokens(now),
             short_tokens: self.limits.short_tokens,
         }
     }
 
     /// Returns the total delay that `job` would add to other jobs, whose prefill it pauses or precedes.
-    fn harm(&self, job: &Job, now: Moment) -> Duration {
+    fn interference(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
-        let paused = self.running.values().filter(|run| run.first_token.is_none() && run.level < level).count();
+        let paused = self.running.values().filter(|run| run.first_token_at.is_none() && run.level < level).count();
         let spans = usize::from(level > Level::Huge && !self.spans.prefill_left(now).is_zero());
         job.cost * (paused + spans) as u32
     }
 
     /// Returns the estimates for a job like `job`.
     pub fn quote(&self, job: &Job, now: Moment) -> Quote {
-        let (ttft, whole) = self.expect(job, now);
+        let (ttft, whole) = self.estimate_times(job, now);
         let waiting: u64 = self.queue.iter().map(|job| job.prefill_tokens + job.output_tokens).sum();
         let running: u64 = self.running.values().map(active_tokens).sum();
         let refused = self.check_offer(job, now).err();
         Quote {
             ttft,
             whole,
-            harm: self.harm(job, now),
+            harm: self.interference(job, now),
             open: refused.is_none(),
             retry_after: refused.map_or(Duration::ZERO, |refused| refused.retry_after),
             outstanding: (self.queue.len() + self.running.len()) as u32,
@@ -257,7 +257,7 @@
     /// Expires jobs whose deadlines passed and starts jobs that fit. Must be called after every change and on timers.
     pub fn advance(&mut self, now: Moment) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.forget(now);
+        self.prune(now);
         self.expire(now, &mut actions);
         for span in self.spans.lapsed(now) {
             self.spans.give_up(span);
@@ -269,8 +269,8 @@
             let attempt = job.attempt;
             let held = self.memory.hold(attempt, job.memory_tokens, job.deadline);
             crate::invariant!(held, "a job starts only with its memory held");
-            crate::invariant!(!self.void.contains(attempt), "a voided attempt never starts");
-            self.running.insert(attempt, Running { job, level, started: now, first_token: None });
+            crate::invariant!(!self.cancelled.contains(attempt), "a cancelled attempt never starts");
+            self.running.insert(attempt, RunningJob { job, level, started_at: now, first_token_at: None });
             actions.push(Action::Start(attempt, level));
         }
         crate::invariant!(self.running.len() <= self.limits.slots, "no more jobs run than there are slots");
@@ -278,44 +278,45 @@
     }
 
     fn take_next(&mut self, now: Moment) -> Option<Job> {
-        let room = self.room(now);
-        self.queue.pop(now, |job| room.fits(job))
+        let capacity = self.capacity(now);
+        self.queue.pop(now, |job| capacity.fits(job))
     }
 
     fn expire(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        let late: Vec<Attempt> = self.queue.iter().filter(|job| job.deadline <= now).map(|job| job.attempt).collect();
-        for attempt in late {
+        let expired: Vec<Attempt> =
+            self.queue.iter().filter(|job| job.deadline <= now).map(|job| job.attempt).collect();
+        for attempt in expired {
             self.queue.remove(attempt);
-            self.void.insert(attempt, now);
+            self.cancelled.insert(attempt, now);
             actions.push(Action::Expire(attempt));
         }
-        let over = self.running.values().filter(|run| run.job.deadline <= now);
-        actions.extend(over.map(|run| Action::Cancel(run.job.attempt)));
+        let overdue = self.running.values().filter(|run| run.job.deadline <= now);
+        actions.extend(overdue.map(|run| Action::Cancel(run.job.attempt)));
     }
 
     /// Evicts waiting jobs if the endpoint fails its health checks, and long ones that do not fit beside the memory
     /// that a new span waits for. Jobs that are accepted later take the span into account and stay.
     fn evict(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        let span_came = std::mem::take(&mut self.span_came);
-        if !span_came && !self.unhealthy {
+        let has_new_span = std::mem::take(&mut self.has_new_span);
+        if !has_new_span && !self.is_unhealthy {
             return;
         }
-        let room = self.room(now);
-        let stuck = |job: &&Job| self.unhealthy || (!room.fits(job) && self.level(job) != Level::Short);
-        let stuck: Vec<Attempt> = self.queue.iter().filter(stuck).map(|job| job.attempt).collect();
-        for attempt in stuck {
+        let capacity = self.capacity(now);
+        let is_stuck = |job: &&Job| self.is_unhealthy || (!capacity.fits(job) && self.level(job) != Level::Short);
+        let evicted: Vec<Attempt> = self.queue.iter().filter(is_stuck).map(|job| job.attempt).collect();
+        for attempt in evicted {
             self.queue.remove(attempt);
-            self.void.insert(attempt, now);
+            self.cancelled.insert(attempt, now);
             actions.push(Action::Evict(attempt));
         }
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn prune(&mut self, now: Moment) {
         let before = now - self.limits.window;
-        self.void.forget(before);
-        self.over.forget(before);
-        while self.key_ages.front().is_some_and(|(at, _)| *at < before) {
-            if let Some((_, key)) = self.key_ages.pop_front() {
+        self.cancelled.forget(before);
+        self.finished.forget(before);
+        while self.keys_by_age.front().is_some_and(|(at, _)| *at < before) {
+            if let Some((_, key)) = self.keys_by_age.pop_front() {
                 self.keys.remove(&key);
             }
         }
@@ -323,10 +324,10 @@
 
     /// Records the first token of an attempt and updates the estimates.
     pub fn first_token(&mut self, attempt: Attempt, now: Moment) {
-        let alone = self.running.values().filter(|run| run.first_token.is_none()).count() == 1;
+        let is_sole_prefill = self.running.values().filter(|run| run.first_token_at.is_none()).count() == 1;
         let Some(run) = self.running.get_mut(&attempt) else { return };
-        if run.first_token.replace(now).is_none() && alone {
-            self.estimate.learn_prefill(run.job.prefill_tokens, now.since(run.started));
+        if run.first_token_at.replace(now).is_none() && is_sole_prefill {
+            self.estimate.learn_prefill(run.job.prefill_tokens, now.since(run.started_at));
         }
     }
 
@@ -334,18 +335,18 @@
     pub fn finish(&mut self, attempt: Attempt, output_tokens: u64, now: Moment) {
         let Some(run) = self.running.remove(&attempt) else { return };
         self.memory.free_owner(attempt);
-        self.over.insert(attempt, now);
-        if let Some(first) = run.first_token {
-            self.estimate.learn_decode(output_tokens.saturating_sub(1), now.since(first));
+        self.finished.insert(attempt, now);
+        if let Some(first_token_at) = run.first_token_at {
+            self.estimate.learn_decode(output_tokens.saturating_sub(1), now.since(first_token_at));
         }
-        self.check_memory();
+        self.check_memory_accounting();
     }
 
-    fn check_memory(&self) {
+    fn check_memory_accounting(&self) {
         let spans = self.spans.tokens();
         let held = self.memory.held();
-        crate::invariant!(held >= spans, "every span's memory is held");
-        crate::invariant!(!self.running.is_empty() || held == spans, "an idle endpoint holds no memory but spans'");
+        crate::invariant!(held >= spans, "the memory of every span is held");
+        crate::invariant!(!self.running.is_empty() || held == spans, "an idle endpoint holds memory only for spans");
     }
 
     /// Reserves memory for a span under a lease until `until`. If too little memory is free, starts collecting it and
@@ -356,19 +357,19 @@
             held.until = until;
             return Ok(());
         }
-        if self.leaving || self.unhealthy {
-            let reason = if self.leaving { Refusal::Leaving } else { Refusal::Unhealthy };
-            return refuse(reason, UNHEALTHY_RETRY);
+        if self.is_draining || self.is_unhealthy {
+            let reason = if self.is_draining { Refusal::Leaving } else { Refusal::Unhealthy };
+            return refuse(reason, UNHEALTHY_RETRY_AFTER);
         }
         if tokens > self.limits.memory_tokens {
             return refuse(Refusal::TooLarge, Duration::ZERO);
         }
-        self.span_came |= !self.spans.is_wanted(span);
+        self.has_new_span |= !self.spans.is_wanted(span);
         if !self.spans.want(span, tokens, until, now) || !self.memory.hold(span, tokens, until) {
-            return refuse(Refusal::QueueFull, SPAN_RETRY);
+            return refuse(Refusal::QueueFull, SPAN_RETRY_AFTER);
         }
         self.spans.hold(span, tokens, until);
-        self.check_memory();
+        self.check_memory_accounting();
         Ok(())
     }
 
@@ -397,7 +398,7 @@
         if self.spans.freed(span) {
             self.memory.free_owner(span);
         }
-        self.check_memory();
+        self.check_memory_accounting();
     }
 
     /// Cancels an attempt if it has not started.
@@ -405,36 +406,36 @@
     /// If another attempt is bound to the key `once`, that attempt may run, so that the result is
     /// [`Voided::Started`].
     pub fn void(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> Voided {
-        let holder = once.and_then(|key| self.keys.get(key));
-        if holder.is_some_and(|(holder, _)| *holder != attempt) {
+        let binding = once.and_then(|key| self.keys.get(key));
+        if binding.is_some_and(|(bound_attempt, _)| *bound_attempt != attempt) {
             return Voided::Started;
         }
-        if self.running.contains_key(&attempt) || self.over.contains(attempt) {
+        if self.running.contains_key(&attempt) || self.finished.contains(attempt) {
             return Voided::Started;
         }
         self.queue.remove(attempt);
-        self.void.insert(attempt, now);
+        self.cancelled.insert(attempt, now);
         Voided::NotRun
     }
 
     /// Starts draining: refuses all new work.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_draining = true;
     }
 
     /// Stops draining: accepts new work again.
     pub fn stay(&mut self) {
-        self.leaving = false;
+        self.is_draining = false;
     }
 
     /// Sets whether the endpoint fails its health checks; while it does, new work is refused.
-    pub fn set_unhealthy(&mut self, unhealthy: bool) {
-        self.unhealthy = unhealthy;
+    pub fn set_unhealthy(&mut self, is_unhealthy: bool) {
+        self.is_unhealthy = is_unhealthy;
     }
 
     /// Returns whether the endpoint is draining.
     pub fn is_leaving(&self) -> bool {
-        self.leaving
+        self.is_draining
     }
 
     /// Returns whether no job runs or waits and no span is held.
@@ -468,7 +469,7 @@
     }
 }
 
-fn active_tokens(run: &Running) -> u64 {
-    let prefill = if run.first_token.is_none() { run.job.prefill_tokens } else { 0 };
+fn active_tokens(run: &RunningJob) -> u64 {
+    let prefill = if run.first_token_at.is_none() { run.job.prefill_tokens } else { 0 };
     prefill + run.job.output_tokens
 }
