--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use self::engine::{Engine, Seat};
-use self::granted::Granted;
-use self::health::Evidence;
-use self::order::Ranked;
-use self::place::Reach;
-use self::policy::SETTLING;
+use self::engine::{Engine, Sequence};
+use self::granted::GrantedJob;
+use self::health::EngineHealth;
+use self::order::Candidate;
+use self::place::CandidateScope;
+use self::policy::SETTLING_PERIOD;
 use coord::engine::Figures;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Policy, Team};
@@ -29,11 +29,11 @@
     /// Breaks ties between equally good engines, so that planners that do not know of each other choose differently.
     salt: u64,
     engines: BTreeMap<Name, Engine>,
-    evidence: Evidence,
+    health: EngineHealth,
     /// Time before which long prompts must wait, because not all entries have reported their running jobs yet.
     settled_at: Moment,
     waiting: BTreeMap<Id, Job>,
-    granted: BTreeMap<Id, Granted>,
+    granted: BTreeMap<Id, GrantedJob>,
 }
 
 impl Planner {
@@ -45,24 +45,24 @@
 
     /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
     pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
-        let mut old = std::mem::take(&mut self.engines);
-        for (name, figures) in engines {
-            let engine = match old.remove(&name) {
+        let mut previous = std::mem::take(&mut self.engines);
+        for (name, profile) in engines {
+            let engine = match previous.remove(&name) {
                 Some(mut engine) => {
-                    engine.figures = figures;
+                    engine.profile = profile;
                     engine
                 }
-                None => Engine::new(figures),
+                None => Engine::new(profile),
             };
             self.engines.insert(name, engine);
         }
-        self.evidence.keep(|name| self.engines.contains_key(name));
+        self.health.retain_engines(|name| self.engines.contains_key(name));
     }
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
     pub fn unsettle(&mut self, now: Moment) {
         if self.policy.settling {
-            self.settled_at = now + SETTLING;
+            self.settled_at = now + SETTLING_PERIOD;
         }
     }
 
@@ -76,55 +76,55 @@
         self.waiting.insert(id, job);
     }
 
-    /// Records a job that another planner granted. `reading` tells whether its prompt is still being prefilled.
-    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, reading: bool, now: Moment) {
+    /// Records a job that another planner granted. `is_prefilling` tells whether its prompt is still being prefilled.
+    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
         self.waiting.remove(&id);
         let parts = 1 + team.helpers.len();
-        let held: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
+        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
         let expected_ms = self.expected_ms(job, &team, now);
-        if reading {
+        if is_prefilling {
             for name in team.engines() {
                 let Some(engine) = self.engines.get_mut(name) else { continue };
-                let ms = engine.figures.part_ms(job.prompt, parts);
+                let ms = engine.profile.part_ms(job.prompt, parts);
                 engine.add_part(id, ms, now);
             }
         }
-        self.seat(&team.writer, id, needs(job).saturating_sub(held), job.gap_ms);
+        self.add_sequence(&team.writer, id, memory_tokens(job).saturating_sub(held_tokens), job.gap_ms);
         for helper in team.helpers.iter().filter(|helper| helper.holds > 0) {
-            self.seat(&helper.engine, id, helper.holds, job.gap_ms);
+            self.add_sequence(&helper.engine, id, helper.holds, job.gap_ms);
         }
-        self.granted.insert(id, Granted { team, at: now, expected_ms, watched: reading });
+        self.granted.insert(id, GrantedJob { team, granted_at: now, expected_ms, awaits_first_event: is_prefilling });
     }
 
     /// Returns the expected time from a grant at `now` to the first event, in milliseconds.
     fn expected_ms(&self, job: &Job, team: &Team, now: Moment) -> f64 {
         let engines = team.engines().filter_map(|name| self.engines.get(name));
-        let wait = engines.clone().map(|engine| engine.wait_ms(now)).fold(0.0, f64::max);
-        let pass = engines.map(Engine::pass_ms).fold(0.0, f64::max);
-        wait + self.cost_ms(job) / (1 + team.helpers.len()) as f64 + pass
+        let max_wait_ms = engines.clone().map(|engine| engine.wait_ms(now)).fold(0.0, f64::max);
+        let max_pass_ms = engines.map(Engine::pass_ms).fold(0.0, f64::max);
+        max_wait_ms + self.prefill_ms(job) / (1 + team.helpers.len()) as f64 + max_pass_ms
     }
 
-    fn seat(&mut self, engine: &Name, id: Id, tokens: u64, gap_ms: f64) {
+    fn add_sequence(&mut self, engine: &Name, id: Id, tokens: u64, gap_target_ms: f64) {
         if let Some(engine) = self.engines.get_mut(engine) {
-            engine.seats.insert(id, Seat { tokens, gap_ms });
+            engine.sequences.insert(id, Sequence { tokens, gap_target_ms });
         }
     }
 
     /// Records that a job produced its first event, which means that its prompt is prefilled.
     pub fn first_event(&mut self, id: Id, now: Moment) {
         let Some(granted) = self.granted.get_mut(&id) else { return };
-        let overdue = granted.is_overdue(now);
-        granted.watched = false;
+        let is_overdue = granted.is_overdue(now);
+        granted.awaits_first_event = false;
         let team = granted.team.clone();
         for name in team.engines() {
             if let Some(engine) = self.engines.get_mut(name) {
-                engine.drop_part(id, now);
+                engine.remove_part(id, now);
             }
-            match overdue && self.policy.suspicion {
-                false => self.evidence.succeeded(id.entry, name, now),
-                true if team.helpers.is_empty() => self.evidence.failed(id.entry, name, now),
+            match is_overdue && self.policy.suspicion {
+                false => self.health.record_success(id.entry, name, now),
+                true if team.helpers.is_empty() => self.health.record_failure(id.entry, name, now),
                 // Any engine of the team may be the slow one.
-                true => self.evidence.suspect(name, now),
+                true => self.health.require_trial(name, now),
             }
         }
     }
@@ -135,20 +135,21 @@
         let Some(granted) = self.granted.remove(&id) else { return };
         for name in granted.team.engines() {
             if let Some(engine) = self.engines.get_mut(name) {
-                engine.drop_part(id, now);
-                engine.seats.remove(&id);
+                engine.remove_part(id, now);
+                engine.sequences.remove(&id);
             }
         }
     }
 
-    /// Puts the engines of prompts with overdue first events on trial.
-    fn look_for_slow(&mut self, now: Moment) {
+    /// Requires trial requests of the engines of prompts with overdue first events.
+    fn suspect_overdue(&mut self, now: Moment) {
         if !self.policy.suspicion {
             return;
         }
-        for granted in self.granted.values_mut().filter(|granted| granted.watched && granted.is_overdue(now)) {
-            granted.watched = false;
-            granted.team.engines().for_each(|name| self.evidence.suspect(name, now));
+        for granted in self.granted.values_mut().filter(|granted| granted.awaits_first_event && granted.is_overdue(now))
+        {
+            granted.awaits_first_event = false;
+            granted.team.engines().for_each(|name| self.health.require_trial(name, now));
         }
     }
 
@@ -165,27 +166,27 @@
     /// failure.
     pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
         if self.policy.breakers && self.engines.contains_key(engine) {
-            self.evidence.failed(entry, engine, now);
+            self.health.record_failure(entry, engine, now);
         }
     }
 
     /// Grants the prompts that can start now.
     pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
-        self.look_for_slow(now);
+        self.suspect_overdue(now);
         let mut grants = Vec::new();
-        let mut held_back = false;
-        for Ranked { id, job, late, .. } in self.ranked(now) {
+        let mut has_unplaced = false;
+        for Candidate { id, job, is_late, .. } in self.list_ordered(now) {
             // A late prompt must not take engines that a prompt still in time waits for.
-            let reach = match late && held_back && self.policy.late_last {
-                true if self.policy.late_shared => Reach::Shared,
+            let scope = match is_late && has_unplaced && self.policy.late_last {
+                true if self.policy.late_shared => CandidateScope::SharedOnly,
                 true => break,
-                false => Reach::All,
+                false => CandidateScope::All,
             };
-            let placed = self.place(id, &job, reach, now);
-            held_back |= placed.is_none();
+            let placed = self.place(id, &job, scope, now);
+            has_unplaced |= placed.is_none();
             if let Some(grant) = placed {
                 self.adopt(id, &job, grant.team.clone(), true, now);
-                grant.team.engines().for_each(|engine| self.evidence.begin(engine, now));
+                grant.team.engines().for_each(|engine| self.health.record_request(engine, now));
                 grants.push(grant);
             }
         }
@@ -193,10 +194,10 @@
     }
 }
 
-/// Output tokens per job that memory is reserved for at most.
-const LIKELY_OUTPUT: u64 = 4_096;
+/// Largest number of output tokens that a job is expected to generate; no more memory is reserved for its answer.
+const MAX_RESERVED_OUTPUT_TOKENS: u64 = 4_096;
 
 /// Returns the memory that a job takes, in tokens.
-fn needs(job: &Job) -> u64 {
-    job.prompt + job.output.min(LIKELY_OUTPUT)
+fn memory_tokens(job: &Job) -> u64 {
+    job.prompt + job.output.min(MAX_RESERVED_OUTPUT_TOKENS)
 }
--- a/coord/tests/plain/place/mod.rs
+++ b/coord/tests/plain/place/mod.rs
@@ -11,26 +11,26 @@
 
 /// Engines that a prompt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum CandidateScope {
     /// Any of them.
     All,
     /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
-    Shared,
+    SharedOnly,
 }
 
-/// Prompt to be placed, with all that the selection of its engines depends on.
-struct Choice<'a> {
+/// Prompt to be placed, with the state that the selection of its engines depends on.
+struct PlacementContext<'a> {
     planner: &'a Planner,
     job: &'a Job,
     /// Eligible engines.
     engines: Vec<(&'a Name, &'a Engine)>,
-    reach: Reach,
+    scope: CandidateScope,
     /// Engine time to prefill the prompt, in milliseconds.
-    read_ms: f64,
+    prefill_ms: f64,
     now: Moment,
 }
 
-impl<'a> Choice<'a> {
+impl<'a> PlacementContext<'a> {
     fn policy(&self) -> &'a Policy {
         &self.planner.policy
     }
@@ -38,29 +38,29 @@
 
 impl Planner {
     /// Returns the engines for a prompt; `None` if the prompt must wait.
-    pub fn place(&self, id: Id, job: &Job, reach: Reach, now: Moment) -> Option<Grant> {
+    pub fn place(&self, id: Id, job: &Job, scope: CandidateScope, now: Moment) -> Option<Grant> {
         let engines = self.candidates(id.entry, now);
         if engines.is_empty() {
             return None;
         }
-        let choice = Choice { planner: self, job, engines, reach, read_ms: self.cost_ms(job), now };
+        let context = PlacementContext { planner: self, job, engines, scope, prefill_ms: self.prefill_ms(job), now };
         if self.is_short(job) {
-            return choice.short().map(|team| Grant { id, team, silent_after: None });
+            return context.select_short().map(|team| Grant { id, team, silent_after: None });
         }
-        if now < self.settled_at || reach == Reach::Shared {
+        if now < self.settled_at || scope == CandidateScope::SharedOnly {
             return None;
         }
-        choice.long().map(|team| Grant { id, team, silent_after: None })
+        context.select_team().map(|team| Grant { id, team, silent_after: None })
     }
 
     /// Returns the eligible engines for a job of `entry`. Recently failed engines are excluded as long as most
     /// engines remain: a failure that hits many engines at once has another cause.
     fn candidates(&self, entry: u64, now: Moment) -> Vec<(&Name, &Engine)> {
-        let admitted: Vec<_> = self.engines.iter().filter(|(name, _)| self.evidence.admits(name, now)).collect();
-        let most = admitted.len() as f64 > self.engines.len() as f64 * self.policy.least_usable;
-        let usable = if most { admitted } else { self.engines.iter().collect() };
-        let reached = |(name, _): &(&Name, &Engine)| self.evidence.reaches(entry, name, now);
-        let reached: Vec<_> = usable.iter().copied().filter(reached).collect();
-        if reached.is_empty() { usable } else { reached }
+        let allowed: Vec<_> = self.engines.iter().filter(|(name, _)| self.health.allows_request(name, now)).collect();
+        let leaves_most = allowed.len() as f64 > self.engines.len() as f64 * self.policy.least_usable;
+        let eligible = if leaves_most { allowed } else { self.engines.iter().collect() };
+        let reachable = |(name, _): &(&Name, &Engine)| self.health.can_reach(entry, name, now);
+        let reachable: Vec<_> = eligible.iter().copied().filter(reachable).collect();
+        if reachable.is_empty() { eligible } else { reachable }
     }
 }
--- a/coord/tests/planner_absent.rs
+++ b/coord/tests/planner_absent.rs
@@ -1,5 +1,5 @@
-//! Tests the planner after a freeze of its process or of an entry. Events that are handled late because of the freeze
-//! must not count against the engines.
+//! Tests the planner after a suspension of its process or of an entry. Events that are handled late because of the
+//! suspension must not count against the engines.
 
 mod common;
 #[path = "common/short.rs"]
@@ -13,9 +13,9 @@
 use coord::planner::{Grant, Id, Planner, Policy};
 use coord::time::Moment;
 
-/// Prompts that run on one engine when the freeze begins.
-const RUNNING: u64 = 12;
-const FROZEN: Duration = Duration::from_millis(1_500);
+/// Prompts that run on one engine when the suspension begins.
+const RUNNING_PROMPTS: u64 = 12;
+const SUSPENSION: Duration = Duration::from_millis(1_500);
 
 fn planner() -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
@@ -24,16 +24,16 @@
 }
 
 /// Submits prompts of an entry, numbered from `first`, and returns the grants.
-fn grant(planner: &mut Planner, entry: u64, first: u64, now: Moment) -> Vec<Grant> {
-    (first..first + RUNNING).for_each(|number| planner.submit(Id { entry, number }, short::job(500, now)));
+fn submit_and_pump(planner: &mut Planner, entry: u64, first: u64, now: Moment) -> Vec<Grant> {
+    (first..first + RUNNING_PROMPTS).for_each(|number| planner.submit(Id { entry, number }, short::job(500, now)));
     planner.pump(now)
 }
 
-fn writers(grants: &[Grant]) -> BTreeSet<Name> {
+fn decoding_engines(grants: &[Grant]) -> BTreeSet<Name> {
     grants.iter().map(|grant| grant.team.writer.clone()).collect()
 }
 
-fn answered(planner: &mut Planner, grants: &[Grant], now: Moment) {
+fn answer_all(planner: &mut Planner, grants: &[Grant], now: Moment) {
     for grant in grants {
         planner.first_event(grant.id, now);
         planner.end(grant.id, now);
@@ -41,49 +41,49 @@
 }
 
 #[test]
-fn engines_that_answered_while_the_planner_was_frozen_are_used_as_before() {
+fn engines_that_answered_while_the_planner_was_suspended_are_used_as_before() {
     let mut planner = planner();
     let now = Moment::from_millis(10_000);
-    let before = grant(&mut planner, 0, 0, now);
-    assert_eq!((before.len(), writers(&before).len()), (12, 1), "{before:?}");
-    let later = now + FROZEN;
-    planner.absent(None, FROZEN);
-    answered(&mut planner, &before, later);
-    let after = grant(&mut planner, 0, 100, later);
-    assert_eq!(writers(&after), writers(&before));
+    let before = submit_and_pump(&mut planner, 0, 0, now);
+    assert_eq!((before.len(), decoding_engines(&before).len()), (12, 1), "{before:?}");
+    let later = now + SUSPENSION;
+    planner.absent(None, SUSPENSION);
+    answer_all(&mut planner, &before, later);
+    let after = submit_and_pump(&mut planner, 0, 100, later);
+    assert_eq!(decoding_engines(&after), decoding_engines(&before));
 }
 
 #[test]
-fn engines_are_not_blamed_for_what_a_frozen_entry_reports_late() {
+fn engines_are_not_blamed_for_late_reports_of_a_suspended_entry() {
     let mut planner = planner();
     let now = Moment::from_millis(10_000);
-    let before = grant(&mut planner, 1, 0, now);
-    let later = now + FROZEN;
-    planner.absent(Some(1), FROZEN);
-    answered(&mut planner, &before, later);
-    let after = grant(&mut planner, 2, 100, later);
-    assert_eq!(writers(&after), writers(&before));
+    let before = submit_and_pump(&mut planner, 1, 0, now);
+    let later = now + SUSPENSION;
+    planner.absent(Some(1), SUSPENSION);
+    answer_all(&mut planner, &before, later);
+    let after = submit_and_pump(&mut planner, 2, 100, later);
+    assert_eq!(decoding_engines(&after), decoding_engines(&before));
 }
 
 #[test]
-fn an_engine_that_is_late_for_those_who_ran_is_left_out() {
+fn an_engine_that_is_late_for_a_running_entry_is_ejected() {
     let mut planner = planner();
     let now = Moment::from_millis(10_000);
-    let before = grant(&mut planner, 1, 0, now);
-    let later = now + FROZEN;
-    planner.absent(Some(2), FROZEN);
-    answered(&mut planner, &before, later);
-    let after = grant(&mut planner, 1, 100, later);
-    assert!(writers(&after).is_disjoint(&writers(&before)), "{after:?}");
+    let before = submit_and_pump(&mut planner, 1, 0, now);
+    let later = now + SUSPENSION;
+    planner.absent(Some(2), SUSPENSION);
+    answer_all(&mut planner, &before, later);
+    let after = submit_and_pump(&mut planner, 1, 100, later);
+    assert!(decoding_engines(&after).is_disjoint(&decoding_engines(&before)), "{after:?}");
 }
 
 #[test]
-fn an_engine_that_stays_silent_behind_a_freeze_is_left_out_in_the_end() {
+fn an_engine_that_stays_unresponsive_after_a_suspension_is_ejected() {
     let mut planner = planner();
     let now = Moment::from_millis(10_000);
-    let before = grant(&mut planner, 0, 0, now);
-    planner.absent(None, FROZEN);
-    let later = now + FROZEN + FROZEN;
-    let after = grant(&mut planner, 0, 100, later);
-    assert!(writers(&after).is_disjoint(&writers(&before)), "{after:?}");
+    let before = submit_and_pump(&mut planner, 0, 0, now);
+    planner.absent(None, SUSPENSION);
+    let later = now + SUSPENSION + SUSPENSION;
+    let after = submit_and_pump(&mut planner, 0, 100, later);
+    assert!(decoding_engines(&after).is_disjoint(&decoding_engines(&before)), "{after:?}");
 }
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_engine_that_starts_again_under_its_name_holds_nothing_of_before() {
+fn an_engine_that_restarts_under_its_name_is_empty() {
     let mut planner = planner(1);
     let now = Moment::from_millis(10_000);
     let mut granted = 0;
@@ -36,29 +36,29 @@
     assert!(granted > 0 && granted < 40, "{granted} of 40 fit");
     planner.failed(0, &"engine-00".into(), now);
     planner.restarted(&"engine-00".into());
-    let again = planner.pump(now + Duration::from_millis(1)).len();
-    assert!(again >= granted, "{again} after {granted}");
+    let granted_again = planner.pump(now + Duration::from_millis(1)).len();
+    assert!(granted_again >= granted, "{granted_again} after {granted}");
 }
 
-/// Submits `number` short prompts of the same work and returns their engines.
-fn writers(planner: &mut Planner, first: u64, number: u64, work: Option<Work>, now: Moment) -> Vec<Name> {
+/// Submits `number` short prompts with the same fingerprint and returns their engines.
+fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, work: Option<Work>, now: Moment) -> Vec<Name> {
     (first..first + number).for_each(|number| planner.submit(id(number), Job { work, ..short::job(3_000, now) }));
     planner.pump(now).into_iter().map(|grant| grant.team.writer).collect()
 }
 
 #[test]
-fn a_suspect_is_placed_apart_and_its_repeats_beside_it() {
+fn a_suspect_is_isolated_and_its_repeats_share_its_engine() {
     let mut planner = planner(8);
     let now = Moment::from_millis(10_000);
-    let others: BTreeSet<Name> = writers(&mut planner, 0, 12, None, now).into_iter().collect();
-    let work = |number: u8| Some(Work([number; 16]));
+    let others: BTreeSet<Name> = submit_and_pump(&mut planner, 0, 12, None, now).into_iter().collect();
+    let fingerprint = |number: u8| Some(Work([number; 16]));
     planner.set_suspects([1, 2].map(|number| Work([number; 16])));
-    let first = writers(&mut planner, 100, 5, work(1), now);
-    assert_eq!(first.len(), 5, "work that many ask for is served while it is suspected");
+    let first = submit_and_pump(&mut planner, 100, 5, fingerprint(1), now);
+    assert_eq!(first.len(), 5, "a request that many callers send is served while it is suspected");
     let first: BTreeSet<Name> = first.into_iter().collect();
     assert!(first.len() == 1 && first.is_disjoint(&others), "{first:?} beside {others:?}");
-    let second: BTreeSet<Name> = writers(&mut planner, 200, 1, work(2), now).into_iter().collect();
+    let second: BTreeSet<Name> = submit_and_pump(&mut planner, 200, 1, fingerprint(2), now).into_iter().collect();
     assert!(second.is_disjoint(&first) && second.is_disjoint(&others), "{second:?}");
-    let later: BTreeSet<Name> = writers(&mut planner, 300, 20, None, now).into_iter().collect();
+    let later: BTreeSet<Name> = submit_and_pump(&mut planner, 300, 20, None, now).into_iter().collect();
     assert!(later.is_disjoint(&first) && later.is_disjoint(&second), "{later:?}");
 }
--- a/coord/tests/planner_load/play.rs
+++ b/coord/tests/planner_load/play.rs
@@ -2,7 +2,7 @@
 //!
 //! An engine starts a pass when it has work: the pass prefills all parts that are pending at its start, and each
 //! sequence gets one event at its end. A prompt is served in time if the first event meets its target and no gap
-//! between two events exceeds its limit.
+//! between two events exceeds the gap target.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,27 +16,27 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::mix::Kind;
+use crate::mix::PromptKind;
 
 const ENGINES: usize = 60;
-/// Interval between two pumps of the planner, as in an entry that plans, in microseconds.
-const TICK: u64 = 10_000;
+/// Interval between two pumps of the planner, in microseconds; the leader of the entries uses the same interval.
+const PUMP_INTERVAL_US: u64 = 10_000;
 /// Longest delay before a caller retries after an outage of all entries, in microseconds.
-const COMING_BACK: u64 = 400_000;
+const MAX_RETRY_DELAY_US: u64 = 400_000;
 /// Value of a late answer as a share of the value of an answer in time.
-const LATE_WORTH: f64 = 0.25;
+const LATE_VALUE_SHARE: f64 = 0.25;
 /// Time for which a caller waits for a grant.
-const PATIENCE: Duration = Duration::from_millis(6_700);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(6_700);
 
 #[derive(Clone, Debug)]
 enum Event {
-    Arrive { kind: usize },
-    PassEnds { engine: usize },
+    Arrival { kind: usize },
+    PassEnd { engine: usize },
     GiveUp { number: u64 },
-    Silent { number: u64, at: u64 },
+    Unresponsive { number: u64, at: u64 },
     Tick,
-    LosePower { down: Duration },
-    ComeBack(Caller),
+    Outage { outage: Duration },
+    Retry(Caller),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -45,165 +45,165 @@
     tokens: u64,
     events: u64,
     /// Time at which the caller first sent the prompt, in microseconds.
-    since: u64,
+    first_sent_at: u64,
 }
 
 struct Prompt {
     kind: usize,
     tokens: u64,
     job: Job,
-    arrived: u64,
+    arrived_at: u64,
     /// Number of events of the whole answer.
     events: u64,
-    parts_left: usize,
+    parts_remaining: usize,
     /// Time of the last grant, in microseconds, and whether the answer to it is lost.
-    sent: u64,
-    lost: bool,
+    granted_at: u64,
+    is_lost: bool,
     /// Whether the prompt was ever granted.
-    read: bool,
-    writer: usize,
-    events_left: u32,
-    last_event: Option<u64>,
-    in_time: bool,
+    was_granted: bool,
+    decoder: usize,
+    events_remaining: u32,
+    last_event_at: Option<u64>,
+    is_in_time: bool,
     /// Time at which the prompt was refused or its caller gave up without a grant.
-    turned_away: Option<u64>,
+    refused_at: Option<u64>,
     /// Whether the caller sent the prompt again after an outage.
-    came_back: bool,
+    has_retried: bool,
 }
 
 impl Prompt {
     /// Classifies how the prompt was served.
-    fn outcome(&self, kind: &Kind) -> Served {
-        let answered = self.last_event.is_some() && !self.lost;
-        let in_time = answered && self.in_time;
-        let size = self.tokens as f64 / kind.prompts.mean();
-        let owed = (0.3 + 0.7 * size).min(4.0);
-        let earned = if in_time {
-            owed
-        } else if answered {
-            owed * LATE_WORTH
+    fn outcome(&self, kind: &PromptKind) -> Outcomes {
+        let is_answered = self.last_event_at.is_some() && !self.is_lost;
+        let is_in_time = is_answered && self.is_in_time;
+        let relative_size = self.tokens as f64 / kind.prompts.mean();
+        let value = (0.3 + 0.7 * relative_size).min(4.0);
+        let earned = if is_in_time {
+            value
+        } else if is_answered {
+            value * LATE_VALUE_SHARE
         } else {
             0.0
         };
-        Served {
+        Outcomes {
             all: 1,
-            in_time: u32::from(in_time),
-            late: u32::from(answered && !in_time),
-            turned_away: u32::from(self.turned_away.is_some()),
-            owed,
+            in_time: u32::from(is_in_time),
+            late: u32::from(is_answered && !is_in_time),
+            refused: u32::from(self.refused_at.is_some()),
+            value,
             earned,
-            held_ms: self.turned_away.map_or(0, |at| (at - self.arrived) / 1_000),
+            total_hold_ms: self.refused_at.map_or(0, |at| (at - self.arrived_at) / 1_000),
         }
     }
 }
 
 #[derive(Default)]
 struct Engine {
-    /// Pending prefill: number of the prompt, and milliseconds.
+    /// Pending prefill: prompt number and duration in milliseconds.
     parts: Vec<(u64, f64)>,
-    writers: Vec<u64>,
+    decoding: Vec<u64>,
     /// Prompts that the current pass prefills, and sequences that get an event at its end.
-    reading: Vec<u64>,
-    writing: Vec<u64>,
-    busy: bool,
+    prefilling: Vec<u64>,
+    emitting: Vec<u64>,
+    is_busy: bool,
 }
 
 /// Prompts of one kind, by how they were served.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Served {
+pub struct Outcomes {
     pub all: u32,
     pub in_time: u32,
-    /// Prompts whose first event or a later gap exceeded its limit.
+    /// Prompts whose first event or a later gap missed its target.
     pub late: u32,
-    pub turned_away: u32,
+    pub refused: u32,
     /// Total value of the prompts, by their sizes, and the value earned: all of it in time, a quarter late.
-    pub owed: f64,
+    pub value: f64,
     pub earned: f64,
     /// Total time that refused prompts had been held, in milliseconds.
-    held_ms: u64,
+    total_hold_ms: u64,
 }
 
-impl Served {
-    pub fn share(self) -> f64 {
+impl Outcomes {
+    pub fn in_time_share(self) -> f64 {
         f64::from(self.in_time) / f64::from(self.all.max(1))
     }
 
-    pub fn add(&mut self, other: Served) {
+    pub fn add(&mut self, other: Outcomes) {
         self.all += other.all;
         self.in_time += other.in_time;
         self.late += other.late;
-        self.owed += other.owed;
+        self.value += other.value;
         self.earned += other.earned;
-        self.turned_away += other.turned_away;
-        self.held_ms += other.held_ms;
+        self.refused += other.refused;
+        self.total_hold_ms += other.total_hold_ms;
     }
 
     /// Returns the share of the value that was earned.
-    pub fn worth(self) -> f64 {
-        self.earned / self.owed.max(f64::MIN_POSITIVE)
+    pub fn earned_share(self) -> f64 {
+        self.earned / self.value.max(f64::MIN_POSITIVE)
     }
 
     /// Returns the mean time that refused prompts had been held, in milliseconds.
-    pub fn mean_held_ms(self) -> f64 {
-        self.held_ms as f64 / f64::from(self.turned_away.max(1))
+    pub fn mean_hold_ms(self) -> f64 {
+        self.total_hold_ms as f64 / f64::from(self.refused.max(1))
     }
 }
 
-pub struct Play {
+pub struct Simulation {
     policy: Policy,
     /// End of the outage of all entries, if there is one.
-    down_until: Option<u64>,
+    outage_until: Option<u64>,
     planner: Planner,
     figures: Arc<Figures>,
     engines: Vec<Engine>,
     prompts: BTreeMap<u64, Prompt>,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     /// Slow engines and their slowdown factor.
     pub slow: (std::ops::Range<usize>, f64),
-    /// Share of the answers that are lost: engines prefill and decode, but the caller receives nothing.
-    pub lost: f64,
-    next: u64,
+    /// Share of the answers that are lost: engines prefill and decode, but the caller receives no event.
+    pub lost_share: f64,
+    next_number: u64,
     rng: StdRng,
     /// Separate random source for lost answers, so that arrivals do not depend on the grants.
-    luck: StdRng,
+    loss_rng: StdRng,
     now: u64,
 }
 
-impl Play {
+impl Simulation {
     pub fn new(policy: Policy, figures: Arc<Figures>, seed: u64) -> Self {
         let planner = planner(policy, &figures);
         let engines = (0..ENGINES).map(|_| Engine::default()).collect();
         let rng = StdRng::seed_from_u64(seed);
-        let (queue, events) = (BinaryHeap::new(), BTreeMap::new());
+        let (event_queue, events) = (BinaryHeap::new(), BTreeMap::new());
         Self {
             policy,
-            down_until: None,
+            outage_until: None,
             planner,
             figures,
             engines,
             prompts: BTreeMap::new(),
-            queue,
+            event_queue,
             events,
             slow: (0..0, 1.0),
-            lost: 0.0,
-            next: 0,
+            lost_share: 0.0,
+            next_number: 0,
             rng,
-            luck: StdRng::seed_from_u64(!seed),
+            loss_rng: StdRng::seed_from_u64(!seed),
             now: 1_000_000,
         }
     }
 
-    /// Schedules a power loss of all entries at `second`, for the time `down`.
-    pub fn lose_power_at(&mut self, second: f64, down: Duration) {
-        self.schedule((second * 1e6) as u64, Event::LosePower { down });
+    /// Schedules an outage of all entries that starts at `second` and lasts for `outage`.
+    pub fn schedule_outage(&mut self, second: f64, outage: Duration) {
+        self.schedule((second * 1e6) as u64, Event::Outage { outage });
     }
 
     /// Reports the slowdown factors of slow engines to the planner.
-    pub fn tell_pace(&mut self) {
-        let (slow, pace) = self.slow.clone();
+    pub fn report_slowdown(&mut self) {
+        let (slow, slowdown) = self.slow.clone();
         for index in slow {
-            self.planner.set_pace(&name(index), pace);
+            self.planner.set_pace(&name(index), slowdown);
         }
     }
 
@@ -212,123 +212,127 @@
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        self.next += 1;
-        self.events.insert(self.next, event);
-        self.queue.push(Reverse((at, self.next)));
+        self.next_number += 1;
+        self.events.insert(self.next_number, event);
+        self.event_queue.push(Reverse((at, self.next_number)));
     }
 
-    /// Runs the load for `span`; returns the results by kind of prompt, and those of prompts with at least `large`
-    /// tokens.
-    pub fn run(mut self, kinds: &[Kind], span: Duration, large: u64) -> (Vec<Served>, Served) {
+    /// Runs the load for `span`; returns the results by kind of prompt, and those of prompts with at least
+    /// `min_large_tokens` tokens.
+    pub fn run(mut self, kinds: &[PromptKind], span: Duration, min_large_tokens: u64) -> (Vec<Outcomes>, Outcomes) {
         let end = self.now + span.as_micros() as u64;
         for kind in 0..kinds.len() {
-            self.schedule(self.now, Event::Arrive { kind });
+            self.schedule(self.now, Event::Arrival { kind });
         }
         self.schedule(self.now, Event::Tick);
-        while let Some(Reverse((at, number))) = self.queue.pop() {
+        while let Some(Reverse((at, number))) = self.event_queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
             match self.events.remove(&number) {
-                Some(Event::Arrive { kind }) => self.arrive(kinds, kind),
-                Some(Event::PassEnds { engine }) => self.end_pass(kinds, engine),
-                Some(Event::GiveUp { number }) => self.turn_away(number),
-                Some(Event::Silent { number, at }) => self.send_again(number, at),
-                Some(Event::LosePower { down }) => self.lose_power(down),
-                Some(Event::ComeBack(caller)) => self.submit(kinds, &caller),
-                Some(Event::Tick) => self.schedule(self.now + TICK, Event::Tick),
+                Some(Event::Arrival { kind }) => self.arrive(kinds, kind),
+                Some(Event::PassEnd { engine }) => self.end_pass(kinds, engine),
+                Some(Event::GiveUp { number }) => self.refuse(number),
+                Some(Event::Unresponsive { number, at }) => self.resend(number, at),
+                Some(Event::Outage { outage }) => self.start_outage(outage),
+                Some(Event::Retry(caller)) => self.submit(kinds, &caller),
+                Some(Event::Tick) => self.schedule(self.now + PUMP_INTERVAL_US, Event::Tick),
                 None => {}
             }
             self.pump();
         }
         // The last arrivals had too little time to be served.
-        let settled = |prompt: &&Prompt| prompt.arrived + 6_000_000 < end && !prompt.came_back;
-        let mut served = vec![Served::default(); kinds.len()];
-        let mut largest = Served::default();
-        for prompt in self.prompts.values().filter(settled) {
-            let one = prompt.outcome(&kinds[prompt.kind]);
-            served[prompt.kind].add(one);
-            if prompt.tokens >= large {
-                largest.add(one);
+        let is_settled = |prompt: &&Prompt| prompt.arrived_at + 6_000_000 < end && !prompt.has_retried;
+        let mut by_kind = vec![Outcomes::default(); kinds.len()];
+        let mut largest = Outcomes::default();
+        for prompt in self.prompts.values().filter(is_settled) {
+            let outcomes = prompt.outcome(&kinds[prompt.kind]);
+            by_kind[prompt.kind].add(outcomes);
+            if prompt.tokens >= min_large_tokens {
+                largest.add(outcomes);
             }
         }
-        (served, largest)
+        (by_kind, largest)
     }
 
-    fn arrive(&mut self, kinds: &[Kind], kind: usize) {
-        let told = &kinds[kind];
-        let tokens = told.prompts.draw(&mut self.rng);
-        let events = told.events.draw(&mut self.rng).max(1);
-        let wait = -self.rng.random_range(1e-9..1.0f64).ln() / (told.per_s)(self.now as f64 / 1e6);
-        self.schedule(self.now + (wait * 1e6) as u64, Event::Arrive { kind });
-        let caller = Caller { kind, tokens, events, since: self.now };
-        match self.down_until {
-            Some(until) if self.now < until => self.come_back(caller, until),
+    fn arrive(&mut self, kinds: &[PromptKind], kind: usize) {
+        let spec = &kinds[kind];
+        let tokens = spec.prompts.sample(&mut self.rng);
+        let events = spec.events.sample(&mut self.rng).max(1);
+        let wait = -self.rng.random_range(1e-9..1.0f64).ln() / (spec.arrivals_per_s)(self.now as f64 / 1e6);
+        self.schedule(self.now + (wait * 1e6) as u64, Event::Arrival { kind });
+        let caller = Caller { kind, tokens, events, first_sent_at: self.now };
+        match self.outage_until {
+            Some(until) if self.now < until => self.schedule_retry(caller, until),
             _ => self.submit(kinds, &caller),
         }
     }
 
     /// Schedules a retry of a caller soon after the outage ends at `until`.
-    fn come_back(&mut self, caller: Caller, until: u64) {
-        let at = until + self.luck.random_range(0..COMING_BACK);
-        self.schedule(at, Event::ComeBack(caller));
+    fn schedule_retry(&mut self, caller: Caller, until: u64) {
+        let at = until + self.loss_rng.random_range(0..MAX_RETRY_DELAY_US);
+        self.schedule(at, Event::Retry(caller));
     }
 
-    fn submit(&mut self, kinds: &[Kind], caller: &Caller) {
-        let Caller { kind, tokens, events, since } = *caller;
-        let told = &kinds[kind];
+    fn submit(&mut self, kinds: &[PromptKind], caller: &Caller) {
+        let Caller { kind, tokens, events, first_sent_at } = *caller;
+        let spec = &kinds[kind];
         let millis = Duration::from_millis;
         let stride = u64::from(self.figures.stride);
         let job = Job {
             prompt: tokens,
             output: events * stride,
-            aim: self.moment() + millis(told.aim_ms),
-            gap_ms: told.gap_ms,
-            deadline: self.moment() + PATIENCE,
+            aim: self.moment() + millis(spec.first_event_target_ms),
+            gap_ms: spec.gap_target_ms,
+            deadline: self.moment() + GRANT_TIMEOUT,
             priority: 1,
             work: None,
         };
-        self.next += 1;
-        let number = self.next;
+        self.next_number += 1;
+        let number = self.next_number;
         let prompt = Prompt {
             kind,
             tokens,
             job,
-            arrived: since,
+            arrived_at: first_sent_at,
             events,
-            parts_left: 0,
-            sent: 0,
-            lost: false,
-            read: false,
-            writer: 0,
-            events_left: events as u32,
-            last_event: None,
-            in_time: true,
-            turned_away: None,
-            came_back: false,
+            parts_remaining: 0,
+            granted_at: 0,
+            is_lost: false,
+            was_granted: false,
+            decoder: 0,
+            events_remaining: events as u32,
+            last_event_at: None,
+            is_in_time: true,
+            refused_at: None,
+            has_retried: false,
         };
         self.prompts.insert(number, prompt);
-        self.schedule(self.now + PATIENCE.as_micros() as u64, Event::GiveUp { number });
+        self.schedule(self.now + GRANT_TIMEOUT.as_micros() as u64, Event::GiveUp { number });
         self.planner.submit(Id { entry: 0, number }, job);
     }
 
-    /// Simulates a power loss of all entries: the engines keep decoding for callers that are gone, and the next
-    /// planner knows nothing of these sequences.
-    fn lose_power(&mut self, down: Duration) {
-        let until = self.now + down.as_micros() as u64;
-        self.down_until = Some(until);
+    /// Simulates an outage of all entries: the engines keep decoding for callers that are gone, and the next planner
+    /// knows nothing of these sequences.
+    fn start_outage(&mut self, outage: Duration) {
+        let until = self.now + outage.as_micros() as u64;
+        self.outage_until = Some(until);
         let numbers: Vec<u64> = self.prompts.keys().copied().collect();
         for number in numbers {
             let prompt = &self.prompts[&number];
-            if prompt.events_left == 0 || prompt.lost || prompt.turned_away.is_some() {
+            if prompt.events_remaining == 0 || prompt.is_lost || prompt.refused_at.is_some() {
                 continue;
             }
-            let caller =
-                Caller { kind: prompt.kind, tokens: prompt.tokens, events: prompt.events, since: prompt.arrived };
-            self.come_back(caller, until);
+            let caller = Caller {
+                kind: prompt.kind,
+                tokens: prompt.tokens,
+                events: prompt.events,
+                first_sent_at: prompt.arrived_at,
+            };
+            self.schedule_retry(caller, until);
             if let Some(prompt) = self.prompts.get_mut(&number) {
-                (prompt.lost, prompt.came_back) = (true, true);
+                (prompt.is_lost, prompt.has_retried) = (true, true);
             }
         }
         self.planner = planner(self.policy, &self.figures);
@@ -337,115 +341,115 @@
 
     fn pump(&mut self) {
         for Grant { id, team, silent_after } in self.planner.pump(self.moment()) {
-            let lost = self.luck.random_bool(self.lost);
-            let places: Vec<usize> = team.engines().map(place).collect();
+            let is_lost = self.loss_rng.random_bool(self.lost_share);
+            let engine_indexes: Vec<usize> = team.engines().map(engine_index).collect();
             let Some(prompt) = self.prompts.get_mut(&id.number) else { continue };
-            prompt.parts_left = places.len();
-            prompt.read = true;
-            (prompt.sent, prompt.lost) = (self.now, lost);
-            prompt.writer = places[0];
-            let part_ms = self.figures.part_ms(prompt.tokens, places.len());
-            if let Some(after) = silent_after {
-                let event = Event::Silent { number: id.number, at: self.now };
-                self.schedule(self.now + after.as_micros() as u64, event);
+            prompt.parts_remaining = engine_indexes.len();
+            prompt.was_granted = true;
+            (prompt.granted_at, prompt.is_lost) = (self.now, is_lost);
+            prompt.decoder = engine_indexes[0];
+            let part_ms = self.figures.part_ms(prompt.tokens, engine_indexes.len());
+            if let Some(timeout) = silent_after {
+                let event = Event::Unresponsive { number: id.number, at: self.now };
+                self.schedule(self.now + timeout.as_micros() as u64, event);
             }
-            for engine in places {
+            for engine in engine_indexes {
                 self.engines[engine].parts.push((id.number, part_ms));
                 self.begin_pass(engine);
             }
         }
         for refusal in self.planner.refuse(self.moment()) {
-            self.turn_away(refusal.id.number);
+            self.refuse(refusal.id.number);
         }
     }
 
     /// Refuses a prompt that has no engines, or lets its caller give up.
-    fn turn_away(&mut self, number: u64) {
-        let Some(prompt) = self.prompts.get_mut(&number).filter(|prompt| prompt.parts_left == 0) else { return };
-        if prompt.last_event.is_none() && prompt.turned_away.is_none() && !prompt.read {
-            prompt.turned_away = Some(self.now);
+    fn refuse(&mut self, number: u64) {
+        let Some(prompt) = self.prompts.get_mut(&number).filter(|prompt| prompt.parts_remaining == 0) else { return };
+        if prompt.last_event_at.is_none() && prompt.refused_at.is_none() && !prompt.was_granted {
+            prompt.refused_at = Some(self.now);
             let moment = self.moment();
             self.planner.end(Id { entry: 0, number }, moment);
         }
     }
 
     /// Withdraws a prompt from unresponsive engines and submits it again.
-    fn send_again(&mut self, number: u64, at: u64) {
+    fn resend(&mut self, number: u64, at: u64) {
         let moment = self.moment();
         let Some(prompt) = self.prompts.get_mut(&number) else { return };
-        // The entry that watched this prompt is gone if the caller has retried.
-        let is_over = prompt.events_left == 0 || prompt.sent != at || prompt.came_back;
-        if is_over || (prompt.last_event.is_some() && !prompt.lost) {
+        // After an outage, the entry that waited for the first event is gone.
+        let is_finished = prompt.events_remaining == 0 || prompt.granted_at != at || prompt.has_retried;
+        if is_finished || (prompt.last_event_at.is_some() && !prompt.is_lost) {
             return;
         }
         let id = Id { entry: 0, number };
         self.planner.silent(id, moment);
         self.planner.end(id, moment);
         self.planner.submit(id, prompt.job);
-        (prompt.parts_left, prompt.last_event) = (0, None);
+        (prompt.parts_remaining, prompt.last_event_at) = (0, None);
         for engine in &mut self.engines {
             engine.parts.retain(|(other, _)| *other != number);
-            engine.reading.retain(|other| *other != number);
-            engine.writers.retain(|other| *other != number);
-            engine.writing.retain(|other| *other != number);
+            engine.prefilling.retain(|other| *other != number);
+            engine.decoding.retain(|other| *other != number);
+            engine.emitting.retain(|other| *other != number);
         }
     }
 
     fn begin_pass(&mut self, engine: usize) {
-        let state = &mut self.engines[engine];
-        if state.busy || (state.parts.is_empty() && state.writers.is_empty()) {
+        let engine_state = &mut self.engines[engine];
+        if engine_state.is_busy || (engine_state.parts.is_empty() && engine_state.decoding.is_empty()) {
             return;
         }
-        let context: u64 = state.writers.iter().map(|number| self.prompts[number].tokens).sum();
-        let writers = state.writers.len() as u32;
-        let pass_ms = if writers == 0 { 0.0 } else { self.figures.pass_ms(writers, context) };
-        let read_ms: f64 = state.parts.iter().map(|(_, ms)| ms).sum();
-        state.reading = state.parts.drain(..).map(|(number, _)| number).collect();
-        state.writing = state.writers.clone();
-        state.busy = true;
-        let pace = if self.slow.0.contains(&engine) { self.slow.1 } else { 1.0 };
-        let ends = self.now + ((pass_ms + read_ms).max(1.0) * pace * 1e3) as u64;
-        self.schedule(ends, Event::PassEnds { engine });
+        let context: u64 = engine_state.decoding.iter().map(|number| self.prompts[number].tokens).sum();
+        let decoding = engine_state.decoding.len() as u32;
+        let pass_ms = if decoding == 0 { 0.0 } else { self.figures.pass_ms(decoding, context) };
+        let read_ms: f64 = engine_state.parts.iter().map(|(_, ms)| ms).sum();
+        engine_state.prefilling = engine_state.parts.drain(..).map(|(number, _)| number).collect();
+        engine_state.emitting = engine_state.decoding.clone();
+        engine_state.is_busy = true;
+        let slowdown = if self.slow.0.contains(&engine) { self.slow.1 } else { 1.0 };
+        let ends_at = self.now + ((pass_ms + read_ms).max(1.0) * slowdown * 1e3) as u64;
+        self.schedule(ends_at, Event::PassEnd { engine });
     }
 
-    fn end_pass(&mut self, kinds: &[Kind], engine: usize) {
-        self.engines[engine].busy = false;
-        for number in std::mem::take(&mut self.engines[engine].writing) {
-            self.write(kinds, engine, number);
+    fn end_pass(&mut self, kinds: &[PromptKind], engine: usize) {
+        self.engines[engine].is_busy = false;
+        for number in std::mem::take(&mut self.engines[engine].emitting) {
+            self.emit_event(kinds, engine, number);
         }
-        for number in std::mem::take(&mut self.engines[engine].reading) {
+        for number in std::mem::take(&mut self.engines[engine].prefilling) {
             let Some(prompt) = self.prompts.get_mut(&number) else { continue };
-            prompt.parts_left -= 1;
-            if prompt.parts_left == 0 {
+            prompt.parts_remaining -= 1;
+            if prompt.parts_remaining == 0 {
                 // The pass that prefills the last part produces the first event.
-                let writer = prompt.writer;
-                self.engines[writer].writers.push(number);
-                self.write(kinds, writer, number);
-                self.begin_pass(writer);
+                let decoder = prompt.decoder;
+                self.engines[decoder].decoding.push(number);
+                self.emit_event(kinds, decoder, number);
+                self.begin_pass(decoder);
             }
         }
         self.begin_pass(engine);
     }
 
     /// Produces one event of an answer.
-    fn write(&mut self, kinds: &[Kind], engine: usize, number: u64) {
+    fn emit_event(&mut self, kinds: &[PromptKind], engine: usize, number: u64) {
         let moment = self.moment();
         let Some(prompt) = self.prompts.get_mut(&number) else { return };
         let kind = &kinds[prompt.kind];
         let id = Id { entry: 0, number };
-        match prompt.last_event {
-            // Nobody receives the event.
-            _ if prompt.lost => {}
+        match prompt.last_event_at {
+            // No caller receives the event.
+            _ if prompt.is_lost => {}
             None => {
-                prompt.in_time &= self.now - prompt.arrived <= kind.aim_ms * 1_000;
+                prompt.is_in_time &= self.now - prompt.arrived_at <= kind.first_event_target_ms * 1_000;
                 self.planner.first_event(id, moment);
             }
-            Some(last) => prompt.in_time &= (self.now - last) as f64 <= kind.gap_ms * 1e3,
+            Some(last_event_at) => prompt.is_in_time &= (self.now - last_event_at) as f64 <= kind.gap_target_ms * 1e3,
         }
-        prompt.last_event = Some(self.now);
-        prompt.events_left -= 1;
-        if prompt.events_left == 0 {
-            self.engines[engine].writers.retain(|writer| *writer != number);
+        prompt.last_event_at = Some(self.now);
+        prompt.events_remaining -= 1;
+        if prompt.events_remaining == 0 {
+            self.engines[engine].decoding.retain(|decoder| *decoder != number);
             self.planner.end(id, moment);
         }
     }
@@ -461,6 +465,6 @@
     format!("engine-{index:02}").into()
 }
 
-fn place(engine: &Name) -> usize {
-    engine.trim_start_matches("engine-").parse().expect("an engine of this play")
+fn engine_index(engine: &Name) -> usize {
+    engine.trim_start_matches("engine-").parse().expect("an engine of this simulation")
 }
--- a/coord/tests/planner_load/turnover.rs
+++ b/coord/tests/planner_load/turnover.rs
@@ -6,11 +6,11 @@
 use coord::engine::Figures;
 use coord::planner::Policy;
 
-use crate::mix::{Count, Kind};
-use crate::play::{Play, Served};
+use crate::mix::{Distribution, PromptKind};
+use crate::play::{Outcomes, Simulation};
 
-/// Returns engines with a large model, where attention dominates the cost of long prompts.
-fn figures() -> Arc<Figures> {
+/// Returns the profile of engines with a large model, where attention dominates the prefill time of long prompts.
+fn large_model_profile() -> Arc<Figures> {
     Arc::new(Figures {
         slots: 12,
         memory: 344_250,
@@ -26,36 +26,36 @@
 }
 
 /// Time for which the mix stays the same, in seconds.
-const TURN_S: f64 = 9.5;
+const PHASE_S: f64 = 9.5;
 
-fn is_short_turn(second: f64) -> bool {
-    ((second / TURN_S) as u64).is_multiple_of(2)
+fn is_short_phase(second: f64) -> bool {
+    ((second / PHASE_S) as u64).is_multiple_of(2)
 }
 
-/// Alternates between 2.4 times the rate of short prompts with hardly any of the longest, and few short ones with 2.7
-/// times the rate of the longest.
-fn mix() -> [Kind; 3] {
+/// Returns a mix that alternates between two phases: 2.4 times the rate of short prompts with hardly any of the
+/// longest, and few short prompts with 2.7 times the rate of the longest.
+fn alternating_mix() -> [PromptKind; 3] {
     [
-        Kind {
-            per_s: |second| if is_short_turn(second) { 171.0 } else { 21.0 },
-            prompts: Count::Skewed(4_960.0, 0.9, 23_800.0),
-            aim_ms: 300,
-            gap_ms: 250.0,
-            events: Count::Skewed(35.7, 0.7, 89.0),
+        PromptKind {
+            arrivals_per_s: |second| if is_short_phase(second) { 171.0 } else { 21.0 },
+            prompts: Distribution::LogNormal(4_960.0, 0.9, 23_800.0),
+            first_event_target_ms: 300,
+            gap_target_ms: 250.0,
+            events: Distribution::LogNormal(35.7, 0.7, 89.0),
         },
-        Kind {
-            per_s: |second| if is_short_turn(second) { 4.3 } else { 11.3 },
-            prompts: Count::Skewed(45_000.0, 0.5, 110_000.0),
-            aim_ms: 1_500,
-            gap_ms: 600.0,
-            events: Count::Skewed(21.4, 0.6, 53.0),
+        PromptKind {
+            arrivals_per_s: |second| if is_short_phase(second) { 4.3 } else { 11.3 },
+            prompts: Distribution::LogNormal(45_000.0, 0.5, 110_000.0),
+            first_event_target_ms: 1_500,
+            gap_target_ms: 600.0,
+            events: Distribution::LogNormal(21.4, 0.6, 53.0),
         },
-        Kind {
-            per_s: |second| if is_short_turn(second) { 0.08 } else { 4.4 },
-            prompts: Count::Skewed(260_000.0, 0.55, 900_000.0),
-            aim_ms: 4_000,
-            gap_ms: 1_000.0,
-            events: Count::Skewed(17.8, 0.5, 44.0),
+        PromptKind {
+            arrivals_per_s: |second| if is_short_phase(second) { 0.08 } else { 4.4 },
+            prompts: Distribution::LogNormal(260_000.0, 0.55, 900_000.0),
+            first_event_target_ms: 4_000,
+            gap_target_ms: 1_000.0,
+            events: Distribution::LogNormal(17.8, 0.5, 44.0),
         },
     ]
 }
@@ -67,62 +67,62 @@
     /// The given number of engines is slow by the given factor.
     Slow(usize, f64),
     /// Like `Slow`, with the slowdown reported to the planner.
-    SlowAndTold(usize, f64),
-    /// All entries lose power at the given time, in seconds.
-    Loss(f64),
+    SlowAndReported(usize, f64),
+    /// All entries fail at the given time, in seconds.
+    EntryOutage(f64),
 }
 
 /// Returns the results by kind of prompt, summed over several seeds.
-fn played(policy: Policy, fault: Fault) -> Vec<Served> {
-    let kinds = mix();
-    let mut sums = vec![Served::default(); kinds.len()];
+fn simulate(policy: Policy, fault: Fault) -> Vec<Outcomes> {
+    let kinds = alternating_mix();
+    let mut totals = vec![Outcomes::default(); kinds.len()];
     for seed in 1..=3 {
-        let mut play = Play::new(policy, figures(), seed);
+        let mut simulation = Simulation::new(policy, large_model_profile(), seed);
         match fault {
             Fault::None => {}
-            Fault::Slow(engines, pace) => play.slow = (0..engines, pace),
-            Fault::SlowAndTold(engines, pace) => {
-                play.slow = (0..engines, pace);
-                play.tell_pace();
+            Fault::Slow(engines, slowdown) => simulation.slow = (0..engines, slowdown),
+            Fault::SlowAndReported(engines, slowdown) => {
+                simulation.slow = (0..engines, slowdown);
+                simulation.report_slowdown();
             }
-            Fault::Loss(second) => play.lose_power_at(second, Duration::from_secs(2)),
+            Fault::EntryOutage(second) => simulation.schedule_outage(second, Duration::from_secs(2)),
         }
-        let (served, _) = play.run(&kinds, Duration::from_secs(35), u64::MAX);
-        sums.iter_mut().zip(served).for_each(|(sum, one)| sum.add(one));
+        let (by_kind, _) = simulation.run(&kinds, Duration::from_secs(35), u64::MAX);
+        totals.iter_mut().zip(by_kind).for_each(|(total, outcomes)| total.add(outcomes));
     }
-    sums
+    totals
 }
 
-/// Returns the earned share of the value for short, middle and longest prompts.
-fn worth(policy: Policy, fault: Fault) -> [f64; 3] {
-    let served = played(policy, fault);
-    [served[0].worth(), served[1].worth(), served[2].worth()]
+/// Returns the earned share of the value for the short, the middle and the longest prompts.
+fn earned_shares(policy: Policy, fault: Fault) -> [f64; 3] {
+    let by_kind = simulate(policy, fault);
+    [by_kind[0].earned_share(), by_kind[1].earned_share(), by_kind[2].earned_share()]
 }
 
 #[test]
-fn while_the_mix_turns_over_all_kinds_are_in_time_since_short_prompts_share_few_engines() {
-    let with = worth(Policy::default(), Fault::None);
-    let without = worth(Policy { packing: false, ..Policy::default() }, Fault::None);
-    assert!(with.iter().all(|worth| *worth >= 0.92), "{with:?}");
+fn while_the_mix_alternates_packing_short_prompts_keeps_all_kinds_in_time() {
+    let with = earned_shares(Policy::default(), Fault::None);
+    let without = earned_shares(Policy { packing: false, ..Policy::default() }, Fault::None);
+    assert!(with.iter().all(|share| *share >= 0.92), "{with:?}");
     assert!(with[2] >= without[2] + 0.05, "{with:?} and {without:?}");
 }
 
 #[test]
-fn engines_that_tell_that_they_are_slow_hold_nobody_up() {
-    for (engines, pace) in [(7, 3.4), (15, 2.0)] {
-        let told = worth(Policy::default(), Fault::SlowAndTold(engines, pace));
-        let untold = worth(Policy::default(), Fault::Slow(engines, pace));
-        assert!(told[0] >= untold[0] + 0.02, "short prompts: {told:?} and {untold:?}");
-        assert!(told[1] >= untold[1], "middle ones: {told:?} and {untold:?}");
+fn engines_that_report_a_slowdown_delay_no_other_prompts() {
+    for (engines, slowdown) in [(7, 3.4), (15, 2.0)] {
+        let reported = earned_shares(Policy::default(), Fault::SlowAndReported(engines, slowdown));
+        let unreported = earned_shares(Policy::default(), Fault::Slow(engines, slowdown));
+        assert!(reported[0] >= unreported[0] + 0.02, "short prompts: {reported:?} and {unreported:?}");
+        assert!(reported[1] >= unreported[1], "middle ones: {reported:?} and {unreported:?}");
         // Some 100 prompts of this kind are simulated, and each accounts for 0.01 to 0.04 of the value.
-        assert!(told[2] + 0.05 >= untold[2], "the longest: {told:?} and {untold:?}");
+        assert!(reported[2] + 0.05 >= unreported[2], "the longest: {reported:?} and {unreported:?}");
     }
 }
 
 #[test]
-fn after_a_loss_of_all_entries_those_who_come_back_are_served() {
-    // The loss occurs in a burst of short prompts: some 700 callers retry within 0.4 s at engines that still decode
-    // for lost callers. Interrupted prompts, and short prompts that found no entry, are late in any case.
-    let [short, middle, longest] = worth(Policy::default(), Fault::Loss(27.0));
+fn after_an_outage_of_all_entries_retrying_callers_are_served() {
+    // The outage begins in a burst of short prompts: some 700 callers retry within 0.4 s at engines that still decode
+    // for the lost entries. Interrupted prompts, and short prompts that found no entry, are late in any case.
+    let [short, middle, longest] = earned_shares(Policy::default(), Fault::EntryOutage(27.0));
     assert!(short >= 0.8 && middle >= 0.9 && longest >= 0.8, "{short:.3} {middle:.3} {longest:.3}");
 }
--- a/coord/tests/planner_machine.rs
+++ b/coord/tests/planner_machine.rs
@@ -25,7 +25,7 @@
 }
 
 fn job(prompt: u64, now: Moment) -> Job {
-    let (aim, gap_ms, patience) = match prompt {
+    let (aim, gap_ms, timeout) = match prompt {
         0..30_000 => (300, 200.0, 2_000),
         30_000..120_000 => (1_500, 500.0, 6_000),
         _ => (3_000, 800.0, 12_000),
@@ -35,7 +35,7 @@
         output: 2_000,
         aim: now + Duration::from_millis(aim),
         gap_ms,
-        deadline: now + Duration::from_millis(patience),
+        deadline: now + Duration::from_millis(timeout),
         priority: 1,
         work: None,
     }
@@ -51,9 +51,9 @@
     FirstEvent(prop::sample::Index),
     End(prop::sample::Index),
     Fail(u8),
-    Lose(u8),
-    EntryGone(u8),
-    Pace(u8, f64),
+    RemoveEngine(u8),
+    RemoveEntry(u8),
+    SetSlowdown(u8, f64),
     Wait(u16),
 }
 
@@ -65,35 +65,36 @@
         3 => any::<prop::sample::Index>().prop_map(Step::FirstEvent),
         3 => any::<prop::sample::Index>().prop_map(Step::End),
         1 => (0..18u8).prop_map(Step::Fail),
-        1 => (0..18u8).prop_map(Step::Lose),
-        1 => (0..3u8).prop_map(Step::EntryGone),
-        1 => (0..18u8, prop_oneof![Just(1.0), 1.0..6.0, any::<f64>()]).prop_map(|(engine, pace)| Step::Pace(engine, pace)),
+        1 => (0..18u8).prop_map(Step::RemoveEngine),
+        1 => (0..3u8).prop_map(Step::RemoveEntry),
+        1 => (0..18u8, prop_oneof![Just(1.0), 1.0..6.0, any::<f64>()])
+            .prop_map(|(engine, slowdown)| Step::SetSlowdown(engine, slowdown)),
         3 => (0..400u16).prop_map(Step::Wait),
     ]
 }
 
 /// Returns the memory that granted jobs hold at each engine, and the number of sequences there.
-fn held(granted: &BTreeMap<Id, (Job, Grant)>) -> BTreeMap<Name, (u64, u32)> {
-    let mut held: BTreeMap<Name, (u64, u32)> = BTreeMap::new();
+fn count_usage(granted: &BTreeMap<Id, (Job, Grant)>) -> BTreeMap<Name, (u64, u32)> {
+    let mut usage: BTreeMap<Name, (u64, u32)> = BTreeMap::new();
     for (job, grant) in granted.values() {
-        let elsewhere: u64 = grant.team.helpers.iter().map(|helper| helper.holds).sum();
-        let writer = held.entry(grant.team.writer.clone()).or_default();
-        writer.0 += (job.prompt + job.output).saturating_sub(elsewhere);
-        writer.1 += 1;
+        let helper_tokens: u64 = grant.team.helpers.iter().map(|helper| helper.holds).sum();
+        let decoder = usage.entry(grant.team.writer.clone()).or_default();
+        decoder.0 += (job.prompt + job.output).saturating_sub(helper_tokens);
+        decoder.1 += 1;
         for helper in &grant.team.helpers {
-            held.entry(helper.engine.clone()).or_default().0 += helper.holds;
+            usage.entry(helper.engine.clone()).or_default().0 += helper.holds;
         }
     }
-    held
+    usage
 }
 
-fn check(grant: &Grant, engines: &BTreeSet<Name>) -> Result<(), TestCaseError> {
+fn check_grant(grant: &Grant, engines: &BTreeSet<Name>) -> Result<(), TestCaseError> {
     let mut team: Vec<&Name> = grant.team.engines().collect();
     prop_assert!(team.iter().all(|engine| engines.contains(*engine)), "{grant:?}");
-    prop_assert!(team.len() <= 17, "the writer and sixteen helpers: {grant:?}");
+    prop_assert!(team.len() <= 17, "a decoding engine and at most sixteen helpers: {grant:?}");
     team.sort();
     team.dedup();
-    prop_assert_eq!(team.len(), 1 + grant.team.helpers.len(), "each engine once");
+    prop_assert_eq!(team.len(), 1 + grant.team.helpers.len(), "an engine is listed twice");
     Ok(())
 }
 
@@ -101,9 +102,9 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_is_granted_twice_and_no_engine_is_overdrawn(steps in prop::collection::vec(step(), 1..120)) {
+    fn nothing_is_granted_twice_and_no_engine_is_over_committed(steps in prop::collection::vec(step(), 1..120)) {
         let mut planner = planner(18);
-        let mut alive: BTreeSet<Name> = engines(18).into_iter().map(|(name, _)| name).collect();
+        let mut present: BTreeSet<Name> = engines(18).into_iter().map(|(name, _)| name).collect();
         let mut waiting: BTreeMap<Id, Job> = BTreeMap::new();
         let mut granted: BTreeMap<Id, (Job, Grant)> = BTreeMap::new();
         let mut now = Moment::from_millis(10_000);
@@ -124,38 +125,38 @@
                     planner.end(id, now);
                 }
                 Step::Fail(engine) => planner.failed(0, &format!("engine-{engine:02}").into(), now),
-                Step::Lose(engine) if alive.len() > 4 => {
+                Step::RemoveEngine(engine) if present.len() > 4 => {
                     let name = Name::from(format!("engine-{engine:02}"));
-                    alive.remove(&name);
-                    planner.set_engines(engines(18).into_iter().filter(|(name, _)| alive.contains(name)));
+                    present.remove(&name);
+                    planner.set_engines(engines(18).into_iter().filter(|(name, _)| present.contains(name)));
                     // The model drops jobs of a removed engine, as their entry does.
-                    let over: Vec<Id> = granted.iter().filter(|(_, (_, grant))| grant.team.engines().any(|e| *e == name)).map(|(id, _)| *id).collect();
-                    for id in over {
+                    let finished: Vec<Id> = granted.iter().filter(|(_, (_, grant))| grant.team.engines().any(|member| *member == name)).map(|(id, _)| *id).collect();
+                    for id in finished {
                         granted.remove(&id);
                         planner.end(id, now);
                     }
                 }
-                Step::EntryGone(entry) => {
+                Step::RemoveEntry(entry) => {
                     let entry = u64::from(entry);
                     waiting.retain(|id, _| id.entry != entry);
                     granted.retain(|id, _| id.entry != entry);
                     planner.end_entry(entry, now);
                 }
-                Step::Pace(engine, pace) => {
-                    planner.set_pace(&format!("engine-{engine:02}").into(), pace);
+                Step::SetSlowdown(engine, slowdown) => {
+                    planner.set_pace(&format!("engine-{engine:02}").into(), slowdown);
                 }
                 Step::Wait(millis) => now = now + Duration::from_millis(millis.into()),
-                Step::FirstEvent(_) | Step::End(_) | Step::Lose(_) => {}
+                Step::FirstEvent(_) | Step::End(_) | Step::RemoveEngine(_) => {}
             }
             for grant in planner.pump(now) {
-                check(&grant, &alive)?;
+                check_grant(&grant, &present)?;
                 let job = waiting.remove(&grant.id);
-                prop_assert!(job.is_some(), "granted what does not wait: {grant:?}");
+                prop_assert!(job.is_some(), "granted a job that was not waiting: {grant:?}");
                 granted.insert(grant.id, (job.unwrap_or_else(|| unreachable!()), grant));
             }
-            for (engine, (tokens, writers)) in held(&granted) {
+            for (engine, (tokens, decoders)) in count_usage(&granted) {
                 prop_assert!(tokens <= 450_000, "{engine} holds {tokens}");
-                prop_assert!(writers <= 16, "{engine} has {writers} writers");
+                prop_assert!(decoders <= 16, "{engine} has {decoders} sequences");
             }
         }
         // Every waiting job must start eventually once the running jobs finish.
@@ -173,7 +174,7 @@
                 granted.insert(grant.id, (job, grant));
             }
         }
-        prop_assert!(waiting.is_empty(), "these never started: {waiting:?}");
+        prop_assert!(waiting.is_empty(), "jobs that never started: {waiting:?}");
     }
 }
 
@@ -183,19 +184,22 @@
 }
 
 #[test]
-fn short_prompts_are_packed_and_long_ones_are_read_elsewhere_by_many() {
+fn short_prompts_are_packed_and_long_ones_are_prefilled_by_many_other_engines() {
     let now = Moment::from_millis(10_000);
     let mut planner = planner(18);
     for number in 0..3 {
         planner.submit(id(number), job(4_000, now));
     }
     let short = pump(&mut planner, now);
-    let writers: BTreeSet<&Name> = short.values().map(|grant| &grant.team.writer).collect();
-    assert_eq!((short.len(), writers.len()), (3, 1));
+    let decoders: BTreeSet<&Name> = short.values().map(|grant| &grant.team.writer).collect();
+    assert_eq!((short.len(), decoders.len()), (3, 1));
     planner.submit(id(9), job(210_000, now));
     let long = pump(&mut planner, now);
     assert!(long[&9].team.helpers.len() >= 10, "{long:?}");
-    assert!(long[&9].team.engines().all(|engine| !writers.contains(engine)), "nobody who writes short answers waits");
+    assert!(
+        long[&9].team.engines().all(|engine| !decoders.contains(engine)),
+        "the long prompt is not prefilled where short answers decode"
+    );
 }
 
 #[test]
@@ -204,13 +208,13 @@
     let mut planner = planner(18);
     planner.submit(id(1), job(250_000, now));
     let first = pump(&mut planner, now);
-    assert_eq!(first[&1].team.engines().count(), 17, "there is nobody else");
+    assert_eq!(first[&1].team.engines().count(), 17, "all engines are free, and a team has at most 17");
     planner.submit(id(2), job(300_000, now));
     planner.submit(id(3), job(150_000, now));
     let next = pump(&mut planner, now);
-    assert_eq!(next[&3].team.engines().count(), 1, "the engine that is left reads it in 1.6 s of 2.7");
+    assert_eq!(next[&3].team.engines().count(), 1, "the remaining engine prefills it in 1.6 s of 2.7 s");
     assert!(!next.contains_key(&2), "a single engine would take 5.3 s: {next:?}");
-    assert!(pump(&mut planner, now).is_empty(), "the engines read");
+    assert!(pump(&mut planner, now).is_empty(), "all engines are prefilling");
     let later = now + Duration::from_millis(250);
     planner.first_event(id(1), later);
     let last = pump(&mut planner, later);
@@ -218,16 +222,16 @@
 }
 
 #[test]
-fn what_exceeds_one_engine_is_held_by_several_all_or_none() {
+fn a_prompt_that_exceeds_one_engine_is_held_by_several_or_not_at_all() {
     let now = Moment::from_millis(10_000);
-    let mut few = planner(2);
-    few.submit(id(1), job(1_000_000, now));
-    assert!(pump(&mut few, now + Duration::from_secs(20)).is_empty(), "two engines hold 900,000 tokens");
+    let mut small_fleet = planner(2);
+    small_fleet.submit(id(1), job(1_000_000, now));
+    assert!(pump(&mut small_fleet, now + Duration::from_secs(20)).is_empty(), "two engines hold 900,000 tokens");
     let mut planner = planner(18);
     planner.submit(id(1), job(1_000_000, now));
-    let grant = pump(&mut planner, now).remove(&1).expect("it is granted");
-    let held: u64 = grant.team.helpers.iter().map(|helper| helper.holds).sum();
-    assert!(held >= 1_000_000 - 450_000, "{grant:?}");
+    let grant = pump(&mut planner, now).remove(&1).expect("the prompt is granted");
+    let held_tokens: u64 = grant.team.helpers.iter().map(|helper| helper.holds).sum();
+    assert!(held_tokens >= 1_000_000 - 450_000, "{grant:?}");
     assert!(grant.team.helpers.iter().all(|helper| helper.holds <= 450_000), "{grant:?}");
 }
 
@@ -257,11 +261,11 @@
     planner.submit(id(2), job(600_000, late));
     assert!(pump(&mut planner, late).is_empty());
     let later = late + Duration::from_millis(3_100);
-    assert!(pump(&mut planner, later).contains_key(&2), "late anyway, it takes what there is");
+    assert!(pump(&mut planner, later).contains_key(&2), "a late prompt takes the available engines");
 }
 
 #[test]
-fn engines_that_are_busy_for_long_are_not_waited_for() {
+fn prompts_do_not_wait_for_engines_that_are_busy_for_long() {
     let now = Moment::from_millis(10_000);
     let mut planner = planner(18);
     // A late, very long prompt occupies all but six engines for seconds; the others must serve prompts that can be in
@@ -278,40 +282,41 @@
 }
 
 #[test]
-fn an_engine_that_fails_at_once_does_not_draw_prompts() {
+fn an_engine_that_fails_fast_does_not_attract_prompts() {
     let mut planner = planner(6);
-    let bad: Name = "engine-03".into();
-    let (mut at_bad, mut elsewhere) = (0, 0);
+    let failing: Name = "engine-03".into();
+    let (mut failing_grants, mut other_grants) = (0, 0);
     for number in 0..2_000 {
-        // Ten prompts per second. A success takes a second; the failing engine returns an error in 1 ms.
+        // Ten prompts arrive per second. A success takes a second; the failing engine returns an error within 1 ms.
         let now = Moment::from_millis(10_000 + number * 100);
         planner.submit(id(number), job(4_000, now));
         for (number, grant) in pump(&mut planner, now) {
-            if grant.team.writer == bad {
-                at_bad += 1;
-                planner.failed(grant.id.entry, &bad, now + Duration::from_millis(1));
+            if grant.team.writer == failing {
+                failing_grants += 1;
+                planner.failed(grant.id.entry, &failing, now + Duration::from_millis(1));
                 planner.end(grant.id, now + Duration::from_millis(1));
             } else {
-                elsewhere += 1;
+                other_grants += 1;
                 planner.first_event(grant.id, now + Duration::from_millis(60));
             }
-            if let Some(over) = number.checked_sub(10) {
-                planner.end(id(over), now);
+            if let Some(finished) = number.checked_sub(10) {
+                planner.end(id(finished), now);
             }
         }
     }
-    assert!(elsewhere > 1_900, "{elsewhere}");
-    assert!(at_bad <= 40, "200 seconds, one trial every 5 to 8 s: {at_bad}");
+    assert!(other_grants > 1_900, "{other_grants}");
+    assert!(failing_grants <= 40, "200 seconds, one trial every 5 to 8 s: {failing_grants}");
 }
 
 #[test]
-fn an_entry_that_is_cut_off_does_not_make_the_engines_look_bad_to_others() {
+fn an_entry_that_is_cut_off_does_not_eject_engines_for_others() {
     let mut planner = planner(6);
     let now = Moment::from_millis(10_000);
     for engine in 0..6 {
         planner.failed(1, &format!("engine-{engine:02}").into(), now);
     }
-    // If each report counted in full, half of the engines would be ejected; the first two reports count that much.
+    // If each report counted in full, half of the engines would be ejected; only the first two reports weigh that
+    // much.
     let entry = |entry, number| Id { entry, number };
     let mut used = BTreeSet::new();
     for number in 0..60 {
@@ -326,7 +331,7 @@
     let mut planner = planner(6);
     let now = Moment::from_millis(10_000);
     planner.submit(Id { entry: 1, number: 0 }, job(4_000, now));
-    let first = pump(&mut planner, now).remove(&0).expect("it is granted");
+    let first = pump(&mut planner, now).remove(&0).expect("the prompt is granted");
     planner.failed(1, &first.team.writer, now);
     planner.end(first.id, now);
     let later = now + Duration::from_millis(800);
@@ -335,7 +340,7 @@
 }
 
 #[test]
-fn a_planner_that_is_new_starts_no_long_prompt_before_it_knows_what_runs() {
+fn a_new_planner_starts_no_long_prompt_in_the_settling_period() {
     let now = Moment::from_millis(10_000);
     let mut planner = planner(18);
     planner.unsettle(now);
@@ -346,13 +351,13 @@
     assert!(pump(&mut planner, now + Duration::from_millis(310)).contains_key(&1));
 }
 
-/// Simulates 50 prompts per second on six engines, of which one is slow; returns the number of prompts that it got in
-/// each second.
-fn play_with_a_slow_engine(slow: &Name, factor: f64) -> Vec<usize> {
+/// Simulates 50 prompts per second on six engines, one of them slowed down by `factor`; returns the number of prompts
+/// granted to that engine in each second.
+fn simulate_with_slow_engine(slow: &Name, factor: f64) -> Vec<usize> {
     let mut planner = planner(6);
     let mut first_events: BTreeMap<(u64, u64), Id> = BTreeMap::new();
     let mut ends: BTreeMap<(u64, u64), Id> = BTreeMap::new();
-    let mut at_slow = vec![0; 10];
+    let mut grants_per_second = vec![0; 10];
     for ms in 0..10_000u64 {
         let now = Moment::from_millis(10_000 + ms);
         while let Some(entry) = first_events.first_entry().filter(|entry| entry.key().0 <= ms) {
@@ -366,56 +371,56 @@
         }
         for (number, grant) in pump(&mut planner, now) {
             let is_slow = grant.team.writer == *slow;
-            at_slow[ms as usize / 1_000] += usize::from(is_slow);
-            let pace = if is_slow { factor } else { 1.0 };
-            first_events.insert((ms + (80.0 * pace) as u64, number), grant.id);
-            ends.insert((ms + (500.0 * pace) as u64, number), grant.id);
+            grants_per_second[ms as usize / 1_000] += usize::from(is_slow);
+            let slowdown = if is_slow { factor } else { 1.0 };
+            first_events.insert((ms + (80.0 * slowdown) as u64, number), grant.id);
+            ends.insert((ms + (500.0 * slowdown) as u64, number), grant.id);
         }
     }
-    at_slow
+    grants_per_second
 }
 
 #[test]
-fn a_slow_engine_is_found_by_what_it_reads_and_left_alone() {
+fn a_slow_engine_is_detected_by_late_first_events_and_avoided() {
     let slow: Name = "engine-00".into();
-    let as_others = play_with_a_slow_engine(&slow, 1.0).iter().sum::<usize>();
-    assert!(as_others > 40, "it is one that is used: {as_others}");
-    let at_slow = play_with_a_slow_engine(&slow, 6.0);
-    assert!(at_slow[2..].iter().sum::<usize>() <= 8, "a trial now and then: {at_slow:?}");
+    let at_nominal_speed = simulate_with_slow_engine(&slow, 1.0).iter().sum::<usize>();
+    assert!(at_nominal_speed > 40, "the engine is in use: {at_nominal_speed}");
+    let grants_per_second = simulate_with_slow_engine(&slow, 6.0);
+    assert!(grants_per_second[2..].iter().sum::<usize>() <= 8, "only occasional trial requests: {grants_per_second:?}");
 }
 
 #[test]
-fn engines_of_a_team_that_is_held_up_are_tried_by_short_prompts_before_the_next_team() {
+fn engines_of_an_overdue_team_are_tried_by_short_prompts_before_the_next_team() {
     let now = Moment::from_millis(10_000);
     let mut planner = planner(60);
     planner.submit(id(1), job(210_000, now));
-    let team = pump(&mut planner, now).remove(&1).expect("it is granted").team;
+    let team = pump(&mut planner, now).remove(&1).expect("the prompt is granted").team;
     let late = now + Duration::from_secs(3);
     planner.first_event(id(1), late);
     planner.end(id(1), late);
     planner.submit(id(2), job(210_000, late));
     planner.submit(id(3), job(4_000, late));
     let next = pump(&mut planner, late);
-    let suspected = |engine: &Name| team.engines().any(|one| one == engine);
-    assert!(suspected(&next[&3].team.writer), "a short one tries one of them");
-    assert!(!next[&2].team.engines().any(suspected), "{next:?}");
+    let is_suspected = |engine: &Name| team.engines().any(|member| member == engine);
+    assert!(is_suspected(&next[&3].team.writer), "a short prompt tries a suspected engine");
+    assert!(!next[&2].team.engines().any(is_suspected), "{next:?}");
 }
 
 #[test]
-fn planners_that_know_nothing_of_each_other_do_not_choose_alike() {
+fn independent_planners_prefer_different_engines() {
     let now = Moment::from_millis(10_000);
-    let mut writers = BTreeSet::new();
+    let mut decoders = BTreeSet::new();
     for salt in 0..12 {
         let mut planner = Planner::new(Policy::default(), salt);
         planner.set_engines(engines(18));
         planner.submit(id(1), job(4_000, now));
-        writers.extend(pump(&mut planner, now).into_values().map(|grant| grant.team.writer));
+        decoders.extend(pump(&mut planner, now).into_values().map(|grant| grant.team.writer));
     }
-    assert!(writers.len() >= 6, "{writers:?}");
+    assert!(decoders.len() >= 6, "{decoders:?}");
 }
 
 #[test]
-fn parts_that_nobody_reports_as_read_do_not_keep_engines_busy_for_ever() {
+fn parts_that_are_never_reported_as_prefilled_do_not_block_engines_forever() {
     let mut planner = planner(4);
     let mut now = Moment::ZERO + Duration::from_secs(1);
     // Two prompts that all engines prefill one after the other, and whose answers are lost.
@@ -434,23 +439,23 @@
     for number in 10..14 {
         planner.submit(id(number), short);
     }
-    assert_eq!(planner.pump(now).len(), 4, "the engines have long read both");
+    assert_eq!(planner.pump(now).len(), 4, "both prompts must count as prefilled by now");
 }
 
 #[test]
-fn only_engines_that_are_late_or_slow_are_asked_for_their_pace_and_each_twice_a_second() {
+fn only_late_or_slow_engines_are_probed_and_each_at_most_twice_per_second() {
     let mut planner = planner(4);
     let start = Moment::from_millis(10_000);
     let at = |ms| start + Duration::from_millis(ms);
     planner.submit(id(0), job(5_000, start));
-    let writer = planner.pump(start)[0].team.writer.clone();
-    assert!(planner.to_ask(at(30)).is_empty(), "it takes longer than that");
-    assert_eq!(planner.to_ask(at(300)), std::slice::from_ref(&writer));
-    assert!(planner.to_ask(at(700)).is_empty(), "it was asked a short while ago");
-    assert!(planner.set_pace(&writer, 3.0));
+    let decoder = planner.pump(start)[0].team.writer.clone();
+    assert!(planner.to_ask(at(30)).is_empty(), "prefill takes longer than 30 ms");
+    assert_eq!(planner.to_ask(at(300)), std::slice::from_ref(&decoder));
+    assert!(planner.to_ask(at(700)).is_empty(), "it was probed 400 ms ago");
+    assert!(planner.set_pace(&decoder, 3.0));
     planner.first_event(id(0), at(710));
-    assert_eq!(planner.to_ask(at(800)), std::slice::from_ref(&writer), "it may be sound again");
-    planner.set_pace(&writer, 1.0);
+    assert_eq!(planner.to_ask(at(800)), std::slice::from_ref(&decoder), "it may be back at nominal speed");
+    planner.set_pace(&decoder, 1.0);
     assert!(planner.to_ask(at(1_400)).is_empty());
 }
 
--- a/coord/tests/planner_plain.rs
+++ b/coord/tests/planner_plain.rs
@@ -13,91 +13,91 @@
 use proptest::prelude::*;
 
 /// Both planners, driven by the same events.
-struct Pair {
-    quick: Planner,
-    plain: plain::Planner,
+struct PlannerPair {
+    planner: Planner,
+    reference: plain::Planner,
     running: Vec<Id>,
 }
 
-impl Pair {
+impl PlannerPair {
     fn new(policy: Policy) -> Self {
         // The reference implementation does not support these settings.
-        let off = Policy { spare_writers: false, gather: false, mute_only: false, ..policy };
-        let policy = Policy { second_sends: false, few_left: false, ..off };
-        Self { quick: Planner::new(policy, 7), plain: plain::Planner::new(policy, 7), running: Vec::new() }
+        let supported = Policy { spare_writers: false, gather: false, mute_only: false, ..policy };
+        let policy = Policy { second_sends: false, few_left: false, ..supported };
+        Self { planner: Planner::new(policy, 7), reference: plain::Planner::new(policy, 7), running: Vec::new() }
     }
 
     fn set_engines(&mut self, engines: &BTreeSet<Name>, slots: u32) {
-        self.quick.set_engines(engines.iter().map(|name| (name.clone(), figures(slots, 46))));
-        self.plain.set_engines(engines.iter().map(|name| (name.clone(), figures(slots, 46))));
+        self.planner.set_engines(engines.iter().map(|name| (name.clone(), figures(slots, 46))));
+        self.reference.set_engines(engines.iter().map(|name| (name.clone(), figures(slots, 46))));
     }
 
     fn end(&mut self, id: Id, now: Moment) {
         self.running.retain(|running| *running != id);
-        self.quick.end(id, now);
-        self.plain.end(id, now);
+        self.planner.end(id, now);
+        self.reference.end(id, now);
     }
 
     fn pump(&mut self, now: Moment) -> Result<Vec<Grant>, TestCaseError> {
-        let quick = self.quick.pump(now);
-        let plain = self.plain.pump(now);
-        prop_assert_eq!(&quick, &plain);
-        prop_assert_eq!(self.quick.has_waiting(), self.plain.has_waiting());
-        self.running.extend(quick.iter().map(|grant| grant.id));
-        Ok(quick)
+        let planner = self.planner.pump(now);
+        let reference = self.reference.pump(now);
+        prop_assert_eq!(&planner, &reference);
+        prop_assert_eq!(self.planner.has_waiting(), self.reference.has_waiting());
+        self.running.extend(planner.iter().map(|grant| grant.id));
+        Ok(planner)
     }
 }
 
-fn job(prompt: u64, hurry: u64, now: Moment) -> Job {
-    let (aim, gap_ms, patience) = match prompt {
-        0..30_000 => (300, if hurry.is_multiple_of(7) { 0.0 } else { 200.0 }, 2_000),
+fn job(prompt: u64, urgency: u64, now: Moment) -> Job {
+    let (aim, gap_ms, timeout) = match prompt {
+        0..30_000 => (300, if urgency.is_multiple_of(7) { 0.0 } else { 200.0 }, 2_000),
         30_000..120_000 => (1_500, 500.0, 6_000),
         _ => (3_000, 800.0, 12_000),
     };
     let millis = Duration::from_millis;
-    let spent = millis(hurry * 40);
+    let elapsed = millis(urgency * 40);
     Job {
         prompt,
-        output: 500 + hurry * 100,
-        aim: now + millis(aim) - spent,
+        output: 500 + urgency * 100,
+        aim: now + millis(aim) - elapsed,
         gap_ms,
-        deadline: now + millis(patience) - spent,
-        priority: 1 + (hurry % 5 / 4) as u32,
+        deadline: now + millis(timeout) - elapsed,
+        priority: 1 + (urgency % 5 / 4) as u32,
         work: None,
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Submit { prompt: u64, hurry: u64, entry: u64 },
-    Adopt { prompt: u64, writer: usize, helpers: usize, reading: bool },
+    Submit { prompt: u64, urgency: u64, entry: u64 },
+    Adopt { prompt: u64, writer: usize, helpers: usize, is_prefilling: bool },
     FirstEvent(prop::sample::Index),
     End(prop::sample::Index),
     Fail { entry: u64, engine: usize },
-    Lose(usize),
-    Return(usize),
-    EntryGone(u64),
-    Unsettle,
+    RemoveEngine(usize),
+    ReturnEngine(usize),
+    RemoveEntry(u64),
+    BeginSettling,
     Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let submit = |prompts: std::ops::Range<u64>| {
-        (prompts, 0..12u64, 0..4u64).prop_map(|(prompt, hurry, entry)| Step::Submit { prompt, hurry, entry })
+        (prompts, 0..12u64, 0..4u64).prop_map(|(prompt, urgency, entry)| Step::Submit { prompt, urgency, entry })
     };
     prop_oneof![
         9 => submit(1_000..25_000),
         4 => submit(25_000..110_000),
         2 => submit(110_000..1_000_000),
         1 => (1_000..400_000u64, 0..24usize, 0..9usize, any::<bool>())
-            .prop_map(|(prompt, writer, helpers, reading)| Step::Adopt { prompt, writer, helpers, reading }),
+            .prop_map(|(prompt, writer, helpers, is_prefilling)| Step::Adopt { prompt, writer, helpers, is_prefilling }),
         6 => any::<prop::sample::Index>().prop_map(Step::FirstEvent),
         4 => any::<prop::sample::Index>().prop_map(Step::End),
         1 => (0..4u64, 0..24usize).prop_map(|(entry, engine)| Step::Fail { entry, engine }),
-        1 => (0..24usize).prop_map(Step::Lose),
-        1 => (0..24usize).prop_map(Step::Return),
-        1 => (0..4u64).prop_map(Step::EntryGone),
-        1 => Just(Step::Unsettle),
+        1 => (0..24usize).prop_map(Step::RemoveEngine),
+        1 => (0..24usize).prop_map(Step::ReturnEngine),
+        1 => (0..4u64).prop_map(Step::RemoveEntry),
+        1 => Just(Step::BeginSettling),
         4 => (0..300u64).prop_map(Step::Wait),
     ]
 }
@@ -106,47 +106,47 @@
     format!("engine-{engine:02}").into()
 }
 
-fn play(policy: Policy, count: usize, slots: u32, steps: Vec<Step>) -> Result<(), TestCaseError> {
-    let mut pair = Pair::new(policy);
+fn check_same_grants(policy: Policy, count: usize, slots: u32, steps: Vec<Step>) -> Result<(), TestCaseError> {
+    let mut pair = PlannerPair::new(policy);
     let mut engines: BTreeSet<Name> = (0..count).map(name).collect();
     pair.set_engines(&engines, slots);
     let mut now = Moment::from_millis(10_000);
     for (number, step) in steps.into_iter().enumerate() {
         let number = number as u64;
         match step {
-            Step::Submit { prompt, hurry, entry } => {
+            Step::Submit { prompt, urgency, entry } => {
                 let id = Id { entry, number };
-                let job = job(prompt, hurry, now);
-                pair.quick.submit(id, job);
-                pair.plain.submit(id, job);
+                let job = job(prompt, urgency, now);
+                pair.planner.submit(id, job);
+                pair.reference.submit(id, job);
             }
-            Step::Adopt { prompt, writer, helpers, reading } => {
+            Step::Adopt { prompt, writer, helpers, is_prefilling } => {
                 let helper = |index| coord::planner::Helper { engine: name((writer + index) % 24), holds: 0 };
                 let team = Team { writer: name(writer), helpers: (1..=helpers).map(helper).collect() };
-                // The reference implementation counts removed engines among those on trial.
+                // The reference implementation also counts removed engines among the half-open ones.
                 if !team.engines().all(|engine| engines.contains(engine)) {
                     continue;
                 }
                 let id = Id { entry: 9, number };
                 let job = job(prompt, 0, now);
-                pair.quick.adopt(id, &job, team.clone(), reading, now);
-                pair.plain.adopt(id, &job, team, reading, now);
+                pair.planner.adopt(id, &job, team.clone(), is_prefilling, now);
+                pair.reference.adopt(id, &job, team, is_prefilling, now);
                 pair.running.push(id);
             }
             Step::FirstEvent(index) if !pair.running.is_empty() => {
                 let id = *index.get(&pair.running);
-                pair.quick.first_event(id, now);
-                pair.plain.first_event(id, now);
+                pair.planner.first_event(id, now);
+                pair.reference.first_event(id, now);
             }
             Step::End(index) if !pair.running.is_empty() => {
                 let id = *index.get(&pair.running);
                 pair.end(id, now);
             }
             Step::Fail { entry, engine } => {
-                pair.quick.failed(entry, &name(engine), now);
-                pair.plain.failed(entry, &name(engine), now);
+                pair.planner.failed(entry, &name(engine), now);
+                pair.reference.failed(entry, &name(engine), now);
             }
-            Step::Lose(engine) if engines.len() > 1 => {
+            Step::RemoveEngine(engine) if engines.len() > 1 => {
                 engines.remove(&name(engine));
                 pair.set_engines(&engines, slots);
                 // Jobs on a removed engine end, as they do for their entries.
@@ -154,18 +154,18 @@
                     pair.end(id, now);
                 }
             }
-            Step::Return(engine) if engine < count => {
+            Step::ReturnEngine(engine) if engine < count => {
                 engines.insert(name(engine));
                 pair.set_engines(&engines, slots);
             }
-            Step::EntryGone(entry) => {
+            Step::RemoveEntry(entry) => {
                 pair.running.retain(|id| id.entry != entry);
-                pair.quick.end_entry(entry, now);
-                pair.plain.end_entry(entry, now);
+                pair.planner.end_entry(entry, now);
+                pair.reference.end_entry(entry, now);
             }
-            Step::Unsettle => {
-                pair.quick.unsettle(now);
-                pair.plain.unsettle(now);
+            Step::BeginSettling => {
+                pair.planner.unsettle(now);
+                pair.reference.unsettle(now);
             }
             Step::Wait(millis) => now = now + Duration::from_millis(millis),
             _ => {}
@@ -188,11 +188,11 @@
         slots in 4..17u32,
         steps in prop::collection::vec(step(), 1..250),
     ) {
-        play(Policy::default(), count, slots, steps)?;
+        check_same_grants(Policy::default(), count, slots, steps)?;
     }
 
     #[test]
-    fn so_it_is_with_other_policies(
+    fn every_grant_matches_under_other_policies(
         flags in prop::collection::vec(any::<bool>(), 6),
         count in 1..24usize,
         steps in prop::collection::vec(step(), 1..150),
@@ -206,6 +206,6 @@
             suspicion: flags[5],
             ..Policy::default()
         };
-        play(policy, count, 10, steps)?;
+        check_same_grants(policy, count, 10, steps)?;
     }
 }
--- a/coord/tests/planner_rests.rs
+++ b/coord/tests/planner_rests.rs
@@ -11,7 +11,7 @@
 use coord::planner::{Grant, Id, Job, Planner, Policy};
 use coord::time::Moment;
 
-const REST: Duration = Duration::from_secs(2);
+const BACKOFF: Duration = Duration::from_secs(2);
 const NOW: Moment = Moment::from_millis(10_000);
 const ENGINES: usize = 4;
 
@@ -19,15 +19,15 @@
     format!("engine-{index}").into()
 }
 
-/// Returns a planner of whose engines the first `resting` asked entry 1 to back off.
-fn planner(resting: usize) -> Planner {
+/// Returns a planner with `ENGINES` engines, of which the first `in_backoff` asked entry 1 to back off.
+fn planner(in_backoff: usize) -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
     planner.set_engines((0..ENGINES).map(|index| (name(index), figures(16, 46))));
-    (0..resting).for_each(|index| planner.rests(1, &name(index), REST, NOW));
+    (0..in_backoff).for_each(|index| planner.rests(1, &name(index), BACKOFF, NOW));
     planner
 }
 
-fn grant(planner: &mut Planner, entry: u64, job: Job, now: Moment) -> Vec<Grant> {
+fn submit_and_pump(planner: &mut Planner, entry: u64, job: Job, now: Moment) -> Vec<Grant> {
     (0..8).for_each(|number| planner.submit(Id { entry, number }, job));
     planner.pump(now)
 }
@@ -36,8 +36,8 @@
     grants.iter().any(|grant| grant.team.engines().any(|used| used == engine))
 }
 
-/// Returns a prompt that several engines prefill.
-fn long(now: Moment) -> Job {
+/// Returns a prompt that needs several engines to be in time.
+fn long_job(now: Moment) -> Job {
     Job {
         prompt: 200_000,
         aim: now + Duration::from_secs(3),
@@ -47,35 +47,39 @@
 }
 
 #[test]
-fn an_entry_gets_no_engine_that_wants_nothing_from_it_and_others_do() {
-    for job in [short::job(500, NOW), long(NOW)] {
-        for resting in 1..ENGINES {
-            let mut planner = planner(resting);
-            let grants = grant(&mut planner, 1, job, NOW);
-            assert!(!grants.is_empty(), "{resting} of {ENGINES} at rest");
-            assert!((0..resting).all(|index| !is_used(&grants, &name(index))), "{resting}: {grants:?}");
+fn an_engine_in_backoff_gets_no_prompts_of_that_entry_but_of_others() {
+    for job in [short::job(500, NOW), long_job(NOW)] {
+        for in_backoff in 1..ENGINES {
+            let mut planner = planner(in_backoff);
+            let grants = submit_and_pump(&mut planner, 1, job, NOW);
+            assert!(!grants.is_empty(), "{in_backoff} of {ENGINES} in backoff");
+            assert!((0..in_backoff).all(|index| !is_used(&grants, &name(index))), "{in_backoff}: {grants:?}");
         }
-        assert!(grant(&mut planner(ENGINES), 1, job, NOW).is_empty());
-        assert!(!grant(&mut planner(ENGINES), 2, job, NOW).is_empty());
+        assert!(submit_and_pump(&mut planner(ENGINES), 1, job, NOW).is_empty());
+        assert!(!submit_and_pump(&mut planner(ENGINES), 2, job, NOW).is_empty());
     }
 }
 
 #[test]
-fn one_whose_engines_all_rest_holds_up_nobody_and_is_served_after_the_rest() {
+fn an_entry_with_all_engines_in_backoff_delays_no_other_and_is_served_afterwards() {
     let mut planner = planner(ENGINES);
-    assert!(grant(&mut planner, 1, short::job(500, NOW), NOW).is_empty());
-    assert_eq!(grant(&mut planner, 2, short::job(500, NOW), NOW).len(), 8, "others are granted what is free");
-    assert!(planner.refuse(NOW).is_empty(), "nothing is full");
-    let later = NOW + REST;
+    assert!(submit_and_pump(&mut planner, 1, short::job(500, NOW), NOW).is_empty());
+    assert_eq!(
+        submit_and_pump(&mut planner, 2, short::job(500, NOW), NOW).len(),
+        8,
+        "another entry gets the free slots"
+    );
+    assert!(planner.refuse(NOW).is_empty(), "backoffs are not an overload");
+    let later = NOW + BACKOFF;
     assert_eq!(planner.pump(later).len(), 8);
 }
 
 #[test]
-fn an_engine_that_started_again_and_an_entry_that_came_anew_have_no_rests() {
+fn a_restarted_engine_and_a_reconnected_entry_have_no_backoffs() {
     let mut planner = planner(ENGINES);
     planner.restarted(&name(2));
-    let grants = grant(&mut planner, 1, short::job(500, NOW), NOW);
+    let grants = submit_and_pump(&mut planner, 1, short::job(500, NOW), NOW);
     assert!(!grants.is_empty() && grants.iter().all(|grant| grant.team.writer == name(2)), "{grants:?}");
     planner.end_entry(1, NOW);
-    assert_eq!(grant(&mut planner, 1, short::job(500, NOW), NOW).len(), 8);
+    assert_eq!(submit_and_pump(&mut planner, 1, short::job(500, NOW), NOW).len(), 8);
 }
--- a/coord/tests/scheduler_machine.rs
+++ b/coord/tests/scheduler_machine.rs
@@ -16,95 +16,98 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-const MEMORY: u64 = 10_000;
+const MEMORY_TOKENS: u64 = 10_000;
 const SLOTS: usize = 4;
 
-/// Requests made so far, from which the next step is chosen.
+/// Attempts and spans used so far, from which the next step is chosen.
 #[derive(Clone, Debug, Default)]
-struct Asked {
-    next: u128,
+struct RequestLog {
+    next_id: u128,
     attempts: Vec<u128>,
     spans: Vec<u128>,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { attempt: u128, prompt: u64, output: u64, left_ms: u64, workspace: u8 },
-    OfferAgain(u128),
+    Offer { attempt: u128, prompt: u64, output: u64, time_left_ms: u64, workspace: u8 },
+    OfferDuplicate(u128),
     Claim { attempt: u128, key: u8 },
     FirstToken(u128),
     Finish(u128),
-    Void(u128),
-    Hold { span: u128, tokens: u64, lease_ms: u64 },
-    GiveUp(u128),
-    Unhealthy(bool),
-    Pass(u64),
+    Cancel(u128),
+    ReserveSpan { span: u128, tokens: u64, lease_ms: u64 },
+    ReleaseSpan(u128),
+    SetUnhealthy(bool),
+    AdvanceTime(u64),
 }
 
-struct Machine;
+struct Model;
 
-fn known(asked: &[u128]) -> BoxedStrategy<u128> {
-    if asked.is_empty() { Just(0).boxed() } else { prop::sample::select(asked.to_vec()).boxed() }
+fn select_any(known_ids: &[u128]) -> BoxedStrategy<u128> {
+    if known_ids.is_empty() { Just(0).boxed() } else { prop::sample::select(known_ids.to_vec()).boxed() }
 }
 
-impl ReferenceStateMachine for Machine {
-    type State = Asked;
+impl ReferenceStateMachine for Model {
+    type State = RequestLog;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Asked> {
-        Just(Asked { next: 1, ..Asked::default() }).boxed()
+    fn init_state() -> BoxedStrategy<RequestLog> {
+        Just(RequestLog { next_id: 1, ..RequestLog::default() }).boxed()
     }
 
-    fn transitions(state: &Asked) -> BoxedStrategy<Step> {
-        let next = state.next;
-        let attempt = known(&state.attempts);
-        let span = known(&state.spans);
+    fn transitions(state: &RequestLog) -> BoxedStrategy<Step> {
+        let next_id = state.next_id;
+        let attempt = select_any(&state.attempts);
+        let span = select_any(&state.spans);
         prop_oneof![
-            6 => (1..6_000u64, 0..500u64, 1..20_000u64, 0..3u8).prop_map(move |(prompt, output, left_ms, workspace)| {
-                Step::Offer { attempt: next, prompt, output, left_ms, workspace }
-            }),
-            1 => attempt.clone().prop_map(Step::OfferAgain),
+            6 => (1..6_000u64, 0..500u64, 1..20_000u64, 0..3u8).prop_map(
+                move |(prompt, output, time_left_ms, workspace)| {
+                    Step::Offer { attempt: next_id, prompt, output, time_left_ms, workspace }
+                }
+            ),
+            1 => attempt.clone().prop_map(Step::OfferDuplicate),
             1 => (attempt.clone(), 0..4u8).prop_map(|(attempt, key)| Step::Claim { attempt, key }),
             3 => attempt.clone().prop_map(Step::FirstToken),
             4 => attempt.clone().prop_map(Step::Finish),
-            2 => attempt.prop_map(Step::Void),
-            // A cancellation that arrives before its attempt.
-            1 => (1..4u128).prop_map(move |ahead| Step::Void(next + ahead)),
-            2 => (1..8_000u64, 1..3_000u64).prop_map(move |(tokens, lease_ms)| Step::Hold { span: next, tokens, lease_ms }),
-            1 => span.prop_map(Step::GiveUp),
-            1 => any::<bool>().prop_map(Step::Unhealthy),
-            4 => (1..2_000u64).prop_map(Step::Pass),
+            2 => attempt.prop_map(Step::Cancel),
+            // Cancels an attempt before it is offered, as when messages are reordered.
+            1 => (1..4u128).prop_map(move |distance| Step::Cancel(next_id + distance)),
+            2 => (1..8_000u64, 1..3_000u64)
+                .prop_map(move |(tokens, lease_ms)| Step::ReserveSpan { span: next_id, tokens, lease_ms }),
+            1 => span.prop_map(Step::ReleaseSpan),
+            1 => any::<bool>().prop_map(Step::SetUnhealthy),
+            4 => (1..2_000u64).prop_map(Step::AdvanceTime),
         ]
         .boxed()
     }
 
-    fn apply(mut state: Asked, step: &Step) -> Asked {
+    fn apply(mut state: RequestLog, step: &Step) -> RequestLog {
         match step {
             Step::Offer { attempt, .. } => state.attempts.push(*attempt),
-            Step::Hold { span, .. } => state.spans.push(*span),
+            Step::ReserveSpan { span, .. } => state.spans.push(*span),
             _ => {}
         }
-        state.next += 1;
+        state.next_id += 1;
         state
     }
 }
 
-struct Run {
+struct Harness {
     scheduler: Scheduler,
     now: Moment,
     jobs: BTreeMap<u128, Job>,
     running: BTreeSet<u128>,
     started: BTreeSet<u128>,
-    voided: BTreeSet<u128>,
+    cancelled: BTreeSet<u128>,
     spans: BTreeMap<u128, u64>,
-    holders: BTreeMap<u8, u128>,
+    key_owners: BTreeMap<u8, u128>,
 }
 
-impl Run {
+impl Harness {
     fn new(order: Box<dyn Order>) -> Self {
         let limits = Limits {
             slots: SLOTS,
-            memory_tokens: MEMORY,
+            memory_tokens: MEMORY_TOKENS,
             queue: 8,
             short_tokens: 500,
             short_share: 0.2,
@@ -118,15 +121,15 @@
             jobs: BTreeMap::new(),
             running: BTreeSet::new(),
             started: BTreeSet::new(),
-            voided: BTreeSet::new(),
+            cancelled: BTreeSet::new(),
             spans: BTreeMap::new(),
-            holders: BTreeMap::new(),
+            key_owners: BTreeMap::new(),
         }
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Offer { attempt, prompt, output, left_ms, workspace } => {
+            Step::Offer { attempt, prompt, output, time_left_ms, workspace } => {
                 let job = Job {
                     attempt: Attempt(attempt),
                     workspace: format!("w{workspace}").into(),
@@ -136,14 +139,14 @@
                     output_tokens: output,
                     priority: 0,
                     arrived: self.now,
-                    deadline: self.now + Duration::from_millis(left_ms),
+                    deadline: self.now + Duration::from_millis(time_left_ms),
                     cost: self.scheduler.cost(prompt),
                 };
                 if self.scheduler.offer(job.clone(), self.now).is_ok() {
                     self.jobs.insert(attempt, job);
                 }
             }
-            Step::OfferAgain(attempt) => {
+            Step::OfferDuplicate(attempt) => {
                 if let Some(job) = self.jobs.get(&attempt).cloned() {
                     assert!(self.scheduler.offer(job, self.now).is_err(), "an attempt is accepted once");
                 }
@@ -154,68 +157,72 @@
                 self.scheduler.finish(Attempt(attempt), 3, self.now);
             }
             Step::Finish(_) => {}
-            Step::Void(attempt) => self.void(attempt),
-            Step::Hold { span, tokens, lease_ms } => {
+            Step::Cancel(attempt) => self.cancel(attempt),
+            Step::ReserveSpan { span, tokens, lease_ms } => {
                 let until = self.now + Duration::from_millis(lease_ms);
                 if self.scheduler.reserve(Attempt(span), tokens, until, self.now).is_ok() {
                     self.spans.insert(span, tokens);
                 }
             }
-            Step::GiveUp(span) => {
+            Step::ReleaseSpan(span) => {
                 if self.scheduler.give_up(Attempt(span)) {
-                    self.freed(span);
+                    self.confirm_freed(span);
                 }
             }
-            Step::Unhealthy(unhealthy) => self.scheduler.set_unhealthy(unhealthy),
-            Step::Pass(ms) => self.now = self.now + Duration::from_millis(ms),
+            Step::SetUnhealthy(is_unhealthy) => self.scheduler.set_unhealthy(is_unhealthy),
+            Step::AdvanceTime(ms) => self.now = self.now + Duration::from_millis(ms),
         }
         for action in self.scheduler.advance(self.now) {
-            self.act(action);
+            self.apply_action(action);
         }
         let jobs: u64 = self.running.iter().map(|attempt| self.jobs[attempt].memory_tokens).sum();
         let spans: u64 = self.spans.values().sum();
-        assert_eq!(self.scheduler.memory_held(), jobs + spans, "memory held is what was given out");
+        assert_eq!(
+            self.scheduler.memory_held(),
+            jobs + spans,
+            "the memory in use is that of running jobs and held spans"
+        );
         assert_eq!(self.scheduler.running(), self.running.len());
     }
 
     fn claim(&mut self, attempt: u128, key: u8) {
-        let name = Key { workspace: "w".into(), key: format!("k{key}").into() };
-        match self.scheduler.once(&name, Attempt(attempt), self.now) {
-            Once::First => assert_eq!(self.holders.insert(key, attempt), None, "a key is bound once"),
-            Once::Running(holder) | Once::Done(holder) => assert_eq!(self.holders.get(&key), Some(&holder.0)),
+        let key_name = Key { workspace: "w".into(), key: format!("k{key}").into() };
+        match self.scheduler.once(&key_name, Attempt(attempt), self.now) {
+            Once::First => assert_eq!(self.key_owners.insert(key, attempt), None, "a key is bound once"),
+            Once::Running(owner) | Once::Done(owner) => assert_eq!(self.key_owners.get(&key), Some(&owner.0)),
         }
     }
 
-    fn void(&mut self, attempt: u128) {
+    fn cancel(&mut self, attempt: u128) {
         match self.scheduler.void(Attempt(attempt), None, self.now) {
             Voided::NotRun => {
-                assert!(!self.started.contains(&attempt), "what started is never told as not run");
-                self.voided.insert(attempt);
+                assert!(!self.started.contains(&attempt), "a started attempt is never reported as not run");
+                self.cancelled.insert(attempt);
             }
-            Voided::Started => assert!(self.started.contains(&attempt), "what never started can be voided"),
+            Voided::Started => assert!(self.started.contains(&attempt), "an unstarted attempt is cancellable"),
         }
     }
 
-    fn freed(&mut self, span: u128) {
+    fn confirm_freed(&mut self, span: u128) {
         self.spans.remove(&span);
         self.scheduler.freed(Attempt(span));
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Start(attempt, _) => {
-                assert!(self.started.insert(attempt.0), "nothing starts twice");
-                assert!(!self.voided.contains(&attempt.0), "nothing starts after it was voided");
+                assert!(self.started.insert(attempt.0), "no attempt starts twice");
+                assert!(!self.cancelled.contains(&attempt.0), "no attempt starts after it was cancelled");
                 self.running.insert(attempt.0);
             }
             Action::Expire(attempt) => {
                 assert!(!self.started.contains(&attempt.0));
                 assert!(self.jobs[&attempt.0].deadline <= self.now);
-                self.voided.insert(attempt.0);
+                self.cancelled.insert(attempt.0);
             }
             Action::Evict(attempt) => {
                 assert!(!self.started.contains(&attempt.0));
-                self.voided.insert(attempt.0);
+                self.cancelled.insert(attempt.0);
             }
             Action::Cancel(attempt) => {
                 assert!(self.jobs[&attempt.0].deadline <= self.now);
@@ -223,39 +230,39 @@
                     self.scheduler.finish(attempt, 0, self.now);
                 }
             }
-            Action::FreeSpan(span) => self.freed(span.0),
+            Action::FreeSpan(span) => self.confirm_freed(span.0),
         }
     }
 }
 
-struct SlackRun;
-struct FifoRun;
+struct SlackOrderTest;
+struct FifoOrderTest;
 
-impl StateMachineTest for SlackRun {
-    type SystemUnderTest = Run;
-    type Reference = Machine;
+impl StateMachineTest for SlackOrderTest {
+    type SystemUnderTest = Harness;
+    type Reference = Model;
 
-    fn init_test(_: &Asked) -> Run {
-        Run::new(Box::new(Slack { slowdown_weight: 2.0, ttft_weight: 1.0 }))
+    fn init_test(_: &RequestLog) -> Harness {
+        Harness::new(Box::new(Slack { slowdown_weight: 2.0, ttft_weight: 1.0 }))
     }
 
-    fn apply(mut run: Run, _: &Asked, step: Step) -> Run {
-        run.step(step);
-        run
+    fn apply(mut harness: Harness, _: &RequestLog, step: Step) -> Harness {
+        harness.step(step);
+        harness
     }
 }
 
-impl StateMachineTest for FifoRun {
-    type SystemUnderTest = Run;
-    type Reference = Machine;
+impl StateMachineTest for FifoOrderTest {
+    type SystemUnderTest = Harness;
+    type Reference = Model;
 
-    fn init_test(_: &Asked) -> Run {
-        Run::new(Box::new(Fifo))
+    fn init_test(_: &RequestLog) -> Harness {
+        Harness::new(Box::new(Fifo))
     }
 
-    fn apply(mut run: Run, _: &Asked, step: Step) -> Run {
-        run.step(step);
-        run
+    fn apply(mut harness: Harness, _: &RequestLog, step: Step) -> Harness {
+        harness.step(step);
+        harness
     }
 }
 
@@ -274,8 +281,8 @@
     #![proptest_config(config())]
 
     #[test]
-    fn the_scheduler_keeps_its_promises_in_slack_order(sequential 1..200 => SlackRun);
+    fn the_scheduler_keeps_its_invariants_in_slack_order(sequential 1..200 => SlackOrderTest);
 
     #[test]
-    fn the_scheduler_keeps_its_promises_in_fifo_order(sequential 1..200 => FifoRun);
+    fn the_scheduler_keeps_its_invariants_in_fifo_order(sequential 1..200 => FifoOrderTest);
 }
