--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -24,11 +24,10 @@
 /// Answer that decodes on an engine, or will once its prompt is prefilled.
 #[derive(Clone, Copy, Debug)]
 pub struct Sequence {
-    /// Tokens that it holds in memory.
+    /// KV memory that it holds on this engine, in tokens.
     pub tokens: u64,
     /// Gap target of its caller, in milliseconds; 0 if the caller sets none.
     pub gap_target_ms: f64,
-    /// Whether its prompt is short.
     pub is_short: bool,
     /// Fingerprint of its request, if it is suspected of crashing engines.
     pub suspect: Option<Work>,
@@ -37,7 +36,7 @@
 /// Aggregates over the sequences of an engine, cached so that a scan of all engines does not recompute them.
 #[derive(Clone, Copy, Debug)]
 struct Aggregates {
-    /// Tokens that the engine's memory holds.
+    /// KV memory in use, in tokens.
     context_tokens: u64,
     /// Smallest gap target, in milliseconds; infinite if no sequence has one.
     min_gap_target_ms: f64,
@@ -71,7 +70,6 @@
     parts: VecDeque<Part>,
     /// Time at which prefill of the first part started.
     front_started_at: Moment,
-    /// Sequences by job.
     sequences: BTreeMap<Id, Sequence>,
     aggregates: Aggregates,
 }
@@ -130,7 +128,7 @@
         self.update_aggregates();
     }
 
-    /// Returns the number of tokens that the engine's memory holds.
+    /// Returns the KV memory in use, in tokens.
     pub fn context_tokens(&self) -> u64 {
         self.aggregates.context_tokens
     }
@@ -204,7 +202,6 @@
         self.update_aggregates();
     }
 
-    /// Removes the sequence of a finished job.
     pub fn remove_sequence(&mut self, job: Id) {
         if self.sequences.remove(&job).is_some() {
             self.update_aggregates();
--- a/coord/src/planner/fleet.rs
+++ b/coord/src/planner/fleet.rs
@@ -37,7 +37,7 @@
         &mut self.0
     }
 
-    /// Returns the index of an engine.
+    /// Returns the index of an engine in [`Fleet::engines`].
     pub fn position(&self, name: &Name) -> Option<usize> {
         self.0.binary_search_by(|engine| engine.name.cmp(name)).ok()
     }
--- a/coord/src/planner/granted.rs
+++ b/coord/src/planner/granted.rs
@@ -73,7 +73,6 @@
         Some(job)
     }
 
-    /// Returns the identities of all granted jobs.
     pub fn ids(&self) -> impl Iterator<Item = &Id> {
         self.jobs.keys()
     }
--- a/coord/src/planner/job.rs
+++ b/coord/src/planner/job.rs
@@ -54,7 +54,7 @@
     pub holds: u64,
 }
 
-/// Engines of one prompt.
+/// Engines that serve one prompt together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
     /// Engine that receives the request and decodes the answer.
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -53,7 +53,7 @@
 /// Bounds the number of engines that are listed to explain why prompts wait; 12 give a log line of some 300 bytes.
 const MAX_LISTED_EXCLUSIONS: usize = 12;
 
-/// The planner of one service.
+/// Planner for the engines of one service.
 #[derive(Debug, Default)]
 pub struct Planner {
     policy: Policy,
--- a/coord/src/planner/place/excluded.rs
+++ b/coord/src/planner/place/excluded.rs
@@ -14,7 +14,6 @@
         Self { unreachable, in_backoff }
     }
 
-    /// Returns whether no engine is excluded.
     pub(in crate::planner) fn is_empty(&self) -> bool {
         self.unreachable.is_empty() && self.in_backoff.is_empty()
     }
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -18,10 +18,10 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// Engines that a prompt may use.
+/// Engines that a prompt may be placed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CandidateScope {
-    /// Any of them.
+    /// All eligible engines.
     All,
     /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
     SharedOnly,
@@ -122,7 +122,7 @@
         context.select_team()
     }
 
-    /// Returns the engines that are excluded for an entry now.
+    /// Returns the engines that are unreachable for an entry or asked it to back off.
     pub(super) fn excluded_engines(&self, entry: u64, now: Moment) -> ExcludedEngines {
         let position = |name: &Name| self.fleet.position(name);
         let unreachable = self.path_failures.unreachable_engines(entry, now).filter_map(position).collect();
--- a/coord/src/planner/snapshot.rs
+++ b/coord/src/planner/snapshot.rs
@@ -9,7 +9,7 @@
 use crate::quarantine::Work;
 use crate::time::Moment;
 
-/// State of one engine at one moment.
+/// State of one engine when the snapshot was taken.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineState {
     /// Prefill that is pending, in milliseconds.
@@ -23,13 +23,13 @@
     pub pass_ms: f64,
     /// Smallest gap target among the answers that decode here, in milliseconds; infinite if there is none.
     pub min_gap_target_ms: f64,
-    /// Tokens that its memory holds.
+    /// KV memory in use, in tokens.
     pub context_tokens: u64,
-    /// Tokens of its memory that can still be granted.
+    /// KV memory that can still be granted, in tokens.
     pub free_memory: u64,
-    /// Answers that decode here, or will once their prompts are prefilled.
+    /// Sequences that decode here, or will once their prompts are prefilled.
     pub sequence_count: usize,
-    /// Answers among them whose prompts are short.
+    /// Sequences whose prompts are short.
     pub short_sequence_count: usize,
     /// Whether one more answer may decode here.
     pub has_slot: bool,
@@ -86,9 +86,9 @@
 /// Engines that can prefill a part of a long prompt now.
 #[derive(Clone, Debug)]
 pub struct PrefillEngines {
-    /// Their indexes in the fleet, shortest wait first.
+    /// Indexes of the engines in the fleet, shortest wait first.
     pub by_wait: Vec<usize>,
-    /// Their prefill budgets in milliseconds, largest first.
+    /// Prefill budgets of the same engines, in milliseconds, largest first.
     budgets_ms: Vec<f64>,
 }
 
@@ -163,7 +163,7 @@
 /// Number of engines by state, logged to explain why prompts wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// All engines.
+    /// Engines of the service.
     pub engines: usize,
     /// Eligible engines.
     pub eligible: usize,
@@ -179,7 +179,7 @@
     pub prefilling: usize,
 }
 
-/// State of all engines at one moment.
+/// State of all engines when the snapshot was taken.
 #[derive(Debug, Default)]
 pub struct FleetSnapshot {
     states: Vec<EngineState>,
@@ -189,7 +189,6 @@
     half_open: usize,
     /// Number of engines that run a suspected request.
     with_suspect: usize,
-    /// Number of slow engines.
     slow: usize,
     /// Engines that can prefill for entries without excluded engines, computed on first use.
     prefill_engines: OnceCell<PrefillEngines>,
@@ -223,7 +222,6 @@
         &self.states
     }
 
-    /// Counts the engines by state.
     pub fn count_engines(&self, policy: &Policy) -> EngineCounts {
         let eligibility = self.eligibility(policy);
         let count =
--- a/coord/src/planner/wait_queue.rs
+++ b/coord/src/planner/wait_queue.rs
@@ -59,7 +59,7 @@
     prompts: BTreeMap<Id, Prompt>,
     /// Prompts that could still be in time when the queue was last read.
     timely: BTreeMap<Rank, Prompt>,
-    /// Prompts that would have been late.
+    /// Prompts that were late already at that time.
     late: BTreeMap<Rank, Prompt>,
     /// Times at which the prompts in `timely` become late.
     late_times: BTreeSet<(Moment, Id)>,
@@ -85,7 +85,7 @@
         self.late_times.insert((prompt.late_after, id));
     }
 
-    /// Removes a prompt if it is in the queue.
+    /// Does nothing if the prompt is not in the queue.
     pub fn remove(&mut self, id: Id) {
         let Some(prompt) = self.prompts.remove(&id) else { return };
         let rank = self.rank(id, &prompt);
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -31,10 +31,10 @@
 /// Factor on the estimated time of an answer; a job with less time left is refused as too late.
 const ESTIMATE_MARGIN: f64 = 1.25;
 
-/// Retry delay for an endpoint that fails its health checks.
+/// Time after which a caller should retry at an endpoint that fails its health checks.
 const UNHEALTHY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Retry delay for the memory of a span.
+/// Time after which a caller should ask again for the memory of a span.
 const SPAN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Scheduler of one endpoint; see the module documentation.
--- a/coord/tests/plain/engine.rs
+++ b/coord/tests/plain/engine.rs
@@ -21,7 +21,7 @@
 /// Answer that decodes on an engine, or will once its prompt is prefilled.
 #[derive(Clone, Copy, Debug)]
 pub struct Sequence {
-    /// Tokens that it holds in memory.
+    /// KV memory that it holds on this engine, in tokens.
     pub tokens: u64,
     /// Gap target of its caller, in milliseconds; 0 if the caller sets none.
     pub gap_target_ms: f64,
@@ -35,7 +35,6 @@
     parts: VecDeque<Part>,
     /// Time at which prefill of the first part started.
     front_started_at: Moment,
-    /// Sequences by job.
     pub sequences: BTreeMap<Id, Sequence>,
 }
 
@@ -45,7 +44,7 @@
         Self { profile, parts: VecDeque::new(), front_started_at: Moment::ZERO, sequences: BTreeMap::new() }
     }
 
-    /// Returns the number of tokens that the engine's memory holds.
+    /// Returns the KV memory in use, in tokens.
     pub fn context_tokens(&self) -> u64 {
         self.sequences.values().map(|sequence| sequence.tokens).sum()
     }
@@ -104,12 +103,11 @@
         self.min_gap_target_ms() * policy.pause_share - self.pass_ms() - self.pending_ms(now)
     }
 
-    /// Returns the number of tokens of its memory that can still be granted.
+    /// Returns the KV memory that can still be granted, in tokens.
     pub fn free_memory(&self, policy: &Policy) -> u64 {
         ((self.profile.memory as f64 * policy.memory_share) as u64).saturating_sub(self.context_tokens())
     }
 
-    /// Returns whether its memory has room for a job.
     pub fn has_memory(&self, job: &Job, policy: &Policy) -> bool {
         self.free_memory(policy) >= memory_tokens(job)
     }
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -22,7 +22,7 @@
 use coord::planner::{Grant, Id, Job, Policy, Team};
 use coord::time::Moment;
 
-/// The planner of one service.
+/// Reference planner for the engines of one service.
 #[derive(Debug, Default)]
 pub struct Planner {
     policy: Policy,
--- a/coord/tests/plain/place/mod.rs
+++ b/coord/tests/plain/place/mod.rs
@@ -9,10 +9,10 @@
 use coord::planner::{Grant, Id, Job, Policy};
 use coord::time::Moment;
 
-/// Engines that a prompt may use.
+/// Engines that a prompt may be placed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateScope {
-    /// Any of them.
+    /// All eligible engines.
     All,
     /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
     SharedOnly,
