--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::job::Id;
-use super::pace::{LATE_FACTOR, LATE_MARGIN_MS};
 use super::policy::{MIN_PENDING_SHARE, OVERDUE_FACTOR};
+use super::slowdown::{LATE_FACTOR, LATE_MARGIN_MS};
 use crate::breaker::Breaker;
 use crate::engine::Figures;
 use crate::limit::Allowance;
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -1,7 +1,7 @@
 //! Selects engines for one prompt.
 
-mod apart;
 mod excluded;
+mod isolated;
 mod long;
 mod short;
 mod unplaceable;
