--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -1,11 +1,11 @@
-//! The planner's picture of one engine: what it has left to read, what it writes, what its memory holds.
+//! Model of one engine: its pending prefill, its decoding answers, and its memory.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use super::job::Id;
-use super::pace::{LATE, LATE_BY_MS};
-use super::policy::{LEAST_LEFT, OVERDUE};
+use super::policy::{MIN_PENDING_SHARE, OVERDUE_FACTOR};
+use super::slowdown::{LATE_FACTOR, LATE_MARGIN_MS};
 use crate::breaker::Breaker;
 use crate::engine::Figures;
 use crate::limit::Allowance;
@@ -13,220 +13,227 @@
 use crate::quarantine::Work;
 use crate::time::Moment;
 
-/// A part of a prompt that an engine has still to read.
+/// Part of a prompt that is still to be prefilled.
 #[derive(Clone, Copy, Debug)]
 struct Part {
     job: Id,
-    /// Time that reading it takes, in milliseconds.
-    ms: f64,
+    /// Expected prefill time, in milliseconds.
+    prefill_ms: f64,
 }
 
-/// An answer that an engine writes, or will write once its prompt is read.
+/// Answer that decodes on an engine, or will once its prompt is prefilled.
 #[derive(Clone, Copy, Debug)]
-pub struct Seat {
-    /// Tokens that it holds.
+pub struct Sequence {
+    /// KV memory that it holds on this engine, in tokens.
     pub tokens: u64,
-    /// Longest pause that its caller wants, in milliseconds; 0 if none is told.
-    pub gap_ms: f64,
-    /// Whether its prompt is a short one.
-    pub short: bool,
-    /// The work of its prompt, if that is suspected of ending engines.
+    /// Gap target of its caller, in milliseconds; 0 if the caller sets none.
+    pub gap_target_ms: f64,
+    pub is_short: bool,
+    /// Fingerprint of its request, if it is suspected of crashing engines.
     pub suspect: Option<Work>,
 }
 
-/// Sums over the answers that an engine writes, kept so that a look at all engines does not add them up each time.
+/// Aggregates over the sequences of an engine, cached so that a scan of all engines does not recompute them.
 #[derive(Clone, Copy, Debug)]
-struct Sums {
-    /// Tokens that the engine's memory holds.
-    context: u64,
-    /// The shortest pause that anyone wants, in milliseconds; infinite if nobody minds.
-    gap_ms: f64,
-    /// Milliseconds of a pass in which nothing is read.
+struct Aggregates {
+    /// KV memory in use, in tokens.
+    context_tokens: u64,
+    /// Smallest gap target, in milliseconds; infinite if no sequence has one.
+    min_gap_target_ms: f64,
+    /// Duration of a pass without prefill, in milliseconds.
     pass_ms: f64,
-    /// Answers to short prompts.
-    short_seats: usize,
-    /// Work of one of them that is suspected of ending engines.
+    /// Number of sequences whose prompts are short.
+    short_sequence_count: usize,
+    /// Fingerprint of one of the sequences that is suspected of crashing engines.
     suspect: Option<Work>,
 }
 
-/// What the planner believes of one engine.
+/// State of one engine as known to the planner. It may be incomplete, because other planners may use the engine too.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its name.
     pub name: Name,
-    /// What requests have told of it, once one went badly.
+    /// Circuit breaker; `None` until the first failure.
     pub breaker: Option<Breaker>,
-    /// What may still be sent to it, if it names a limit of its own.
+    /// Allowance under the engine's announced rate limit; `None` if it announces no limit.
     pub limit: Option<Allowance>,
-    /// When something last came from it in time.
+    /// Time of the last first event that was not overdue.
     pub answered_at: Moment,
-    /// Its sizes and speeds, when it is as fast as it should be.
-    sound: Arc<Figures>,
-    /// Its sizes and speeds now.
-    figures: Arc<Figures>,
-    /// How many times as long as it should everything takes, as the engine says.
-    pace: f64,
-    /// When it was last asked.
-    pub asked_at: Moment,
-    /// What it reads, in order.
+    /// Profile at nominal speed.
+    nominal_profile: Arc<Figures>,
+    /// Profile at the current slowdown.
+    profile: Arc<Figures>,
+    /// Slowdown factor that the engine reported; 1.0 is nominal speed.
+    slowdown: f64,
+    /// Time of the last slowdown probe.
+    pub probed_at: Moment,
+    /// Pending prefill, in order.
     parts: VecDeque<Part>,
-    /// When the first part began to be read.
-    front_since: Moment,
-    /// What it writes.
-    seats: BTreeMap<Id, Seat>,
-    sums: Sums,
+    /// Time at which prefill of the first part started.
+    front_started_at: Moment,
+    sequences: BTreeMap<Id, Sequence>,
+    aggregates: Aggregates,
 }
 
 impl Engine {
-    /// An engine with nothing to do.
-    pub fn new(name: Name, figures: Arc<Figures>) -> Self {
+    /// Creates an idle engine.
+    pub fn new(name: Name, profile: Arc<Figures>) -> Self {
         Self {
             name,
             breaker: None,
             limit: None,
             answered_at: Moment::ZERO,
-            sound: figures.clone(),
-            figures,
-            pace: 1.0,
-            asked_at: Moment::ZERO,
+            nominal_profile: profile.clone(),
+            profile,
+            slowdown: 1.0,
+            probed_at: Moment::ZERO,
             parts: VecDeque::new(),
-            front_since: Moment::ZERO,
-            seats: BTreeMap::new(),
-            sums: Sums { context: 0, gap_ms: f64::INFINITY, pass_ms: 0.0, short_seats: 0, suspect: None },
+            front_started_at: Moment::ZERO,
+            sequences: BTreeMap::new(),
+            aggregates: Aggregates {
+                context_tokens: 0,
+                min_gap_target_ms: f64::INFINITY,
+                pass_ms: 0.0,
+                short_sequence_count: 0,
+                suspect: None,
+            },
         }
     }
 
-    /// Its sizes and speeds.
-    pub fn figures(&self) -> &Arc<Figures> {
-        &self.figures
+    /// Returns the profile at the current slowdown.
+    pub fn profile(&self) -> &Arc<Figures> {
+        &self.profile
     }
 
-    /// Its sizes and speeds when it is as fast as it should be.
-    pub fn sound(&self) -> &Arc<Figures> {
-        &self.sound
+    pub fn nominal_profile(&self) -> &Arc<Figures> {
+        &self.nominal_profile
     }
 
-    /// Gives it other sizes and speeds.
-    pub fn set_figures(&mut self, figures: Arc<Figures>) {
-        self.sound = figures;
-        self.set_pace(self.pace);
+    /// Replaces the profile at nominal speed and applies the current slowdown to it.
+    pub fn set_profile(&mut self, profile: Arc<Figures>) {
+        self.nominal_profile = profile;
+        self.set_slowdown(self.slowdown);
     }
 
-    /// How many times as long as it should everything takes.
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
-    /// Notes how many times as long as it should everything takes.
-    pub fn set_pace(&mut self, pace: f64) {
-        self.pace = pace;
-        self.figures = if pace == 1.0 { self.sound.clone() } else { Arc::new(self.sound.at_pace(pace)) };
-        self.sum_up();
+    pub fn set_slowdown(&mut self, slowdown: f64) {
+        self.slowdown = slowdown;
+        self.profile = if slowdown == 1.0 {
+            self.nominal_profile.clone()
+        } else {
+            Arc::new(self.nominal_profile.at_pace(slowdown))
+        };
+        self.update_aggregates();
     }
 
-    /// Tokens that its memory holds.
-    pub fn context(&self) -> u64 {
-        self.sums.context
+    /// Returns the KV memory in use, in tokens.
+    pub fn context_tokens(&self) -> u64 {
+        self.aggregates.context_tokens
     }
 
-    /// Answers that it writes, or will.
-    pub fn seats(&self) -> usize {
-        self.seats.len()
+    pub fn sequence_count(&self) -> usize {
+        self.sequences.len()
     }
 
-    /// Answers to short prompts that it writes, or will.
-    pub fn short_seats(&self) -> usize {
-        self.sums.short_seats
+    /// Returns the number of sequences whose prompts are short.
+    pub fn short_sequence_count(&self) -> usize {
+        self.aggregates.short_sequence_count
     }
 
-    /// Work that it has and that is suspected of ending engines.
+    /// Returns the fingerprint of a request at this engine that is suspected of crashing engines.
     pub fn suspect(&self) -> Option<Work> {
-        self.sums.suspect
+        self.aggregates.suspect
     }
 
-    /// The shortest pause that anyone who writes here wants, in milliseconds.
-    pub fn gap_ms(&self) -> f64 {
-        self.sums.gap_ms
+    /// Returns the smallest gap target of the sequences, in milliseconds; infinite if no sequence has one.
+    pub fn min_gap_target_ms(&self) -> f64 {
+        self.aggregates.min_gap_target_ms
     }
 
-    /// Milliseconds of a pass in which nothing is read.
+    /// Returns the duration of a pass without prefill, in milliseconds.
     pub fn pass_ms(&self) -> f64 {
-        self.sums.pass_ms
+        self.aggregates.pass_ms
     }
 
-    /// Milliseconds of reading that are left. Parts that are long overdue, one after the other, no longer count: their
-    /// answers were lost, or other engines hold up their teams. The part behind those counts in full.
+    /// Returns the pending prefill in milliseconds. Parts at the front that are long overdue no longer count, because
+    /// their answers were lost or other engines hold up their teams. The first part that is not overdue counts in
+    /// full if overdue parts precede it.
     pub fn pending_ms(&self, now: Moment) -> f64 {
         if self.parts.is_empty() {
             return 0.0;
         }
-        let mut elapsed = now.since(self.front_since).as_secs_f64() * 1e3;
+        let mut elapsed_ms = now.since(self.front_started_at).as_secs_f64() * 1e3;
         let mut parts = self.parts.iter();
         let mut is_front = true;
         let next = parts.find(|part| {
-            let overdue_after = part.ms * OVERDUE + self.pass_ms();
-            let overdue = elapsed > overdue_after;
-            if overdue {
-                elapsed -= overdue_after;
+            let overdue_after_ms = part.prefill_ms * OVERDUE_FACTOR + self.pass_ms();
+            let is_overdue = elapsed_ms > overdue_after_ms;
+            if is_overdue {
+                elapsed_ms -= overdue_after_ms;
                 is_front = false;
             }
-            !overdue
+            !is_overdue
         });
         let Some(next) = next else { return 0.0 };
-        let next_left = if is_front { (next.ms - elapsed).max(next.ms * LEAST_LEFT) } else { next.ms };
-        next_left + parts.map(|part| part.ms).sum::<f64>()
+        let remaining_ms = if is_front {
+            (next.prefill_ms - elapsed_ms).max(next.prefill_ms * MIN_PENDING_SHARE)
+        } else {
+            next.prefill_ms
+        };
+        remaining_ms + parts.map(|part| part.prefill_ms).sum::<f64>()
     }
 
-    /// Whether what it reads takes noticeably longer than it should.
+    /// Returns whether the first part takes noticeably longer than expected.
     pub fn is_late(&self, now: Moment) -> bool {
         let Some(front) = self.parts.front() else { return false };
-        let elapsed_ms = now.since(self.front_since).as_secs_f64() * 1e3;
-        elapsed_ms > (front.ms + self.pass_ms()) * LATE + LATE_BY_MS
+        let elapsed_ms = now.since(self.front_started_at).as_secs_f64() * 1e3;
+        elapsed_ms > (front.prefill_ms + self.pass_ms()) * LATE_FACTOR + LATE_MARGIN_MS
     }
 
-    /// Milliseconds until it could begin to read something new.
+    /// Returns the time until a new prefill could start, in milliseconds.
     pub fn wait_ms(&self, now: Moment) -> f64 {
         self.pending_ms(now) + self.pass_ms()
     }
 
-    /// Adds an answer that it will write.
-    pub fn seat(&mut self, job: Id, seat: Seat) {
-        self.seats.insert(job, seat);
-        self.sum_up();
+    pub fn add_sequence(&mut self, job: Id, sequence: Sequence) {
+        self.sequences.insert(job, sequence);
+        self.update_aggregates();
     }
 
-    /// Notes that an answer is over.
-    pub fn unseat(&mut self, job: Id) {
-        if self.seats.remove(&job).is_some() {
-            self.sum_up();
+    pub fn remove_sequence(&mut self, job: Id) {
+        if self.sequences.remove(&job).is_some() {
+            self.update_aggregates();
         }
     }
 
-    /// Adds a part behind what is left to read.
-    pub fn add_part(&mut self, job: Id, ms: f64, now: Moment) {
+    /// Appends a part to the pending prefill.
+    pub fn add_part(&mut self, job: Id, prefill_ms: f64, now: Moment) {
         if self.parts.is_empty() {
-            self.front_since = now;
+            self.front_started_at = now;
         }
-        self.parts.push_back(Part { job, ms });
+        self.parts.push_back(Part { job, prefill_ms });
     }
 
-    /// Notes that a job's part is read, or never will be.
-    pub fn drop_part(&mut self, job: Id, now: Moment) {
+    /// Removes the part of a job that is prefilled or was withdrawn.
+    pub fn remove_part(&mut self, job: Id, now: Moment) {
         let was_front = self.parts.front().is_some_and(|part| part.job == job);
         self.parts.retain(|part| part.job != job);
         if was_front {
-            self.front_since = now;
+            self.front_started_at = now;
         }
     }
 
-    fn sum_up(&mut self) {
-        let context = self.seats.values().map(|seat| seat.tokens).sum();
-        let gaps = self.seats.values().map(|seat| seat.gap_ms).filter(|gap| *gap > 0.0);
-        let gap_ms = gaps.fold(f64::INFINITY, f64::min);
-        let writers = self.seats.len() as u32;
-        let pass_ms = if writers == 0 { 0.0 } else { self.figures.pass_ms(writers, context) };
-        let short_seats = self.seats.values().filter(|seat| seat.short).count();
-        let suspect = self.seats.values().find_map(|seat| seat.suspect);
-        self.sums = Sums { context, gap_ms, pass_ms, short_seats, suspect };
+    fn update_aggregates(&mut self) {
+        let context_tokens = self.sequences.values().map(|sequence| sequence.tokens).sum();
+        let gap_targets =
+            self.sequences.values().map(|sequence| sequence.gap_target_ms).filter(|gap_target| *gap_target > 0.0);
+        let min_gap_target_ms = gap_targets.fold(f64::INFINITY, f64::min);
+        let sequence_count = self.sequences.len() as u32;
+        let pass_ms = if sequence_count == 0 { 0.0 } else { self.profile.pass_ms(sequence_count, context_tokens) };
+        let short_sequence_count = self.sequences.values().filter(|sequence| sequence.is_short).count();
+        let suspect = self.sequences.values().find_map(|sequence| sequence.suspect);
+        self.aggregates = Aggregates { context_tokens, min_gap_target_ms, pass_ms, short_sequence_count, suspect };
     }
 }
--- a/coord/src/planner/estimate.rs
+++ b/coord/src/planner/estimate.rs
@@ -1,51 +1,52 @@
-//! The model's view of a prompt that its turn and the choice of its engines depend on.
+//! Estimates for a prompt that its queue position and its placement depend on.
 
 use super::Planner;
 use super::engine::Engine;
 use super::job::{Job, Team};
-use super::policy::{PASSES_TO_FIRST_EVENT, Policy, SHORT_READ_MS};
-use super::waiting::Prompt;
+use super::policy::{MAX_SHORT_PREFILL_MS, PASSES_TO_FIRST_EVENT, Policy};
+use super::wait_queue::Prompt;
 use crate::engine::{Figures, millis};
 use crate::time::Moment;
 
-/// Far beyond any time that is asked about.
+/// Time later than any that is compared with it.
 const NEVER: Moment = Moment::from_micros(u64::MAX);
 
-/// A prompt as engines of these sizes and speeds see it.
-pub(super) fn prompt(job: Job, figures: Option<&Figures>, engines: usize, policy: &Policy) -> Prompt {
-    let Some(figures) = figures else {
-        return Prompt { job, read_ms: job.prompt as f64, short: true, late_after: NEVER };
+/// Computes the estimates for a prompt on engines with the given profile; without a profile, it counts as short and
+/// never late.
+pub(super) fn estimate_prompt(job: Job, profile: Option<&Figures>, engines: usize, policy: &Policy) -> Prompt {
+    let Some(profile) = profile else {
+        return Prompt { job, prefill_ms: job.prompt as f64, is_short: true, late_after: NEVER };
     };
-    let read_ms = figures.read_ms(job.prompt);
-    let short = is_short(&job, figures, policy);
-    let readers = if short { 1 } else { policy.most_parts.min(engines) };
-    // Behind the rest of a pass and with the pass in which its first event is written.
-    let pass_ms = figures.pass_ms(figures.slots / 2, 0);
-    let first_event_ms = read_ms / readers as f64 + pass_ms * PASSES_TO_FIRST_EVENT;
-    Prompt { job, read_ms, short, late_after: job.aim - millis(first_event_ms) }
+    let prefill_ms = profile.read_ms(job.prompt);
+    let is_short = is_short(&job, profile, policy);
+    let parts = if is_short { 1 } else { policy.most_parts.min(engines) };
+    // On average half a pass is under way when the prompt arrives, and a whole pass produces the first event.
+    let pass_ms = profile.pass_ms(profile.slots / 2, 0);
+    let first_event_ms = prefill_ms / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT;
+    Prompt { job, prefill_ms, is_short, late_after: job.aim - millis(first_event_ms) }
 }
 
-/// Whether one engine can read the prompt without a pause that someone like its caller would mind.
-fn is_short(job: &Job, figures: &Figures, policy: &Policy) -> bool {
-    let gap = if job.gap_ms > 0.0 { job.gap_ms } else { f64::INFINITY };
-    let full = figures.pass_ms((f64::from(figures.slots) * policy.slot_share) as u32, 0);
-    let read_ms = figures.read_ms(job.prompt);
-    read_ms <= gap * policy.pause_share - full && read_ms <= SHORT_READ_MS
+/// Returns whether one engine can prefill the prompt without exceeding the gap target of an answer like its own.
+fn is_short(job: &Job, profile: &Figures, policy: &Policy) -> bool {
+    let gap_target_ms = if job.gap_ms > 0.0 { job.gap_ms } else { f64::INFINITY };
+    let full_pass_ms = profile.pass_ms((f64::from(profile.slots) * policy.slot_share) as u32, 0);
+    let prefill_ms = profile.read_ms(job.prompt);
+    prefill_ms <= gap_target_ms * policy.pause_share - full_pass_ms && prefill_ms <= MAX_SHORT_PREFILL_MS
 }
 
 impl Planner {
-    /// A prompt as the engines of today see it.
-    pub(super) fn prompt(&self, job: Job) -> Prompt {
+    /// Computes the estimates for a prompt on the current engines.
+    pub(super) fn estimate_prompt(&self, job: Job) -> Prompt {
         let engines = self.fleet.engines().len();
-        prompt(job, self.fleet.figures().map(AsRef::as_ref), engines, &self.policy)
+        estimate_prompt(job, self.fleet.nominal_profile().map(AsRef::as_ref), engines, &self.policy)
     }
 
-    /// Milliseconds until a team that is granted now has read a prompt and writes its first event.
-    pub(super) fn expected_ms(&self, read_ms: f64, team: &Team, now: Moment) -> f64 {
+    /// Returns the expected time from a grant at `now` to the first event, in milliseconds.
+    pub(super) fn expected_ms(&self, prefill_ms: f64, team: &Team, now: Moment) -> f64 {
         let engines = team.engines().filter_map(|name| self.fleet.get(name));
-        let wait = engines.clone().map(|engine| engine.wait_ms(now)).fold(0.0, f64::max);
-        let pass = engines.clone().map(Engine::pass_ms).fold(0.0, f64::max);
-        let pace = engines.map(Engine::pace).fold(1.0, f64::max);
-        wait + read_ms * pace / (1 + team.helpers.len()) as f64 + pass
+        let max_wait_ms = engines.clone().map(|engine| engine.wait_ms(now)).fold(0.0, f64::max);
+        let max_pass_ms = engines.clone().map(Engine::pass_ms).fold(0.0, f64::max);
+        let slowdown = engines.map(Engine::slowdown).fold(1.0, f64::max);
+        max_wait_ms + prefill_ms * slowdown / (1 + team.helpers.len()) as f64 + max_pass_ms
     }
 }
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -1,114 +1,133 @@
-//! The choice of engines for one prompt.
+//! Selects engines for one prompt.
 
-mod apart;
-mod barred;
-mod hopeless;
+mod excluded;
+mod isolated;
 mod long;
 mod short;
+mod unplaceable;
 
 use std::borrow::Cow;
 
-pub(super) use self::barred::Barred;
-pub(super) use self::hopeless::Hopeless;
+pub(super) use self::excluded::ExcludedEngines;
+pub(super) use self::unplaceable::Unplaceable;
 use super::Planner;
-use super::board::{Board, Choosable, Open, View};
 use super::job::{Job, Team};
 use super::policy::Policy;
-use super::waiting::{Prompt, Turn};
+use super::snapshot::{Eligibility, EngineState, FleetSnapshot, PrefillEngines};
+use super::wait_queue::{Candidate, Prompt};
 use crate::name::Name;
 use crate::time::Moment;
 
-/// Which engines a prompt may take.
+/// Engines that a prompt may be placed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
-    /// Any of them.
+pub(super) enum CandidateScope {
+    /// All eligible engines.
     All,
-    /// Only those that hold short answers already, which prompts that wait for a team do not wait for.
-    Shared,
+    /// Only engines that already decode answers to short prompts. Prompts that wait for a team do not wait for these.
+    SharedOnly,
 }
 
-/// A prompt that may start now, and what the choice of its engines depends on.
+/// Prompt to be placed, with the state that the selection of its engines depends on.
 #[derive(Clone, Copy)]
-struct Choice<'a> {
+struct PlacementContext<'a> {
     planner: &'a Planner,
-    board: &'a Board,
-    turn: &'a Turn,
-    /// Which engines it may take.
-    reach: Reach,
-    /// Engines that its entry should not get.
-    barred: &'a Barred,
-    /// Whether those that its entry probably does not reach are tried all the same.
-    tries_unreached: bool,
-    /// Which engines may be chosen at all.
-    choosable: Choosable,
+    snapshot: &'a FleetSnapshot,
+    candidate: &'a Candidate,
+    scope: CandidateScope,
+    /// Engines that are excluded for its entry.
+    excluded: &'a ExcludedEngines,
+    /// Whether engines that its entry probably cannot reach are tried anyway.
+    tries_unreachable: bool,
+    /// Rules that exclude engines for all entries.
+    eligibility: Eligibility,
     now: Moment,
 }
 
-impl<'a> Choice<'a> {
+impl<'a> PlacementContext<'a> {
     fn policy(&self) -> &'a Policy {
         &self.planner.policy
     }
 
     fn prompt(&self) -> &'a Prompt {
-        &self.turn.prompt
+        &self.candidate.prompt
     }
 
     fn job(&self) -> &'a Job {
-        &self.turn.prompt.job
+        &self.candidate.prompt.job
     }
 
     fn name(&self, index: usize) -> &'a Name {
         &self.planner.fleet.engines()[index].name
     }
 
-    /// Engines that may be chosen, with their places in the fleet.
-    fn engines(&self) -> impl Iterator<Item = (usize, &'a View)> {
-        let views = self.board.views().iter().enumerate();
-        views.filter(move |(index, view)| self.choosable.admits(view) && !self.is_barred(*index))
+    /// Returns the eligible engines with their indexes in the fleet.
+    fn eligible_engines(&self) -> impl Iterator<Item = (usize, &'a EngineState)> {
+        let states = self.snapshot.states().iter().enumerate();
+        states.filter(move |(index, state)| self.eligibility.is_eligible(state) && !self.is_excluded(*index))
     }
 
-    fn is_barred(&self, index: usize) -> bool {
-        self.barred.rests(index) || (!self.tries_unreached && self.barred.is_unreached(index))
+    fn is_excluded(&self, index: usize) -> bool {
+        self.excluded.has_backoff(index) || (!self.tries_unreachable && self.excluded.is_unreachable(index))
     }
 
-    /// Engines that may read a part of a long prompt now.
-    fn open(&self) -> Cow<'a, Open> {
-        if self.barred.is_empty() {
-            return Cow::Borrowed(self.board.open(self.policy()));
+    /// Returns the engines that can prefill a part of a long prompt now.
+    fn prefill_engines(&self) -> Cow<'a, PrefillEngines> {
+        if self.excluded.is_empty() {
+            return Cow::Borrowed(self.snapshot.prefill_engines(self.policy()));
         }
-        Cow::Owned(self.board.open_among(self.engines().map(|(index, _)| index), self.policy()))
+        Cow::Owned(self.snapshot.prefill_engines_among(self.eligible_engines().map(|(index, _)| index), self.policy()))
     }
 }
 
 impl Planner {
-    /// Engines for a prompt that has its turn; none if it must wait.
-    pub(super) fn place(&self, turn: &Turn, reach: Reach, barred: &Barred, now: Moment) -> Option<Team> {
-        let board = &self.board;
-        let choosable = board.choosable(&self.policy);
-        let mut choice = Choice { planner: self, board, turn, reach, barred, tries_unreached: false, choosable, now };
-        if choice.engines().next().is_none() {
-            // Rather one that it may not reach than none.
-            choice.tries_unreached = true;
+    /// Returns the engines for a prompt; `None` if the prompt must wait.
+    pub(super) fn place(
+        &self,
+        candidate: &Candidate,
+        scope: CandidateScope,
+        excluded: &ExcludedEngines,
+        now: Moment,
+    ) -> Option<Team> {
+        let snapshot = &self.snapshot;
+        let eligibility = snapshot.eligibility(&self.policy);
+        let mut context = PlacementContext {
+            planner: self,
+            snapshot,
+            candidate,
+            scope,
+            excluded,
+            tries_unreachable: false,
+            eligibility,
+            now,
+        };
+        if context.eligible_engines().next().is_none() {
+            // Trying an engine that the entry may fail to reach is better than using none.
+            context.tries_unreachable = true;
         }
-        if let Some(work) = self.suspected_work(&turn.prompt.job).filter(|_| choice.may_be_alone()) {
-            choice.choosable = choosable.for_suspect();
-            return choice.apart(work).map(|index| Team::alone(choice.name(index)));
+        if let Some(fingerprint) =
+            self.suspected_fingerprint(&candidate.prompt.job).filter(|_| context.can_be_isolated())
+        {
+            context.eligibility = eligibility.allow_suspects();
+            return context.select_isolated(fingerprint).map(|index| Team::without_helpers(context.name(index)));
         }
-        if turn.prompt.short {
-            return choice.short().or_else(|| choice.left_out()).map(|index| Team::alone(choice.name(index)));
+        if candidate.prompt.is_short {
+            return context
+                .select_short()
+                .or_else(|| context.select_ejected())
+                .map(|index| Team::without_helpers(context.name(index)));
         }
-        if now < self.settled_at || reach == Reach::Shared {
+        if now < self.settled_at || scope == CandidateScope::SharedOnly {
             return None;
         }
-        choice.long()
+        context.select_team()
     }
 
-    /// Engines that an entry should not get now.
-    pub(super) fn barred(&self, entry: u64, now: Moment) -> Barred {
+    /// Returns the engines that are unreachable for an entry or asked it to back off.
+    pub(super) fn excluded_engines(&self, entry: u64, now: Moment) -> ExcludedEngines {
         let position = |name: &Name| self.fleet.position(name);
-        let unreached = self.evidence.unreached(entry, now).filter_map(position).collect();
-        let rests = self.rests.get(&entry);
-        let resting = rests.into_iter().flat_map(|rests| rests.resting(now));
-        Barred::new(unreached, resting.filter_map(|(name, _)| position(name)).collect())
+        let unreachable = self.path_failures.unreachable_engines(entry, now).filter_map(position).collect();
+        let backoffs = self.backoffs.get(&entry);
+        let in_backoff = backoffs.into_iter().flat_map(|backoffs| backoffs.resting(now));
+        ExcludedEngines::new(unreachable, in_backoff.filter_map(|(name, _)| position(name)).collect())
     }
 }
