--- a/coord/src/answer.rs
+++ b/coord/src/answer.rs
@@ -1,19 +1,20 @@
-//! Whole answers: frames numbered from zero, closed by a count and a digest.
+//! Integrity of streamed answers: frames are numbered from zero, and a seal with their count and digest ends the
+//! answer.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::name::Attempt;
 
-/// Totals that the sender puts at the end of an answer.
+/// Frame count and digest that the sender appends to an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seal {
     /// Number of frames sent.
     pub count: u64,
-    /// Digest over all frames' bytes in order.
+    /// XXH3 digest over the bytes of all frames, in order.
     pub digest: u64,
 }
 
-/// Numbers and digests the frames of one attempt, on either side of the wire.
+/// Numbers and hashes the frames of one attempt, at the sender and at the receiver.
 #[derive(Clone)]
 pub struct Tally {
     count: u64,
@@ -27,7 +28,7 @@
 }
 
 impl Tally {
-    /// A tally of no frames.
+    /// Creates a tally with no frames.
     pub fn new() -> Self {
         Self { count: 0, digest: Xxh3::new() }
     }
@@ -40,36 +41,36 @@
         number
     }
 
-    /// The totals so far.
+    /// Returns the count and digest of the frames added so far.
     pub fn seal(&self) -> Seal {
         Seal { count: self.count, digest: self.digest.digest() }
     }
 }
 
-/// What became of a frame at the receiver.
+/// Result of checking a received frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The next frame of the live attempt: pass it on.
+    /// The frame is the next one of the live attempt; forward it.
     Pass,
-    /// A frame of another attempt, or one seen before: drop it.
+    /// The frame belongs to another attempt or is a duplicate; drop it.
     Drop,
-    /// A frame is missing before this one: the answer cannot be whole.
+    /// At least one frame before this one is missing, so the answer cannot be complete.
     Gap,
 }
 
-/// Receives the frames of the live attempt and refuses everything else.
+/// Accepts the frames of the live attempt, in order, and rejects all others.
 pub struct Receiver {
     live: Attempt,
     tally: Tally,
 }
 
 impl Receiver {
-    /// Receives frames of `live`.
+    /// Creates a receiver for the frames of attempt `live`.
     pub fn new(live: Attempt) -> Self {
         Self { live, tally: Tally::new() }
     }
 
-    /// Judges a frame; it is counted only if the verdict is [`Verdict::Pass`].
+    /// Checks a frame, and adds it to the count and digest if the verdict is [`Verdict::Pass`].
     pub fn accept(&mut self, attempt: Attempt, number: u64, bytes: &[u8]) -> Verdict {
         if attempt != self.live || number < self.tally.count {
             return Verdict::Drop;
@@ -81,12 +82,13 @@
         Verdict::Pass
     }
 
-    /// Number of frames passed on.
+    /// Returns the number of frames accepted.
     pub fn count(&self) -> u64 {
         self.tally.count
     }
 
-    /// Whether the answer that `attempt` sealed is whole.
+    /// Returns whether `seal` comes from the live attempt and matches the frames accepted, so that the answer is
+    /// complete.
     pub fn is_whole(&self, attempt: Attempt, seal: Seal) -> bool {
         attempt == self.live && self.tally.seal() == seal
     }
--- a/coord/src/breaker.rs
+++ b/coord/src/breaker.rs
@@ -1,43 +1,43 @@
-//! A circuit breaker for one replica, fed by what its requests come to.
+//! Circuit breaker for one replica, driven by the outcomes of its requests.
 //!
-//! A failure opens it for a while, and the more failures there were of late the longer. When that
-//! time is over one request is let through as a trial; its success closes the breaker again. Past
-//! failures fade slowly, whatever succeeds in between, so a replica that fails every other request or
-//! goes down and up by turns is left alone for longer each time.
+//! A failure opens the breaker, for longer the more failures occurred recently. After that time the breaker is
+//! half-open and lets one trial request through, whose success closes it. The weight of past failures decays with
+//! time only, not with successes, so that a replica that fails every other request or that flaps stays excluded for
+//! longer each time.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// For how long the first failure opens it: a few times what a lost connection costs its caller.
+/// Open time after the first failure; a few times the delay that a lost connection causes to its caller.
 const FIRST_OPEN: Duration = Duration::from_millis(500);
-/// Longest time for which it is open: replicas that come back are wanted again within seconds.
+/// Upper bound of the open time; a replica that recovers must receive requests again within seconds.
 const LONGEST_OPEN: Duration = Duration::from_secs(8);
-/// A failure weighs half after this time: the shortest turn of a flapping replica seen, a few times over.
+/// Half-life of the weight of a failure; a few times the shortest observed period of a flapping replica.
 const HALF_LIFE: Duration = Duration::from_secs(5);
-/// A trial without an outcome does not keep others away for longer than this.
+/// Time after which a trial request without an outcome no longer blocks other requests.
 const TRIAL_PATIENCE: Duration = Duration::from_secs(2);
-/// For how long it waits for a trial; where nobody comes to try it, it is as good as any.
+/// Time for which the breaker stays half-open; if no request arrives within it, the breaker closes.
 const TRIAL_SPAN: Duration = Duration::from_secs(4);
-/// Failures must weigh so much to open it; one report in full does.
+/// Least weight of failures that opens the breaker; a single failure with share 1 exceeds it.
 const LEAST_WEIGHT: f64 = 0.5;
 
-/// A circuit breaker.
+/// Circuit breaker of one replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Breaker {
-    /// What failures weighed at `weighed_at`.
+    /// Weight of past failures as of `weighed_at`.
     weight: f64,
     weighed_at: Moment,
-    /// It lets nothing through before.
+    /// No request is admitted before this time.
     open_until: Moment,
-    /// It was open, or is suspected, and no request has succeeded since; over at this moment.
+    /// End of the half-open period, which starts after an open period or a suspicion and ends early on a success.
     on_trial_until: Moment,
-    /// When the trial under way began.
+    /// Start time of the trial request in flight.
     trial: Option<Moment>,
 }
 
 impl Breaker {
-    /// Notes a failure; `share` in 0..=1 tells how far it is the replica's fault.
+    /// Records a failure; `share`, from 0 to 1, is the part of the failure that is attributed to the replica.
     pub fn failed(&mut self, share: f64, now: Moment) {
         self.weight = self.weight(now) + share;
         self.weighed_at = now;
@@ -49,45 +49,47 @@
         self.on_trial_until = self.open_until + TRIAL_SPAN;
     }
 
-    /// Notes that something it took part in went badly, maybe not by its fault: a trial shall tell.
+    /// Makes the breaker half-open after a failure that the replica took part in but may not have caused, so that a
+    /// trial request decides.
     pub fn suspect(&mut self, now: Moment) {
         self.on_trial_until = self.open_until.max(now) + TRIAL_SPAN;
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn succeeded(&mut self, now: Moment) {
-        // One that was sent before the failures says nothing of the replica since.
+        // A success while the breaker is open belongs to a request sent before the failures and says nothing about
+        // the present state.
         if now >= self.open_until {
             self.on_trial_until = now;
             self.trial = None;
         }
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent; in the half-open state it becomes the trial request.
     pub fn begin(&mut self, now: Moment) {
         if self.is_on_trial(now) {
             self.trial = Some(now);
         }
     }
 
-    /// Whether a request may be sent.
+    /// Returns whether a request may be sent at `now`.
     pub fn admits(&self, now: Moment) -> bool {
         let busy = self.trial.is_some_and(|since| now.since(since) < TRIAL_PATIENCE);
         now >= self.open_until && !(self.is_on_trial(now) && busy)
     }
 
-    /// Whether the next request is a trial.
+    /// Returns whether the breaker is half-open, so that the next request is a trial.
     pub fn is_on_trial(&self, now: Moment) -> bool {
         now < self.on_trial_until
     }
 
-    /// For how long a failure opens it, by what it weighs with those before it: twice as long for each one more.
+    /// Returns the open time for the current weight of failures; it doubles with each failure up to `LONGEST_OPEN`.
     fn open_for(&self) -> Duration {
         let most = LONGEST_OPEN.as_secs_f64() / FIRST_OPEN.as_secs_f64();
         FIRST_OPEN.mul_f64((self.weight - 1.0).exp2().min(most))
     }
 
-    /// What past failures weigh now.
+    /// Returns the decayed weight of past failures at `now`.
     fn weight(&self, now: Moment) -> f64 {
         let half_lives = now.since(self.weighed_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.weight * (-half_lives).exp2()
--- a/coord/src/budget.rs
+++ b/coord/src/budget.rs
@@ -1,14 +1,14 @@
-//! Retry budgets: retries are a bounded share of first tries.
+//! Retry budgets, which limit retries to a share of first attempts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// Tokens that one retry costs; a first try earns `share` of it.
+/// Tokens that one retry costs; a first attempt earns `share` times this amount.
 const RETRY_COST: f64 = 1.0;
 
-/// A budget that first tries fill and retries drain.
+/// Token bucket that first attempts fill and retries drain.
 #[derive(Clone, Debug)]
 pub struct Budget {
     share: f64,
@@ -17,17 +17,17 @@
 }
 
 impl Budget {
-    /// A budget of `share` retries per first try, saving at most `cap` retries.
+    /// Creates a full budget that allows `share` retries per first attempt and stores at most `cap` retries.
     pub fn new(share: f64, cap: f64) -> Self {
         Self { share, cap, level: cap }
     }
 
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.level = (self.level + self.share * RETRY_COST).min(self.cap);
     }
 
-    /// Takes one retry out, or says that the budget is spent.
+    /// Takes one retry from the budget, or returns `false` if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         if self.level < RETRY_COST {
             return false;
@@ -39,11 +39,12 @@
     }
 }
 
-/// A budget over the window of a fixed length that ends now: at most `allowance + share * first tries` retries.
+/// Budget over a sliding window: at most `allowance + share * first attempts` retries within the window that ends
+/// now.
 ///
-/// When traffic falls, a later window may hold the same retries and fewer first tries; who bounds
-/// every window must leave room for that. Several processes keep a common bound without a word to
-/// each other when each keeps its own part of the allowance, since the shares of first tries add up.
+/// When traffic falls, a later window can hold the same retries and fewer first attempts, so a caller that bounds
+/// every possible window must leave room for that. Several processes keep a common bound without coordination if each
+/// uses its own part of the allowance, because the shares of first attempts add up.
 #[derive(Clone, Debug)]
 pub struct Windowed {
     share: f64,
@@ -53,29 +54,29 @@
     retries: VecDeque<Moment>,
 }
 
-/// The part of a common allowance that one of `processes` may use, whatever the others do.
+/// Returns the part of a common allowance that each of `processes` may use independently of the others.
 pub fn part(allowance: f64, processes: usize) -> f64 {
     allowance / processes.max(1) as f64
 }
 
 impl Windowed {
-    /// A budget of `allowance` retries and `share` retries per first try in every `window`.
+    /// Creates a budget of `allowance` retries plus `share` retries per first attempt in every `window`.
     pub fn new(share: f64, allowance: f64, window: Duration) -> Self {
         Self { share, allowance, window, firsts: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// Sets the allowance; retries that were made under a larger one still count.
+    /// Sets the allowance. Retries made under a larger allowance still count.
     pub fn set_allowance(&mut self, allowance: f64) {
         self.allowance = allowance;
     }
 
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn earn(&mut self, now: Moment) {
         self.forget(now);
         self.firsts.push_back(now);
     }
 
-    /// Takes one retry out, or says that the budget is spent.
+    /// Takes one retry from the budget, or returns `false` if the budget is exhausted.
     pub fn spend(&mut self, now: Moment) -> bool {
         self.forget(now);
         let bound = self.allowance + self.share * self.firsts.len() as f64;
--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: a key that may run once is bound to the first claimant on the log.
+//! Claims, which bind a key that may run at most once to the first claimant in the log.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use crate::name::{Incarnation, Name};
 use crate::time::Moment;
 
-/// A key that may run once, scoped to a workspace.
+/// Idempotency key that may run at most once, scoped to a workspace.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The workspace that the caller belongs to.
+    /// Workspace of the caller.
     pub workspace: Name,
-    /// The caller's key.
+    /// Key that the caller supplied.
     pub key: Name,
 }
 
-/// The sidecar incarnation that a key is bound to.
+/// Sidecar incarnation that a key is bound to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
-    /// The endpoint beside which the sidecar runs.
+    /// Endpoint that the sidecar belongs to.
     pub endpoint: Name,
-    /// The sidecar's incarnation: a restarted sidecar never runs the key.
+    /// Incarnation of the sidecar; after a restart, the sidecar never runs the key.
     pub incarnation: Incarnation,
 }
 
-/// The claims replayed from the log: the first offset wins, for a window.
+/// Claims replayed from the log. The claim with the lowest offset holds the key for a window.
 #[derive(Debug)]
 pub struct Board {
     window: Duration,
@@ -36,19 +36,19 @@
 }
 
 impl Board {
-    /// A board that remembers a binding for `window` after its claim.
+    /// Creates an empty board that keeps a binding for `window` after its claim.
     pub fn new(window: Duration) -> Self {
         Self { window, bound: HashMap::new(), ages: VecDeque::new(), next: 0 }
     }
 
-    /// Notes that everything before `offset` was read. A record may hold several claims:
-    /// replay them all, then skip to the next offset.
+    /// Marks all records before `offset` as read. A record can hold several claims: replay all of them before
+    /// skipping to the next offset.
     pub fn skip_to(&mut self, offset: u64) {
         crate::invariant!(offset >= self.next, "the log is read forward");
         self.next = offset;
     }
 
-    /// Replays a claim found at `offset`, stamped `at` by the log; returns the binding that holds.
+    /// Replays the claim at `offset` with log timestamp `at`, and returns the binding in force.
     pub fn replay(&mut self, offset: u64, at: Moment, key: Key, binding: Binding) -> Binding {
         if offset < self.next {
             return self.binding(&key).cloned().unwrap_or(binding);
@@ -63,22 +63,22 @@
         binding
     }
 
-    /// The binding of `key`, if it was claimed within the window.
+    /// Returns the binding of `key` if the key was claimed within the window.
     pub fn binding(&self, key: &Key) -> Option<&Binding> {
         self.bound.get(key).map(|(binding, _)| binding)
     }
 
-    /// The next offset to read.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Number of keys remembered.
+    /// Returns the number of keys bound within the window.
     pub fn len(&self) -> usize {
         self.bound.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is bound.
     pub fn is_empty(&self) -> bool {
         self.bound.is_empty()
     }
--- a/coord/src/end.rs
+++ b/coord/src/end.rs
@@ -1,13 +1,15 @@
-//! Which ends of replicas' processes are the same: several processes see one end, none of them all.
+//! Deduplication of replica terminations that several processes observe, none of which observes all of them.
 //!
-//! A replica may start again under its identity, and where its record does not tell its start, nothing that it says tells
-//! one run from the next. What tells them apart is time: a request that was sent at one moment, and whose connection was
-//! found ended at another, shows an end between the two. Two such spans that have nothing in common are two ends. Spans
-//! that overlap are taken for one: counted twice, one end would make innocent work look guilty, and that would stand until
-//! an operator lifts it; two ends counted as one cost one more replica and are told apart by the next.
+//! A replica can restart under the same identity. Unless its record states its start time, its messages do not
+//! distinguish one run from the next, so terminations are told apart by time: a request sent at one moment whose
+//! connection is found closed at a later one proves a termination in between. Two disjoint intervals are two
+//! terminations. Overlapping intervals are treated as one: counting one termination twice makes innocent work look
+//! guilty until an operator lifts the verdict, whereas counting two as one costs one more replica and is corrected by
+//! the next termination.
 //!
-//! Who sees an end gives it a name that nobody else gives; who hears of it finds by its span whether it is one that is known
-//! already. Clocks differ, so that spans are passed on as ages.
+//! The process that observes a termination gives it a globally unique name. A process that receives a report matches
+//! its interval against the terminations it knows. Intervals are sent as ages because clocks differ between
+//! processes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,22 +20,22 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// For how long word of an end may be under way unnoticed: connections between processes are given up after less.
+/// Longest time that a report of a termination can be in transit; connections between processes time out sooner.
 const LONGEST_WAY: Duration = Duration::from_millis(500);
-/// Ends of one replica that are remembered, the newest.
+/// Terminations kept per replica; the oldest is dropped first.
 const MOST_ENDS: usize = 32;
 
-/// The time in which an end came about.
+/// Interval in which a termination happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// The process ran then, or had not begun.
+    /// Time at which the process was still running or had not started.
     pub after: Moment,
-    /// It had ended by then.
+    /// Time by which the process had terminated.
     pub by: Moment,
 }
 
 impl Span {
-    /// What is known of an end that was heard of at `now` and may have come about at any time before.
+    /// Returns the interval of a termination that is known only to have happened before `now`.
     pub const fn before(now: Moment) -> Self {
         Self { after: Moment::ZERO, by: now }
     }
@@ -42,13 +44,13 @@
         self.after <= other.by && other.after <= self.by
     }
 
-    /// The time that both have in common.
+    /// Returns the intersection of both intervals.
     fn narrowed(&self, other: &Span) -> Span {
         Span { after: self.after.max(other.after), by: self.by.min(other.by) }
     }
 }
 
-/// A span as it is passed on, with ages in place of moments.
+/// Interval in transit between processes, with ages in place of moments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Age {
     after: Duration,
@@ -56,28 +58,29 @@
 }
 
 impl Age {
-    /// The form of `span` that is sent at `now`.
+    /// Converts `span` for sending at `now`.
     pub fn of(span: &Span, now: Moment) -> Self {
         Self { after: now.since(span.after), by: now.since(span.by) }
     }
 
-    /// The span that was received at `now`. On its way it grew older by an unknown while.
+    /// Converts back to an interval at the receive time `now`. The interval is widened by the longest transit time
+    /// because the actual one is unknown.
     pub fn span(&self, now: Moment) -> Span {
         Span { after: now - self.after - LONGEST_WAY, by: now - self.by }
     }
 }
 
-/// The name of a run that ended, in its parts.
+/// Parsed name of a terminated run.
 struct Run<'a> {
     replica: &'a str,
-    /// When it was started, if its record told that and the end is the first that its author saw of it.
+    /// Start time of the run, if its record stated it and this is the first termination that `author` observed of it.
     born: Option<u64>,
-    /// Who saw the end; none in names of another form.
+    /// Process that observed the termination; `None` if the name has another format.
     author: Option<&'a str>,
 }
 
 impl<'a> Run<'a> {
-    /// Reads a name. One of another form is that of a replica.
+    /// Parses a name; a name in another format counts as the name of a replica.
     fn parse(name: &'a str) -> Self {
         let (run, author) = match name.rsplit_once('~') {
             Some((run, seen)) => (run, seen.rsplit_once('-').map(|(author, _)| author)),
@@ -91,10 +94,10 @@
     }
 }
 
-/// One end, under all the names that it was given.
+/// One termination with all names that processes gave it.
 #[derive(Clone, Debug)]
 struct End {
-    /// The first is the one that it has here.
+    /// The first name is the one used in this process.
     names: Vec<Name>,
     span: Span,
 }
@@ -104,7 +107,7 @@
         self.names.iter().find_map(|name| Run::parse(name).born)
     }
 
-    /// Whether an end of this name and span may be this one. Nobody gives one end two names.
+    /// Returns whether a reported termination may be this one. One process never gives two names to one termination.
     fn may_be(&self, run: &Run, span: &Span) -> bool {
         let by_author = |name: &Name| run.author.is_some() && Run::parse(name).author == run.author;
         let other_start = self.born().zip(run.born).is_some_and(|(own, other)| own != other);
@@ -112,33 +115,34 @@
     }
 }
 
-/// Ends of replicas' processes that one process knows of.
+/// Terminations of replica processes that this process knows of.
 #[derive(Debug)]
 pub struct Ends {
-    /// What the names that are given here begin with, behind the replica.
+    /// Unique part, after the replica, of the names that this process generates.
     author: Name,
     next: u64,
-    /// By replica, in the order in which they became known.
+    /// Terminations by replica, in the order in which they became known.
     replicas: BTreeMap<Name, Vec<End>>,
 }
 
 impl Ends {
-    /// Nothing known. No other process may have the same `author`, which has neither `-` nor `~` in it.
+    /// Creates an empty set. `author` must be unique among processes and contain neither `-` nor `~`.
     pub fn new(author: impl fmt::Display) -> Self {
         Self { author: author.to_string().into(), next: 0, replicas: BTreeMap::new() }
     }
 
-    /// Notes an end that was seen here, of a replica whose record tells when it was `born`; returns the name of the run
-    /// that ended, and whether the end was not known.
+    /// Records a termination observed by this process. `born` is the start time in the replica's record. Returns the
+    /// name of the terminated run and whether the termination was unknown.
     pub fn saw(&mut self, replica: &Name, born: Option<u64>, span: Span) -> (Name, bool) {
         let known = self.replicas.entry(replica.clone()).or_default();
         let overlapping = known.iter_mut().filter(|end| end.span.overlaps(&span));
-        // A request was at the run that ended first after it was sent.
+        // The request was running on the first run that terminated after it was sent.
         if let Some(end) = overlapping.min_by_key(|end| end.span.by) {
             end.span = end.span.narrowed(&span);
             return (end.names[0].clone(), false);
         }
-        // Records tell of a new start late: what ended before of the same start was an earlier run.
+        // A record shows a restart late: if a termination with this start time is known already, the start time
+        // belongs to an earlier run.
         let born = born.filter(|born| !known.iter().any(|end| end.born() == Some(*born)));
         let start = born.map_or_else(String::new, |born| format!("@{born}"));
         let run: Name = format!("{replica}{start}~{}-{}", self.author, self.next).into();
@@ -147,7 +151,7 @@
         (run, true)
     }
 
-    /// Notes an end that another process told of; returns the name that it has here.
+    /// Records a termination reported by another process, and returns its name in this process.
     pub fn heard(&mut self, name: &Name, span: Span) -> Name {
         let run = Run::parse(name);
         let known = self.replicas.entry(run.replica.into()).or_default();
@@ -164,24 +168,24 @@
         name.clone()
     }
 
-    /// When a run ended, if that is known here.
+    /// Returns the interval in which a run terminated, or `None` if the run is unknown.
     pub fn span(&self, run: &Name) -> Option<Span> {
         let known = self.replicas.get(Run::parse(run).replica)?;
         known.iter().find(|end| end.names.contains(run)).map(|end| end.span)
     }
 
-    /// Replicas that have ended, as far as is known.
+    /// Returns the number of replicas with a known termination.
     pub fn replicas(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Forgets the ends of replicas that are not among `known`.
+    /// Drops the terminations of replicas for which `known` returns `false`.
     pub fn keep(&mut self, known: impl Fn(&str) -> bool) {
         self.replicas.retain(|replica, _| known(replica));
     }
 }
 
-/// Adds an end to those of its replica; the oldest is forgotten for it.
+/// Appends a termination and drops the oldest one if the list is full.
 fn add(known: &mut Vec<End>, end: End) {
     if known.len() >= MOST_ENDS {
         known.remove(0);
--- a/coord/src/engine.rs
+++ b/coord/src/engine.rs
@@ -1,49 +1,49 @@
-//! A time model of one engine that works in passes. It does no I/O.
+//! Time model of an inference engine that works in passes.
 //!
-//! An engine works through its requests in passes. A pass with writers plays `stride` token
-//! steps; one without plays a single step. Each step reads at most `chunk` prompt tokens. The
-//! figures come from the service's configuration.
+//! An engine processes its requests in passes. A pass with decoding requests runs `stride` token steps; a pass
+//! without them runs one step. Each step prefills at most `chunk` prompt tokens. The parameters come from the
+//! service's configuration.
 
 use std::time::Duration;
 
-/// Sizes and speeds of an engine.
+/// Capacity and speed of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figures {
-    /// Requests at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
     /// KV memory, in tokens.
     pub memory: u64,
-    /// Token steps in a pass that has writers; an event carries as many tokens.
+    /// Token steps in a pass with decoding requests; a stream event carries the same number of tokens.
     pub stride: u32,
-    /// Time of one token step, in milliseconds.
+    /// Duration of one token step, in milliseconds.
     pub step_ms: f64,
-    /// Additional time of a step for each request that writes, in milliseconds.
+    /// Additional duration of a step per decoding request, in milliseconds.
     pub per_writer_ms: f64,
-    /// Additional time of a step for each 1,000 tokens of its writers' context, in milliseconds.
+    /// Additional duration of a step per 1,000 context tokens of its decoding requests, in milliseconds.
     pub per_context_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond, without attention.
     pub read_per_ms: f64,
-    /// Time to attend to a million pairs of a token and an earlier one, in milliseconds.
+    /// Attention time per million pairs of a token and an earlier token, in milliseconds.
     pub pairs_ms: f64,
-    /// Most prompt tokens read in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub chunk: u64,
-    /// Additional time of a step for a prompt that helpers read, in milliseconds.
+    /// Additional duration of a step for a prompt that helper engines prefill, in milliseconds.
     pub hop_ms: f64,
 }
 
 impl Figures {
-    /// Milliseconds that an engine needs to read a prompt of `tokens` tokens, steps left out.
+    /// Returns the prefill time of a prompt of `tokens` tokens in milliseconds, without step overhead.
     pub fn read_ms(&self, tokens: u64) -> f64 {
         tokens as f64 / self.read_per_ms + self.pair_ms(tokens)
     }
 
-    /// Milliseconds spent on pairs in a prompt of `tokens` tokens.
+    /// Returns the attention time of a prompt of `tokens` tokens, in milliseconds.
     fn pair_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
         tokens * tokens / 2.0 / 1e6 * self.pairs_ms
     }
 
-    /// The same engine when everything takes `pace` times as long.
+    /// Returns the parameters of this engine when every operation takes `pace` times as long.
     pub fn at_pace(&self, pace: f64) -> Self {
         Self {
             step_ms: self.step_ms * pace,
@@ -56,19 +56,20 @@
         }
     }
 
-    /// Milliseconds that each of `parts` engines reads when they share a prompt evenly.
+    /// Returns the prefill time of each engine, in milliseconds, when `parts` engines share a prompt evenly.
     pub fn part_ms(&self, tokens: u64, parts: usize) -> f64 {
         self.read_ms(tokens) / parts.max(1) as f64
     }
 
-    /// Milliseconds of one pass with `writers` requests that hold `context` tokens together.
+    /// Returns the duration of one pass with `writers` decoding requests that hold `context` tokens in total, in
+    /// milliseconds.
     pub fn pass_ms(&self, writers: u32, context: u64) -> f64 {
         let step = self.step_ms + self.per_writer_ms * f64::from(writers) + self.per_context_ms * context as f64 / 1e3;
         step * f64::from(self.stride.max(1))
     }
 }
 
-/// A duration of `ms` milliseconds; anything below zero is none.
+/// Converts milliseconds to a duration; negative values become zero.
 pub fn millis(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
--- a/coord/src/evacuation.rs
+++ b/coord/src/evacuation.rs
@@ -1,9 +1,11 @@
-//! Failure domains that operators have emptied: nothing new goes to their replicas until that is taken back.
+//! Failure domains that operators evacuated. Replicas in an evacuated domain get no new work until the operator ends
+//! the evacuation.
 //!
-//! The operators' word stands in a log. Whoever reads it has all that was said below an offset; whoever is told by another
-//! process gets that process's whole [`Picture`]. The picture that reaches further wins, so that word which comes late, by
-//! whichever way, takes nothing back. A log that comes back from an older copy of itself may have lost such word: what it
-//! leaves out then stays emptied for a while, in which operators say it again.
+//! Evacuations are recorded in a log. A process that reads the log knows all records below an offset; a process that
+//! hears from a peer receives the peer's full [`Picture`]. The picture with the higher offset wins, so that late
+//! messages never undo newer ones, whichever way they arrive. A log restored from an older copy of itself may have
+//! lost records: domains missing from it stay evacuated for a grace period in which operators can repeat the
+//! evacuation.
 
 use std::collections::BTreeSet;
 
@@ -13,37 +15,37 @@
 use crate::offset;
 use crate::time::Moment;
 
-/// What one record of the log says.
+/// Content of one log record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// A failure domain is to be emptied.
+    /// The evacuation of a failure domain started.
     Begun(Name),
-    /// Its replicas may be used again.
+    /// The evacuation ended; the domain's replicas may be used again.
     Ended(Name),
 }
 
-/// The failure domains that are emptied, as of one point of the log.
+/// Evacuated failure domains as of one log offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Picture {
-    /// All records below this offset are taken in.
+    /// Offset of the next log record; all records below it are applied.
     pub next: u64,
-    /// The domains.
+    /// Names of the evacuated failure domains.
     pub domains: BTreeSet<Name>,
 }
 
-/// What this process knows of emptied failure domains.
+/// Evacuations that this process knows of.
 #[derive(Debug, Default)]
 pub struct Register {
     picture: Picture,
-    /// Domains that the log knew to be emptied before it came back, and does not now.
+    /// Domains that were evacuated before the log was restored and are missing from the restored log.
     lost: BTreeSet<Name>,
-    /// Until when they stay emptied.
+    /// End of the grace period of the missing domains.
     lost_until: Moment,
 }
 
 impl Register {
-    /// Takes in what the record at `offset` says; says whether that changed anything. Records that were taken in before
-    /// change nothing.
+    /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records below the
+    /// known offset are ignored.
     pub fn hear(&mut self, offset: u64, news: News) -> bool {
         if offset < self.picture.next {
             return false;
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Takes in a whole picture, unless it is older than what is known; says whether that changed anything. What a log that
-    /// came back from an older copy leaves out stays emptied until `lost_until`.
+    /// Applies a full picture unless it is older than the current one, and returns whether the set of evacuated
+    /// domains changed. Domains that a restored log lost stay evacuated until `lost_until`.
     pub fn replace(&mut self, mut picture: Picture, lost_until: Moment) -> bool {
         if picture.next < self.picture.next {
             return false;
@@ -71,7 +73,7 @@
             self.lost = self.picture.domains.difference(&picture.domains).cloned().collect();
             self.lost_until = lost_until;
         }
-        // Those that the picture has are known again.
+        // Domains in the picture are no longer missing.
         self.lost.retain(|domain| !picture.domains.contains(domain));
         picture.domains.extend(self.lost.iter().cloned());
         let changed = picture.domains != self.picture.domains;
@@ -79,7 +81,8 @@
         changed
     }
 
-    /// Gives up what nobody has said again when the time for that is over; says whether that changed anything.
+    /// Drops the missing domains once their grace period is over, and returns whether the set of evacuated domains
+    /// changed.
     pub fn expire(&mut self, now: Moment) -> bool {
         if now < self.lost_until {
             return false;
@@ -90,7 +93,7 @@
         self.picture.domains.len() < before
     }
 
-    /// All that is known.
+    /// Returns the evacuated domains and the offset they are known up to.
     pub fn picture(&self) -> &Picture {
         &self.picture
     }
--- a/coord/src/fence.rs
+++ b/coord/src/fence.rs
@@ -1,4 +1,5 @@
-//! Fences: a number that only grows, so that a paused holder's late orders are void.
+//! Fences: monotonically increasing tokens that invalidate the late orders of a lease holder that was paused past its
+//! lease.
 
 use std::time::Duration;
 
@@ -7,18 +8,18 @@
 use crate::name::{Incarnation, Name};
 use crate::time::Moment;
 
-/// The log offset of the claim that won; larger is newer.
+/// Log offset of the claim that acquired the lease; a larger fence is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fence(pub u64);
 
-/// Accepts orders under the newest fence seen and refuses older ones.
+/// Accepts orders with the newest fence seen so far and rejects orders with an older one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Guard {
     newest: Fence,
 }
 
 impl Guard {
-    /// Whether an order under `fence` may take effect; remembers the fence if so.
+    /// Returns whether an order with `fence` may take effect, and records the fence if so.
     pub fn admit(&mut self, fence: Fence) -> bool {
         if fence < self.newest {
             return false;
@@ -27,36 +28,36 @@
         true
     }
 
-    /// The newest fence seen.
+    /// Returns the newest fence seen.
     pub fn newest(&self) -> Fence {
         self.newest
     }
 }
 
-/// The controller lease of one failure domain, as replayed from the log.
+/// Controller lease of one failure domain, as replayed from the log.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
     holder: Option<Holder>,
     guard: Guard,
 }
 
-/// Who holds a lease.
+/// Holder of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The process's name.
+    /// Name of the process.
     pub process: Name,
-    /// The process's incarnation.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// The fence it holds the lease under.
+    /// Fence under which the process holds the lease.
     pub fence: Fence,
-    /// When the lease lapses unless renewed, in the log's time.
+    /// Expiry time of the lease unless renewed, in log time.
     pub until: Moment,
 }
 
 impl Lease {
-    /// Replays a claim found at `offset`, stamped `at` by the log, for `term`.
+    /// Replays a claim at `offset` with log timestamp `at` and duration `term`, and returns whether it succeeded.
     ///
-    /// A claim wins if the lease is free, has lapsed, or is the holder's own renewal.
+    /// A claim succeeds if the lease is free or expired, or if the claim is the holder's own renewal.
     pub fn replay(
         &mut self,
         process: &Name,
@@ -77,12 +78,12 @@
         true
     }
 
-    /// Whether a record written under `fence` counts: only the newest claim's does.
+    /// Returns whether a record written under `fence` is valid: only records of the newest successful claim are.
     pub fn counts(&self, fence: Fence) -> bool {
         fence == self.guard.newest()
     }
 
-    /// The last holder, lapsed or not.
+    /// Returns the most recent holder, even if its lease has expired.
     pub fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
     }
--- a/coord/src/intent.rs
+++ b/coord/src/intent.rs
@@ -1,4 +1,4 @@
-//! Intents: what operators ask for, and the configuration that results.
+//! Intents, which operators submit, and the configuration that results from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,41 +9,41 @@
 
 /// Largest deadline that an intent may allow, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 24 * 3_600 * 1_000;
-/// The workspace name that stands for all.
+/// Workspace name that stands for every workspace.
 pub const ALL_WORKSPACES: &str = "*";
 
-/// Which model serves which workspaces, from which endpoints, and how.
+/// Assignment of a model to the workspaces that may use it and to the endpoints that serve it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
-    /// The model's name, as callers give it.
+    /// Name of the model in callers' requests.
     pub model: Name,
-    /// The service whose endpoints serve it.
+    /// Service whose endpoints serve the model.
     pub service: Name,
-    /// The version to load; empty leaves it to the engine.
+    /// Model version to load; if empty, the engine chooses.
     #[serde(default = "empty")]
     pub version: Name,
-    /// Adapters to load beside the model.
+    /// Adapters to load together with the model.
     #[serde(default)]
     pub adapters: Vec<Name>,
-    /// Workspaces that may use it; `*` is all.
+    /// Workspaces that may use the model; `*` stands for all.
     pub workspaces: Vec<Name>,
-    /// Larger goes first.
+    /// Scheduling priority; larger values go first.
     #[serde(default)]
     pub priority: u8,
-    /// Failure domains it may run in; empty is all.
+    /// Failure domains in which the model may run; empty allows all.
     #[serde(default)]
     pub failure_domains: Vec<Name>,
-    /// Time allowed when the caller says none, in milliseconds.
+    /// Deadline in milliseconds for requests that state none.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
-    /// Longest time a caller may ask for, in milliseconds.
+    /// Maximum deadline that a caller may request, in milliseconds.
     #[serde(default = "default_ceiling")]
     pub deadline_ceiling_ms: u64,
-    /// Longest prompt, in tokens.
+    /// Maximum prompt length, in tokens.
     #[serde(default = "default_context")]
     pub context_tokens: u64,
-    /// Bytes of text per token, to tell a prompt's length before the engine does.
+    /// Bytes of text per token, to estimate a prompt's length before the engine tokenises it.
     #[serde(default = "default_bytes_per_token")]
     pub bytes_per_token: f64,
 }
@@ -67,54 +67,54 @@
     1.0
 }
 
-/// A customer: its key and its limits.
+/// Customer with its API key and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// The workspace's name.
+    /// Unique name of the workspace.
     pub name: Name,
     /// Hex BLAKE3 digest of the bearer key; the key itself is never stored.
     pub key_digest: Name,
-    /// Weight in fair sharing.
+    /// Weight in fair sharing between workspaces.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Requests a second over all entries; none is no limit.
+    /// Limit in requests per second over all entries; `None` means unlimited.
     #[serde(default)]
     pub requests_per_s: Option<f64>,
-    /// Prompt tokens a second over all entries; none is no limit.
+    /// Limit in prompt tokens per second over all entries; `None` means unlimited.
     #[serde(default)]
     pub tokens_per_s: Option<f64>,
 }
 
-/// A plain service that the system routes to.
+/// Plain service, without an inference engine, that the system routes requests to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The service's name.
+    /// Unique name of the service.
     pub name: Name,
-    /// Whether any call may be sent again without harm.
+    /// Whether every request to the service is idempotent and may be sent again.
     #[serde(default)]
     pub repeatable: bool,
-    /// Time allowed when the caller says none, in milliseconds.
+    /// Deadline in milliseconds for requests that state none.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
 }
 
-/// What one change touches; two plans race if they touch the same item.
+/// Object that a change modifies; two plans conflict if they modify the same object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Item {
-    /// An intent, by model.
+    /// Intent, by model name.
     Intent(Name),
-    /// A workspace.
+    /// Workspace, by name.
     Workspace(Name),
-    /// A plain service.
+    /// Plain service, by name.
     Service(Name),
-    /// An endpoint's drain.
+    /// Drain state of an endpoint, by endpoint name.
     Drain(Name),
 }
 
-/// One change of the configuration.
+/// Single change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
@@ -130,25 +130,25 @@
     PutService(Arc<Service>),
     /// Deletes a plain service.
     DeleteService(Name),
-    /// Drains an endpoint.
+    /// Drains an endpoint: it finishes its requests and receives no new ones.
     Drain(Name),
-    /// Takes a drain back.
+    /// Cancels the drain of an endpoint.
     Undrain(Name),
 }
 
-/// A fault in a change, for the operator.
+/// Validation error in a change, as reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// The change's place in the plan, from zero.
+    /// Index of the change in the plan, from zero.
     pub change: usize,
-    /// The field.
+    /// Name of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Rule that the field violates.
     pub reason: String,
 }
 
 impl Change {
-    /// What the change touches.
+    /// Returns the object that the change modifies.
     pub fn item(&self) -> Item {
         match self {
             Change::PutIntent(intent) => Item::Intent(intent.model.clone()),
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Every fault in the change, which stands at `index` in its plan.
+    /// Returns all validation errors of the change, which has position `index` in its plan.
     pub fn faults(&self, index: usize) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut fault = |bad: bool, field: &str, reason: &str| {
@@ -221,7 +221,7 @@
         faults
     }
 
-    /// The change in words, against `config`.
+    /// Describes the change relative to `config` in one line for operators.
     pub fn in_words(&self, config: &Config) -> String {
         let verb = |exists: bool| if exists { "replace" } else { "create" };
         match self {
@@ -247,23 +247,23 @@
     }
 }
 
-/// The configuration in force at a revision.
+/// Configuration in force at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Log offset just after the last record that changed it; 0 is nothing yet.
+    /// Offset just after the last log record that changed the configuration; 0 before any change.
     pub revision: u64,
-    /// Intents by model.
+    /// Intents by model name.
     pub intents: BTreeMap<Name, Arc<Intent>>,
     /// Workspaces by name.
     pub workspaces: BTreeMap<Name, Arc<Workspace>>,
     /// Plain services by name.
     pub services: BTreeMap<Name, Arc<Service>>,
-    /// Endpoints that operators drain.
+    /// Endpoints that operators have drained.
     pub drained: BTreeSet<Name>,
 }
 
 impl Config {
-    /// Applies one change.
+    /// Applies one change without validating it.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::PutIntent(intent) => drop(self.intents.insert(intent.model.clone(), intent.clone())),
--- a/coord/src/invariant.rs
+++ b/coord/src/invariant.rs
@@ -1,22 +1,22 @@
-//! Invariants that are checked in every build.
+//! Runtime invariant checks, enabled in every build.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static BREACHES: AtomicU64 = AtomicU64::new(0);
 
-/// How many invariants were breached in this process.
+/// Returns the number of invariant breaches in this process.
 pub fn breaches() -> u64 {
     BREACHES.load(Ordering::Relaxed)
 }
 
-/// Counts a breach; panics in builds with debug assertions. Called by [`invariant!`](crate::invariant!).
+/// Counts and logs a breach; panics in builds with debug assertions. [`invariant!`](crate::invariant!) calls this.
 pub fn breach(what: &str) {
     BREACHES.fetch_add(1, Ordering::Relaxed);
     debug_assert!(false, "invariant breached: {what}");
     eprintln!("level=error step=invariant breach={what:?}");
 }
 
-/// Checks that a condition holds, in every build.
+/// Reports a breach if the condition is false, in every build.
 #[macro_export]
 macro_rules! invariant {
     ($condition:expr, $what:expr) => {
--- a/coord/src/lib.rs
+++ b/coord/src/lib.rs
@@ -1,11 +1,10 @@
-//! Coordination parts of a serving layer, for embedding.
+//! Coordination components of a serving layer, for embedding in a process.
 //!
-//! Every part is sans-IO: it opens no socket, starts no thread, reads no clock
-//! and draws no global random number. Time comes in as [`time::Moment`] and
-//! randomness as an argument, so each part can be driven by a randomised test.
-//! What must always hold is checked by [`invariant!`] inside the parts.
+//! Every component is sans-IO: it opens no socket, starts no thread, reads no clock and draws no global random
+//! number. The caller passes the time as [`time::Moment`] and randomness as an argument, so that randomised tests can
+//! drive each component deterministically. Components check their own invariants with [`invariant!`].
 //!
-//! What may not live here: transports, serialisation formats, logging, threads.
+//! Transports, serialisation formats, logging and threads belong to the embedding process, not to this crate.
 
 pub mod answer;
 pub mod breaker;
--- a/coord/src/limit/group.rs
+++ b/coord/src/limit/group.rs
@@ -1,29 +1,29 @@
-//! Which part of what is common to all entries those may use for whom one of them decides.
+//! Share of a common limit for the entries of one leader.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// For how long entries that were together count: longer than the cuts that separate them for a while last, and short
-/// enough that the rest gets the whole again when some were taken away for good.
+/// Time for which the largest group size counts: longer than temporary partitions last, and short enough that the
+/// remaining entries soon use the full limit when others are removed for good.
 const REMEMBERED: Duration = Duration::from_secs(30);
 
-/// How many entries were together of late.
+/// Number of entries that recently formed one group.
 ///
-/// One that decides for `k` of `n` entries uses `k / n` of a common bound. Where a cut leaves several who decide, their
-/// shares add up to one, without a word between them; where one is lost, those that it decided for use a share each until
-/// they have found the next.
+/// A leader of `k` out of `n` entries uses `k / n` of a common limit. During a partition, the shares of several
+/// leaders add up to one without communication between them. When a leader is lost, each of its entries uses its own
+/// share until it has found the next leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Group {
-    /// The most that were together since `since`.
+    /// Maximum group size since `since`.
     largest: usize,
     since: Moment,
-    /// The most in the period before.
+    /// Maximum group size in the previous period.
     before: usize,
 }
 
 impl Group {
-    /// Notes that so many are together now.
+    /// Records the current number of entries in the group.
     pub fn note(&mut self, entries: usize, now: Moment) {
         let age = now.since(self.since);
         if age >= REMEMBERED {
@@ -34,7 +34,7 @@
         self.largest = self.largest.max(entries);
     }
 
-    /// The share of one that decides for `entries`, itself among them, of `known` or more.
+    /// Returns the share of a leader of `entries` entries, including itself, when at least `known` entries exist.
     pub fn share(&self, entries: usize, known: usize, now: Moment) -> f64 {
         let age = now.since(self.since);
         let of_late = match age {
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -1,11 +1,13 @@
-//! Limits that replicas name: the requests a second that one takes from all entries together.
+//! Rate limits that replicas announce: the number of requests per second that a replica accepts from all entries
+//! together.
 //!
-//! [`Register`] holds what replicas say, whoever heard it. A replica says it in each of its answers, and answers cross
-//! on their way: which of two words is the later one is known only where one was asked for after the other had come.
-//! Where it is not known the stricter one holds; the next answer settles it.
+//! [`Register`] holds the limits that this process or its peers received. A replica states its limit in each
+//! response, and responses can overtake each other: one statement is known to be newer than another only if its
+//! request was sent after the other response arrived. While the order is unknown, the stricter limit holds; the next
+//! response settles it.
 //!
-//! [`Allowance`] counts what may still be sent to one such replica, [`Group`] tells which share of all that the entries may
-//! use for whom one of them decides.
+//! [`Allowance`] counts the requests that may still be sent to a limited replica. [`Group`] yields the share of a
+//! limit that the entries of one leader may use.
 
 mod allowance;
 mod group;
@@ -19,72 +21,75 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// What an answer of a replica says.
+/// Limit stated in a response of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Word {
-    /// Requests a second that it takes from all entries together; none if it names no limit.
+    /// Requests per second accepted from all entries together; `None` if the replica states no limit.
     pub rate: Option<f64>,
-    /// When the request that it answers was sent.
+    /// Send time of the request.
     pub asked: Moment,
-    /// When the answer came.
+    /// Arrival time of the response.
     pub heard: Moment,
 }
 
 impl Word {
-    /// Whether it was certainly said after another.
+    /// Returns whether this response is certainly newer than `other`.
     fn is_after(&self, other: &Word) -> bool {
         self.asked >= other.heard
     }
 
-    /// Whether it leaves a replica less than another does.
+    /// Returns whether this response allows fewer requests than `other`.
     fn is_stricter(&self, other: &Word) -> bool {
         self.rate.unwrap_or(f64::INFINITY) < other.rate.unwrap_or(f64::INFINITY)
     }
 }
 
-/// A word as it is passed on, with ages in place of moments: clocks differ.
+/// Stated limit in transit between entries, with ages in place of moments because clocks differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct News {
-    /// The replica that said it.
+    /// Replica that stated the limit.
     pub replica: Name,
-    /// As in [`Word`].
+    /// Stated limit, as in [`Word`].
     pub rate: Option<f64>,
-    /// Time since the request was sent that it answers.
+    /// Time since the request was sent.
     pub asked_ago: Duration,
-    /// Time since the answer came.
+    /// Time since the response arrived.
     pub heard_ago: Duration,
 }
 
 impl News {
-    /// The form of `word` that is sent at `now`.
+    /// Converts `word` for sending at `now`.
     pub fn of(replica: &Name, word: &Word, now: Moment) -> Self {
         let (asked_ago, heard_ago) = (now.since(word.asked), now.since(word.heard));
         Self { replica: replica.clone(), rate: word.rate, asked_ago, heard_ago }
     }
 
-    /// The word that was received at `now`. Its way makes it look younger by that long, on both ends alike.
+    /// Converts back to moments at the receive time `now`. The transit time makes both moments later by the same
+    /// amount.
     pub fn word(&self, now: Moment) -> Word {
         Word { rate: self.rate, asked: now - self.asked_ago, heard: now - self.heard_ago }
     }
 }
 
-/// What is known of one replica.
+/// Known limit of one replica.
 #[derive(Clone, Copy, Debug)]
 struct Known {
-    /// The word in force: of several that say the same, the first.
+    /// Limit in force; of several responses with the same limit, the oldest.
     word: Word,
-    /// What was asked before this was asked of an earlier run of the replica.
+    /// Start of the current run of the replica, as far as known; responses to earlier requests belong to a previous
+    /// run.
     started: Moment,
 }
 
-/// What replicas say of themselves. One that never named a limit takes no room.
+/// Limits by replica. A replica that never stated a limit uses no memory.
 #[derive(Debug, Default)]
 pub struct Register(BTreeMap<Name, Known>);
 
 impl Register {
-    /// Takes a word in; says whether another limit is in force now than before.
+    /// Records a stated limit and returns whether the limit in force changed.
     ///
-    /// Of words that say the same the first one stands, so that all entries which heard of a change hold the same word.
+    /// Of responses with the same limit the first is kept, so that all entries that received the change hold the same
+    /// one.
     pub fn hear(&mut self, replica: &Name, word: Word) -> bool {
         let Some(known) = self.0.get_mut(replica) else {
             if word.rate.is_some() {
@@ -101,29 +106,29 @@
         true
     }
 
-    /// The limit in force for a replica, in requests a second.
+    /// Returns the limit of a replica in requests per second, or `None` if it has no limit.
     pub fn rate(&self, replica: &str) -> Option<f64> {
         self.0.get(replica).and_then(|known| known.word.rate)
     }
 
-    /// The replicas that name a limit, with their rates.
+    /// Returns the limited replicas with their limits in requests per second.
     pub fn limited(&self) -> impl Iterator<Item = (&Name, f64)> {
         self.0.iter().filter_map(|(replica, known)| Some((replica, known.word.rate?)))
     }
 
-    /// All that another entry should know: limits, and those that ended.
+    /// Returns all that a peer must know: current limits and the withdrawal of earlier ones.
     pub fn all(&self, now: Moment) -> Vec<News> {
         self.0.iter().map(|(replica, known)| News::of(replica, &known.word, now)).collect()
     }
 
-    /// What is in force for a replica, as it is passed on.
+    /// Returns the limit in force of one replica in the form sent to peers.
     pub fn news(&self, replica: &str, now: Moment) -> Option<News> {
         let (replica, known) = self.0.get_key_value(replica)?;
         Some(News::of(replica, &known.word, now))
     }
 
-    /// Notes that a replica started again under its identity: what it said before was said of another run. Says whether
-    /// it had named a limit.
+    /// Discards the limit of a replica that restarted, since it belonged to the previous run. Returns whether the
+    /// replica had a limit.
     pub fn restarted(&mut self, replica: &str, now: Moment) -> bool {
         let Some(known) = self.0.get_mut(replica) else { return false };
         let was_limited = known.word.rate.is_some();
@@ -131,7 +136,7 @@
         was_limited
     }
 
-    /// Forgets a replica that is gone.
+    /// Removes a replica that no longer exists.
     pub fn forget(&mut self, replica: &str) {
         self.0.remove(replica);
     }
--- a/coord/src/membership.rs
+++ b/coord/src/membership.rs
@@ -1,4 +1,4 @@
-//! Members as one entry sees them: a listed set, what use has shown, and who is leaving.
+//! Endpoints as one entry sees them: the platform's list, combined with request outcomes and drain states.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,52 +10,52 @@
 use crate::pick::{Candidate, rendezvous};
 use crate::time::Moment;
 
-/// A VM as the platform lists it.
+/// VM as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The VM's name; for an endpoint VM, the endpoint's.
+    /// Name of the VM, which is also the name of the endpoint on it.
     pub name: Name,
-    /// Address of the system's process on it, `ip:port`.
+    /// Address of this system's process on the VM, `ip:port`.
     pub address: Name,
-    /// What the VM is for.
+    /// Kind of process that runs on the VM.
     pub role: Role,
-    /// The service whose endpoint it holds, empty for an entry.
+    /// Service of the endpoint on the VM; empty for an entry.
     pub service: Name,
-    /// Its failure domain.
+    /// Failure domain in which the VM runs.
     pub failure_domain: Name,
-    /// Whether it is on its way out.
+    /// Whether the platform is about to remove the VM.
     pub leaving: bool,
 }
 
-/// What a VM is for.
+/// Kind of process that runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It runs `sorrelpass entry`.
+    /// The VM runs `sorrelpass entry`.
     Entry,
-    /// It runs an endpoint with `sorrelpass sidecar` beside it.
+    /// The VM runs an endpoint with `sorrelpass sidecar` beside it.
     Endpoint,
 }
 
-/// First time for which an endpoint that failed is left alone.
+/// Backoff after the first failure of an endpoint.
 const FIRST_PENALTY: Duration = Duration::from_millis(200);
-/// Longest such time.
+/// Upper bound of the backoff.
 const LONGEST_PENALTY: Duration = Duration::from_secs(5);
 
-/// One endpoint as an entry sees it.
+/// Endpoint as one entry sees it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// As listed.
+    /// Latest listing of the endpoint's VM.
     pub vm: Vm,
-    /// The sidecar's incarnation, once heard of.
+    /// Incarnation of the sidecar; `None` before its first response.
     pub incarnation: Option<Incarnation>,
-    /// The sidecar itself said that it is leaving.
+    /// Whether the sidecar announced that it is leaving.
     said_leaving: bool,
-    /// An operator drains it.
+    /// Whether an operator drains the endpoint.
     drained: bool,
-    /// This entry's unfinished attempts there.
+    /// Number of this entry's unfinished attempts at the endpoint.
     outstanding: u32,
-    /// Their prefill and output tokens.
+    /// Prefill and output tokens of the unfinished attempts.
     active_tokens: u64,
     failures: u32,
     shunned_until: Moment,
@@ -75,23 +75,23 @@
         }
     }
 
-    /// Whether new work may go there.
+    /// Returns whether the endpoint may receive new work.
     pub fn takes_work(&self, now: Moment) -> bool {
         !self.is_leaving() && self.shunned_until <= now
     }
 
-    /// Whether it is leaving, by anyone's word.
+    /// Returns whether the platform, the sidecar or an operator has marked the endpoint as leaving.
     pub fn is_leaving(&self) -> bool {
         self.vm.leaving || self.said_leaving || self.drained
     }
 
-    /// This entry's unfinished attempts there.
+    /// Returns the number of this entry's unfinished attempts at the endpoint.
     pub fn outstanding(&self) -> u32 {
         self.outstanding
     }
 }
 
-/// All endpoints that an entry may use.
+/// Endpoints that an entry may use.
 #[derive(Debug)]
 pub struct Members {
     home: Name,
@@ -100,23 +100,24 @@
     members: BTreeMap<Name, Member>,
 }
 
-/// How many endpoints of one service a process uses, and which: its own choice by rendezvous, so
-/// that what it remembers and connects to does not grow with the fleet.
+/// Bounded subset of each service's endpoints that a process uses. Each process selects its own by rendezvous
+/// hashing, so that its state and connections do not grow with the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Most endpoints of one service.
+    /// Maximum number of endpoints per service.
     pub most: usize,
     /// Hash of the process's name.
     pub hash: u64,
 }
 
 impl Members {
-    /// No members yet; `home` is the entry's failure domain, `distance` the extra microseconds to others.
+    /// Creates an empty set. `home` is the entry's failure domain, and `distance` is the additional latency to other
+    /// domains, in microseconds.
     pub fn new(home: Name, distance: u64, sample: Sample) -> Self {
         Self { home, distance, sample, members: BTreeMap::new() }
     }
 
-    /// Takes the platform's list: new VMs come in, vanished ones go.
+    /// Applies the platform's list: adds new VMs and removes missing ones.
     pub fn list(&mut self, vms: impl IntoIterator<Item = Vm>) {
         let mut old = std::mem::take(&mut self.members);
         for vm in vms.into_iter().filter(|vm| vm.role == Role::Endpoint) {
@@ -131,14 +132,14 @@
         }
     }
 
-    /// Notes what operators drain.
+    /// Updates the drain state of every endpoint; `drained` returns whether operators drain it.
     pub fn drain(&mut self, drained: impl Fn(&Name) -> bool) {
         for (name, member) in &mut self.members {
             member.drained = drained(name);
         }
     }
 
-    /// Notes that the sidecar answered.
+    /// Records a response of the sidecar, which ends the backoff.
     pub fn heard(&mut self, endpoint: &Name, incarnation: Incarnation, leaving: bool) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.incarnation = Some(incarnation);
@@ -147,7 +148,7 @@
         member.shunned_until = Moment::ZERO;
     }
 
-    /// Notes that the endpoint could not be reached: it is left alone for a growing while.
+    /// Records that the endpoint was unreachable, and excludes it for an exponentially growing time.
     pub fn failed(&mut self, endpoint: &Name, now: Moment) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.failures = (member.failures + 1).min(16);
@@ -155,33 +156,34 @@
         member.shunned_until = now + penalty.min(LONGEST_PENALTY);
     }
 
-    /// Notes an attempt sent there.
+    /// Records the start of an attempt at the endpoint.
     pub fn begin(&mut self, endpoint: &Name, tokens: u64) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.outstanding += 1;
         member.active_tokens += tokens;
     }
 
-    /// Notes that the attempt is over.
+    /// Records the end of an attempt at the endpoint.
     pub fn end(&mut self, endpoint: &Name, tokens: u64) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.outstanding = member.outstanding.saturating_sub(1);
         member.active_tokens = member.active_tokens.saturating_sub(tokens);
     }
 
-    /// The endpoint's member.
+    /// Returns an endpoint by name.
     pub fn get(&self, endpoint: &str) -> Option<&Member> {
         self.members.get(endpoint)
     }
 
-    /// All members, by name.
+    /// Iterates over all endpoints by name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Endpoints of `service` that take work now; when all are shunned, those that are not leaving.
+    /// Returns the endpoints of `service` that take work now. If all are in backoff, returns every endpoint that is
+    /// not leaving.
     ///
-    /// `domains` names the failure domains allowed; empty allows all.
+    /// `domains` lists the allowed failure domains; an empty list allows all.
     pub fn candidates(&self, service: &str, domains: &[Name], now: Moment) -> Vec<Candidate> {
         let fits = |member: &&Member| {
             *member.vm.service == *service
@@ -194,7 +196,7 @@
         self.sampled(from).into_iter().map(|member| self.candidate(member)).collect()
     }
 
-    /// Of more endpoints than the sample holds, those that rendezvous hashing gives this process.
+    /// Reduces the list to the sample size by rendezvous hashing.
     fn sampled<'a>(&self, mut from: Vec<&'a Member>) -> Vec<&'a Member> {
         if from.len() > self.sample.most {
             from.sort_by_cached_key(|member| Reverse(rendezvous(self.sample.hash, &member.vm.name)));
--- a/coord/src/memory.rs
+++ b/coord/src/memory.rs
@@ -1,20 +1,20 @@
-//! The ledger of an engine's KV memory: every token held belongs to a lease.
+//! Accounting of an engine's KV memory: every token held belongs to an owner with an expiry time.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::time::Moment;
 
-/// Memory held by one owner until a moment.
+/// Memory held by one owner until a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Tokens of KV memory.
+    /// Amount of KV memory, in tokens.
     pub tokens: u64,
-    /// When the hold lapses unless freed.
+    /// Expiry time unless the memory is freed earlier.
     pub until: Moment,
 }
 
-/// Who holds how much of a bounded memory.
+/// Ledger of a bounded memory by owner.
 #[derive(Debug)]
 pub struct Ledger<K> {
     capacity: u64,
@@ -23,12 +23,13 @@
 }
 
 impl<K: Eq + Hash + Copy> Ledger<K> {
-    /// A ledger over `capacity` tokens.
+    /// Creates an empty ledger over `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
         Self { capacity, held: 0, holds: HashMap::new() }
     }
 
-    /// Holds `tokens` for `owner` until `until`; false, and nothing held, if they do not fit.
+    /// Holds `tokens` for `owner` until `until`. Returns `false` and holds nothing if they do not fit or the owner
+    /// already holds memory.
     pub fn hold(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
         if self.holds.contains_key(&owner) || tokens > self.free() {
             return false;
@@ -39,7 +40,7 @@
         true
     }
 
-    /// Frees what `owner` holds and returns its tokens.
+    /// Frees the memory of `owner` and returns its number of tokens.
     pub fn free_owner(&mut self, owner: K) -> u64 {
         let Some(hold) = self.holds.remove(&owner) else { return 0 };
         self.held -= hold.tokens;
@@ -47,22 +48,22 @@
         hold.tokens
     }
 
-    /// Owners whose hold has lapsed at `now`; they stay held until freed.
+    /// Returns the owners whose hold has expired at `now`. Expired memory stays held until freed.
     pub fn lapsed(&self, now: Moment) -> Vec<K> {
         self.holds.iter().filter(|(_, hold)| hold.until < now).map(|(owner, _)| *owner).collect()
     }
 
-    /// Tokens not held.
+    /// Returns the number of free tokens.
     pub fn free(&self) -> u64 {
         self.capacity - self.held
     }
 
-    /// Tokens held.
+    /// Returns the number of held tokens.
     pub fn held(&self) -> u64 {
         self.held
     }
 
-    /// Tokens in all.
+    /// Returns the total number of tokens.
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
--- a/coord/src/name.rs
+++ b/coord/src/name.rs
@@ -1,14 +1,14 @@
-//! Names and identities that more than one part speaks of.
+//! Names and identifiers shared by several modules.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A shared immutable name: a workspace, model, service, endpoint or failure domain.
+/// Shared immutable name of a workspace, model, service, endpoint or failure domain.
 pub type Name = Arc<str>;
 
-/// One run of a process. A restarted process has a new incarnation.
+/// Identifier of one run of a process; it changes with each restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// One try at one request at one endpoint; unique over all entries.
+/// Identifier of one attempt of a request at one endpoint; unique across all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt(pub u128);
 
@@ -28,20 +28,20 @@
     }
 }
 
-/// Whether a request ran, as far as that is proven.
+/// Whether a request was executed, as far as proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Proven: it did not run and never will.
+    /// The request was not executed and never will be.
     No,
-    /// Nothing is proven.
+    /// Neither execution nor its absence is proven.
     Unknown,
-    /// It ran, and only part of the answer was passed on.
+    /// The request was executed, and only part of its answer was delivered.
     Partial,
 }
 
 impl Ran {
-    /// The word used on the wire and in headers.
+    /// Returns the value used on the wire and in headers.
     pub const fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
--- a/coord/src/offset.rs
+++ b/coord/src/offset.rs
@@ -1,33 +1,33 @@
-//! Offsets of a log that may come back from an older copy of itself, as one number that goes on rising.
+//! Log offsets that keep increasing when the log is restored from an older copy of itself.
 //!
-//! Such a log gives offsets out again. Each return begins another era, and what is written in a later era is newer than all
-//! that was written before, at whatever offset. The era stands in the upper bits, so that comparing two numbers compares times of
-//! writing; in era 0, where a log stays that never comes back, the number is the plain offset.
+//! A restored log assigns offsets again. Each restore starts a new era, and a record of a later era is newer than all
+//! records of earlier eras, whatever its offset. The era occupies the upper bits of the number, so that comparing
+//! numbers compares write order. In era 0, of a log that was never restored, the number equals the plain offset.
 
 use std::fmt;
 
-/// Bits of the plain offset: at a million records a second the log would last nine years.
+/// Bits of the plain offset; enough for nine years at a million records per second.
 const PLAIN_BITS: u32 = 48;
 const PLAIN_MASK: u64 = (1 << PLAIN_BITS) - 1;
-/// The last era that can be told from the one before.
+/// Largest era that fits into the upper bits; later ones are indistinguishable from it.
 const LAST_ERA: u64 = u64::MAX >> PLAIN_BITS;
 
-/// The number of a plain offset in an era.
+/// Combines an era and a plain offset into one number.
 pub fn number(era: u64, plain: u64) -> u64 {
     (era.min(LAST_ERA) << PLAIN_BITS) | plain.min(PLAIN_MASK)
 }
 
-/// The era of a number.
+/// Returns the era of a number.
 pub const fn era(number: u64) -> u64 {
     number >> PLAIN_BITS
 }
 
-/// The plain offset of a number, as the log knows it in its era.
+/// Returns the plain offset of a number, as used by the log within its era.
 pub const fn plain(number: u64) -> u64 {
     number & PLAIN_MASK
 }
 
-/// A number as it stands in log lines: the plain offset, behind its era unless that is 0.
+/// Formats a number for log lines: the plain offset, prefixed with the era unless the era is 0.
 pub struct Text(pub u64);
 
 impl fmt::Display for Text {
--- a/coord/src/parcel.rs
+++ b/coord/src/parcel.rs
@@ -1,12 +1,12 @@
-//! Versions of a document, passed on to those who hold an older one.
+//! Delta transfer of a versioned document to receivers that hold an older version.
 //!
-//! A parcel holds a whole version, compressed, or what has changed since the version that its receiver holds: that
-//! version serves as the dictionary of the compression, so that what is the same costs next to nothing. Each parcel
-//! carries a checksum of what comes out of it; one that was made for another version than the receiver holds, or that was
-//! damaged, does not open, and its receiver gets the document elsewhere.
+//! A parcel holds either the full compressed version or the difference to a version that the receiver holds. That
+//! base version serves as the compression dictionary, so unchanged parts cost almost nothing. Each parcel carries a
+//! checksum of its decompressed content: a parcel that was made for another base, or that is damaged, fails to open,
+//! and the receiver fetches the document elsewhere.
 //!
-//! A configuration of 240 routes and 24 workspaces has some 48 KB; whole it makes a parcel of 4 KB, and with one
-//! route changed since the version before of some 40 bytes (`benches/parcel.rs`, which also tells the times).
+//! A configuration of 240 routes and 24 workspaces has about 48 KB. Its full parcel has 4 KB, and a parcel with one
+//! changed route about 40 bytes; `benches/parcel.rs` also lists the run times.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -16,44 +16,44 @@
 use serde::{Deserialize, Serialize};
 use zstd::bulk::{Compressor, Decompressor};
 
-/// Versions that are kept: those who ask four times a second are at most so many behind while ten come a second. 1 MB of
-/// memory where each is as large as a record of the store may be.
+/// Number of versions kept: a receiver that asks four times per second is at most this far behind while ten versions
+/// arrive per second. They use 1 MB of memory if each is as large as a store record can be.
 const KEPT: usize = 4;
-/// Largest version that a parcel may hold, in bytes: four times the largest record that stores were seen to take.
+/// Maximum size of a version in bytes; four times the largest record that a store is known to accept.
 const MOST_BYTES: usize = 1 << 20;
-/// How hard the compression tries. At level 1 its table is too small for 300 KB: one changed route of 1,500 then makes 12 KB
-/// in place of 64 bytes, at a third of the time.
+/// Zstandard compression level. At level 1 the match table is too small for 300 KB: one changed route of 1,500 then
+/// takes 12 KB instead of 64 bytes, in a third of the time.
 const LEVEL: i32 = 3;
 
 /// One version of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Version {
-    /// Its offset in the log that it comes from; newer ones have greater ones.
+    /// Log offset of the version; newer versions have larger offsets.
     pub offset: u64,
-    /// Its bytes.
+    /// Content of the version.
     pub value: Bytes,
 }
 
-/// A version on its way.
+/// Compressed version for transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Parcel {
-    /// Its offset.
+    /// Log offset of the version.
     pub offset: u64,
-    /// The offset of the version that it is opened with; none if it holds all.
+    /// Offset of the base version needed to decompress; `None` if the parcel holds the full version.
     pub base: Option<u64>,
-    /// The compressed bytes.
+    /// Compressed content.
     pub packed: Bytes,
 }
 
-/// Why a parcel does not open, or cannot be made.
+/// Error of making or opening a parcel.
 #[derive(Debug)]
 pub enum Error {
-    /// The version that it was made for is not held here.
+    /// The base version of the parcel is not held.
     Unknown {
-        /// That version's offset.
+        /// Offset of the missing base version.
         base: u64,
     },
-    /// The compression failed, or the checksum does not fit.
+    /// Compression or decompression failed, or the checksum does not match.
     Codec(io::Error),
 }
 
@@ -74,17 +74,17 @@
     }
 }
 
-/// The newest versions of a document, and the parcels made of the newest.
+/// Newest versions of a document, with cached parcels of the latest one.
 #[derive(Debug, Default)]
 pub struct Shelf {
-    /// The oldest first.
+    /// Versions from oldest to newest.
     versions: VecDeque<Version>,
-    /// Parcels of the newest, by what they are opened with: many ask for the same.
+    /// Cached parcels of the newest version by base offset, since many receivers request the same one.
     packed: BTreeMap<Option<u64>, Parcel>,
 }
 
 impl Shelf {
-    /// Keeps a version; one that is not newer than all that are kept is left out.
+    /// Adds a version, unless it is not newer than the versions held.
     pub fn keep(&mut self, version: Version) {
         if self.versions.back().is_some_and(|newest| newest.offset >= version.offset) {
             return;
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A parcel of the newest version for someone who knows all records below the offset `next`; none if that one has
-    /// the newest, or if nothing is kept.
+    /// Returns a parcel of the newest version for a receiver that knows all records below the offset `next`. Returns
+    /// `None` if the receiver has the newest version or no version is held.
     pub fn parcel(&mut self, next: Option<u64>) -> Result<Option<Parcel>, Error> {
         let Some(newest) = self.versions.back() else { return Ok(None) };
         if next.is_some_and(|next| newest.offset < next) {
@@ -113,7 +113,7 @@
         Ok(Some(parcel))
     }
 
-    /// The version that a parcel holds.
+    /// Decompresses a parcel and returns the version it holds.
     pub fn open(&self, parcel: &Parcel) -> Result<Version, Error> {
         let base = match parcel.base {
             None => &[][..],
@@ -128,7 +128,7 @@
     }
 }
 
-/// Makes a parcel that is opened with `base`.
+/// Compresses `version` with `base` as the dictionary.
 fn pack(version: &Version, base: Option<&Version>) -> Result<Parcel, Error> {
     let dictionary = base.map_or(&[][..], |base| &base.value);
     let mut compressor = Compressor::with_dictionary(LEVEL, dictionary)?;
--- a/coord/src/pause.rs
+++ b/coord/src/pause.rs
@@ -1,28 +1,28 @@
-//! Pauses between calls that fail, doubled with each failure in a row.
+//! Exponential backoff between failing calls, doubled with each consecutive failure.
 
 use std::time::Duration;
 
-/// Doublings after which the pause is surely the longest.
+/// Number of doublings after which the backoff has surely reached its maximum.
 const MOST_DOUBLINGS: u32 = 8;
 
-/// The shortest and the longest pause.
+/// Initial and maximum backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pause {
-    /// After the first failure.
+    /// Backoff after the first failure.
     pub first: Duration,
-    /// After many.
+    /// Maximum backoff.
     pub longest: Duration,
 }
 
 impl Pause {
-    /// The pause after so many failures in a row.
+    /// Returns the backoff after `failures` consecutive failures.
     pub fn after(&self, failures: u32) -> Duration {
         let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
         (self.first * 2u32.pow(doublings)).min(self.longest)
     }
 
-    /// Pauses so much longer that `processes` which fail together make no more than `per_s` calls a second, once their
-    /// pauses are the longest. One of them that succeeds tells the others.
+    /// Stretches the backoff so that `processes` that fail together make at most `per_s` calls per second once they
+    /// reach the maximum. A process that succeeds notifies the others.
     pub fn shared(self, processes: usize, per_s: f64) -> Self {
         let stretch = (processes as f64 / per_s / self.longest.as_secs_f64()).max(1.0);
         Self { first: self.first.mul_f64(stretch), longest: self.longest.mul_f64(stretch) }
--- a/coord/src/pick.rs
+++ b/coord/src/pick.rs
@@ -1,4 +1,4 @@
-//! Which endpoint to try first: candidates by rendezvous and chance, then a choice among them.
+//! Endpoint selection: candidates come from rendezvous hashing and random sampling, and a policy chooses among them.
 
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -6,43 +6,43 @@
 use crate::name::Name;
 use crate::scheduler::Quote;
 
-/// The rendezvous score of `name` for `hash`; the highest scores are chosen.
+/// Returns the rendezvous score of `name` for `hash`; the names with the highest scores are selected.
 pub fn rendezvous(hash: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), hash)
 }
 
-/// The `count` names that rendezvous hashing chooses for `hash`, best first.
+/// Returns the `count` names with the highest rendezvous scores for `hash`, best first.
 pub fn chosen<'a>(hash: u64, names: impl Iterator<Item = &'a Name>, count: usize) -> Vec<Name> {
     let mut scored: Vec<(u64, &Name)> = names.map(|name| (rendezvous(hash, name), name)).collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored.into_iter().take(count).map(|(_, name)| name.clone()).collect()
 }
 
-/// What an entry knows of one endpoint when it picks.
+/// Endpoint as known to an entry at selection time.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// Attempts of this entry that the endpoint has not ended.
+    /// Number of this entry's unfinished attempts at the endpoint.
     pub outstanding: u32,
-    /// Prefill and output tokens of those attempts.
+    /// Prefill and output tokens of the unfinished attempts.
     pub active_tokens: u64,
-    /// Extra time to reach its failure domain, in microseconds.
+    /// Additional latency to the endpoint's failure domain, in microseconds.
     pub distance: u64,
 }
 
-/// A way of picking.
+/// Endpoint selection policy.
 pub trait Picker: Send {
-    /// Candidates to try, best first, at most `count`.
+    /// Returns at most `count` candidates in order of preference.
     fn candidates(&mut self, all: &[Candidate], hash: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name>;
 
-    /// Whether the candidates are asked for a quote before one is chosen.
+    /// Returns whether the candidates are asked for a quote before one is chosen.
     fn asks(&self) -> bool {
         false
     }
 }
 
-/// One after the other: a baseline.
+/// Baseline policy that cycles through the endpoints.
 #[derive(Default)]
 pub struct RoundRobin {
     next: usize,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Fewest attempts outstanding: a baseline.
+/// Baseline policy that prefers the endpoint with the fewest unfinished attempts.
 pub struct LeastOutstanding;
 
 impl Picker for LeastOutstanding {
@@ -66,10 +66,10 @@
     }
 }
 
-/// Fewest active tokens, as the slot tracker accounts them: a baseline.
+/// Baseline policy that prefers the endpoint with the fewest active tokens.
 ///
-/// After "Standalone Slot Tracker (NVIDIA Dynamo KV router)": prefill tokens and
-/// decode load of the active requests are added up per worker.
+/// It follows the "Standalone Slot Tracker" of the NVIDIA Dynamo KV router, which adds up the prefill tokens and the
+/// decode load of the active requests per worker.
 pub struct ActiveTokens;
 
 impl Picker for ActiveTokens {
@@ -85,12 +85,12 @@
     order.into_iter().take(count).map(|(_, _, name)| name.clone()).collect()
 }
 
-/// Asks a few candidates for their expected time to first token.
+/// Policy that asks a few candidates for their expected time to first token.
 ///
-/// The first candidates are those that rendezvous hashing gives for the prompt's
-/// prefix, where its cache is likely; the rest are two-choice samples by load.
+/// The first candidates come from rendezvous hashing of the prompt's prefix, because their caches probably hold it.
+/// The others are the less loaded of two random endpoints each.
 pub struct Quoted {
-    /// Candidates by prefix.
+    /// Number of candidates selected by prefix.
     pub by_prefix: usize,
 }
 
@@ -120,18 +120,18 @@
     (one.distance, one.outstanding) < (other.distance, other.outstanding)
 }
 
-/// An endpoint's answer to a question for a quote.
+/// Quote of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// The endpoint that answered.
+    /// Name of the endpoint that sent the quote.
     pub endpoint: Name,
-    /// What it expects.
+    /// Estimate that the endpoint returned.
     pub quote: Quote,
-    /// Extra time to reach it, in microseconds.
+    /// Additional latency to the endpoint, in microseconds.
     pub distance: u64,
 }
 
-/// The offers in the order in which to try them: open ones first, then by expected time.
+/// Sorts the offers by preference: endpoints open for work first, then by expected time to first token.
 pub fn rank_offers(mut offers: Vec<Offer>) -> Vec<Offer> {
     offers.sort_by_key(|offer| {
         let ttft = crate::time::micros(offer.quote.ttft + offer.quote.harm) + offer.distance;
--- a/coord/src/placement.rs
+++ b/coord/src/placement.rs
@@ -1,8 +1,8 @@
-//! Placement: which endpoint holds which version and adapters, decided by one controller
-//! per failure domain under a fenced lease on the log.
+//! Placement of model versions and adapters on endpoints, decided by one controller per failure domain under a fenced
+//! lease in the log.
 //!
-//! What a holder writes after its lease was taken over is void in every replay, so a paused
-//! holder that wakes changes nothing.
+//! Every replay ignores records that a controller writes after another process took over its lease, so a paused
+//! controller that resumes has no effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,53 +14,53 @@
 use crate::name::{Incarnation, Name};
 use crate::time::Moment;
 
-/// What an endpoint is to hold.
+/// Model version and adapters that an endpoint has to load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The model's version; empty leaves it to the engine.
+    /// Version of the model; if empty, the engine chooses.
     pub version: Name,
-    /// Adapters beside it.
+    /// Adapters to load together with the model.
     pub adapters: Vec<Name>,
 }
 
-/// An order to an endpoint.
+/// Order to an endpoint to load a version and adapters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fence under which it was written.
+    /// Fence of the lease under which the order was written.
     pub fence: Fence,
-    /// Offset of the record; of two orders under one fence the later counts.
+    /// Log offset of the order; of two orders with the same fence, the later one is valid.
     pub offset: u64,
-    /// What the endpoint is to hold.
+    /// Version and adapters to load.
     pub load: Load,
 }
 
-/// A record on the control stream.
+/// Record on the control stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A process claims the controller lease of a failure domain, or renews it.
+    /// A process claims or renews the controller lease of a failure domain.
     Claim {
-        /// The failure domain.
+        /// Failure domain of the lease.
         domain: Name,
-        /// The process.
+        /// Name of the claiming process.
         process: Name,
-        /// Its run.
+        /// Incarnation of the claiming process.
         incarnation: Incarnation,
-        /// For how long, in milliseconds.
+        /// Lease duration, in milliseconds.
         term_ms: u64,
     },
-    /// The controller of a failure domain places loads.
+    /// The controller of a failure domain orders endpoints to load versions and adapters.
     Place {
-        /// The failure domain.
+        /// Failure domain of the endpoints.
         domain: Name,
-        /// The fence of the controller's lease.
+        /// Fence of the controller's lease.
         fence: Fence,
-        /// Loads by endpoint.
+        /// Loads by endpoint name.
         loads: BTreeMap<Name, Load>,
     },
 }
 
-/// Leases and orders, as replayed from the control stream.
+/// Leases and orders replayed from the control stream.
 #[derive(Debug, Default)]
 pub struct Board {
     next: u64,
@@ -69,12 +69,12 @@
 }
 
 impl Board {
-    /// Nothing replayed yet.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replays the record at `offset`, stamped `at` by the log; whether it took effect.
+    /// Replays the record at `offset` with log timestamp `at`, and returns whether it took effect.
     pub fn replay(&mut self, offset: u64, at: Moment, record: Record) -> bool {
         if offset < self.next {
             return false;
@@ -102,33 +102,34 @@
         self.orders.insert(endpoint, order);
     }
 
-    /// Passes over everything before `offset`.
+    /// Skips all records before `offset`.
     pub fn skip_to(&mut self, offset: u64) {
         self.next = self.next.max(offset);
     }
 
-    /// The next offset to read.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The lease of a failure domain.
+    /// Returns the lease of a failure domain, or `None` if it was never claimed.
     pub fn lease(&self, domain: &str) -> Option<&Lease> {
         self.leases.get(domain)
     }
 
-    /// The order to an endpoint that counts.
+    /// Returns the valid order to an endpoint.
     pub fn order_to(&self, endpoint: &str) -> Option<&Order> {
         self.orders.get(endpoint)
     }
 
-    /// All orders that count, by endpoint.
+    /// Returns the valid orders by endpoint name.
     pub fn orders(&self) -> &BTreeMap<Name, Order> {
         &self.orders
     }
 }
 
-/// What a service's endpoints are to hold, by the intents; with several intents the adapters add up.
+/// Returns what the intents require the endpoints of `service` to load, or `None` if no intent uses the service. The
+/// adapters of several intents are merged; the first version stated is used.
 pub fn wanted(config: &Config, service: &str) -> Option<Load> {
     let mut intents = config.intents.values().filter(|intent| *intent.service == *service).peekable();
     intents.peek()?;
@@ -144,19 +145,19 @@
     Some(load)
 }
 
-/// An endpoint as its controller sees it.
+/// Endpoint as its controller sees it.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Name,
-    /// Its service.
+    /// Service that the endpoint belongs to.
     pub service: Name,
-    /// What it said it holds, if it said so.
+    /// Load that the endpoint reported; `None` before its first report.
     pub holds: Option<Load>,
 }
 
-/// The next orders of a roll-out: at most `share` of each service's endpoints, and at least
-/// one, are ordered at a time, and no others before those hold what they were ordered.
+/// Returns the next orders of a rolling update. At most `share` of each service's endpoints, but at least one, change
+/// at a time; further ones follow once those report that they hold the ordered load.
 pub fn roll_out(
     config: &Config,
     endpoints: &[Endpoint],
--- a/coord/src/prefix.rs
+++ b/coord/src/prefix.rs
@@ -1,27 +1,27 @@
-//! Chain hashes over a prompt's blocks: equal chains mean equal prefixes.
+//! Chained hashes over the blocks of a prompt: equal chains mean equal prefixes.
 
 use std::collections::HashMap;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt in one of the first blocks.
+/// Size of each of the first blocks, in bytes.
 pub const BLOCK_BYTES: usize = 2_048;
-/// Blocks of one size; after so many the size doubles.
+/// Number of consecutive blocks of one size; the size then doubles.
 const BLOCKS_PER_SIZE: usize = 4;
-/// Most blocks that are hashed: with doubling sizes they cover some 8 MB.
+/// Maximum number of hashed blocks; with doubling sizes they cover about 8 MB.
 pub const MAX_BLOCKS: usize = 40;
 
-/// Bytes in block number `index`.
+/// Returns the size of block `index` in bytes.
 const fn block_bytes(index: usize) -> usize {
     BLOCK_BYTES << (index / BLOCKS_PER_SIZE)
 }
 
-/// The chain of block hashes of a prompt's start.
+/// Hashes of a prompt's leading blocks, each seeded with the hash before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Chain(pub Vec<u64>);
 
 impl Chain {
-    /// Hashes the whole blocks of `prompt`.
+    /// Hashes the complete blocks of `prompt`; a partial block at the end is ignored.
     pub fn of(prompt: &[u8]) -> Self {
         let mut chain = Vec::new();
         let mut rest = prompt;
@@ -35,21 +35,21 @@
         Self(chain)
     }
 
-    /// The hash that stands for the prompt's first block, by which like prompts meet.
+    /// Returns the hash of the first block, which routes prompts with a common prefix to the same endpoints.
     pub fn head(&self) -> Option<u64> {
         self.0.first().copied()
     }
 
-    /// Bytes covered by the first `blocks` blocks.
+    /// Returns the number of bytes that the first `blocks` blocks cover.
     pub fn bytes(blocks: usize) -> u64 {
         (0..blocks).map(|index| block_bytes(index) as u64).sum()
     }
 }
 
-/// The prefixes that an engine's cache is thought to hold: bounded, least recently used out first.
+/// Estimated contents of an engine's prefix cache, bounded with least-recently-used eviction.
 ///
-/// Fed by what was sent to the engine and corrected by its cache events, which
-/// come late and with gaps; a wrong entry costs an estimate, never a promise.
+/// The estimate follows the prompts sent to the engine and its cache events, which arrive late and with gaps. A wrong
+/// entry only makes a time estimate less accurate; no guarantee depends on it.
 #[derive(Debug)]
 pub struct Cache {
     most: usize,
@@ -58,17 +58,17 @@
 }
 
 impl Cache {
-    /// An empty cache of at most `most` blocks.
+    /// Creates an empty cache of at most `most` blocks.
     pub fn new(most: usize) -> Self {
         Self { most: most.max(1), clock: 0, used: HashMap::new() }
     }
 
-    /// Number of leading blocks of `chain` held.
+    /// Returns the number of leading blocks of `chain` that the cache holds.
     pub fn shared(&self, chain: &Chain) -> usize {
         chain.0.iter().take_while(|hash| self.used.contains_key(hash)).count()
     }
 
-    /// Notes that the engine now holds `chain`.
+    /// Records that the engine now holds all blocks of `chain`.
     pub fn insert(&mut self, chain: &Chain) {
         for hash in &chain.0 {
             self.clock += 1;
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Notes that the engine dropped a block.
+    /// Records that the engine evicted a block.
     pub fn remove(&mut self, hash: u64) {
         self.used.remove(&hash);
     }
 
-    /// Notes that the engine's cache is empty, as after a restart or a gap in its events.
+    /// Empties the cache, as after an engine restart or a gap in its events.
     pub fn clear(&mut self) {
         self.used.clear();
     }
 
     fn evict(&mut self) {
         let mut ages: Vec<u64> = self.used.values().copied().collect();
-        // An eighth more than needed goes, so that the sort is rare.
+        // Evicts an eighth of the capacity in addition, so that the costly selection runs rarely.
         let surplus = self.used.len() - self.most + self.most / 8;
         let (_, oldest_kept, _) = ages.select_nth_unstable(surplus.min(self.used.len() - 1));
         let oldest_kept = *oldest_kept;
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -1,12 +1,13 @@
-//! Requests under which replicas end, and when such work is sent no more.
+//! Quarantine of work that repeatedly coincides with replica terminations.
 //!
-//! A request may end every replica that begins to run it. What it asks for is known by a fingerprint, [`Work`], which all
-//! its repeats share. Each end of a replica is evidence against all work that ran there, most of it innocent: what counts is
-//! who is there again when the next one ends. Work with enough evidence is *condemned*: no replica gets it any more, until
-//! an operator lifts that. A whole answer of success clears it.
+//! A faulty request can terminate every replica that starts to run it. All requests for the same work share a
+//! fingerprint, [`Work`]. Each termination is evidence against all work that ran on the replica, most of it innocent;
+//! the work that is present again at the next termination accumulates evidence. Work with enough evidence is
+//! *condemned*: no replica receives it until an operator lifts the verdict. A complete successful answer clears the
+//! work.
 //!
-//! Evidence and verdicts are [`News`] that processes pass on to each other in any order, late or more than once; a
-//! [`Register`] that has heard of a verdict holds it, whatever else it has heard. Nothing is forgotten because time passes.
+//! Processes exchange evidence and verdicts as [`News`], which can arrive in any order, late or repeatedly. A
+//! [`Register`] that received a verdict keeps it, whatever else arrives. Entries do not expire with time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,30 +18,31 @@
 use crate::invariant;
 use crate::name::Name;
 
-/// Key of the fingerprints.
+/// BLAKE3 key-derivation context of the fingerprints.
 const CONTEXT: &str = "sorrelpass quarantine fingerprint of work 1";
-/// Points at which work is condemned: three ends with [`Weight::Strong`] evidence, or five with any.
+/// Points at which work is condemned: three terminations with [`Weight::Strong`] evidence, or five of any weight.
 const CONDEMNED_POINTS: u32 = 5;
-/// Ends after which work is condemned although other work was on the same replicas each time: more than the four sends
-/// that one caller causes with a request and its repeat, two each.
+/// Number of terminations at which work is condemned even if other work was on the same replicas each time. It
+/// exceeds the four sends that one caller causes with a request and its repetition, at two sends each.
 const CERTAIN_ENDS: usize = 5;
-/// Points from which work is kept apart from other work.
+/// Points at which work is isolated from other work.
 const SUSPECT_POINTS: u32 = 2;
-/// Points from which evidence is worth a record that outlasts all processes: strong evidence from two ends. One more
-/// end condemns, wherever it is seen.
+/// Points at which evidence is persisted beyond the lifetime of all processes: strong evidence from two terminations.
+/// One more termination condemns the work, whichever process observes it.
 const LASTING_POINTS: u32 = 4;
-/// Suspects that are kept: the victims of 250 ends of replicas with 16 requests each; some 1 MB.
+/// Maximum number of suspects; enough for 250 terminations of replicas with 16 requests each, at about 1 MB.
 const MOST_SUSPECTS: usize = 4_096;
-/// Verdicts that are kept; 32 bytes and the names of a few replicas each.
+/// Maximum number of verdicts; each takes 32 bytes plus the names of a few replicas.
 const MOST_CONDEMNED: usize = 4_096;
 
-/// Fingerprint of what a request asks for: the same for each repeat of it, through whichever entry it comes.
+/// Fingerprint of the work that a request asks for; equal for each repetition, whichever entry receives it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Work(pub [u8; 16]);
 
 impl Work {
-    /// Fingerprint of a request by its parts. Each goes in behind its length, so that no two lists of parts run together.
-    /// The hash has a key of its own: a text that is known elsewhere by its hash is not found by this one.
+    /// Returns the fingerprint of a request from its parts. Each part is prefixed with its length, so that different
+    /// lists of parts never yield the same input. The hash uses its own context, so that hashes of the same text from
+    /// other sources do not reveal the fingerprint.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         for part in parts {
@@ -65,7 +67,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// Error for a text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -88,17 +90,17 @@
     }
 }
 
-/// How much the end of a replica says against work that was there.
+/// Strength of the evidence that a termination provides against work on the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Weight {
-    /// It may only have waited there, or had run for a while.
+    /// The request may only have been queued on the replica, or had run for a while.
     Faint,
-    /// The replica had begun with it, and nothing had come of it yet.
+    /// The replica had started the request and produced no output for it yet.
     Strong,
 }
 
 impl Weight {
-    /// What it counts.
+    /// Returns the points that the evidence adds.
     pub const fn points(self) -> u32 {
         match self {
             Weight::Faint => 1,
@@ -107,28 +109,28 @@
     }
 }
 
-/// What one process learns and tells others.
+/// Event that a process observes and sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum News {
-    /// A replica ended under work.
+    /// A replica terminated while it held a request for the work.
     Ended {
-        /// The work.
+        /// Fingerprint of the work.
         work: Work,
-        /// The run of the replica that ended, by a name that no other run of any replica has.
+        /// Name of the terminated run, unique among all runs of all replicas.
         run: Name,
-        /// What that says against the work.
+        /// Strength of the evidence.
         weight: Weight,
     },
-    /// Work came to a whole answer of success.
+    /// A request for the work completed successfully.
     Cleared(Work),
-    /// Work is condemned.
+    /// The work is condemned.
     Condemned(Work),
-    /// An operator lifted what stood against work.
+    /// An operator lifted the verdict or the suspicion.
     Lifted(Work),
 }
 
 impl News {
-    /// The work that it is about.
+    /// Returns the work that the event concerns.
     pub const fn work(&self) -> Work {
         match self {
             News::Ended { work, .. } => *work,
@@ -137,25 +139,25 @@
     }
 }
 
-/// Where work stands.
+/// Status of work in the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Nothing that counts is known against it.
+    /// The evidence is below the suspicion threshold.
     Clear,
-    /// It is sent, apart from other work.
+    /// The work is sent, but isolated from other work.
     Suspect,
-    /// It is sent no more.
+    /// The work is rejected.
     Condemned,
 }
 
 /// Evidence against work that is not condemned.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// By run of a replica that ended.
+    /// Evidence by terminated run.
     ends: BTreeMap<Name, Weight>,
-    /// The run whose end was heard of last.
+    /// Run of the most recently reported termination.
     newest: Name,
-    /// Its place in the order in which suspects came.
+    /// Sequence number of insertion, for eviction of the oldest.
     order: u64,
 }
 
@@ -165,16 +167,16 @@
     }
 }
 
-/// A verdict.
+/// Verdict against condemned work.
 #[derive(Clone, Debug, Default)]
 struct Verdict {
-    /// Runs of replicas that ended under the work, as far as is known here.
+    /// Known runs that terminated under the work.
     ends: BTreeMap<Name, Weight>,
-    /// Its place in the order in which verdicts came.
+    /// Sequence number of insertion, for eviction of the oldest.
     order: u64,
 }
 
-/// What one process knows of work under which replicas end.
+/// Suspects and verdicts that one process knows of.
 #[derive(Clone, Debug, Default)]
 pub struct Register {
     suspects: BTreeMap<Work, Suspect>,
@@ -183,7 +185,7 @@
 }
 
 impl Register {
-    /// Where work stands.
+    /// Returns the status of work.
     pub fn standing(&self, work: Work) -> Standing {
         if self.condemned.contains_key(&work) {
             return Standing::Condemned;
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Takes news in; returns what others should hear: nothing if all of it was known or counts for little.
+    /// Applies an event and returns the events to send to peers. The result is empty if the event was known or adds
+    /// too little evidence.
     pub fn hear(&mut self, news: News) -> Vec<News> {
         match news {
             News::Ended { work, run, weight } => self.ended(work, run, weight),
@@ -204,38 +207,39 @@
         }
     }
 
-    /// Runs of replicas that ended under condemned work, as far as is known here.
+    /// Returns the known runs that terminated under condemned work, with the strength of the evidence.
     pub fn ends(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
         let ends = self.condemned.get(&work).map(|verdict| &verdict.ends);
         ends.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
-    /// Evidence against work that is not condemned, by run of a replica.
+    /// Returns the evidence against work that is not condemned, by terminated run.
     pub fn evidence(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
         let ends = self.suspects.get(&work).map(|suspect| &suspect.ends);
         ends.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
-    /// All verdicts.
+    /// Returns all condemned work.
     pub fn condemned(&self) -> impl Iterator<Item = Work> {
         self.condemned.keys().copied()
     }
 
-    /// Suspects, with their points.
+    /// Returns the suspects with their points.
     pub fn suspects(&self) -> impl Iterator<Item = (Work, u32)> {
         let counted = self.suspects.iter().map(|(work, suspect)| (*work, suspect.points()));
         counted.filter(|(_, points)| *points >= SUSPECT_POINTS)
     }
 
-    /// Work against which what is known should outlast all processes. Where nobody else hears of it, that is all of it:
-    /// the ends seen by three processes that hear nothing of each other condemn work as those seen by one.
+    /// Returns the work whose evidence is worth persisting. With `unheard`, when no peer receives the events, that
+    /// includes all suspects: terminations observed by three isolated processes then condemn work just as those
+    /// observed by one.
     pub fn lasting(&self, unheard: bool) -> impl Iterator<Item = Work> {
         let least = if unheard { SUSPECT_POINTS } else { LASTING_POINTS };
         let suspects = self.suspects().filter(move |(_, points)| *points >= least).map(|(work, _)| work);
         self.condemned().chain(suspects)
     }
 
-    /// All that another process should know that has heard nothing yet.
+    /// Returns the events that bring a new peer up to date.
     pub fn all(&self) -> Vec<News> {
         let condemned = self.condemned().map(News::Condemned);
         let suspects = self.suspects().flat_map(|(work, _)| {
@@ -269,14 +273,14 @@
         told
     }
 
-    /// Whether the end of a replica is blamed on condemned work: then nobody else on it is to blame. An innocent prompt
-    /// that met the same work again and again is cleared by this when that is condemned.
+    /// Returns whether the termination of `run` is attributed to condemned work, which exonerates all other work on
+    /// that replica. Innocent work that repeatedly shared a replica with the condemned work is cleared this way.
     fn is_explained(&self, run: &Name) -> bool {
         self.condemned.values().any(|verdict| verdict.ends.contains_key(run))
     }
 
-    /// Whether other work was on all the replicas that ended under this one, so that either may be to blame. Word that it
-    /// was on the newest of them too may still be on its way.
+    /// Returns whether some other work was on all replicas that terminated under this work, so that either may be the
+    /// cause. The newest termination is left out because its report for the other work may still be in transit.
     fn is_tied(&self, work: Work) -> bool {
         let Some(suspect) = self.suspects.get(&work) else { return false };
         let earlier: Vec<&Name> = suspect.ends.keys().filter(|run| **run != suspect.newest).collect();
@@ -299,7 +303,8 @@
         vec![News::Condemned(work)]
     }
 
-    /// An answer that was under way when its work was condemned, and came to a good end, proves the verdict wrong.
+    /// Clears work after a complete successful answer. An answer that was in flight when its work was condemned
+    /// proves the verdict wrong.
     fn cleared(&mut self, work: Work) -> Vec<News> {
         let told = match self.standing(work) {
             Standing::Clear => Vec::new(),
@@ -321,7 +326,8 @@
         self.condemned.remove(&work);
     }
 
-    /// Keeps the state bounded: a suspect with the least against it goes first, then the oldest; of verdicts the oldest.
+    /// Bounds the state: evicts the suspect with the fewest points, the oldest first among equals, and the oldest
+    /// verdict.
     fn evict(&mut self) {
         while self.suspects.len() > MOST_SUSPECTS {
             let least = self.suspects.iter().min_by_key(|(_, suspect)| (suspect.points(), suspect.order));
--- a/coord/src/queue.rs
+++ b/coord/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before one endpoint: which waiting job starts next.
+//! Queue in front of one endpoint, which decides which waiting job starts next.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use crate::name::{Attempt, Name};
 use crate::time::Moment;
 
-/// A job that an endpoint was asked to run.
+/// Job waiting for an endpoint.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The attempt that the job runs for.
+    /// Attempt that the job belongs to.
     pub attempt: Attempt,
-    /// The workspace that asked.
+    /// Workspace of the caller.
     pub workspace: Name,
-    /// The workspace's weight in fair sharing; 1 is ordinary.
+    /// Weight of the workspace in fair sharing; the default is 1.
     pub weight: f64,
-    /// Prompt tokens that must be prefilled, after what the prefix cache holds.
+    /// Prompt tokens to prefill, without those found in the prefix cache.
     pub prefill_tokens: u64,
-    /// KV memory it needs from start to finish, in tokens.
+    /// KV memory that the job needs until it completes, in tokens.
     pub memory_tokens: u64,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// The intent's priority: larger goes first.
+    /// Priority of the intent; larger values go first.
     pub priority: u8,
-    /// When the job reached the queue.
+    /// Time at which the job entered the queue.
     pub arrived: Moment,
-    /// When the whole answer must have been given.
+    /// Time by which the answer must be complete.
     pub deadline: Moment,
-    /// Expected time to its first token on an idle engine.
+    /// Expected time to the first token on an idle engine.
     pub cost: Duration,
 }
 
-/// Decides which of two waiting jobs goes first.
+/// Scheduling policy that ranks waiting jobs.
 pub trait Order: Send {
-    /// The job's rank at `now`; the largest rank goes first.
+    /// Returns the rank of the job at `now`; the job with the largest rank goes first.
     fn rank(&self, job: &Job, now: Moment) -> f64;
 
-    /// Whether short jobs keep slots and memory that long ones may not take.
+    /// Returns whether slots and memory are reserved for short jobs.
     fn keeps_headroom(&self) -> bool {
         true
     }
 }
 
-/// First come, first served: the baseline.
+/// Baseline policy: first in, first out.
 pub struct Fifo;
 
 impl Order for Fifo {
@@ -55,20 +55,20 @@
     }
 }
 
-/// Rank by slowdown so far and by how much of the job's slack is used.
+/// Policy that ranks by slowdown and by the used part of the job's slack.
 ///
-/// A job's slowdown is (waited + cost) / cost, so short jobs rise fast and long
-/// ones still rise; the ageing is built in and needs no constant.
+/// The slowdown of a job is (waited + cost) / cost. Short jobs rise quickly and long jobs keep rising, so ageing
+/// needs no separate constant.
 pub struct Slack {
-    /// What a unit of slowdown weighs.
+    /// Weight of one unit of slowdown.
     pub slowdown_weight: f64,
-    /// What a used-up slack weighs.
+    /// Weight of a fully used slack.
     pub ttft_weight: f64,
 }
 
-/// Cost below which two jobs count as equally short.
+/// Minimum cost in ranking; jobs below it count as equally short.
 const SHORTEST: Duration = Duration::from_millis(5);
-/// Share of slack that must be used before it counts.
+/// Fraction of the slack that must be used before it affects the rank.
 const URGENT_SHARE: f64 = 0.5;
 
 impl Order for Slack {
@@ -82,12 +82,12 @@
     }
 }
 
-/// How fast a workspace's past use is forgotten.
+/// Half-life of the recorded use of a workspace.
 const USE_HALF_LIFE: Duration = Duration::from_secs(10);
-/// Most that past use lowers a job's rank, as a factor.
+/// Maximum factor by which recorded use lowers a job's rank.
 const MOST_PENALTY: f64 = 64.0;
 
-/// Waiting jobs, and each workspace's recent use of the endpoint.
+/// Waiting jobs, with the recent use of the endpoint by each workspace.
 pub struct Queue {
     order: Box<dyn Order>,
     waiting: Vec<Job>,
@@ -96,22 +96,22 @@
 }
 
 impl Queue {
-    /// An empty queue in the given order.
+    /// Creates an empty queue with the given policy.
     pub fn new(order: Box<dyn Order>) -> Self {
         Self { order, waiting: Vec::new(), used: HashMap::new(), decayed: Moment::ZERO }
     }
 
-    /// Whether short jobs keep headroom under this order.
+    /// Returns whether the policy reserves slots and memory for short jobs.
     pub fn keeps_headroom(&self) -> bool {
         self.order.keeps_headroom()
     }
 
-    /// Adds a job.
+    /// Adds a job to the queue.
     pub fn push(&mut self, job: Job) {
         self.waiting.push(job);
     }
 
-    /// Takes out the highest-ranked job among those that `fits`.
+    /// Removes and returns the highest-ranked job for which `fits` returns `true`.
     pub fn pop(&mut self, now: Moment, fits: impl Fn(&Job) -> bool) -> Option<Job> {
         self.decay(now);
         let best = self
@@ -126,28 +126,28 @@
         Some(job)
     }
 
-    /// Takes out the job of `attempt`.
+    /// Removes and returns the job of `attempt`.
     pub fn remove(&mut self, attempt: Attempt) -> Option<Job> {
         let index = self.waiting.iter().position(|job| job.attempt == attempt)?;
         Some(self.waiting.swap_remove(index))
     }
 
-    /// Jobs waiting, in no order.
+    /// Iterates over the waiting jobs in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Job> {
         self.waiting.iter()
     }
 
-    /// Number of jobs waiting.
+    /// Returns the number of waiting jobs.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no job waits.
+    /// Returns whether no job is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Cost of the waiting jobs that would start before a job like `job`.
+    /// Returns the total cost of the waiting jobs that would start before `job`.
     pub fn cost_ahead(&self, job: &Job, now: Moment) -> Duration {
         let rank = self.fair_rank(job, now);
         self.waiting.iter().filter(|other| self.fair_rank(other, now) >= rank).map(|other| other.cost).sum()
--- a/coord/src/quota.rs
+++ b/coord/src/quota.rs
@@ -1,10 +1,10 @@
-//! Limits per workspace, shared out over all entries.
+//! Rate limits per workspace, split over all entries.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// A bucket that fills at a rate and holds at most a second's worth, or one.
+/// Token bucket that holds at most the amount of one second, and at least 1.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     rate: f64,
@@ -13,21 +13,21 @@
 }
 
 impl Bucket {
-    /// A full bucket that fills at `rate` a second.
+    /// Creates a full bucket that fills at `rate` per second.
     pub fn new(rate: f64, now: Moment) -> Self {
         Self { rate, level: rate.max(1.0), filled: now }
     }
 
-    /// Changes the rate from now on.
+    /// Changes the fill rate from `now` on.
     pub fn set_rate(&mut self, rate: f64, now: Moment) {
         self.fill(now);
         self.rate = rate;
         self.level = self.level.min(rate.max(1.0));
     }
 
-    /// Takes `amount`, or says when to come back.
+    /// Takes `amount` from the bucket, or returns the time to wait before trying again.
     ///
-    /// An amount larger than the bucket holds is taken from a full bucket and leaves it in debt.
+    /// An amount above the capacity is taken from a full bucket and leaves the level negative.
     pub fn take(&mut self, amount: f64, now: Moment) -> Result<(), Duration> {
         self.fill(now);
         let needed = amount.min(self.rate.max(1.0));
@@ -39,7 +39,7 @@
         Err(Duration::from_secs_f64(wait.min(3_600.0)))
     }
 
-    /// The rate at which it fills, a second.
+    /// Returns the fill rate per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
@@ -51,9 +51,10 @@
     }
 }
 
-/// Shares a workspace's rate out by demand: each entry gets what it asks, or its fair part.
+/// Splits the rate of a workspace by demand: each entry gets its demand, or a proportional part if the total exceeds
+/// the rate, plus an equal part of any surplus.
 ///
-/// `demands` are the rates that the entries saw; the result has the same order.
+/// `demands` are the request rates that the entries observed; the result has the same order.
 pub fn shares(rate: f64, demands: &[f64]) -> Vec<f64> {
     let total: f64 = demands.iter().sum();
     if demands.is_empty() {
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -1,8 +1,8 @@
-//! Configuration by replay: every reader of the log reaches the same verdicts.
+//! Configuration by log replay: every reader of the log reaches the same verdicts.
 //!
-//! A [`Record::Confirm`] takes effect iff no item that its plan touches changed
-//! after the plan's base. There is no lock and no leader: of two racing
-//! operators the lower offset wins, and the other is told who did.
+//! A [`Record::Confirm`] takes effect if and only if no item in its plan changed after the plan's base revision. This
+//! needs neither a lock nor a leader: of two concurrent confirmations the one with the lower offset succeeds, and the
+//! other receives a conflict that names the winner.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,74 +12,74 @@
 use crate::intent::{Change, Config, Item};
 use crate::name::Name;
 
-/// Plans that wait for a confirm, and verdicts remembered for repeated confirms.
+/// Maximum number of unconfirmed plans, and of verdicts kept for repeated confirmations.
 const REMEMBERED: usize = 10_000;
 
-/// A record on the configuration stream.
+/// Record on the configuration stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A plan, not in effect.
+    /// Proposes changes, without effect until confirmed.
     Plan {
-        /// Unique id, also of repeated appends.
+        /// Unique identifier; a repeated append of the plan reuses it.
         id: Name,
-        /// Revision that the plan was made against.
+        /// Revision on which the plan is based.
         base: u64,
-        /// What it would change.
+        /// Proposed changes.
         changes: Vec<Change>,
     },
-    /// An operator's confirmation.
+    /// Confirms a plan on behalf of an operator.
     Confirm {
-        /// The plan's id.
+        /// Identifier of the plan.
         plan: Name,
     },
 }
 
-/// State that replay needs to go on from an offset, so that older records may go.
+/// Replay state at an offset. It replaces all earlier records, which can then be deleted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Offset of the next record to replay.
     pub next: u64,
-    /// Configuration there.
+    /// Configuration at the offset.
     pub config: Arc<Config>,
-    /// Revision at which each item last changed, and by which plan.
+    /// Latest change of each item.
     pub changed: Vec<(Item, Changed)>,
-    /// Plans that may still be confirmed.
+    /// Unconfirmed plans with their base revisions.
     pub plans: Vec<(Name, u64, Vec<Change>)>,
     /// Verdicts on confirmed plans.
     pub verdicts: Vec<(Name, Verdict)>,
 }
 
-/// The last change of an item.
+/// Latest change of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changed {
-    /// Revision at which it changed.
+    /// Revision that the change produced.
     pub revision: u64,
-    /// The plan that changed it.
+    /// Plan that contained the change.
     pub plan: Name,
 }
 
-/// What became of a confirm.
+/// Result of a confirmation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force since this revision.
+    /// The plan is in force.
     Accepted {
-        /// The revision.
+        /// Revision that the plan produced.
         revision: u64,
     },
-    /// Another plan changed an item first.
+    /// Another plan changed an item after the base revision.
     Conflict {
-        /// The item.
+        /// Item in conflict.
         item: Item,
-        /// Who changed it.
+        /// Change that took effect first.
         winner: Changed,
     },
-    /// No such plan, or too old.
+    /// The plan does not exist or was evicted.
     UnknownPlan,
 }
 
-/// Replays the configuration stream.
+/// Replayed state of the configuration stream.
 #[derive(Clone, Debug, Default)]
 pub struct Replay {
     next: u64,
@@ -92,14 +92,12 @@
 }
 
 impl Replay {
-    /// Nothing replayed yet.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replays the record at `offset`; records already replayed are passed over.
-    ///
-    /// Returns whether the configuration changed.
+    /// Replays the record at `offset` unless it was replayed before, and returns whether the configuration changed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> bool {
         if offset < self.next {
             return false;
@@ -114,12 +112,12 @@
         self.config.revision != before
     }
 
-    /// Passes over a record that cannot be read; every reader does the same.
+    /// Skips an unreadable record; every reader skips the same ones.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
 
-    /// Takes a snapshot's state if it is newer than what was replayed.
+    /// Restores a snapshot if it is newer than the replayed state, and returns whether it did.
     pub fn restore(&mut self, snapshot: &Snapshot) -> bool {
         if snapshot.next <= self.next {
             return false;
@@ -136,7 +134,7 @@
         true
     }
 
-    /// The state to publish or to give to a peer.
+    /// Returns the state to publish or to send to a peer.
     pub fn snapshot(&self) -> Snapshot {
         let plan = |id: &Name| self.plans.get(id).map(|(base, changes)| (id.clone(), *base, changes.to_vec()));
         let verdict = |id: &Name| self.verdicts.get(id).map(|verdict| (id.clone(), verdict.clone()));
@@ -149,22 +147,22 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Offset of the next record to replay.
+    /// Returns the offset of the next record to replay.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The verdict on a plan's confirm, once replayed.
+    /// Returns the verdict on a plan, once its confirmation is replayed.
     pub fn verdict(&self, plan: &str) -> Option<&Verdict> {
         self.verdicts.get(plan)
     }
 
-    /// Whether the plan was replayed and waits for its confirm.
+    /// Returns whether the plan was replayed and is unconfirmed.
     pub fn has_plan(&self, plan: &str) -> bool {
         self.plans.contains_key(plan)
     }
--- a/coord/src/rest.rs
+++ b/coord/src/rest.rs
@@ -1,7 +1,7 @@
-//! Replicas that want nothing from a process for a while, since they said so when they turned a request of it away.
+//! Cooldown of replicas that rejected a request and asked this process to send nothing for a while.
 //!
-//! It is between that process and that replica: others may go on sending there. Of several times the one that ends last
-//! holds, since each answer binds for itself.
+//! A cooldown applies between one process and one replica; other processes may continue to send. Of several cooldowns
+//! the one that ends last applies, because each response is binding on its own.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,30 +9,30 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// The replicas that one process leaves alone, with the ends of their rests.
+/// End of the cooldown by replica, for one process.
 #[derive(Clone, Debug, Default)]
 pub struct Register(BTreeMap<Name, Moment>);
 
 impl Register {
-    /// Notes at `now` that a replica wants nothing for `rest`.
+    /// Records at `now` that a replica asks for a cooldown of `rest`.
     pub fn hear(&mut self, replica: &Name, rest: Duration, now: Moment) {
         self.0.retain(|_, until| *until > now);
         let until = self.0.entry(replica.clone()).or_default();
         *until = (*until).max(now + rest);
     }
 
-    /// How long a replica is still to be left alone; zero if it may be sent something.
+    /// Returns the remaining cooldown of a replica; zero if it may receive requests.
     pub fn left(&self, replica: &str, now: Moment) -> Duration {
         self.0.get(replica).map_or(Duration::ZERO, |until| until.since(now))
     }
 
-    /// The replicas at rest, with the time left of it.
+    /// Returns the replicas in cooldown with the remaining time.
     pub fn resting(&self, now: Moment) -> impl Iterator<Item = (&Name, Duration)> {
         let left = self.0.iter().map(move |(replica, until)| (replica, until.since(now)));
         left.filter(|(_, left)| !left.is_zero())
     }
 
-    /// The time until the first of `replicas` may be sent something; none if there are none.
+    /// Returns the time until the first of `replicas` may receive a request, or `None` if there are no replicas.
     pub fn soonest<'a>(&self, replicas: impl Iterator<Item = &'a Name>, now: Moment) -> Option<Duration> {
         let mut soonest = None;
         for replica in replicas {
@@ -45,7 +45,7 @@
         soonest
     }
 
-    /// Forgets what a replica said that is gone, or has started again.
+    /// Ends the cooldown of a replica that is gone or has restarted.
     pub fn forget(&mut self, replica: &str) {
         self.0.remove(replica);
     }
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -1,12 +1,13 @@
-//! What a process believes of the replicas of all services, from the records that they keep in a store.
+//! View of the replicas of all services that one process derives from their records in a store.
 //!
-//! Some things make this more than a map. A run of a replica that announced its end never takes work again; a later run
-//! under the same identity does, and late word of the earlier one changes nothing. A record may vanish because its replica
-//! left, or because the store could not be reached for so long that records lapsed: after an outage a vanished record counts
-//! as *lapsed* for a while before it counts as gone. And a store that answers with an older state than was already seen does
-//! not take anything back. What a replica says itself, in an answer, counts for more than its record, which may be old or may
-//! not come through: one that says it leaves is left alone at once. Which failure domains are emptied is not in the records:
-//! replicas there live on, end what they have, and get nothing new.
+//! The view is more than a map of records. A run of a replica that announced its end never takes work again; a later
+//! run under the same identity does, and late messages of the earlier run have no effect. A record can disappear
+//! because the replica left, or because the replica could not reach the store and the record expired: after a store
+//! outage, a missing record counts as *lapsed* for a grace period before the replica counts as gone. A store response
+//! older than the known state is ignored. A replica's own statement in a response takes precedence over its record,
+//! which can be outdated or fail to arrive: a replica that states that it is leaving receives no more work.
+//! Evacuations of failure domains are not part of the records; replicas in an evacuated domain stay alive, finish
+//! their requests and receive no new ones.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
@@ -17,40 +18,40 @@
 use crate::offset;
 use crate::time::Moment;
 
-/// A replica as its record tells.
+/// Replica as described by its record in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its identity. A replica that starts again may keep it; then `born` tells its runs apart.
+    /// Identity of the replica. It can survive a restart; `born` then distinguishes the runs.
     pub id: Name,
-    /// When this run of it started, in Unix milliseconds, if it tells.
+    /// Start time of the run in Unix milliseconds, if the record states it.
     pub born: Option<u64>,
-    /// The service it belongs to.
+    /// Service that the replica belongs to.
     pub service: Name,
-    /// Where it listens, `ip:port`.
+    /// Listen address, `ip:port`.
     pub address: Name,
-    /// Its failure domain.
+    /// Failure domain of the replica.
     pub failure_domain: Name,
-    /// Requests at once.
+    /// Number of requests that the replica runs concurrently.
     pub slots: u32,
-    /// Whether it announced its end.
+    /// Whether the replica announced its end.
     pub leaving: bool,
-    /// Time left, when this was said, during which it takes fewer requests than it will.
+    /// Remaining time, when the record was written, during which the replica is cold and accepts fewer requests.
     pub cold: Duration,
 }
 
-/// What the store says of a replica at one offset.
+/// Change of a replica's record in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum News {
-    /// The replica's record.
+    /// The record was written.
     Here(Record),
     /// The record was removed.
     Removed(Name),
-    /// What stands there names no replica to use: it is not the replica's own writing.
+    /// The record was not written by the replica itself, so the replica must not be used.
     Unusable(Name),
 }
 
 impl News {
-    /// The replica that it is about.
+    /// Returns the identity of the replica.
     pub fn id(&self) -> &Name {
         match self {
             News::Here(record) => &record.id,
@@ -59,66 +60,66 @@
     }
 }
 
-/// News with the offset at which the store has them.
+/// Record change with its offset in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sighting {
-    /// The offset.
+    /// Store offset of the change.
     pub offset: u64,
-    /// What stands there.
+    /// Change at the offset.
     pub news: News,
 }
 
-/// A run of a replica that said itself that it leaves.
+/// Run of a replica that stated that it is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaver {
-    /// The replica.
+    /// Identity of the replica.
     pub id: Name,
-    /// When that run of it started, in Unix milliseconds, if it tells.
+    /// Start time of the run in Unix milliseconds, if known.
     pub born: Option<u64>,
 }
 
-/// How far a replica may be used.
+/// Availability of a replica for work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes work.
+    /// The replica takes work.
     Ready,
-    /// Another wrote its record; it takes no work until it writes there again.
+    /// Another writer replaced the record; the replica takes no work until it writes the record again.
     Unusable,
-    /// Its record vanished right after an outage of the store; it takes work until `Moment`.
+    /// The record disappeared right after a store outage; the replica takes work until the given time.
     Lapsed(Moment),
-    /// It is leaving or gone, and takes no new work.
+    /// The replica is leaving or gone and takes no new work.
     Gone,
 }
 
-/// One replica with its standing.
+/// Replica with its availability.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// As last recorded.
+    /// Latest record of the replica.
     pub record: Record,
-    /// How far it may be used.
+    /// Availability for work.
     pub standing: Standing,
-    /// Offset of the newest news of it.
+    /// Offset of the latest record change, including heartbeats.
     offset: u64,
-    /// Offset of the newest news that changed anything; heartbeats rewrite records as they are.
+    /// Offset of the latest effective change; heartbeats rewrite unchanged records.
     changed_at: u64,
-    /// Whether its record stands in the store.
+    /// Whether the record exists in the store.
     listed: bool,
-    /// Until when it takes fewer requests than it will.
+    /// End of the period in which the replica accepts fewer requests.
     cold_until: Moment,
 }
 
 impl Replica {
-    /// Whether new work may go there.
+    /// Returns whether the replica takes new work, regardless of evacuations.
     pub fn takes_work(&self) -> bool {
         matches!(self.standing, Standing::Ready | Standing::Lapsed(_))
     }
 
-    /// Whether it is gone since its record was removed.
+    /// Returns whether the replica is gone because its record was removed.
     fn is_removed(&self) -> bool {
         self.standing == Standing::Gone && !self.listed
     }
 
-    /// The newest news of it that changed anything, as it is told at `now`.
+    /// Returns the latest effective change in the form sent to peers at `now`.
     fn sighting(&self, now: Moment) -> Sighting {
         let news = match (self.listed, self.standing) {
             (true, Standing::Unusable) => News::Unusable(self.record.id.clone()),
@@ -129,35 +130,35 @@
     }
 }
 
-/// All replicas that this process knows of.
+/// Replicas that this process knows of.
 #[derive(Debug, Default)]
 pub struct Roster {
     replicas: BTreeMap<Name, Replica>,
-    /// A vanished record counts as lapsed until then.
+    /// Until this time a missing record counts as lapsed.
     doubtful_until: Moment,
-    /// A whole picture showed all records below this offset that still stood; what it left out was removed.
+    /// End offset of the latest full snapshot. A record below it that was missing from the snapshot is removed.
     whole_below: u64,
-    /// Failure domains whose replicas get nothing new.
+    /// Evacuated failure domains.
     emptied: BTreeSet<Name>,
-    /// Failure domains that were emptied once, and when that was taken back.
+    /// Failure domains whose evacuation ended, with the time of its end.
     returned: BTreeMap<Name, Moment>,
-    /// Replicas that said themselves that they leave and whose records do not say so, with the start of that run.
+    /// Replicas that stated that they are leaving while their records do not, with the start time of that run.
     leavers: BTreeMap<Name, Option<u64>>,
 }
 
-/// A replica that says it is cold for so much longer than it said before has turned cold again.
+/// Minimum extension of the cold period that counts as turning cold again.
 const COLD_AGAIN: Duration = Duration::from_secs(1);
 
-/// A change of belief, for the log.
+/// Change in availability of a replica, for logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The replica.
+    /// Identity of the replica.
     pub id: Name,
-    /// Its standing from now on.
+    /// New availability.
     pub standing: Standing,
-    /// Whether it started again since it was last heard of: what ran there and what it held is lost.
+    /// Whether the replica has restarted, so that its requests and its memory contents are lost.
     pub restarted: bool,
-    /// Whether it takes fewer requests now than it will.
+    /// Whether the replica is cold and accepts fewer requests.
     pub cold: bool,
 }
 
@@ -168,25 +169,26 @@
 }
 
 impl Roster {
-    /// Notes that the store answers again after an outage: what vanishes within `grace` may only have lapsed.
+    /// Records that the store is available again after an outage; records that disappear within `grace` count as
+    /// lapsed.
     pub fn store_returned(&mut self, now: Moment, grace: Duration) {
         self.doubtful_until = self.doubtful_until.max(now + grace);
     }
 
-    /// For how long a vanished record still counts as lapsed.
+    /// Returns the remaining time during which a missing record counts as lapsed.
     pub fn doubt_left(&self, now: Moment) -> Duration {
         self.doubtful_until.since(now)
     }
 
-    /// What changed at offset `from` or later, one piece of news a replica. Who knows nothing yet does not hear of those that
-    /// are gone: there are ever more of them.
+    /// Returns the latest change of each replica that changed at offset `from` or later. A peer that knows nothing
+    /// yet (`from` 0) does not receive removed replicas, whose number grows without bound.
     pub fn since(&self, from: u64, now: Moment) -> Vec<Sighting> {
         let matters = |known: &&Replica| known.changed_at >= from && (from > 0 || known.listed);
         let changed = self.replicas.values().filter(matters);
         changed.map(|known| known.sighting(now)).collect()
     }
 
-    /// Takes one piece of news at its offset; older news than known is left out.
+    /// Applies a record change at its offset; changes older than the known state are ignored.
     pub fn hear(&mut self, offset: u64, news: News, now: Moment) -> Option<Change> {
         match news {
             News::Here(record) => self.here(offset, record, now),
@@ -198,12 +200,13 @@
     fn here(&mut self, offset: u64, record: Record, now: Moment) -> Option<Change> {
         let id = record.id.clone();
         let known = self.replicas.get(&id);
-        // One that the whole picture left out is gone, whatever another process still believes: told again by us, it would
-        // keep that process from ever hearing of its end.
+        // A replica missing from the full snapshot is gone even if a peer still believes in it. Accepting and
+        // relaying the peer's older record would keep that peer from ever learning of the removal.
         if offset < known.map_or(self.whole_below, |known| known.offset) {
             return None;
         }
-        // A log that came back from an older copy has records again of replicas that it had removed; one that lives writes anew.
+        // A restored log contains records of replicas that were removed after the copy was made. A replica that is
+        // alive writes its record again.
         if let Some(gone) = self.replicas.get_mut(&id).filter(|known| known.is_removed())
             && (offset == gone.offset || offset::era(offset) > offset::era(gone.offset))
         {
@@ -213,14 +216,14 @@
         let known = self.replicas.get(&id);
         let (known_born, born) = (known.and_then(|known| known.record.born), record.born);
         if known_born.zip(born).is_some_and(|(known, new)| new < known) {
-            // Late word of an earlier run.
+            // The record belongs to an earlier run.
             return None;
         }
         let restarted = known_born.zip(born).is_some_and(|(known, new)| new > known);
         let told = self.leavers.get(&id).is_some_and(|run| run.zip(born).is_none_or(|(run, born)| born <= run));
-        // An announced end is final for the run that announced it; a vanished record may come back with its replica.
+        // An announced end is final for its run, whereas a lapsed record can reappear together with its replica.
         let leaving = record.leaving || told || (!restarted && known.is_some_and(|known| known.record.leaving));
-        // From here on the record says it too: others hear of it with the record.
+        // The record now states that the replica is leaving, so peers learn it from the record.
         let confirmed = told && record.leaving;
         let standing = if leaving { Standing::Gone } else { Standing::Ready };
         let cold_until = now + record.cold;
@@ -229,7 +232,8 @@
             let was_cold = known.cold_until > now;
             cold != was_cold || (cold && cold_until > known.cold_until + COLD_AGAIN)
         });
-        // How long it stays cold is kept as a moment: told again it is less, which is no change.
+        // The end of the cold period is stored as a moment; in repeated records the remaining time shrinks, which is
+        // not a change.
         let record = Record { leaving, born: born.or(known_born), cold: Duration::ZERO, ..record };
         let changed = restarted || turned || known.is_none_or(|known| known.standing != standing);
         let same = known.filter(|known| known.listed && known.record == record && !changed && !confirmed);
@@ -278,7 +282,7 @@
         changed.then(|| Change::of(id, standing))
     }
 
-    /// Takes a whole picture whose newest offset is below `end`: what it leaves out was removed.
+    /// Applies a full snapshot with all offsets below `end`; records missing from it were removed.
     pub fn replace(&mut self, end: u64, newest: Vec<Sighting>, now: Moment) -> Vec<Change> {
         let listed: HashSet<&Name> = newest.iter().map(|sighting| sighting.news.id()).collect();
         let is_missing = |known: &&Replica| known.offset < end && !listed.contains(&known.record.id);
@@ -292,7 +296,7 @@
         changes
     }
 
-    /// Turns lapsed replicas whose time is over into gone ones.
+    /// Marks lapsed replicas as gone once their grace period is over.
     pub fn expire(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         for (id, replica) in &mut self.replicas {
@@ -304,7 +308,7 @@
         changes
     }
 
-    /// Notes proof that another replica has this one's address: it is gone.
+    /// Marks a replica as gone because another replica was found at its address.
     pub fn displaced(&mut self, id: &str) -> Option<Change> {
         let known = self.replicas.get_mut(id)?;
         let changed = known.standing != Standing::Gone;
@@ -312,7 +316,7 @@
         changed.then(|| Change::of(&known.record.id, Standing::Gone))
     }
 
-    /// Whether it is known already that a run of a replica leaves, or that a later one has begun.
+    /// Returns whether this run is already known to be leaving, or a later run is known.
     pub fn knows_leaver(&self, leaver: &Leaver) -> bool {
         let is_up_to = |born: Option<u64>| leaver.born.zip(born).is_none_or(|(told, known)| told <= known);
         let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(told, known)| told < known);
@@ -321,7 +325,7 @@
         recorded || self.leavers.get(&leaver.id).is_some_and(|run| is_up_to(*run))
     }
 
-    /// Notes that a replica said itself that it leaves; one that is not known yet is remembered.
+    /// Records that a run stated that it is leaving; a run of an unknown replica is remembered.
     pub fn leaves(&mut self, leaver: Leaver) -> Option<Change> {
         if self.knows_leaver(&leaver) {
             return None;
@@ -335,59 +339,60 @@
         changed.then(|| Change::of(&id, Standing::Gone))
     }
 
-    /// Replicas that said themselves that they leave, and of which others hear nothing in the store.
+    /// Returns the leaving runs that peers cannot learn of from the store.
     pub fn leavers(&self) -> impl Iterator<Item = Leaver> {
         let is_unheard = |id: &Name| self.replicas.get(id).is_none_or(|known| known.listed);
         let unheard = self.leavers.iter().filter(move |(id, _)| is_unheard(id));
         unheard.map(|(id, born)| Leaver { id: id.clone(), born: *born })
     }
 
-    /// Whether no later run of a replica than the one in `record` is known.
+    /// Returns whether no later run than the one in `record` is known.
     pub fn is_newest_run(&self, record: &Record) -> bool {
         let known = self.replicas.get(&record.id).and_then(|known| known.record.born);
         known.zip(record.born).is_none_or(|(known, born)| known <= born)
     }
 
-    /// A replica by identity.
+    /// Returns a replica by identity.
     pub fn get(&self, id: &str) -> Option<&Replica> {
         self.replicas.get(id)
     }
 
-    /// Sets the failure domains whose replicas get nothing new.
+    /// Sets the evacuated failure domains.
     pub fn set_emptied(&mut self, domains: BTreeSet<Name>, now: Moment) {
         let returned = self.emptied.difference(&domains);
         self.returned.extend(returned.map(|domain| (domain.clone(), now)));
         self.emptied = domains;
     }
 
-    /// Whether new work may go to a replica.
+    /// Returns whether the replica may receive new work, considering evacuations.
     pub fn takes(&self, replica: &Replica) -> bool {
         replica.takes_work() && !self.emptied.contains(&replica.record.failure_domain)
     }
 
-    /// The record of the replica `id`, if new work may go there.
+    /// Returns the record of the replica `id` if it may receive new work.
     pub fn usable_one(&self, id: &str) -> Option<&Record> {
         self.replicas.get(id).filter(|replica| self.takes(replica)).map(|replica| &replica.record)
     }
 
-    /// Replicas of `service` that live, whether or not they get new work.
+    /// Returns the replicas of `service` that are alive, including those in evacuated failure domains.
     pub fn living<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
         let fits = move |replica: &&Replica| replica.takes_work() && *replica.record.service == *service;
         self.replicas.values().filter(fits)
     }
 
-    /// Replicas of `service` that take new work.
+    /// Returns the records of the replicas of `service` that may receive new work.
     pub fn usable<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Record> {
         self.living(service).filter(|replica| self.takes(replica)).map(|replica| &replica.record)
     }
 
-    /// Whether `service` has replicas, all of which stand in emptied failure domains.
+    /// Returns whether `service` has replicas and all of them are in evacuated failure domains.
     pub fn is_emptied(&self, service: &str) -> bool {
         self.living(service).next().is_some() && self.usable(service).next().is_none()
     }
 
-    /// Replicas of `service` that take fewer requests now than they will, and until when. One whose failure domain was
-    /// emptied may have turned cold meanwhile and not have said so yet: it counts as cold for `lasts` after its return.
+    /// Returns the cold replicas of `service`, which accept fewer requests, with the end of their cold period. A
+    /// replica whose failure domain was evacuated may have turned cold without having reported it yet, so it counts
+    /// as cold for `lasts` after the evacuation ended.
     pub fn cold<'a>(
         &'a self,
         service: &'a str,
--- a/coord/src/route.rs
+++ b/coord/src/route.rs
@@ -1,6 +1,6 @@
-//! The routing table: which service a call goes to, whom a key stands for, and the limits on callers.
+//! Routing table: the service of each request, the workspace of each API key, and limits on callers.
 //!
-//! A table is immutable; a new version replaces it whole.
+//! A table is immutable; a new version replaces it as a whole.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,69 +9,71 @@
 use crate::engine::Figures;
 use crate::name::Name;
 
-/// Whether a request may run again after it may have run once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Safe,
-    /// It may run at most once.
+    /// The request may be executed at most once.
     Once,
 }
 
-/// Part of a route's traffic that goes to one service.
+/// Share of a route's traffic for one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// Its weight among the route's shares; 0 sends nothing there.
+    /// Weight among the shares of the route; 0 sends no traffic to the service.
     pub weight: f64,
 }
 
-/// One route: a host and a path prefix.
+/// Route, selected by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The route's name.
+    /// Name of the route.
     pub name: Name,
-    /// The host that callers name.
+    /// Host in the request.
     pub host: Name,
-    /// What the path begins with; ends in a slash.
+    /// Path prefix, with a trailing slash.
     pub prefix: Name,
-    /// Whether requests may run again.
+    /// Whether requests may be executed more than once.
     pub repeat: Repeat,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// Whether a stream may go on at another replica after the last event passed on.
+    /// Whether another replica may continue a stream after the last event delivered.
     pub resumable: bool,
-    /// Longest time for which a request is held.
+    /// Maximum time that the system holds a request.
     pub timeout: Duration,
-    /// Time to an answer, or to a stream's first event, that callers want.
+    /// Target latency of the response, or of the first event of a stream.
     pub aim: Duration,
-    /// Longest pause between two events that callers want; zero where none is told.
+    /// Target for the longest pause between two events; zero if not configured.
     pub gap_aim: Duration,
-    /// Most replicas that may run one request.
+    /// Maximum number of replicas that may execute one request.
     pub max_attempts: u32,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// The services behind it.
+    /// Services that receive the traffic of the route.
     pub shares: Vec<Share>,
 }
 
-/// Callers wait at least so long for a stream's next event, the first included …
+/// Minimum time that callers wait for the next event of a stream, including the first.
 const LEAST_PATIENCE: Duration = Duration::from_secs(2);
-/// … at least this many times the aim …
+/// Minimum waiting time of callers as a multiple of the target latency, as stated in the users' protocol
+/// documentation.
 const AIMS_OF_PATIENCE: u32 = 4;
-/// … and this many times the longest pause that they want. The users' protocol page says so.
+/// Minimum waiting time of callers as a multiple of the target pause, as stated in the users' protocol documentation.
 const GAPS_OF_PATIENCE: u32 = 8;
 
 impl Route {
-    /// How long callers wait for a stream's first event before they give up.
+    /// Returns how long callers wait for the first event of a stream before they give up.
     pub fn patience(&self) -> Duration {
         LEAST_PATIENCE.max(self.aim * AIMS_OF_PATIENCE).max(self.gap_aim * GAPS_OF_PATIENCE)
     }
 
-    /// The service for a request that drew `point`, uniform in 0..1.
+    /// Returns the service for a request with the random number `point`, uniform in 0..1; `None` if all weights are
+    /// zero.
     pub fn pick(&self, point: f64) -> Option<&Name> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
         if total <= 0.0 {
@@ -87,57 +89,57 @@
         self.shares.iter().rev().find(|share| share.weight > 0.0).map(|share| &share.service)
     }
 
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request may be sent again after it may have been executed.
     pub fn repeatable(&self) -> bool {
         self.repeat == Repeat::Safe || self.resumable
     }
 }
 
-/// A service: replicas that answer alike.
+/// Service whose replicas give equivalent answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The service's name.
+    /// Name of the service.
     pub name: Name,
-    /// Connections that one replica takes from all callers together.
+    /// Maximum number of connections to one replica from all callers together.
     pub max_connections: u32,
-    /// Sizes and speeds of its engines; none for a plain service.
+    /// Engine parameters; `None` for a plain service.
     pub engine: Option<Arc<Figures>>,
-    /// What a replica takes while it is cold; none if it takes no less than later.
+    /// Limit of cold replicas; `None` if they accept as many requests as warm ones.
     pub cold: Option<Cold>,
 }
 
-/// What a replica takes that is cold: for a while after its start, and whenever it says so.
+/// Reduced limit of a replica that is cold: for a while after its start, and whenever it reports so.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cold {
-    /// Requests a second from all entries together.
+    /// Requests per second from all entries together.
     pub rate: f64,
-    /// How long it stays cold after its start.
+    /// Duration of the cold period after a start.
     pub lasts: Duration,
 }
 
-/// Who a key stands for.
+/// Workspace that an API key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// The workspace's name.
+    /// Name of the workspace.
     pub name: Name,
-    /// Its rank, which outranks the route's where given.
+    /// Priority of the workspace, which overrides the route's priority.
     pub priority: Option<u32>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests from callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time that a request head may take.
+    /// Maximum time to receive a request head.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a kept-alive connection.
     pub idle_timeout: Duration,
 }
 
-/// One version of the routing table.
+/// Immutable version of the routing table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     version: u64,
@@ -148,17 +150,17 @@
     limits: Option<Limits>,
 }
 
-/// Why a request has no route here.
+/// Reason for rejecting a request during routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// No route of this host begins the path.
+    /// No route of the host matches the path.
     NoRoute,
-    /// The key is missing or stands for nobody.
+    /// The API key is missing or unknown.
     UnknownKey,
 }
 
 impl Table {
-    /// A table of one version. `keyed` tells whether routes that are not public need a key.
+    /// Creates a table. `keyed` states whether routes that are not public require an API key.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -172,50 +174,50 @@
             hosts.entry(route.host.clone()).or_default().push(route);
         }
         for routes in hosts.values_mut() {
-            // The longest prefix comes first, so that the first match decides.
+            // The longest prefix comes first, so that the first match is the most specific one.
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let services = services.into_iter().map(|service| (service.name.clone(), service)).collect();
         Self { version, hosts, services, keys, keyed, limits }
     }
 
-    /// The version; 0 before any table was read.
+    /// Returns the version; 0 before a table was read.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The bounds on callers, once known.
+    /// Returns the limits on callers, or `None` before they are known.
     pub fn limits(&self) -> Option<Limits> {
         self.limits
     }
 
-    /// The route for a host and a path.
+    /// Returns the route for a host and a path.
     pub fn route(&self, host: &str, path: &str) -> Result<&Route, Denied> {
         let routes = self.hosts.get(host).ok_or(Denied::NoRoute)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix)).ok_or(Denied::NoRoute)
     }
 
-    /// Whether a request on `route` needs a key.
+    /// Returns whether requests on `route` require an API key.
     pub fn needs_key(&self, route: &Route) -> bool {
         self.keyed && !route.public
     }
 
-    /// Whom `key` stands for.
+    /// Returns the workspace that `key` belongs to.
     pub fn workspace(&self, key: Option<&str>) -> Result<&Workspace, Denied> {
         key.and_then(|key| self.keys.get(key)).ok_or(Denied::UnknownKey)
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Numbers for log lines: routes, services and keys.
+    /// Returns the numbers of routes, services and keys, for log lines.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.hosts.values().map(Vec::len).sum(), self.services.len(), self.keys.len())
     }
--- a/coord/src/search.rs
+++ b/coord/src/search.rs
@@ -1,8 +1,8 @@
-//! Whom to try, and when again, for a process that looks for the one that leads.
+//! Search for the current leader: which candidates to try, and when to try them again.
 //!
-//! Everyone that lost a leader looks for the next at the same moment. Without a bound each would try everybody, and
-//! the tries would grow as the square of the processes: 100 that wait for a store made 6,000 a second. So a round
-//! tries a few, those that rank first, and one that failed is left out of the next rounds for a growing while.
+//! All followers of a lost leader search at the same time. If each tried all processes, the number of attempts would
+//! grow quadratically: 100 processes waiting for a store made 6,000 attempts per second. A round therefore tries only
+//! the few highest-ranked candidates and skips those that failed recently, with exponential backoff.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,22 +11,22 @@
 use crate::pause::Pause;
 use crate::time::Moment;
 
-/// Most candidates that are tried in one round: the leader, and two that would follow it in rank if it is gone.
+/// Maximum number of candidates per round: the leader and the next two in rank.
 pub const ROUND: usize = 3;
-/// Time for which one that failed is left out: at first two beats of a leader, within which it may come up; after a cut
-/// the two sides find each other within the longest.
+/// Backoff of a failed candidate. It starts at two heartbeat intervals of a leader, within which the candidate may
+/// come up; its maximum bounds how long the two sides of a healed partition take to find each other.
 const PAUSE: Pause = Pause { first: Duration::from_millis(300), longest: Duration::from_secs(4) };
 
-/// What came of earlier tries.
+/// Failed attempts to reach a candidate.
 #[derive(Clone, Copy, Debug)]
 struct Failure {
-    /// Tries that failed in a row.
+    /// Number of consecutive failures.
     count: u32,
-    /// It is left out before.
+    /// End of the backoff.
     until: Moment,
 }
 
-/// Remembers whom it is no use to try yet.
+/// Candidates that failed recently.
 #[derive(Debug)]
 pub struct Search<K> {
     failures: HashMap<K, Failure>,
@@ -39,31 +39,31 @@
 }
 
 impl<K: Clone + Eq + Hash> Search<K> {
-    /// Those of `candidates`, which come in the order of their rank, that are tried in a round that begins now.
+    /// Selects the candidates for a round at `now`. `candidates` must be in order of rank.
     pub fn round(&self, candidates: impl IntoIterator<Item = K>, now: Moment) -> Vec<K> {
         let may = |candidate: &K| self.failures.get(candidate).is_none_or(|failure| failure.until <= now);
         candidates.into_iter().filter(may).take(ROUND).collect()
     }
 
-    /// Notes that a candidate could not be reached, or leads nobody. `jitter` stretches the pause, so that those who
-    /// failed together do not try again together.
+    /// Records that a candidate was unreachable or is not a leader. `jitter` scales the backoff, so that processes
+    /// that failed together do not retry together.
     pub fn failed(&mut self, candidate: K, jitter: f64, now: Moment) {
         let failure = self.failures.entry(candidate).or_insert(Failure { count: 0, until: now });
         failure.count += 1;
         failure.until = now + PAUSE.after(failure.count).mul_f64(jitter);
     }
 
-    /// Notes that a candidate answered.
+    /// Records a response of a candidate, which ends its backoff.
     pub fn reached(&mut self, candidate: &K) {
         self.failures.remove(candidate);
     }
 
-    /// Forgets all failures: what caused them is over.
+    /// Clears all failures once their common cause is over.
     pub fn restart(&mut self) {
         self.failures.clear();
     }
 
-    /// Forgets those that are not among `known`.
+    /// Drops the failures of candidates for which `known` returns `false`.
     pub fn keep(&mut self, known: impl Fn(&K) -> bool) {
         self.failures.retain(|candidate, _| known(candidate));
     }
--- a/coord/src/span.rs
+++ b/coord/src/span.rs
@@ -1,9 +1,8 @@
-//! Spans: parts of a prompt that exceeds one engine, each held under a lease.
+//! Spans: parts of a prompt that is too large for one engine, each held under a lease.
 //!
-//! A gang takes its spans in one global order, that of the endpoints' names, and
-//! waits for the next only while it holds those before it; so no two gangs can
-//! wait for each other. A lease that is not renewed lapses, and its memory is
-//! freed once the engine has confirmed it.
+//! The engines that share a prompt form a gang. A gang acquires its spans in the order of the endpoint names, and
+//! waits for the next span only while it holds all earlier ones, so two gangs never deadlock. A lease that is not
+//! renewed expires, and its memory is released once the engine has confirmed that it is free.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,29 +10,30 @@
 use crate::name::Attempt;
 use crate::time::Moment;
 
-/// One span.
+/// Part of a prompt held at one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// Its KV memory, in tokens.
+    /// Amount of KV memory, in tokens.
     pub tokens: u64,
-    /// When its lease lapses unless renewed.
+    /// Expiry time of the lease unless renewed.
     pub until: Moment,
-    /// Since when it is being prefilled, and what that should take.
+    /// Start time and expected duration of the prefill in progress.
     pub filling: Option<(Moment, Duration)>,
 }
 
-/// The spans held and wanted at one endpoint.
+/// Spans held and requested at one endpoint.
 #[derive(Debug, Default)]
 pub struct Spans {
     held: HashMap<Attempt, Span>,
-    /// The one span for which memory is being collected.
+    /// Requested span for which freed memory is being set aside; at most one at a time.
     wanted: Option<(Attempt, Span)>,
-    /// Lapsed spans that the engine has yet to free.
+    /// Memory of released spans that the engine has not yet confirmed as free, in tokens.
     freeing: HashMap<Attempt, u64>,
 }
 
 impl Spans {
-    /// Whether `span` may be collected for: it is the one wanted, or none is.
+    /// Requests memory for `span`, or extends its request until `until`. Returns `false` if memory is being set aside
+    /// for another span.
     pub fn want(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> bool {
         if self.wanted.is_some_and(|(_, wanted)| wanted.until <= now) {
             self.wanted = None;
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Notes that `span` now holds its memory.
+    /// Records that the memory of `span` is allocated.
     pub fn hold(&mut self, span: Attempt, tokens: u64, until: Moment) {
         if self.is_wanted(span) {
             self.wanted = None;
@@ -54,38 +54,39 @@
         self.held.insert(span, Span { tokens, until, filling: None });
     }
 
-    /// The span, if it is held.
+    /// Returns the span if it is held.
     pub fn get_mut(&mut self, span: Attempt) -> Option<&mut Span> {
         self.held.get_mut(&span)
     }
 
-    /// Whether the span is held.
+    /// Returns whether the span is held.
     pub fn is_held(&self, span: Attempt) -> bool {
         self.held.contains_key(&span)
     }
 
-    /// Memory that is being collected for a span, in tokens.
+    /// Returns the number of tokens being set aside for the requested span.
     pub fn wanted_tokens(&self, now: Moment) -> u64 {
         self.wanted.filter(|(_, wanted)| wanted.until > now).map_or(0, |(_, wanted)| wanted.tokens)
     }
 
-    /// Whether memory is being collected for this span.
+    /// Returns whether memory is being set aside for this span.
     pub fn is_wanted(&self, span: Attempt) -> bool {
         self.wanted.is_some_and(|(holder, _)| holder == span)
     }
 
-    /// Tokens of held spans that are not being prefilled now.
+    /// Returns the tokens of held spans that are not being prefilled.
     pub fn unfilled_tokens(&self) -> u64 {
         self.held.values().filter(|span| span.filling.is_none()).map(|span| span.tokens).sum()
     }
 
-    /// Prefill of spans still to be done on the engine.
+    /// Returns the remaining time of the prefills in progress.
     pub fn prefill_left(&self, now: Moment) -> Duration {
         let filling = self.held.values().filter_map(|span| span.filling);
         filling.map(|(since, cost)| cost.saturating_sub(now.since(since))).sum()
     }
 
-    /// Gives up a span: nothing is collected for it, and if it was held it is now to be freed.
+    /// Releases a span: cancels its request, and if it was held, marks its memory for freeing. Returns whether the
+    /// engine now has to free it.
     pub fn give_up(&mut self, span: Attempt) -> bool {
         if self.is_wanted(span) {
             self.wanted = None;
@@ -96,22 +97,22 @@
         }
     }
 
-    /// Spans whose lease has lapsed.
+    /// Returns the spans with expired leases.
     pub fn lapsed(&self, now: Moment) -> Vec<Attempt> {
         self.held.iter().filter(|(_, span)| span.until <= now).map(|(name, _)| *name).collect()
     }
 
-    /// Notes that the engine has freed a span; whether it was waited for.
+    /// Records that the engine has freed a span, and returns whether that was outstanding.
     pub fn freed(&mut self, span: Attempt) -> bool {
         self.freeing.remove(&span).is_some()
     }
 
-    /// Whether no span is held or being freed.
+    /// Returns whether no span is held or being freed.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty() && self.freeing.is_empty()
     }
 
-    /// Tokens held by spans, those being freed among them.
+    /// Returns the tokens of all spans held or being freed.
     pub fn tokens(&self) -> u64 {
         self.held.values().map(|span| span.tokens).sum::<u64>() + self.freeing.values().sum::<u64>()
     }
--- a/coord/src/ticket.rs
+++ b/coord/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Tickets: system-minted keys that name the sidecar incarnation that may run them.
+//! Tickets: keys issued by this system that name the sidecar incarnation that may run the request.
 //!
-//! With a ticket a request runs at most once without the log: only the named
-//! incarnation accepts it, and it remembers the outcome for the ticket's life.
+//! A ticket guarantees at-most-once execution without the log: only the named incarnation accepts it, and that
+//! incarnation keeps the outcome for the lifetime of the ticket.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,21 +9,21 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// What a ticket says; the embedding process authenticates it.
+/// Contents of a ticket; the embedding process authenticates them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The workspace it was minted for.
+    /// Workspace that the ticket was issued for.
     pub workspace: Name,
-    /// The only sidecar incarnation that may run it.
+    /// Sidecar incarnation that may run the request.
     pub binding: Binding,
-    /// Unique number.
+    /// Unique number of the ticket.
     pub number: u128,
-    /// When it ends, as time since the Unix epoch.
+    /// Expiry time, relative to the Unix epoch.
     pub expires: Moment,
 }
 
 impl Ticket {
-    /// Whether the ticket may still be used at `now`.
+    /// Returns whether the ticket has not expired at `now`.
     pub fn is_live(&self, now: Moment) -> bool {
         now < self.expires
     }
--- a/coord/src/time.rs
+++ b/coord/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as an argument: a moment in microseconds since an epoch of the caller's choice.
+//! Time as a parameter: moments in microseconds since an epoch that the caller chooses.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in microseconds since the epoch that the embedding process chose.
+/// Point in time, in microseconds since an epoch that the embedding process chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Moment(u64);
 
@@ -13,22 +13,22 @@
     /// The epoch itself.
     pub const ZERO: Moment = Moment(0);
 
-    /// A moment `micros` microseconds after the epoch.
+    /// Creates the moment `micros` microseconds after the epoch.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A moment `millis` milliseconds after the epoch.
+    /// Creates the moment `millis` milliseconds after the epoch.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the epoch.
+    /// Returns the microseconds since the epoch.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Time from `earlier` to this moment, zero if `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Moment) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Whole microseconds in `span`, saturating.
+/// Returns the whole microseconds in `span`, saturating at `u64::MAX`.
 pub fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
