--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -1,11 +1,13 @@
-//! Time and size of passing one version of a configuration on.
+//! Run time and size of parcels that transfer a configuration to a receiver.
 //!
-//! `cargo bench -p coord --bench parcel`. A configuration of so many routes with names of their own, of which one changes.
-//! Sizes are printed first. Nobody passed on more than 32 KB before: then each receiver read the whole from the store.
+//! Run with `cargo bench -p coord --bench parcel`. The configuration consists of distinct routes, one of which
+//! changes. Sizes are printed first. For comparison: without parcels, peers relay at most 32 KB, and each receiver
+//! reads a larger configuration in full from the store.
 //!
-//! One core of the development machine, 8 cores, beside other load; bytes and median microseconds:
+//! Sizes in bytes and median run times in microseconds, on one core of an 8-core development machine under other
+//! load:
 //!
-//! | routes | bytes | whole | change | pack whole | pack change | open whole | open change |
+//! | routes | bytes | full | change | pack full | pack change | open full | open change |
 //! |---|---|---|---|---|---|---|---|
 //! | 30 | 5,969 | 672 | 36 | 23 | 29 | 11 | 4.5 |
 //! | 240 | 47,759 | 3,633 | 37 | 103 | 144 | 42 | 9.8 |
--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -1,8 +1,10 @@
-//! Time that a planner takes for one event: a short prompt comes in, what may start is granted, and the prompt ends.
+//! Time of a planner for one event: a short prompt arrives, the planner grants the prompts that can start, and the
+//! new prompt ends.
 //!
-//! `cargo bench -p coord --bench planner`. Half of the engines read and all write for callers who mind pauses; what
-//! waits is two thirds short prompts and a third long ones, as in a burst. `plain` is the same decision worked out anew
-//! for each prompt at each event. Median on one core of the development machine, 8 cores, in microseconds:
+//! Run with `cargo bench -p coord --bench planner`. Half of the engines are prefilling, and all of them are decoding
+//! for callers with a limit on pauses. Two thirds of the waiting prompts are short and one third are long, as in a
+//! burst. `plain` is the reference implementation, which recomputes the decision for each prompt at each event.
+//! Median times in microseconds, on one core of an 8-core development machine:
 //!
 //! | engines / waiting | plain | planner |
 //! |---|---|---|
@@ -28,15 +30,15 @@
 use coord::time::Moment;
 use divan::{Bencher, black_box};
 
-/// Engines and prompts that wait.
+/// Pairs of the number of engines and the number of waiting prompts.
 const SIZES: &[(usize, u64)] =
     &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100), (12_000, 100), (12_000, 1_000)];
-/// Those at which the plain form ends in a reasonable time.
+/// Sizes at which the reference implementation finishes in a reasonable time.
 const PLAIN_SIZES: &[(usize, u64)] = &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100)];
-/// Engines, prompts that wait, engines that name a limit.
+/// Numbers of engines, of waiting prompts, and of engines with a rate limit.
 const LIMITED_SIZES: &[(usize, u64, usize)] =
     &[(150, 20, 0), (150, 20, 40), (150, 20, 150), (12_000, 100, 0), (12_000, 100, 100), (12_000, 100, 3_000)];
-/// The entry whose prompts run already.
+/// Entry that owns the prompts already running.
 const OTHER: u64 = 1;
 
 fn main() {
@@ -53,7 +55,7 @@
     Job { prompt, output: 1_000, aim, gap_ms, deadline: now + Duration::from_secs(10), priority: 1, work: None }
 }
 
-/// Makes both kinds of planner busy in the same way.
+/// Puts either planner implementation into the same loaded state.
 macro_rules! busy {
     ($planner:expr, $size:expr, $now:expr) => {{
         let (engines, waiting) = $size;
@@ -92,7 +94,7 @@
     });
 }
 
-/// The same beside engines that name a limit, while time goes on.
+/// Same as `planner`, with rate-limited engines and advancing time.
 #[divan::bench(args = LIMITED_SIZES)]
 fn limited(bencher: Bencher, (engines, waiting, limited): (usize, u64, usize)) {
     let mut now = Moment::from_millis(10_000);
@@ -109,7 +111,7 @@
     });
 }
 
-/// One more limit that is heard of.
+/// Time to record the rate limit of one more engine.
 #[divan::bench(args = [150, 12_000])]
 fn limit_heard(bencher: Bencher, engines: usize) {
     let now = Moment::from_millis(10_000);
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -1,8 +1,8 @@
-//! What the quarantine adds to each request: its fingerprint, and where its work stands.
+//! Overhead of the quarantine per request: the fingerprint, and the lookup of the work's status.
 //!
-//! Measured on 8 cores beside other work, median. A fingerprint: 0.51 µs, 9.8 µs and 0.81 ms for bodies of 200 bytes, 20 KB and
-//! 4 MB. Where work stands: 2.4, 33 and 62 ns beside 0, 100 and 4,000 suspects and verdicts each. An end: 2.5 and 273 µs. Before
-//! there was a quarantine: nothing.
+//! Median times on 8 cores beside other load. A fingerprint takes 0.51 µs, 9.8 µs and 0.81 ms for bodies of 200
+//! bytes, 20 KB and 4 MB. A status lookup takes 2.4, 33 and 62 ns with 0, 100 and 4,000 suspects and as many
+//! verdicts. Recording a termination takes 2.5 and 273 µs with 100 and 4,000 of each.
 
 use coord::name::Name;
 use coord::quarantine::{News, Register, Weight, Work};
@@ -11,14 +11,14 @@
     divan::main();
 }
 
-/// A fingerprint of a request with a body of so many bytes.
+/// Computes the fingerprint of a request with a body of `bytes` bytes.
 #[divan::bench(args = [200, 20_000, 4 << 20])]
 fn fingerprint(bencher: divan::Bencher<'_, '_>, bytes: usize) {
     let body = vec![7; bytes];
     bencher.bench(|| Work::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"]));
 }
 
-/// Where one piece of work stands, beside so many suspects and as many verdicts.
+/// Looks up the status of work beside `known` suspects and as many verdicts.
 #[divan::bench(args = [0, 100, 4_000])]
 fn standing(bencher: divan::Bencher<'_, '_>, known: u32) {
     let register = register(known);
@@ -26,7 +26,7 @@
     bencher.bench(|| register.standing(divan::black_box(work)));
 }
 
-/// One end of a replica under one piece of work, beside so many suspects and as many verdicts.
+/// Records a replica termination under some work beside `known` suspects and as many verdicts.
 #[divan::bench(args = [100, 4_000])]
 fn ended(bencher: divan::Bencher<'_, '_>, known: u32) {
     let register = register(known);
--- a/coord/examples/answer.rs
+++ b/coord/examples/answer.rs
@@ -1,4 +1,5 @@
-//! Frames come late, twice and from another attempt; only the whole own answer passes.
+//! Delivers duplicate frames and frames of another attempt to a receiver, which passes on only the complete answer of
+//! the live attempt.
 
 use coord::answer::{Receiver, Tally};
 use coord::name::Attempt;
--- a/coord/examples/claim.rs
+++ b/coord/examples/claim.rs
@@ -1,4 +1,4 @@
-//! Two entries claim one key for two sidecars: the first offset on the log wins for both.
+//! Two entries claim the same key for different sidecars; the claim with the lowest log offset holds for both.
 
 use std::time::Duration;
 
--- a/coord/examples/pick.rs
+++ b/coord/examples/pick.rs
@@ -1,4 +1,5 @@
-//! Prompts with one prefix meet at the same endpoints; the rest go to the lighter of two.
+//! Prompts with a common prefix go to the same endpoints; the remaining candidates are the less loaded of two random
+//! ones.
 
 use coord::pick::{Candidate, Picker, Quoted};
 use coord::prefix::Chain;
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -1,4 +1,4 @@
-//! A controller is paused past its lease; what it writes when it wakes is void.
+//! A controller is paused past the end of its lease; the order that it writes after resuming is void.
 
 use std::collections::BTreeMap;
 
--- a/coord/examples/quota.rs
+++ b/coord/examples/quota.rs
@@ -1,4 +1,5 @@
-//! A limit of 100 a second is shared out by demand; a bucket says when to come back.
+//! Splits a limit of 100 requests per second by demand, and takes requests from a bucket until it returns a waiting
+//! time.
 
 use coord::quota::{Bucket, shares};
 use coord::time::Moment;
--- a/coord/examples/replay.rs
+++ b/coord/examples/replay.rs
@@ -1,4 +1,4 @@
-//! Two operators race on one item: every reader of the log names the same winner.
+//! Two operators confirm conflicting plans; every reader of the log finds the same winner.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
         Record::Plan { id: "josue".into(), base: 0, changes: vec![put(2_000)] },
         Record::Confirm { plan: "josue".into() },
         Record::Confirm { plan: "amina".into() },
-        // Its answer was lost, so it was appended again: nothing changes.
+        // A repeated append, as after a lost response, changes nothing.
         Record::Confirm { plan: "josue".into() },
     ];
     let mut replay = Replay::new();
--- a/coord/examples/scheduler.rs
+++ b/coord/examples/scheduler.rs
@@ -1,4 +1,4 @@
-//! A short prompt overtakes a long one that waits, and a voided attempt never starts.
+//! A short prompt overtakes a waiting long one, and a voided attempt never starts.
 
 use std::time::Duration;
 
--- a/coord/tests/breaker.rs
+++ b/coord/tests/breaker.rs
@@ -1,4 +1,4 @@
-//! The circuit breaker: it opens, tries with one request at a time, and remembers who fails by turns.
+//! Circuit breaker: opening, trial requests in the half-open state, and the handling of flapping replicas.
 
 use coord::breaker::Breaker;
 use coord::time::Moment;
@@ -8,7 +8,7 @@
     Moment::from_millis(10_000 + ms)
 }
 
-/// When it next lets a request through, in milliseconds after `from`.
+/// Returns the time until the breaker admits a request again, in milliseconds after `from`.
 fn opens_after(breaker: &Breaker, from: u64) -> u64 {
     (0..20_000).step_by(10).find(|ms| breaker.admits(at(from + ms))).expect("it lets one through some day")
 }
@@ -41,7 +41,7 @@
         breaker.succeeded(at(now + 50));
         now += 100;
     }
-    // Much later the past is forgotten.
+    // After a long time the past failures have no weight.
     breaker.failed(1.0, at(now + 60_000));
     assert!(opens_after(&breaker, now + 60_000) <= 510);
 }
@@ -80,7 +80,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens, a request is let through again within the longest time that it may be open.
+    /// In any sequence of events, the breaker admits a request again within its maximum open time.
     #[test]
     fn it_never_stays_open(events in prop::collection::vec((0..3u8, 0..3_000u64), 1..80)) {
         let mut breaker = Breaker::default();
--- a/coord/tests/common/mod.rs
+++ b/coord/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What tests and benchmarks of the planner share.
+//! Engine parameters shared by the planner's tests and benchmarks.
 
 use std::sync::Arc;
 
 use coord::engine::Figures;
 
-/// Sizes and speeds of an engine with so many slots, which plays so many steps in a pass that has writers.
+/// Returns the parameters of an engine with `slots` slots and `stride` token steps per pass with decoding requests.
 pub fn figures(slots: u32, stride: u32) -> Arc<Figures> {
     Arc::new(Figures {
         slots,
--- a/coord/tests/common/short.rs
+++ b/coord/tests/common/short.rs
@@ -1,11 +1,11 @@
-//! A short prompt as callers of the played fleets send it.
+//! Short prompt as sent by callers in the planner's simulations.
 
 use std::time::Duration;
 
 use coord::planner::Job;
 use coord::time::Moment;
 
-/// A prompt of so many tokens that comes at `now`.
+/// Returns a job with a prompt of `prompt` tokens that arrives at `now`.
 pub fn job(prompt: u64, now: Moment) -> Job {
     Job {
         prompt,
--- a/coord/tests/ends.rs
+++ b/coord/tests/ends.rs
@@ -1,4 +1,5 @@
-//! Ends of replicas' processes as several processes with clocks of their own see them and hear of them.
+//! Deduplication of replica terminations that several processes with different clocks observe and report to each
+//! other.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 
 const ENTRIES: usize = 4;
 const REPLICAS: usize = 3;
-/// Longest time for which word is under way, in milliseconds: connections are given up after 450.
+/// Maximum transit time of a report, in milliseconds; connections time out after 450 ms.
 const LONGEST_WAY_MS: u64 = 450;
 
 fn at(ms: u64) -> Moment {
@@ -26,7 +27,7 @@
     ends.saw(&replica.into(), None, span(after, by)).0
 }
 
-/// Has `ends` hear of a run from `from`, both with the same clock; word is under way for `way` milliseconds.
+/// Reports `run` from `from` to `ends`, which share a clock, with a transit time of `way` milliseconds.
 fn hear(ends: &mut Ends, from: &Ends, run: &Name, sent: u64, way: u64) -> Name {
     let age = Age::of(&from.span(run).expect("it is known"), at(sent));
     ends.heard(run, age.span(at(sent + way)))
@@ -82,7 +83,7 @@
     let (first, _) = a.saw(&"r".into(), Some(7), span(0, 20));
     let (second, _) = b.saw(&"r".into(), Some(8), span(0, 30));
     assert_ne!(hear(&mut a, &b, &second, 30, 10), first);
-    // A record that tells of the new start late tells nothing.
+    // A start time in a record that lags behind the restart distinguishes nothing.
     let (third, is_new) = a.saw(&"r".into(), Some(7), span(900, 920));
     assert!(is_new && third != first, "{third}");
 }
@@ -93,7 +94,7 @@
     let stored: Name = "r~a-0".into();
     assert_eq!(ends.heard(&stored, Span::before(at(50))), stored);
     assert_ne!(saw(&mut ends, "r", 60, 80), stored);
-    // One that was seen before it was read may be the same.
+    // A termination observed before the store was read may be the stored one.
     let own = saw(&mut ends, "q", 10, 40);
     assert_eq!(ends.heard(&"q~a-1".into(), Span::before(at(50))), own);
 }
@@ -119,7 +120,7 @@
     assert_eq!(ends.replicas(), 0);
 }
 
-/// Word of an end on its way to another process.
+/// Report of a termination in transit to another process.
 struct Word {
     comes_at: u64,
     to: usize,
@@ -128,12 +129,13 @@
     end: usize,
 }
 
-/// Plays ends of a few replicas that many see, and all tell each other, with clocks that differ by hours.
+/// Simulates replicas whose terminations several processes observe and report to each other, with clocks that differ
+/// by hours.
 fn play(seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut entries: Vec<Ends> = (0..ENTRIES).map(|entry| Ends::new(format!("{entry}"))).collect();
     let clock = |entry: usize, ms: u64| Moment::from_millis(100_000 + ms) + Duration::from_secs(3_600 * entry as u64);
-    // What each end is called at each entry.
+    // Names of each termination at each entry.
     let mut names: Vec<Vec<BTreeSet<Name>>> = vec![Vec::new(); ENTRIES];
     let mut words: Vec<Word> = Vec::new();
     let mut next_end = [0; REPLICAS];
@@ -147,7 +149,7 @@
             if now < *next {
                 continue;
             }
-            // It starts again, runs for a while, and ends.
+            // The replica restarts, runs for a while and terminates.
             *next = now + random.random_range(1_200..6_000);
             names.iter_mut().for_each(|names| names.push(BTreeSet::new()));
             let id: Name = format!("r{replica}").into();
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -1,4 +1,4 @@
-//! A log that comes back from an older copy of itself: what is newer, and what that log has lost.
+//! Log restored from an older copy of itself: the order of offsets, and the state that the restored log has lost.
 
 use std::time::Duration;
 
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Emptied failure domains as several processes know them, whichever way they hear.
+//! Evacuations as known to several processes that learn of them from the log and from each other, in any order.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,25 +9,26 @@
 use coord::time::Moment;
 use proptest::prelude::*;
 
-/// What happens to processes that hear of a log.
+/// Step of a simulation in which processes follow a log of evacuations.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Operators write to the log, of a domain by number, whether it is to be emptied.
+    /// An operator appends a record for the domain with the given number: `true` starts an evacuation, `false` ends
+    /// it.
     Write(u8, bool),
-    /// A process reads on from where it stands.
+    /// A process reads the log from its current offset.
     Read(usize),
-    /// A process reads the whole picture, since the log's beginning was dropped.
+    /// A process reads a full snapshot because the start of the log was dropped.
     ReadWhole(usize),
-    /// A process reads some of the log again, from this many records back.
+    /// A process reads the log again from the given number of records before its current offset.
     ReadAgain(usize, usize),
-    /// One process tells another what it knows, maybe much later than it knew it.
+    /// The first process sends its state to the second.
     Tell(usize, usize),
-    /// What was told last comes once more.
+    /// A process receives the most recently sent state once more.
     Late(usize),
 }
 
 const PROCESSES: usize = 3;
-/// When what a log has lost is given up.
+/// End of the grace period for records that a restored log has lost.
 const LATER: Moment = Moment::from_millis(2_000);
 
 fn step() -> impl Strategy<Value = Step> {
@@ -50,7 +51,7 @@
     if begun { News::Begun(name(domain)) } else { News::Ended(name(domain)) }
 }
 
-/// What the log says below an offset.
+/// Returns the evacuated domains according to the log below `next`.
 fn truth(log: &[(u8, bool)], next: usize) -> BTreeSet<Name> {
     let mut domains = BTreeSet::new();
     for (domain, begun) in &log[..next] {
@@ -63,7 +64,7 @@
     domains
 }
 
-/// Has a process read the log on from so many records before where it stands.
+/// Makes a process read the log from `back` records before its current offset.
 fn read_on(register: &mut Register, log: &[(u8, bool)], back: usize) {
     let from = (register.picture().next as usize).saturating_sub(back);
     for (at, said) in log.iter().enumerate().skip(from) {
@@ -167,7 +168,7 @@
         roster.hear(offset, roster::News::Here(record), now).map(|change| change.cold)
     };
     assert_eq!(hear(10, 3_000, now), Some(true));
-    // Heartbeats, somewhat late or early.
+    // Heartbeats arrive somewhat early or late.
     assert_eq!(hear(11, 1_900, now + Duration::from_millis(1_200)), None);
     assert_eq!(hear(12, 700, now + Duration::from_millis(2_200)), None);
     assert_eq!(hear(13, 3_000, now + Duration::from_millis(2_400)), Some(true), "cold again");
--- a/coord/tests/inquiry.rs
+++ b/coord/tests/inquiry.rs
@@ -1,4 +1,4 @@
-//! Questions on links of all speeds: answers count, and none is made in vain.
+//! Pacing of requests on links of different speeds: responses count, and no request is wasted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use coord::inquiry::Inquiry;
 use coord::time::Moment;
 
-/// What came of ten seconds of questions.
+/// Counts of a simulation over ten seconds.
 #[derive(Debug, Default)]
 struct Outcome {
     asked: usize,
     counted: usize,
 }
 
-/// Asks every `period_ms` where that may be, on a link on which an answer takes `answer_ms`, one after the other.
+/// Sends a request every `period_ms`, if allowed, on a link that transfers one response at a time in `answer_ms`.
 fn play(period_ms: u64, answer_ms: u64) -> Outcome {
     let start = Moment::from_micros(1_000_000_000);
     let mut inquiry = Inquiry::default();
@@ -57,7 +57,7 @@
     assert_eq!(inquiry.answer(next), None, "it counts once");
 }
 
-/// The pause of one whose first question is over.
+/// Returns the delay of a requester that has already sent its first request.
 fn pause(knows_all: bool) -> Duration {
     let mut inquiry = Inquiry::default();
     inquiry.ask(Moment::ZERO);
--- a/coord/tests/limits.rs
+++ b/coord/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Whose word on a replica's limit holds, and what may be sent by it.
+//! Which of several stated limits is in force for a replica, and how many requests it allows.
 
 use coord::limit::{Allowance, Group, News, Register, Word};
 use coord::name::Name;
@@ -28,7 +28,7 @@
 
 #[test]
 fn answers_that_cross_leave_the_stricter_word_in_force_in_any_order() {
-    // A long call's head, asked for before the need began, comes behind a newer one.
+    // The response to a long request, sent before the replica was limited, arrives after a newer response.
     let (long, newer) = (word(None, 0, 50), word(Some(2.0), 20, 30));
     assert_eq!(register(&[newer, long]).rate("a"), Some(2.0));
     assert_eq!(register(&[long, newer]).rate("a"), Some(2.0));
@@ -48,7 +48,7 @@
     let mut register = register(&[word(Some(2.0), 0, 10)]);
     assert!(register.restarted("a", at(100)));
     assert_eq!(register.rate("a"), None);
-    // Told again by an entry that had heard it before.
+    // An entry relays what the previous run stated.
     assert!(!register.hear(&Name::from("a"), word(Some(2.0), 50, 60)));
     assert!(register.hear(&Name::from("a"), word(Some(4.0), 110, 120)));
     assert_eq!(register.rate("a"), Some(4.0));
@@ -61,7 +61,7 @@
     assert_eq!(news.word(at(1_080)), word(Some(2.0), 1_040, 1_050));
 }
 
-/// Requests that an allowance lets through within `lasts` if one comes every millisecond.
+/// Returns the number of requests admitted within `lasts` if one arrives every millisecond.
 fn sent(allowance: &mut Allowance, from: u64, lasts: u64) -> usize {
     let mut count = 0;
     for ms in from..from + lasts {
@@ -108,7 +108,7 @@
         group.note(3, at(s * 1_000));
     }
     assert_eq!(group.share(3, 0, at(200_000)), 1.0);
-    // One that has never met another goes by what the store knows.
+    // An entry that has never met another uses the number of entries in the store.
     assert_eq!(Group::default().share(1, 770, at(0)), 1.0 / 770.0);
     assert_eq!(Group::default().share(1, 0, at(0)), 1.0);
 }
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -1,7 +1,8 @@
-//! Played fleets beside replicas that name limits: entries that hear late, lose whoever decides, are cut off from each other.
+//! Simulated entries beside rate-limited replicas, with delayed reports, lost leaders and partitions.
 //!
-//! What must hold, whatever is lost: a replica gets in no window of four seconds more than one and a half times its limit
-//! and five requests from entries that have been told. In the calm nine tenths of a limit are used where demand wants it.
+//! Whatever is lost, in any window of four seconds a replica receives from informed entries at most one and a half
+//! times its limit plus five requests. Without faults, at least nine tenths of a limit are used if there is enough
+//! demand.
 
 use std::collections::BTreeMap;
 
@@ -11,41 +12,41 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Length of a step, in milliseconds.
+/// Duration of a step, in milliseconds.
 const STEP_MS: u64 = 5;
 /// Steps in a window of four seconds.
 const WINDOW: u64 = 4_000 / STEP_MS;
-/// From then on the bound holds: three seconds after the limit was named.
+/// First step at which the bound holds, three seconds after the limit was announced.
 const BEGINS: u64 = 3_000 / STEP_MS;
-/// An entry counts as told half a second after its own answer.
+/// Steps after its own first response at which an entry counts as informed; half a second.
 const TOLD: u64 = 500 / STEP_MS;
-/// Steps between two words of the one that decides.
+/// Steps between two heartbeats of the leader.
 const BEAT: u64 = 150 / STEP_MS;
-/// Steps that news takes from one entry to another.
+/// Transit time of a report between two entries, in steps.
 const WAY: u64 = 2;
 
-/// One entry.
+/// Simulated entry.
 struct Entry {
     register: Register,
     allowances: BTreeMap<Name, Allowance>,
     group: Group,
-    /// Who decides for it; itself, if it has nobody.
+    /// Leader of the entry; the entry itself if it has no other.
     leader: usize,
-    /// Which side of a cut it is on.
+    /// Side of the partition that the entry is on.
     side: usize,
-    /// Until when it has nobody who decides for it.
+    /// Step until which the entry has no leader.
     alone_until: u64,
-    /// When it first heard a limit in an answer of its own, by replica.
+    /// Step of its first own response with a limit, by replica.
     told: BTreeMap<Name, u64>,
 }
 
-/// What a played fleet is like.
+/// Parameters of a simulation.
 struct Load {
     entries: usize,
     rates: Vec<f64>,
-    /// Part of the steps at which leaders are lost, or a cut begins or ends.
+    /// Probability per step that leaders are lost, or a partition starts or ends.
     trouble: f64,
-    /// Requests a second that come for each replica, most of them to a few entries.
+    /// Requests per second for each replica; most of them arrive at a few entries.
     demand: f64,
 }
 
@@ -54,9 +55,9 @@
     random: SmallRng,
     entries: Vec<Entry>,
     step: u64,
-    /// Arrivals by replica: the step, and whether the entry had been told.
+    /// Requests received by replica, with the step and whether the entry was informed.
     arrivals: BTreeMap<Name, Vec<(u64, bool)>>,
-    /// News on their way: the step at which they come, to whom, what.
+    /// Reports in transit, with the arrival step and the receiving entry.
     ways: Vec<(u64, usize, News)>,
 }
 
@@ -84,13 +85,13 @@
         format!("replica-{replica}").into()
     }
 
-    /// Who decides for an entry now.
+    /// Returns the current leader of an entry.
     fn decides(&self, entry: usize) -> usize {
         let known = &self.entries[entry];
         if self.step < known.alone_until { entry } else { known.leader }
     }
 
-    /// Gives each side of the cut one that decides for its entries.
+    /// Elects a leader on each side of the partition.
     fn regroup(&mut self) {
         for side in 0..2 {
             let members: Vec<usize> = (0..self.load.entries).filter(|e| self.entries[*e].side == side).collect();
@@ -99,7 +100,8 @@
             }
             let leader = members[self.random.random_range(0..members.len())];
             for member in &members {
-                // Lost leaders are missed at once or after some beats, and the next is found some tens of milliseconds later.
+                // The loss of a leader is noticed at once or after several heartbeats; its successor is found some
+                // tens of milliseconds later.
                 let gap = self.random.random_range(0..100);
                 self.entries[*member].alone_until = self.step + gap;
                 self.entries[*member].leader = leader;
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The entry knows nothing of what others granted of late.
+    /// Resets the allowances of an entry that does not know what other leaders granted recently.
     fn begin_anew(&mut self, entry: usize) {
         let now = self.now();
         for allowance in self.entries[entry].allowances.values_mut() {
@@ -117,12 +119,12 @@
         }
     }
 
-    /// Entries for which one decides, itself among them.
+    /// Returns the number of entries that follow `leader`, including itself.
     fn together(&self, leader: usize) -> usize {
         (0..self.load.entries).filter(|other| self.decides(*other) == leader).count().max(1)
     }
 
-    /// Each entry hears from the one that decides for it how many are together.
+    /// Every entry learns the size of its group from its leader.
     fn beat(&mut self) {
         let now = self.now();
         for entry in 0..self.load.entries {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Puts in force what an entry that decides knows.
+    /// Applies the limits and the group share that a leader knows.
     fn apply(&mut self, entry: usize) {
         let now = self.now();
         let together = self.together(entry);
@@ -145,7 +147,7 @@
         }
     }
 
-    /// One wish of an entry to send to a replica.
+    /// Sends a request from an entry to a replica if its leader allows it.
     fn send(&mut self, entry: usize, replica: usize) {
         let (name, now) = (Self::name(replica), self.now());
         let leader = self.decides(entry);
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Tells all who have the same leader.
+    /// Sends a report to all entries with the same leader.
     fn pass_on(&mut self, entry: usize, news: &News) {
         let leader = self.decides(entry);
         for other in 0..self.load.entries {
@@ -196,7 +198,7 @@
         }
         for replica in 0..self.load.rates.len() {
             if self.random.random_bool(self.load.demand * STEP_MS as f64 / 1e3) {
-                // Two thirds of the demand come to the first entries.
+                // Two thirds of the requests arrive at the first fifth of the entries.
                 let few = (self.load.entries / 5).max(1);
                 let among = if self.random.random_bool(0.66) { few } else { self.load.entries };
                 let entry = self.random.random_range(0..among);
@@ -206,7 +208,7 @@
         self.step += 1;
     }
 
-    /// The most requests from entries that had been told in a window that begins at `from` or later.
+    /// Returns the maximum number of requests from informed entries within a window that starts at `from` or later.
     fn most(&self, replica: usize, from: u64) -> usize {
         let Some(arrivals) = self.arrivals.get(&Self::name(replica)) else { return 0 };
         let counted: Vec<u64> = arrivals.iter().filter(|(_, told)| *told).map(|(step, _)| *step).collect();
@@ -221,7 +223,7 @@
     for seed in 0..150 {
         let mut random = SmallRng::seed_from_u64(1_000 + seed);
         let rates: Vec<f64> = (0..3).map(|_| random.random_range(0.5..8.0)).collect();
-        // A loss or a cut every three seconds on average.
+        // A leader is lost, or a partition starts or ends, every three seconds on average.
         let load = Load { entries: random.random_range(3..50), rates, trouble: 0.005 / 3.0, demand: 40.0 };
         let mut fleet = Fleet::new(load, seed);
         (0..6_000).for_each(|_| fleet.step());
--- a/coord/tests/parcel.rs
+++ b/coord/tests/parcel.rs
@@ -1,4 +1,4 @@
-//! Documents that are passed on as differences between versions.
+//! Transfer of document versions as differences to earlier versions.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
     Version { offset, value: value.into().into() }
 }
 
-/// A configuration of so many routes, where the ones in `changed` have another service.
+/// Returns a configuration of `routes` routes in which those in `changed` use another service.
 fn configuration(routes: u64, changed: &[u64]) -> Vec<u8> {
     let route = |number: u64| {
         let name = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -84,7 +84,7 @@
 }
 
 proptest! {
-    /// Whoever takes parcels in, some of them lost or damaged, holds what was sent, or knows that it does not.
+    /// A receiver of lost and damaged parcels either holds the version sent or gets an error.
     #[test]
     fn receivers_hold_what_was_sent_or_fail(
         steps in vec((vec(any::<u8>(), 0..200), 0_u64..3, any::<Option<(usize, u8)>>()), 1..30),
--- a/coord/tests/parts.rs
+++ b/coord/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The smaller parts, one by one.
+//! Unit tests of the smaller components.
 
 use std::time::Duration;
 
--- a/coord/tests/pause.rs
+++ b/coord/tests/pause.rs
@@ -1,4 +1,4 @@
-//! Calls in an outage do not grow with the processes.
+//! The total number of calls during an outage does not grow with the number of processes.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 const FOLLOWER: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_secs(2) };
 const PER_S: f64 = 16.0;
 
-/// Calls that `processes` make in an outage.
+/// Returns the number of calls that `processes` processes make during an outage.
 fn calls(pause: Pause, processes: usize, outage: Duration) -> usize {
     let mut at = Duration::ZERO;
     let mut each = 0;
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -1,4 +1,4 @@
-//! Random leases and placements: what a former holder writes is void, and a roll-out keeps its share.
+//! Random leases and placements: orders of a former lease holder are void, and a rolling update respects its share.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three processes claim and place at random times, each under the last fence it won.
+    /// Three processes claim the lease and place orders at random times, each with the fence of its last successful
+    /// claim.
     #[test]
     fn only_the_last_holders_placements_count(
         steps in prop::collection::vec((0..3usize, any::<bool>(), 0..5_000u64), 1..100),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Endpoints come to their orders at random; the rest keep what they hold.
+    /// Endpoints apply their orders in random order; the others keep their load.
     #[test]
     fn a_roll_out_takes_no_more_than_its_share_at_a_time_and_ends(
         count in 1..40usize,
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -1,7 +1,8 @@
-//! Played fleets: work that ends replicas, replicas that end by themselves, entries that hear of each other late.
+//! Simulated replicas that terminate under faulty work or by themselves, with entries that learn of each other's
+//! evidence late.
 //!
-//! Counts both errors: how many replicas end under work that ends each of them before no entry sends it, and how often
-//! other work is condemned.
+//! The tests count both kinds of error: how many replicas terminate before no entry sends the faulty work, and how
+//! often other work is condemned.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,48 +11,48 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// The work that ends each replica that begins with it.
+/// Work that terminates every replica that starts it.
 const FATAL: Work = Work([0xff; 16]);
 const ENTRIES: usize = 5;
 const REPLICAS: usize = 18;
-/// Other requests that run at any time.
+/// Number of other requests running at any time.
 const RUNNING: usize = 90;
 
-/// Sends of one request: two, and as many when its caller comes again.
+/// Sends of one request: two per attempt of the caller, who tries twice.
 const MOST_SENDS: usize = 4;
 
-/// What a played fleet is like.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct Load {
-    /// Part of the steps at which the fatal work comes.
+    /// Probability per step that the fatal work arrives.
     fatal: f64,
-    /// Part of the steps at which a replica ends by itself.
+    /// Probability per step that a replica terminates by itself.
     ends: f64,
-    /// Steps, at most, after which an entry hears what another learned.
+    /// Maximum transit time of news between entries, in steps.
     late: usize,
 }
 
-/// One request of other work at a replica.
+/// Request for other work on a replica.
 #[derive(Clone, Copy)]
 struct Request {
     work: Work,
     entry: usize,
-    /// Whether something has come of it.
+    /// Whether the request has produced output.
     begun: bool,
-    /// How often it was sent.
+    /// Number of times the request was sent.
     sends: usize,
 }
 
-/// A played fleet.
+/// State of a simulation.
 struct Fleet {
     load: Load,
     random: SmallRng,
     registers: Vec<Register>,
-    /// News on their way: the step at which they come, the entry, the news.
+    /// News in transit, with the arrival step and the receiving entry.
     coming: Vec<(usize, usize, News)>,
-    /// What runs where, by replica.
+    /// Running requests by replica.
     running: Vec<Vec<Request>>,
-    /// Ends of each replica so far.
+    /// Number of terminations of each replica.
     ends: Vec<usize>,
     step: usize,
     next_work: u128,
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Where an entry sends work: a suspect to the emptiest replica without another, anything else away from suspects.
+    /// Selects a replica: for suspected work the least loaded replica without other suspects, for other work a random
+    /// replica without suspects.
     fn place(&mut self, entry: usize, work: Work) -> usize {
         let register = &self.registers[entry];
         let is_suspect = |work: Work| register.standing(work) == Standing::Suspect;
@@ -110,7 +112,7 @@
         usable[self.random.random_range(0..usable.len())]
     }
 
-    /// Ends a replica under what runs there; those requests are sent again.
+    /// Terminates a replica and sends its requests again.
     fn end(&mut self, replica: usize) {
         self.ends[replica] += 1;
         let run: Name = format!("{replica}/{}", self.ends[replica]).into();
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Something comes of one request at a replica, or its end.
+    /// A random request on the replica produces its first output or completes.
     fn go_on(&mut self, replica: usize) {
         if self.running[replica].is_empty() {
             return;
@@ -174,7 +176,7 @@
         self.tell(request.entry, News::Cleared(request.work));
     }
 
-    /// Other work that an entry has condemned.
+    /// Returns the condemned work other than the fatal one.
     fn wrong(&self) -> BTreeSet<Work> {
         let condemned = self.registers.iter().flat_map(Register::condemned);
         condemned.filter(|work| *work != FATAL).collect()
@@ -201,7 +203,7 @@
         let mut fleet = Fleet::new(Load { fatal: 0.02, ends: 0.0, late: 200 }, seed);
         fleet.play(4_000);
         assert_eq!(fleet.wrong(), BTreeSet::new(), "seed {seed}");
-        // Each entry comes to a verdict by itself at its third end.
+        // Each entry condemns the work by itself at its third termination.
         assert!(fleet.fatal_ends <= 3 * ENTRIES, "seed {seed}: {}", fleet.fatal_ends);
     }
 }
@@ -210,7 +212,7 @@
 fn replicas_that_end_by_themselves_condemn_next_to_nothing() {
     let (mut wrong, mut works) = (0, 0);
     for seed in 0..100 {
-        // A replica lives for ten times as long as a request runs, all the time.
+        // Replicas terminate all the time, on average after ten times the duration of a request.
         let mut fleet = Fleet::new(Load { fatal: 0.0, ends: 0.01, late: 3 }, seed);
         fleet.play(3_000);
         wrong += fleet.wrong().len();
--- a/coord/tests/replay_random.rs
+++ b/coord/tests/replay_random.rs
@@ -1,4 +1,4 @@
-//! Random logs: every reader reaches the same verdicts, from any start, and no revision goes back.
+//! Random logs: every reader reaches the same verdicts from any starting point, and the revision never decreases.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 use coord::replay::{Record, Replay, Verdict};
 use proptest::prelude::*;
 
-/// A log of plans against bases of their own choice, confirms, repeats of both, and confirms of nothing.
+/// Generates a log of plans with random base revisions, confirmations, repetitions of both, and confirmations of
+/// unknown plans.
 fn log() -> impl Strategy<Value = Vec<Record>> {
     let item = 0..4u8;
     let plan = (0..30u8, 0..60u64, prop::collection::vec((item, 1..5u64), 1..4)).prop_map(|(id, base, changes)| {
@@ -47,7 +48,7 @@
         let cut = cut.min(records.len());
         let mut other = Replay::new();
         other.restore(&replayed(&records[..cut]).snapshot());
-        // What was read before is read again, as after a lost answer.
+        // Some records are read again, as after a lost response.
         for (offset, record) in records.iter().enumerate().skip(cut.saturating_sub(back)) {
             other.apply(offset as u64, record);
         }
--- a/coord/tests/rests.rs
+++ b/coord/tests/rests.rs
@@ -1,4 +1,4 @@
-//! Rests that replicas ask for: how long each lasts, and which replica is free first.
+//! Cooldowns that replicas ask for: how long each lasts, and which replica is available first.
 
 use std::time::Duration;
 
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -1,4 +1,4 @@
-//! What a replica says itself of its end counts for more than its record.
+//! A replica's own statement that it is leaving takes precedence over its record.
 
 use std::time::Duration;
 
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of the belief about replicas: outages, lapse, return, ends, late news.
+//! Randomised runs of the roster: store outages, expired records, restarts, announced ends and late messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The store as it is: each key's newest record and its offset, and who ever announced an end.
+/// Expected state: the latest record of each replica with its offset, and the replicas that ever announced an end.
 #[derive(Default)]
 struct Truth {
     offset: u64,
@@ -86,7 +86,7 @@
                 }
                 Step::Return => roster.store_returned(now, GRACE),
                 Step::Repeat(number) => {
-                    // Old news, heard once more, changes nothing.
+                    // An outdated change that arrives again has no effect.
                     if let Some((offset, _)) = truth.newest.get(&number).filter(|(offset, _)| *offset > 1) {
                         let before = roster.get(&name(number)).map(|replica| replica.standing);
                         roster.hear(offset - 1, News::Removed(name(number)), now);
@@ -155,7 +155,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// One roster hears the log, the other only what the first one says has changed, now and then.
+    /// One roster reads the log; the other occasionally receives the changes from the first.
     #[test]
     fn who_is_told_what_changed_believes_the_same(steps in prop::collection::vec((step(), any::<bool>()), 1..60)) {
         let (mut reader, mut told) = (Roster::default(), Roster::default());
@@ -185,7 +185,7 @@
                 told_up_to = offset;
                 for number in 0..5 {
                     let standing = |roster: &Roster| roster.get(&name(number)).map(|known| known.standing);
-                    // Who came and went unheard is as good as gone.
+                    // A replica that appeared and disappeared unreported counts as gone.
                     let told = standing(&told).unwrap_or(Standing::Gone);
                     prop_assert_eq!(standing(&reader).unwrap_or(Standing::Gone), told);
                 }
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Heartbeats that change nothing are not passed on.
+    /// Heartbeats without a change are not sent to peers.
     #[test]
     fn what_did_not_change_is_not_told(beats in 1..20u64) {
         let mut roster = Roster::default();
@@ -210,26 +210,26 @@
 fn one_that_a_whole_picture_left_out_does_not_come_back_by_older_word() {
     let now = Moment::from_millis(1_000);
     let sighting = |offset, number| Sighting { offset, news: News::Here(record(number, false)) };
-    // It went at 50 without announcing its end; the one behind has not heard of that.
+    // The replica disappears at offset 50 without announcing its end, unnoticed by the outdated process.
     let mut behind = Roster::default();
     behind.hear(10, sighting(10, 1).news, now);
     behind.hear(11, sighting(11, 2).news, now);
-    // One that starts reads the whole picture up to 60, and is then told what the other believes.
+    // A new process reads the full snapshot up to offset 60, and then receives the state of the outdated process.
     let mut fresh = Roster::default();
     fresh.replace(60, vec![sighting(11, 2)], now);
     for told in behind.since(0, now) {
         fresh.hear(told.offset, told.news, now);
     }
     assert!(!fresh.get("replica-1").is_some_and(|known| known.takes_work()), "{fresh:?}");
-    // The other takes its whole picture from there, and learns of the end.
+    // The outdated process receives the full snapshot and learns of the removal.
     behind.replace(60, fresh.since(0, now), now);
     assert!(!behind.get("replica-1").expect("it was known").takes_work());
-    // If it comes back, that is newer.
+    // A record of the returned replica is newer than the removal.
     fresh.hear(61, sighting(61, 1).news, now);
     assert!(fresh.get("replica-1").expect("it is back").takes_work());
 }
 
-/// A record of the run of replica 1 that was born at `born`.
+/// Returns a record change for the run of replica 1 with start time `born`.
 fn of_run(born: u64, leaving: bool) -> News {
     News::Here(Record { born: Some(born), ..record(1, leaving) })
 }
@@ -262,8 +262,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_024, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Runs begin one after the other; word of them comes from the log, from a process that reads it, late and more than
-    /// once, and from other writers.
+    /// Runs start one after the other. Their records come from the log, from a process that reads it, late and
+    /// repeatedly, and from other writers.
     #[test]
     fn whoever_tells_and_however_late_the_newest_run_decides(
         steps in prop::collection::vec((0..6u8, 0..3u8, any::<prop::sample::Index>()), 1..80),
@@ -279,7 +279,7 @@
                 0 => born += 1,
                 1 => log.push(News::Unusable(name(1))),
                 2 => log.push(News::Removed(name(1))),
-                // An earlier run's word that is written late.
+                // A record of an earlier run is written late.
                 3 => log.push(of_run(born.saturating_sub(late_by.into()), false)),
                 4 => {
                     ended.insert(born);
@@ -297,7 +297,7 @@
                 reader.hear(offset as u64, news.clone(), now);
             }
             if !log.is_empty() {
-                // Once more, whatever it is.
+                // A random record is applied again.
                 let offset = index.index(log.len());
                 reader.hear(offset as u64, log[offset].clone(), now);
             }
@@ -309,7 +309,7 @@
             }
             if step == 5 {
                 let other = told.get("replica-1").map(|known| (known.standing, known.record.born));
-                // Who came and went unheard is as good as gone.
+                // A replica that appeared and disappeared unreported counts as gone.
                 let takes_work = other.is_some_and(|(standing, _)| standing == Standing::Ready);
                 prop_assert_eq!(takes_work, known.takes_work());
             }
--- a/coord/tests/search.rs
+++ b/coord/tests/search.rs
@@ -1,4 +1,4 @@
-//! Those that look for a leader together find the same one, with few tries.
+//! Processes that search for a leader at the same time find the same one with few attempts.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,8 +10,9 @@
 /// Time between two rounds of one process.
 const PAUSE: Duration = Duration::from_millis(300);
 
-/// Plays rounds of `count` processes that all look for the first of `alive` until `until`; returns the tries that
-/// failed, and when the last found it. The process `index` ranks behind all lower ones.
+/// Simulates `count` processes that search for the first one in `alive` until time `until`. Returns the number of
+/// failed attempts and the time at which the last process found the leader. A process ranks behind all processes with
+/// a lower index.
 fn play(count: usize, alive: &BTreeSet<usize>, until: Moment) -> (usize, Option<Moment>) {
     let mut searches: Vec<Search<usize>> = (0..count).map(|_| Search::default()).collect();
     let mut failed = 0;
@@ -27,7 +28,7 @@
                     last = Some(now);
                     break;
                 }
-                // One that follows nobody yet leads nobody either, dead ones do not answer.
+                // A process without a leader is not a leader itself, and a dead process does not respond.
                 failed += 1;
                 let jitter = 0.75 + (process % 11) as f64 / 20.0;
                 searches[process].failed(candidate, jitter, now);
@@ -40,7 +41,7 @@
 
 #[test]
 fn while_nobody_leads_a_hundred_processes_make_few_tries() {
-    // None of those that rank first can lead: all wait for the store for 8 s.
+    // None of the highest-ranked processes can lead because all wait for the store, for 8 s.
     let count = 103;
     let mut searches: Vec<Search<usize>> = (0..count).map(|_| Search::default()).collect();
     let mut tries = 0;
@@ -64,7 +65,7 @@
         let first = *alive.first().unwrap_or(&0);
         let (failed, last) = play(103, &alive, Moment::from_millis(60_000));
         prop_assert!(last.is_some(), "someone never found it");
-        // Three of the dead are passed in a round.
+        // A round eliminates up to `ROUND` dead candidates.
         let rounds = first / ROUND + 1;
         let rounds = 2 * rounds + 1;
         let within = Duration::from_millis(1_000) + PAUSE * rounds as u32;
--- a/coord/tests/standing.rs
+++ b/coord/tests/standing.rs
@@ -1,4 +1,4 @@
-//! The order of succession.
+//! Order of succession by capacity and announcement.
 
 use coord::standing::{Power, Standing};
 
--- a/coord/tests/windowed_budget.rs
+++ b/coord/tests/windowed_budget.rs
@@ -1,4 +1,4 @@
-//! The windowed retry budget keeps its bound at each retry, over the window that ends with it.
+//! The windowed retry budget respects its bound at each retry, over the window that ends with it.
 
 use std::time::Duration;
 
