--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -1,13 +1,13 @@
-//! Run time and size of parcels that transfer a configuration to a receiver.
+//! Run time and size of deltas that transfer a configuration to a receiver.
 //!
 //! Run with `cargo bench -p coord --bench parcel`. The configuration consists of distinct routes, one of which
-//! changes. Sizes are printed first. For comparison: without parcels, peers relay at most 32 KB, and each receiver
+//! changes. Sizes are printed first. For comparison: without deltas, peers relay at most 32 KB, and each receiver
 //! reads a larger configuration in full from the store.
 //!
 //! Sizes in bytes and median run times in microseconds, on one core of an 8-core development machine under other
-//! load:
+//! load. `full` is a delta that holds the full version:
 //!
-//! | routes | bytes | full | change | pack full | pack change | open full | open change |
+//! | routes | bytes | full | change | encode full | encode change | decode full | decode change |
 //! |---|---|---|---|---|---|---|---|
 //! | 30 | 5,969 | 672 | 36 | 23 | 29 | 11 | 4.5 |
 //! | 240 | 47,759 | 3,633 | 37 | 103 | 144 | 42 | 9.8 |
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -1,4 +1,4 @@
-//! Overhead of the quarantine per request: the fingerprint, and the lookup of the work's status.
+//! Overhead of the quarantine per request: the fingerprint, and the lookup of its status.
 //!
 //! Median times on 8 cores beside other load. A fingerprint takes 0.51 µs, 9.8 µs and 0.81 ms for bodies of 200
 //! bytes, 20 KB and 4 MB. A status lookup takes 2.4, 33 and 62 ns with 0, 100 and 4,000 suspects and as many
@@ -18,7 +18,7 @@
     bencher.bench(|| Work::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"]));
 }
 
-/// Looks up the status of work beside `known` suspects and as many verdicts.
+/// Looks up the status of a fingerprint beside `known` suspects and as many verdicts.
 #[divan::bench(args = [0, 100, 4_000])]
 fn standing(bencher: divan::Bencher<'_, '_>, known: u32) {
     let register = register(known);
@@ -26,7 +26,7 @@
     bencher.bench(|| register.standing(divan::black_box(work)));
 }
 
-/// Records a replica termination under some work beside `known` suspects and as many verdicts.
+/// Records a replica termination under a fingerprint beside `known` suspects and as many verdicts.
 #[divan::bench(args = [100, 4_000])]
 fn ended(bencher: divan::Bencher<'_, '_>, known: u32) {
     let register = register(known);
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -1,4 +1,4 @@
-//! A controller is paused past the end of its lease; the order that it writes after resuming is void.
+//! A controller is suspended past the end of its lease; the order that it writes after resuming is ignored.
 
 use std::collections::BTreeMap;
 
--- a/coord/examples/scheduler.rs
+++ b/coord/examples/scheduler.rs
@@ -1,4 +1,4 @@
-//! A short prompt overtakes a waiting long one, and a voided attempt never starts.
+//! A short prompt overtakes a waiting long one, and an attempt that is cancelled before its start never runs.
 
 use std::time::Duration;
 
--- a/coord/src/answer.rs
+++ b/coord/src/answer.rs
@@ -28,7 +28,7 @@
 }
 
 impl Tally {
-    /// Creates a tally with no frames.
+    /// Creates the digest of an empty answer.
     pub fn new() -> Self {
         Self { count: 0, digest: Xxh3::new() }
     }
--- a/coord/src/breaker.rs
+++ b/coord/src/breaker.rs
@@ -10,17 +10,17 @@
 use crate::time::Moment;
 
 /// Open time after the first failure; a few times the delay that a lost connection causes to its caller.
-const FIRST_OPEN: Duration = Duration::from_millis(500);
+const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
 /// Upper bound of the open time; a replica that recovers must receive requests again within seconds.
-const LONGEST_OPEN: Duration = Duration::from_secs(8);
+const MAX_OPEN_TIME: Duration = Duration::from_secs(8);
 /// Half-life of the weight of a failure; a few times the shortest observed period of a flapping replica.
-const HALF_LIFE: Duration = Duration::from_secs(5);
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(5);
 /// Time after which a trial request without an outcome no longer blocks other requests.
-const TRIAL_PATIENCE: Duration = Duration::from_secs(2);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which the breaker stays half-open; if no request arrives within it, the breaker closes.
-const TRIAL_SPAN: Duration = Duration::from_secs(4);
+const HALF_OPEN_TIME: Duration = Duration::from_secs(4);
 /// Least weight of failures that opens the breaker; a single failure with share 1 exceeds it.
-const LEAST_WEIGHT: f64 = 0.5;
+const MIN_OPEN_WEIGHT: f64 = 0.5;
 
 /// Circuit breaker of one replica.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,9 +31,9 @@
     /// No request is admitted before this time.
     open_until: Moment,
     /// End of the half-open period, which starts after an open period or a suspicion and ends early on a success.
-    on_trial_until: Moment,
+    half_open_until: Moment,
     /// Start time of the trial request in flight.
-    trial: Option<Moment>,
+    trial_started: Option<Moment>,
 }
 
 impl Breaker {
@@ -41,18 +41,18 @@
     pub fn failed(&mut self, share: f64, now: Moment) {
         self.weight = self.weight(now) + share;
         self.weighed_at = now;
-        self.trial = None;
-        if self.weight < LEAST_WEIGHT {
+        self.trial_started = None;
+        if self.weight < MIN_OPEN_WEIGHT {
             return;
         }
-        self.open_until = self.open_until.max(now + self.open_for());
-        self.on_trial_until = self.open_until + TRIAL_SPAN;
+        self.open_until = self.open_until.max(now + self.open_time());
+        self.half_open_until = self.open_until + HALF_OPEN_TIME;
     }
 
     /// Makes the breaker half-open after a failure that the replica took part in but may not have caused, so that a
     /// trial request decides.
     pub fn suspect(&mut self, now: Moment) {
-        self.on_trial_until = self.open_until.max(now) + TRIAL_SPAN;
+        self.half_open_until = self.open_until.max(now) + HALF_OPEN_TIME;
     }
 
     /// Records a success.
@@ -60,38 +60,38 @@
         // A success while the breaker is open belongs to a request sent before the failures and says nothing about
         // the present state.
         if now >= self.open_until {
-            self.on_trial_until = now;
-            self.trial = None;
+            self.half_open_until = now;
+            self.trial_started = None;
         }
     }
 
     /// Records that a request is sent; in the half-open state it becomes the trial request.
     pub fn begin(&mut self, now: Moment) {
         if self.is_on_trial(now) {
-            self.trial = Some(now);
+            self.trial_started = Some(now);
         }
     }
 
     /// Returns whether a request may be sent at `now`.
     pub fn admits(&self, now: Moment) -> bool {
-        let busy = self.trial.is_some_and(|since| now.since(since) < TRIAL_PATIENCE);
-        now >= self.open_until && !(self.is_on_trial(now) && busy)
+        let has_trial_in_flight = self.trial_started.is_some_and(|started| now.since(started) < TRIAL_TIMEOUT);
+        now >= self.open_until && !(self.is_on_trial(now) && has_trial_in_flight)
     }
 
     /// Returns whether the breaker is half-open, so that the next request is a trial.
     pub fn is_on_trial(&self, now: Moment) -> bool {
-        now < self.on_trial_until
+        now < self.half_open_until
     }
 
-    /// Returns the open time for the current weight of failures; it doubles with each failure up to `LONGEST_OPEN`.
-    fn open_for(&self) -> Duration {
-        let most = LONGEST_OPEN.as_secs_f64() / FIRST_OPEN.as_secs_f64();
-        FIRST_OPEN.mul_f64((self.weight - 1.0).exp2().min(most))
+    /// Returns the open time for the current weight of failures; it doubles with each failure up to `MAX_OPEN_TIME`.
+    fn open_time(&self) -> Duration {
+        let max_factor = MAX_OPEN_TIME.as_secs_f64() / INITIAL_OPEN_TIME.as_secs_f64();
+        INITIAL_OPEN_TIME.mul_f64((self.weight - 1.0).exp2().min(max_factor))
     }
 
     /// Returns the decayed weight of past failures at `now`.
     fn weight(&self, now: Moment) -> f64 {
-        let half_lives = now.since(self.weighed_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let half_lives = now.since(self.weighed_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         self.weight * (-half_lives).exp2()
     }
 }
--- a/coord/src/budget.rs
+++ b/coord/src/budget.rs
@@ -33,8 +33,8 @@
             return false;
         }
         self.level -= RETRY_COST;
-        let overdrawn = self.level < 0.0;
-        crate::invariant!(!overdrawn, "retry budget is never overdrawn");
+        let is_overdrawn = self.level < 0.0;
+        crate::invariant!(!is_overdrawn, "retry budget is never overdrawn");
         true
     }
 }
@@ -50,7 +50,7 @@
     share: f64,
     allowance: f64,
     window: Duration,
-    firsts: VecDeque<Moment>,
+    first_attempts: VecDeque<Moment>,
     retries: VecDeque<Moment>,
 }
 
@@ -62,7 +62,7 @@
 impl Windowed {
     /// Creates a budget of `allowance` retries plus `share` retries per first attempt in every `window`.
     pub fn new(share: f64, allowance: f64, window: Duration) -> Self {
-        Self { share, allowance, window, firsts: VecDeque::new(), retries: VecDeque::new() }
+        Self { share, allowance, window, first_attempts: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// Sets the allowance. Retries made under a larger allowance still count.
@@ -72,25 +72,25 @@
 
     /// Records a first attempt.
     pub fn earn(&mut self, now: Moment) {
-        self.forget(now);
-        self.firsts.push_back(now);
+        self.evict_expired(now);
+        self.first_attempts.push_back(now);
     }
 
     /// Takes one retry from the budget, or returns `false` if the budget is exhausted.
     pub fn spend(&mut self, now: Moment) -> bool {
-        self.forget(now);
-        let bound = self.allowance + self.share * self.firsts.len() as f64;
+        self.evict_expired(now);
+        let bound = self.allowance + self.share * self.first_attempts.len() as f64;
         if self.retries.len() as f64 + RETRY_COST > bound {
             return false;
         }
         self.retries.push_back(now);
-        let within = self.retries.len() as f64 <= bound;
-        crate::invariant!(within, "retry budget is never overdrawn");
+        let is_within_bound = self.retries.len() as f64 <= bound;
+        crate::invariant!(is_within_bound, "retry budget is never overdrawn");
         true
     }
 
-    fn forget(&mut self, now: Moment) {
-        for times in [&mut self.firsts, &mut self.retries] {
+    fn evict_expired(&mut self, now: Moment) {
+        for times in [&mut self.first_attempts, &mut self.retries] {
             while times.front().is_some_and(|at| now.since(*at) > self.window) {
                 times.pop_front();
             }
--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -31,14 +31,14 @@
 pub struct Board {
     window: Duration,
     bound: HashMap<Key, (Binding, Moment)>,
-    ages: VecDeque<(Moment, Key)>,
+    claims_by_age: VecDeque<(Moment, Key)>,
     next: u64,
 }
 
 impl Board {
     /// Creates an empty board that keeps a binding for `window` after its claim.
     pub fn new(window: Duration) -> Self {
-        Self { window, bound: HashMap::new(), ages: VecDeque::new(), next: 0 }
+        Self { window, bound: HashMap::new(), claims_by_age: VecDeque::new(), next: 0 }
     }
 
     /// Marks all records before `offset` as read. A record can hold several claims: replay all of them before
@@ -54,12 +54,12 @@
             return self.binding(&key).cloned().unwrap_or(binding);
         }
         self.expire(at);
-        if let Some((held, _)) = self.bound.get(&key) {
-            return held.clone();
+        if let Some((current, _)) = self.bound.get(&key) {
+            return current.clone();
         }
         self.bound.insert(key.clone(), (binding.clone(), at));
-        self.ages.push_back((at, key));
-        crate::invariant!(self.bound.len() == self.ages.len(), "each binding has one claim");
+        self.claims_by_age.push_back((at, key));
+        crate::invariant!(self.bound.len() == self.claims_by_age.len(), "each binding has one claim");
         binding
     }
 
@@ -84,8 +84,8 @@
     }
 
     fn expire(&mut self, now: Moment) {
-        while self.ages.front().is_some_and(|(at, _)| now.since(*at) > self.window) {
-            if let Some((_, key)) = self.ages.pop_front() {
+        while self.claims_by_age.front().is_some_and(|(at, _)| now.since(*at) > self.window) {
+            if let Some((_, key)) = self.claims_by_age.pop_front() {
                 self.bound.remove(&key);
             }
         }
--- a/coord/src/engine.rs
+++ b/coord/src/engine.rs
@@ -34,24 +34,24 @@
 impl Figures {
     /// Returns the prefill time of a prompt of `tokens` tokens in milliseconds, without step overhead.
     pub fn read_ms(&self, tokens: u64) -> f64 {
-        tokens as f64 / self.read_per_ms + self.pair_ms(tokens)
+        tokens as f64 / self.read_per_ms + self.attention_ms(tokens)
     }
 
     /// Returns the attention time of a prompt of `tokens` tokens, in milliseconds.
-    fn pair_ms(&self, tokens: u64) -> f64 {
+    fn attention_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
         tokens * tokens / 2.0 / 1e6 * self.pairs_ms
     }
 
-    /// Returns the parameters of this engine when every operation takes `pace` times as long.
-    pub fn at_pace(&self, pace: f64) -> Self {
+    /// Returns the parameters of this engine when every operation takes `slowdown` times as long.
+    pub fn at_pace(&self, slowdown: f64) -> Self {
         Self {
-            step_ms: self.step_ms * pace,
-            per_writer_ms: self.per_writer_ms * pace,
-            per_context_ms: self.per_context_ms * pace,
-            read_per_ms: self.read_per_ms / pace,
-            pairs_ms: self.pairs_ms * pace,
-            hop_ms: self.hop_ms * pace,
+            step_ms: self.step_ms * slowdown,
+            per_writer_ms: self.per_writer_ms * slowdown,
+            per_context_ms: self.per_context_ms * slowdown,
+            read_per_ms: self.read_per_ms / slowdown,
+            pairs_ms: self.pairs_ms * slowdown,
+            hop_ms: self.hop_ms * slowdown,
             ..self.clone()
         }
     }
@@ -61,11 +61,13 @@
         self.read_ms(tokens) / parts.max(1) as f64
     }
 
-    /// Returns the duration of one pass with `writers` decoding requests that hold `context` tokens in total, in
-    /// milliseconds.
-    pub fn pass_ms(&self, writers: u32, context: u64) -> f64 {
-        let step = self.step_ms + self.per_writer_ms * f64::from(writers) + self.per_context_ms * context as f64 / 1e3;
-        step * f64::from(self.stride.max(1))
+    /// Returns the duration in milliseconds of one pass with `decoding_requests` requests whose contexts hold
+    /// `context_tokens` tokens in total.
+    pub fn pass_ms(&self, decoding_requests: u32, context_tokens: u64) -> f64 {
+        let step_ms = self.step_ms
+            + self.per_writer_ms * f64::from(decoding_requests)
+            + self.per_context_ms * context_tokens as f64 / 1e3;
+        step_ms * f64::from(self.stride.max(1))
     }
 }
 
--- a/coord/src/estimate.rs
+++ b/coord/src/estimate.rs
@@ -7,7 +7,7 @@
 /// Upper bounds of the length classes, in tokens; the last class is unbounded.
 pub const CLASS_BOUNDS: [u64; 4] = [2_000, 16_000, 100_000, 400_000];
 /// Number of length classes.
-pub const CLASSES: usize = CLASS_BOUNDS.len() + 1;
+pub const CLASS_COUNT: usize = CLASS_BOUNDS.len() + 1;
 
 /// Returns the index of the length class of a prompt of `tokens` tokens.
 pub fn class(tokens: u64) -> usize {
@@ -21,26 +21,26 @@
     value: f64,
     /// Running mean of the distance between samples and the estimate.
     scale: f64,
-    seen: u64,
+    sample_count: u64,
 }
 
 /// Weight of a new sample in the running mean of the scale.
 const SCALE_WEIGHT: f64 = 0.02;
 /// Minimum step as a fraction of the scale; a larger step adapts faster, a smaller one is more stable.
-const LEAST_STEP: f64 = 0.02;
+const MIN_STEP: f64 = 0.02;
 
 impl Quantile {
     /// Creates an estimator of quantile `target` (0..1) that starts at `initial`.
     pub fn new(target: f64, initial: f64) -> Self {
-        Self { target, value: initial, scale: initial * 0.5, seen: 0 }
+        Self { target, value: initial, scale: initial * 0.5, sample_count: 0 }
     }
 
     /// Updates the estimate with one sample.
     pub fn learn(&mut self, sample: f64) {
-        self.seen += 1;
+        self.sample_count += 1;
         let error = (sample - self.value).abs();
         self.scale += SCALE_WEIGHT * (error - self.scale);
-        let step = self.scale * (1.0 / self.seen as f64).max(LEAST_STEP);
+        let step = self.scale * (1.0 / self.sample_count as f64).max(MIN_STEP);
         let weight = if sample > self.value { self.target } else { self.target - 1.0 };
         self.value = (self.value + weight * step).max(0.0);
     }
@@ -55,9 +55,9 @@
 #[derive(Clone, Debug)]
 pub struct Estimate {
     /// Prefill time per prompt token in microseconds, by length class.
-    prefill: [Quantile; CLASSES],
+    prefill: [Quantile; CLASS_COUNT],
     /// Time between two output tokens, in microseconds.
-    gap: Quantile,
+    token_gap: Quantile,
     /// Time to the first token in excess of its prefill, in microseconds.
     overhead: Quantile,
 }
@@ -71,8 +71,8 @@
         let per_token = 1e6 / prefill_rate.max(1.0);
         let gap = micros(gap) as f64;
         Self {
-            prefill: [Quantile::new(ADMISSION_QUANTILE, per_token); CLASSES],
-            gap: Quantile::new(ADMISSION_QUANTILE, gap),
+            prefill: [Quantile::new(ADMISSION_QUANTILE, per_token); CLASS_COUNT],
+            token_gap: Quantile::new(ADMISSION_QUANTILE, gap),
             overhead: Quantile::new(ADMISSION_QUANTILE, gap),
         }
     }
@@ -84,7 +84,7 @@
 
     /// Returns the estimated time to generate `tokens` output tokens.
     pub fn decode(&self, tokens: u64) -> Duration {
-        Duration::from_micros((self.gap.value() * tokens as f64) as u64)
+        Duration::from_micros((self.token_gap.value() * tokens as f64) as u64)
     }
 
     /// Returns the estimated time to the first token in excess of queueing and prefill.
@@ -93,19 +93,19 @@
     }
 
     /// Updates the estimates with a prefill that did not wait for another request.
-    pub fn learn_prefill(&mut self, tokens: u64, took: Duration) {
+    pub fn learn_prefill(&mut self, tokens: u64, elapsed: Duration) {
         if tokens < CLASS_BOUNDS[0] / 2 {
-            self.overhead.learn(micros(took) as f64);
+            self.overhead.learn(micros(elapsed) as f64);
             return;
         }
-        let own = micros(took) as f64 - self.overhead.value();
-        self.prefill[class(tokens)].learn(own.max(0.0) / tokens as f64);
+        let prefill_micros = micros(elapsed) as f64 - self.overhead.value();
+        self.prefill[class(tokens)].learn(prefill_micros.max(0.0) / tokens as f64);
     }
 
-    /// Updates the estimates with a finished answer of `tokens` tokens that ended `took` after its first token.
-    pub fn learn_decode(&mut self, tokens: u64, took: Duration) {
+    /// Updates the estimates with a finished answer of `tokens` tokens that ended `elapsed` after its first token.
+    pub fn learn_decode(&mut self, tokens: u64, elapsed: Duration) {
         if tokens > 0 {
-            self.gap.learn(micros(took) as f64 / tokens as f64);
+            self.token_gap.learn(micros(elapsed) as f64 / tokens as f64);
         }
     }
 }
--- a/coord/src/evacuation.rs
+++ b/coord/src/evacuation.rs
@@ -1,10 +1,10 @@
 //! Failure domains that operators evacuated. Replicas in an evacuated domain get no new work until the operator ends
 //! the evacuation.
 //!
-//! Evacuations are recorded in a log. A process that reads the log knows all records below an offset; a process that
-//! hears from a peer receives the peer's full [`Picture`]. The picture with the higher offset wins, so that late
-//! messages never undo newer ones, whichever way they arrive. A log restored from an older copy of itself may have
-//! lost records: domains missing from it stay evacuated for a grace period in which operators can repeat the
+//! Evacuations are recorded in a log. A process that reads the log has applied all records below an offset; a process
+//! that receives them from a peer gets the peer's full [`Picture`]. The snapshot with the higher offset wins, so that
+//! late messages never undo newer ones, whichever way they arrive. A log recovered from an older copy of itself may
+//! have lost records: domains missing from it stay evacuated for a grace period in which operators can repeat the
 //! evacuation.
 
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
     Ended(Name),
 }
 
-/// Evacuated failure domains as of one log offset.
+/// Snapshot of the evacuated failure domains at one log offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Picture {
     /// Offset of the next log record; all records below it are applied.
@@ -33,68 +33,68 @@
     pub domains: BTreeSet<Name>,
 }
 
-/// Evacuations that this process knows of.
+/// Evacuations that this process has recorded.
 #[derive(Debug, Default)]
 pub struct Register {
-    picture: Picture,
-    /// Domains that were evacuated before the log was restored and are missing from the restored log.
-    lost: BTreeSet<Name>,
+    snapshot: Picture,
+    /// Domains that were evacuated before the log was recovered and are missing from the recovered log.
+    missing: BTreeSet<Name>,
     /// End of the grace period of the missing domains.
-    lost_until: Moment,
+    missing_until: Moment,
 }
 
 impl Register {
-    /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records below the
-    /// known offset are ignored.
+    /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records that are
+    /// already applied are ignored.
     pub fn hear(&mut self, offset: u64, news: News) -> bool {
-        if offset < self.picture.next {
+        if offset < self.snapshot.next {
             return false;
         }
-        self.picture.next = offset + 1;
+        self.snapshot.next = offset + 1;
         match news {
             News::Begun(domain) => {
-                self.lost.remove(&domain);
-                self.picture.domains.insert(domain)
+                self.missing.remove(&domain);
+                self.snapshot.domains.insert(domain)
             }
             News::Ended(domain) => {
-                self.lost.remove(&domain);
-                self.picture.domains.remove(&domain)
+                self.missing.remove(&domain);
+                self.snapshot.domains.remove(&domain)
             }
         }
     }
 
-    /// Applies a full picture unless it is older than the current one, and returns whether the set of evacuated
-    /// domains changed. Domains that a restored log lost stay evacuated until `lost_until`.
-    pub fn replace(&mut self, mut picture: Picture, lost_until: Moment) -> bool {
-        if picture.next < self.picture.next {
+    /// Applies a full snapshot unless it is older than the current one, and returns whether the set of evacuated
+    /// domains changed. Domains that a recovered log has lost stay evacuated until `grace_until`.
+    pub fn replace(&mut self, mut snapshot: Picture, grace_until: Moment) -> bool {
+        if snapshot.next < self.snapshot.next {
             return false;
         }
-        if offset::era(picture.next) > offset::era(self.picture.next) {
-            self.lost = self.picture.domains.difference(&picture.domains).cloned().collect();
-            self.lost_until = lost_until;
+        if offset::era(snapshot.next) > offset::era(self.snapshot.next) {
+            self.missing = self.snapshot.domains.difference(&snapshot.domains).cloned().collect();
+            self.missing_until = grace_until;
         }
-        // Domains in the picture are no longer missing.
-        self.lost.retain(|domain| !picture.domains.contains(domain));
-        picture.domains.extend(self.lost.iter().cloned());
-        let changed = picture.domains != self.picture.domains;
-        self.picture = picture;
+        // Domains in the snapshot are no longer missing.
+        self.missing.retain(|domain| !snapshot.domains.contains(domain));
+        snapshot.domains.extend(self.missing.iter().cloned());
+        let changed = snapshot.domains != self.snapshot.domains;
+        self.snapshot = snapshot;
         changed
     }
 
     /// Drops the missing domains once their grace period is over, and returns whether the set of evacuated domains
     /// changed.
     pub fn expire(&mut self, now: Moment) -> bool {
-        if now < self.lost_until {
+        if now < self.missing_until {
             return false;
         }
-        let lost = std::mem::take(&mut self.lost);
-        let before = self.picture.domains.len();
-        self.picture.domains.retain(|domain| !lost.contains(domain));
-        self.picture.domains.len() < before
+        let missing = std::mem::take(&mut self.missing);
+        let count_before = self.snapshot.domains.len();
+        self.snapshot.domains.retain(|domain| !missing.contains(domain));
+        self.snapshot.domains.len() < count_before
     }
 
-    /// Returns the evacuated domains and the offset they are known up to.
+    /// Returns a snapshot of the evacuated domains.
     pub fn picture(&self) -> &Picture {
-        &self.picture
+        &self.snapshot
     }
 }
--- a/coord/src/fence.rs
+++ b/coord/src/fence.rs
@@ -66,9 +66,9 @@
         at: Moment,
         term: Duration,
     ) -> bool {
-        let renewal =
+        let renewing_holder =
             self.holder.as_ref().filter(|holder| holder.process == *process && holder.incarnation == incarnation);
-        let fence = match renewal {
+        let fence = match renewing_holder {
             Some(holder) if at <= holder.until => holder.fence,
             _ if self.holder.as_ref().is_some_and(|holder| at <= holder.until) => return false,
             _ => Fence(offset),
--- a/coord/src/inquiry.rs
+++ b/coord/src/inquiry.rs
@@ -10,10 +10,10 @@
 
 /// Time after which a response counts as lost with its sender. A snapshot of 24,000 replicas takes a third of this
 /// time on the slowest link observed.
-const PATIENCE: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Fraction of the request period after which a requester with incomplete data repeats its request.
-const UNKNOWING_SHARE: f64 = 0.3;
+const INCOMPLETE_PERIOD_FRACTION: f64 = 0.3;
 
 /// State of the requests on one connection.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,25 +21,25 @@
     /// Number of the latest request; the first request has number 1.
     number: u64,
     /// Send time of the latest request while its response is outstanding.
-    unanswered: Option<Moment>,
+    outstanding_since: Option<Moment>,
 }
 
 impl Inquiry {
     /// Returns whether another request may be sent at `now`.
     pub fn may_ask(&self, now: Moment) -> bool {
-        self.unanswered.is_none_or(|asked| now.since(asked) >= PATIENCE)
+        self.outstanding_since.is_none_or(|sent_at| now.since(sent_at) >= RESPONSE_TIMEOUT)
     }
 
     /// Records a request and returns its number.
     pub fn ask(&mut self, now: Moment) -> u64 {
         self.number += 1;
-        self.unanswered = Some(now);
+        self.outstanding_since = Some(now);
         self.number
     }
 
     /// Records the response to request `number`. Returns the send time of the request if it is the latest one.
     pub fn answer(&mut self, number: u64) -> Option<Moment> {
-        if number == self.number { self.unanswered.take() } else { None }
+        if number == self.number { self.outstanding_since.take() } else { None }
     }
 
     /// Returns the delay before the next request of a process that sends one every `period`; `random` is uniform in
@@ -48,9 +48,9 @@
     /// A requester that lacks any part of the data repeats its request early because its peer may be about to learn
     /// it. The first delay is randomised so that requesters that start together spread out: without it, the responses
     /// to 100 requesters, with a configuration of 20 KB, delayed grants on a link of 200 Mbit/s by 110 ms.
-    pub fn pause(&self, period: Duration, knows_all: bool, random: f64) -> Duration {
-        match knows_all {
-            false => period.mul_f64(UNKNOWING_SHARE),
+    pub fn pause(&self, period: Duration, is_complete: bool, random: f64) -> Duration {
+        match is_complete {
+            false => period.mul_f64(INCOMPLETE_PERIOD_FRACTION),
             true if self.is_new() => period.mul_f64(random),
             true => period,
         }
--- a/coord/src/intent.rs
+++ b/coord/src/intent.rs
@@ -21,7 +21,7 @@
     /// Service whose endpoints serve the model.
     pub service: Name,
     /// Model version to load; if empty, the engine chooses.
-    #[serde(default = "empty")]
+    #[serde(default = "default_version")]
     pub version: Name,
     /// Adapters to load together with the model.
     #[serde(default)]
@@ -35,29 +35,29 @@
     #[serde(default)]
     pub failure_domains: Vec<Name>,
     /// Deadline in milliseconds for requests that state none.
-    #[serde(default = "default_deadline")]
+    #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
     /// Maximum deadline that a caller may request, in milliseconds.
-    #[serde(default = "default_ceiling")]
+    #[serde(default = "default_deadline_ceiling_ms")]
     pub deadline_ceiling_ms: u64,
     /// Maximum prompt length, in tokens.
-    #[serde(default = "default_context")]
+    #[serde(default = "default_context_tokens")]
     pub context_tokens: u64,
     /// Bytes of text per token, to estimate a prompt's length before the engine tokenises it.
     #[serde(default = "default_bytes_per_token")]
     pub bytes_per_token: f64,
 }
 
-fn empty() -> Name {
+fn default_version() -> Name {
     Arc::from("")
 }
-const fn default_deadline() -> u64 {
+const fn default_deadline_ms() -> u64 {
     30_000
 }
-const fn default_ceiling() -> u64 {
+const fn default_deadline_ceiling_ms() -> u64 {
     600_000
 }
-const fn default_context() -> u64 {
+const fn default_context_tokens() -> u64 {
     1_100_000
 }
 const fn default_bytes_per_token() -> f64 {
@@ -96,7 +96,7 @@
     #[serde(default)]
     pub repeatable: bool,
     /// Deadline in milliseconds for requests that state none.
-    #[serde(default = "default_deadline")]
+    #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
 }
 
@@ -164,58 +164,58 @@
     /// Returns all validation errors of the change, which has position `index` in its plan.
     pub fn faults(&self, index: usize) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut fault = |bad: bool, field: &str, reason: &str| {
-            if bad {
+        let mut check = |is_invalid: bool, field: &str, reason: &str| {
+            if is_invalid {
                 faults.push(Fault { change: index, field: field.to_owned(), reason: reason.to_owned() });
             }
         };
         match self {
             Change::PutIntent(intent) => {
-                fault(intent.model.is_empty(), "model", "must not be empty");
-                fault(intent.service.is_empty(), "service", "must not be empty");
-                fault(intent.workspaces.is_empty(), "workspaces", "must name at least one workspace, or \"*\"");
-                fault(intent.deadline_ms == 0, "deadline_ms", "must be at least 1");
-                fault(
+                check(intent.model.is_empty(), "model", "must not be empty");
+                check(intent.service.is_empty(), "service", "must not be empty");
+                check(intent.workspaces.is_empty(), "workspaces", "must name at least one workspace, or \"*\"");
+                check(intent.deadline_ms == 0, "deadline_ms", "must be at least 1");
+                check(
                     intent.deadline_ms > intent.deadline_ceiling_ms,
                     "deadline_ms",
                     "must not exceed deadline_ceiling_ms",
                 );
-                fault(intent.deadline_ceiling_ms > MAX_DEADLINE_MS, "deadline_ceiling_ms", "must not exceed a day");
-                fault(intent.context_tokens == 0, "context_tokens", "must be at least 1");
-                let bytes = intent.bytes_per_token;
-                fault(!(0.1..=64.0).contains(&bytes), "bytes_per_token", "must lie between 0.1 and 64");
+                check(intent.deadline_ceiling_ms > MAX_DEADLINE_MS, "deadline_ceiling_ms", "must not exceed a day");
+                check(intent.context_tokens == 0, "context_tokens", "must be at least 1");
+                let bytes_per_token = intent.bytes_per_token;
+                check(!(0.1..=64.0).contains(&bytes_per_token), "bytes_per_token", "must lie between 0.1 and 64");
             }
             Change::PutWorkspace(workspace) => {
-                fault(workspace.name.is_empty(), "name", "must not be empty");
-                let hex =
+                check(workspace.name.is_empty(), "name", "must not be empty");
+                let is_hex_digest =
                     workspace.key_digest.len() == 64 && workspace.key_digest.bytes().all(|b| b.is_ascii_hexdigit());
-                fault(!hex, "key_digest", "must be 64 hexadecimal digits (BLAKE3 of the key)");
-                fault(
+                check(!is_hex_digest, "key_digest", "must be 64 hexadecimal digits (BLAKE3 of the key)");
+                check(
                     !(workspace.weight > 0.0 && workspace.weight <= 1_000.0),
                     "weight",
                     "must lie between 0 and 1000",
                 );
-                fault(
+                check(
                     workspace.requests_per_s.is_some_and(|rate| rate.is_nan() || rate <= 0.0),
                     "requests_per_s",
                     "must be above 0",
                 );
-                fault(
+                check(
                     workspace.tokens_per_s.is_some_and(|rate| rate.is_nan() || rate <= 0.0),
                     "tokens_per_s",
                     "must be above 0",
                 );
             }
             Change::PutService(service) => {
-                fault(service.name.is_empty(), "name", "must not be empty");
-                fault(service.deadline_ms == 0, "deadline_ms", "must be at least 1");
-                fault(service.deadline_ms > MAX_DEADLINE_MS, "deadline_ms", "must not exceed a day");
+                check(service.name.is_empty(), "name", "must not be empty");
+                check(service.deadline_ms == 0, "deadline_ms", "must be at least 1");
+                check(service.deadline_ms > MAX_DEADLINE_MS, "deadline_ms", "must not exceed a day");
             }
             Change::DeleteIntent(name) | Change::DeleteWorkspace(name) | Change::DeleteService(name) => {
-                fault(name.is_empty(), "name", "must not be empty");
+                check(name.is_empty(), "name", "must not be empty");
             }
             Change::Drain(endpoint) | Change::Undrain(endpoint) => {
-                fault(endpoint.is_empty(), "endpoint", "must not be empty");
+                check(endpoint.is_empty(), "endpoint", "must not be empty");
             }
         }
         faults
--- a/coord/src/invariant.rs
+++ b/coord/src/invariant.rs
@@ -10,18 +10,18 @@
 }
 
 /// Counts and logs a breach; panics in builds with debug assertions. [`invariant!`](crate::invariant!) calls this.
-pub fn breach(what: &str) {
+pub fn breach(description: &str) {
     BREACHES.fetch_add(1, Ordering::Relaxed);
-    debug_assert!(false, "invariant breached: {what}");
-    eprintln!("level=error step=invariant breach={what:?}");
+    debug_assert!(false, "invariant breached: {description}");
+    eprintln!("level=error step=invariant breach={description:?}");
 }
 
 /// Reports a breach if the condition is false, in every build.
 #[macro_export]
 macro_rules! invariant {
-    ($condition:expr, $what:expr) => {
+    ($condition:expr, $description:expr) => {
         if !$condition {
-            $crate::invariant::breach($what);
+            $crate::invariant::breach($description);
         }
     };
 }
--- a/coord/src/membership.rs
+++ b/coord/src/membership.rs
@@ -23,7 +23,7 @@
     pub service: Name,
     /// Failure domain in which the VM runs.
     pub failure_domain: Name,
-    /// Whether the platform is about to remove the VM.
+    /// Whether the VM is draining before its removal.
     pub leaving: bool,
 }
 
@@ -37,10 +37,10 @@
     Endpoint,
 }
 
-/// Backoff after the first failure of an endpoint.
-const FIRST_PENALTY: Duration = Duration::from_millis(200);
-/// Upper bound of the backoff.
-const LONGEST_PENALTY: Duration = Duration::from_secs(5);
+/// Exclusion time after the first failure of an endpoint.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Upper bound of the exclusion time.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Endpoint as one entry sees it.
 #[derive(Clone, Debug)]
@@ -49,16 +49,16 @@
     pub vm: Vm,
     /// Incarnation of the sidecar; `None` before its first response.
     pub incarnation: Option<Incarnation>,
-    /// Whether the sidecar announced that it is leaving.
-    said_leaving: bool,
+    /// Whether the sidecar reported that it is draining.
+    reported_draining: bool,
     /// Whether an operator drains the endpoint.
     drained: bool,
     /// Number of this entry's unfinished attempts at the endpoint.
     outstanding: u32,
     /// Prefill and output tokens of the unfinished attempts.
     active_tokens: u64,
-    failures: u32,
-    shunned_until: Moment,
+    consecutive_failures: u32,
+    excluded_until: Moment,
 }
 
 impl Member {
@@ -66,23 +66,23 @@
         Self {
             vm,
             incarnation: None,
-            said_leaving: false,
+            reported_draining: false,
             drained: false,
             outstanding: 0,
             active_tokens: 0,
-            failures: 0,
-            shunned_until: Moment::ZERO,
+            consecutive_failures: 0,
+            excluded_until: Moment::ZERO,
         }
     }
 
     /// Returns whether the endpoint may receive new work.
     pub fn takes_work(&self, now: Moment) -> bool {
-        !self.is_leaving() && self.shunned_until <= now
+        !self.is_leaving() && self.excluded_until <= now
     }
 
-    /// Returns whether the platform, the sidecar or an operator has marked the endpoint as leaving.
+    /// Returns whether the platform, the sidecar or an operator drains the endpoint.
     pub fn is_leaving(&self) -> bool {
-        self.vm.leaving || self.said_leaving || self.drained
+        self.vm.leaving || self.reported_draining || self.drained
     }
 
     /// Returns the number of this entry's unfinished attempts at the endpoint.
@@ -94,7 +94,7 @@
 /// Endpoints that an entry may use.
 #[derive(Debug)]
 pub struct Members {
-    home: Name,
+    home_domain: Name,
     distance: u64,
     sample: Sample,
     members: BTreeMap<Name, Member>,
@@ -111,17 +111,17 @@
 }
 
 impl Members {
-    /// Creates an empty set. `home` is the entry's failure domain, and `distance` is the additional latency to other
+    /// Creates an empty set. `home_domain` is the entry's failure domain, and `distance` is the additional latency to other
     /// domains, in microseconds.
-    pub fn new(home: Name, distance: u64, sample: Sample) -> Self {
-        Self { home, distance, sample, members: BTreeMap::new() }
+    pub fn new(home_domain: Name, distance: u64, sample: Sample) -> Self {
+        Self { home_domain, distance, sample, members: BTreeMap::new() }
     }
 
     /// Applies the platform's list: adds new VMs and removes missing ones.
     pub fn list(&mut self, vms: impl IntoIterator<Item = Vm>) {
-        let mut old = std::mem::take(&mut self.members);
+        let mut previous = std::mem::take(&mut self.members);
         for vm in vms.into_iter().filter(|vm| vm.role == Role::Endpoint) {
-            let member = match old.remove(&vm.name) {
+            let member = match previous.remove(&vm.name) {
                 Some(mut member) if member.vm.address == vm.address => {
                     member.vm = vm;
                     member
@@ -139,21 +139,21 @@
         }
     }
 
-    /// Records a response of the sidecar, which ends the backoff.
+    /// Records a response of the sidecar, which ends the exclusion after failures.
     pub fn heard(&mut self, endpoint: &Name, incarnation: Incarnation, leaving: bool) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.incarnation = Some(incarnation);
-        member.said_leaving = leaving;
-        member.failures = 0;
-        member.shunned_until = Moment::ZERO;
+        member.reported_draining = leaving;
+        member.consecutive_failures = 0;
+        member.excluded_until = Moment::ZERO;
     }
 
     /// Records that the endpoint was unreachable, and excludes it for an exponentially growing time.
     pub fn failed(&mut self, endpoint: &Name, now: Moment) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
-        member.failures = (member.failures + 1).min(16);
-        let penalty = FIRST_PENALTY * 2u32.pow(member.failures - 1);
-        member.shunned_until = now + penalty.min(LONGEST_PENALTY);
+        member.consecutive_failures = (member.consecutive_failures + 1).min(16);
+        let retry_delay = INITIAL_RETRY_DELAY * 2u32.pow(member.consecutive_failures - 1);
+        member.excluded_until = now + retry_delay.min(MAX_RETRY_DELAY);
     }
 
     /// Records the start of an attempt at the endpoint.
@@ -180,29 +180,29 @@
         self.members.values()
     }
 
-    /// Returns the endpoints of `service` that take work now. If all are in backoff, returns every endpoint that is
-    /// not leaving.
+    /// Returns the endpoints of `service` that take work now. If all are excluded after failures, returns every
+    /// endpoint that is not draining.
     ///
     /// `domains` lists the allowed failure domains; an empty list allows all.
     pub fn candidates(&self, service: &str, domains: &[Name], now: Moment) -> Vec<Candidate> {
-        let fits = |member: &&Member| {
+        let is_eligible = |member: &&Member| {
             *member.vm.service == *service
                 && !member.is_leaving()
                 && (domains.is_empty() || domains.contains(&member.vm.failure_domain))
         };
-        let all: Vec<&Member> = self.members.values().filter(fits).collect();
-        let ready: Vec<&Member> = all.iter().copied().filter(|member| member.takes_work(now)).collect();
-        let from = if ready.is_empty() { all } else { ready };
-        self.sampled(from).into_iter().map(|member| self.candidate(member)).collect()
+        let eligible: Vec<&Member> = self.members.values().filter(is_eligible).collect();
+        let ready: Vec<&Member> = eligible.iter().copied().filter(|member| member.takes_work(now)).collect();
+        let pool = if ready.is_empty() { eligible } else { ready };
+        self.select_sample(pool).into_iter().map(|member| self.candidate(member)).collect()
     }
 
     /// Reduces the list to the sample size by rendezvous hashing.
-    fn sampled<'a>(&self, mut from: Vec<&'a Member>) -> Vec<&'a Member> {
-        if from.len() > self.sample.most {
-            from.sort_by_cached_key(|member| Reverse(rendezvous(self.sample.hash, &member.vm.name)));
-            from.truncate(self.sample.most);
+    fn select_sample<'a>(&self, mut pool: Vec<&'a Member>) -> Vec<&'a Member> {
+        if pool.len() > self.sample.most {
+            pool.sort_by_cached_key(|member| Reverse(rendezvous(self.sample.hash, &member.vm.name)));
+            pool.truncate(self.sample.most);
         }
-        from
+        pool
     }
 
     fn candidate(&self, member: &Member) -> Candidate {
@@ -210,7 +210,7 @@
             endpoint: member.vm.name.clone(),
             outstanding: member.outstanding,
             active_tokens: member.active_tokens,
-            distance: if member.vm.failure_domain == self.home { 0 } else { self.distance },
+            distance: if member.vm.failure_domain == self.home_domain { 0 } else { self.distance },
         }
     }
 }
--- a/coord/src/memory.rs
+++ b/coord/src/memory.rs
@@ -1,20 +1,20 @@
-//! Accounting of an engine's KV memory: every token held belongs to an owner with an expiry time.
+//! Accounting of an engine's KV memory: every reserved token belongs to an owner with an expiry time.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::time::Moment;
 
-/// Memory held by one owner until a deadline.
+/// Reservation of memory by one owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Amount of KV memory, in tokens.
+    /// Amount of reserved KV memory, in tokens.
     pub tokens: u64,
     /// Expiry time unless the memory is freed earlier.
     pub until: Moment,
 }
 
-/// Ledger of a bounded memory by owner.
+/// Reservations in a bounded memory by owner.
 #[derive(Debug)]
 pub struct Ledger<K> {
     capacity: u64,
@@ -28,15 +28,15 @@
         Self { capacity, held: 0, holds: HashMap::new() }
     }
 
-    /// Holds `tokens` for `owner` until `until`. Returns `false` and holds nothing if they do not fit or the owner
-    /// already holds memory.
+    /// Reserves `tokens` for `owner` until `until`. Returns `false` and reserves nothing if they do not fit or the
+    /// owner already has a reservation.
     pub fn hold(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
         if self.holds.contains_key(&owner) || tokens > self.free() {
             return false;
         }
         self.held += tokens;
         self.holds.insert(owner, Hold { tokens, until });
-        self.check();
+        self.check_invariants();
         true
     }
 
@@ -44,31 +44,31 @@
     pub fn free_owner(&mut self, owner: K) -> u64 {
         let Some(hold) = self.holds.remove(&owner) else { return 0 };
         self.held -= hold.tokens;
-        self.check();
+        self.check_invariants();
         hold.tokens
     }
 
-    /// Returns the owners whose hold has expired at `now`. Expired memory stays held until freed.
+    /// Returns the owners whose reservations have expired at `now`. Expired memory stays reserved until freed.
     pub fn lapsed(&self, now: Moment) -> Vec<K> {
         self.holds.iter().filter(|(_, hold)| hold.until < now).map(|(owner, _)| *owner).collect()
     }
 
-    /// Returns the number of free tokens.
+    /// Returns the number of tokens that are not reserved.
     pub fn free(&self) -> u64 {
         self.capacity - self.held
     }
 
-    /// Returns the number of held tokens.
+    /// Returns the number of reserved tokens.
     pub fn held(&self) -> u64 {
         self.held
     }
 
-    /// Returns the total number of tokens.
+    /// Returns the capacity in tokens.
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         crate::invariant!(self.held <= self.capacity, "memory held stays within the engine's");
         crate::invariant!(!self.holds.is_empty() || self.held == 0, "memory without an owner is free");
     }
--- a/coord/src/offset.rs
+++ b/coord/src/offset.rs
@@ -1,8 +1,8 @@
-//! Log offsets that keep increasing when the log is restored from an older copy of itself.
+//! Log offsets that keep increasing when the log is recovered from an older copy of itself.
 //!
-//! A restored log assigns offsets again. Each restore starts a new era, and a record of a later era is newer than all
-//! records of earlier eras, whatever its offset. The era occupies the upper bits of the number, so that comparing
-//! numbers compares write order. In era 0, of a log that was never restored, the number equals the plain offset.
+//! A recovered log assigns offsets again. Each recovery starts a new era, and a record of a later era is newer than
+//! all records of earlier eras, whatever its offset. The era occupies the upper bits of the number, so that comparing
+//! numbers compares write order. In era 0, of a log that was never recovered, the number equals the plain offset.
 
 use std::fmt;
 
@@ -10,11 +10,11 @@
 const PLAIN_BITS: u32 = 48;
 const PLAIN_MASK: u64 = (1 << PLAIN_BITS) - 1;
 /// Largest era that fits into the upper bits; later ones are indistinguishable from it.
-const LAST_ERA: u64 = u64::MAX >> PLAIN_BITS;
+const MAX_ERA: u64 = u64::MAX >> PLAIN_BITS;
 
 /// Combines an era and a plain offset into one number.
 pub fn number(era: u64, plain: u64) -> u64 {
-    (era.min(LAST_ERA) << PLAIN_BITS) | plain.min(PLAIN_MASK)
+    (era.min(MAX_ERA) << PLAIN_BITS) | plain.min(PLAIN_MASK)
 }
 
 /// Returns the era of a number.
--- a/coord/src/parcel.rs
+++ b/coord/src/parcel.rs
@@ -1,12 +1,12 @@
 //! Delta transfer of a versioned document to receivers that hold an older version.
 //!
-//! A parcel holds either the full compressed version or the difference to a version that the receiver holds. That
-//! base version serves as the compression dictionary, so unchanged parts cost almost nothing. Each parcel carries a
-//! checksum of its decompressed content: a parcel that was made for another base, or that is damaged, fails to open,
+//! A delta holds either the full compressed version or the difference to a version that the receiver holds. That base
+//! version serves as the compression dictionary, so unchanged parts cost almost nothing. Each delta carries a
+//! checksum of its decompressed content: a delta that was made for another base, or that is damaged, fails to decode,
 //! and the receiver fetches the document elsewhere.
 //!
-//! A configuration of 240 routes and 24 workspaces has about 48 KB. Its full parcel has 4 KB, and a parcel with one
-//! changed route about 40 bytes; `benches/parcel.rs` also lists the run times.
+//! A configuration of 240 routes and 24 workspaces has about 48 KB. A delta with the full version has 4 KB, and one
+//! with a single changed route about 40 bytes; `benches/parcel.rs` also lists the run times.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -18,12 +18,12 @@
 
 /// Number of versions kept: a receiver that asks four times per second is at most this far behind while ten versions
 /// arrive per second. They use 1 MB of memory if each is as large as a store record can be.
-const KEPT: usize = 4;
+const MAX_VERSIONS: usize = 4;
 /// Maximum size of a version in bytes; four times the largest record that a store is known to accept.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_VERSION_BYTES: usize = 1 << 20;
 /// Zstandard compression level. At level 1 the match table is too small for 300 KB: one changed route of 1,500 then
 /// takes 12 KB instead of 64 bytes, in a third of the time.
-const LEVEL: i32 = 3;
+const COMPRESSION_LEVEL: i32 = 3;
 
 /// One version of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,16 +39,16 @@
 pub struct Parcel {
     /// Log offset of the version.
     pub offset: u64,
-    /// Offset of the base version needed to decompress; `None` if the parcel holds the full version.
+    /// Offset of the base version needed to decompress; `None` if the delta holds the full version.
     pub base: Option<u64>,
     /// Compressed content.
     pub packed: Bytes,
 }
 
-/// Error of making or opening a parcel.
+/// Error of encoding or decoding a delta.
 #[derive(Debug)]
 pub enum Error {
-    /// The base version of the parcel is not held.
+    /// The base version of the delta is not in the cache.
     Unknown {
         /// Offset of the missing base version.
         base: u64,
@@ -60,7 +60,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Unknown { base } => write!(f, "step=open-parcel: version {base} is not held"),
+            Error::Unknown { base } => write!(f, "step=open-parcel: base version {base} is not held"),
             Error::Codec(error) => write!(f, "step=open-parcel: {error}"),
         }
     }
@@ -74,13 +74,13 @@
     }
 }
 
-/// Newest versions of a document, with cached parcels of the latest one.
+/// Cache of the newest versions of a document, with deltas of the latest one.
 #[derive(Debug, Default)]
 pub struct Shelf {
     /// Versions from oldest to newest.
     versions: VecDeque<Version>,
-    /// Cached parcels of the newest version by base offset, since many receivers request the same one.
-    packed: BTreeMap<Option<u64>, Parcel>,
+    /// Deltas of the newest version by base offset, since many receivers request the same one.
+    cached_deltas: BTreeMap<Option<u64>, Parcel>,
 }
 
 impl Shelf {
@@ -89,15 +89,15 @@
         if self.versions.back().is_some_and(|newest| newest.offset >= version.offset) {
             return;
         }
-        self.packed.clear();
+        self.cached_deltas.clear();
         self.versions.push_back(version);
-        if self.versions.len() > KEPT {
+        if self.versions.len() > MAX_VERSIONS {
             self.versions.pop_front();
         }
     }
 
-    /// Returns a parcel of the newest version for a receiver that knows all records below the offset `next`. Returns
-    /// `None` if the receiver has the newest version or no version is held.
+    /// Returns a delta of the newest version for a receiver that has all records below the offset `next`. Returns
+    /// `None` if the receiver has the newest version or the cache is empty.
     pub fn parcel(&mut self, next: Option<u64>) -> Result<Option<Parcel>, Error> {
         let Some(newest) = self.versions.back() else { return Ok(None) };
         if next.is_some_and(|next| newest.offset < next) {
@@ -105,22 +105,22 @@
         }
         let base = next.and_then(|next| self.versions.iter().rev().find(|version| version.offset < next));
         let key = base.map(|base| base.offset);
-        if let Some(parcel) = self.packed.get(&key) {
-            return Ok(Some(parcel.clone()));
+        if let Some(delta) = self.cached_deltas.get(&key) {
+            return Ok(Some(delta.clone()));
         }
-        let parcel = pack(newest, base)?;
-        self.packed.insert(key, parcel.clone());
-        Ok(Some(parcel))
+        let delta = compress_version(newest, base)?;
+        self.cached_deltas.insert(key, delta.clone());
+        Ok(Some(delta))
     }
 
-    /// Decompresses a parcel and returns the version it holds.
-    pub fn open(&self, parcel: &Parcel) -> Result<Version, Error> {
-        let base = match parcel.base {
+    /// Decompresses a delta and returns the version it holds.
+    pub fn open(&self, delta: &Parcel) -> Result<Version, Error> {
+        let base = match delta.base {
             None => &[][..],
             Some(base) => self.value(base).ok_or(Error::Unknown { base })?,
         };
-        let value = Decompressor::with_dictionary(base)?.decompress(&parcel.packed, MOST_BYTES)?;
-        Ok(Version { offset: parcel.offset, value: value.into() })
+        let value = Decompressor::with_dictionary(base)?.decompress(&delta.packed, MAX_VERSION_BYTES)?;
+        Ok(Version { offset: delta.offset, value: value.into() })
     }
 
     fn value(&self, offset: u64) -> Option<&[u8]> {
@@ -129,9 +129,9 @@
 }
 
 /// Compresses `version` with `base` as the dictionary.
-fn pack(version: &Version, base: Option<&Version>) -> Result<Parcel, Error> {
+fn compress_version(version: &Version, base: Option<&Version>) -> Result<Parcel, Error> {
     let dictionary = base.map_or(&[][..], |base| &base.value);
-    let mut compressor = Compressor::with_dictionary(LEVEL, dictionary)?;
+    let mut compressor = Compressor::with_dictionary(COMPRESSION_LEVEL, dictionary)?;
     compressor.include_checksum(true)?;
     let packed = compressor.compress(&version.value)?.into();
     Ok(Parcel { offset: version.offset, base: base.map(|base| base.offset), packed })
--- a/coord/src/pause.rs
+++ b/coord/src/pause.rs
@@ -1,30 +1,30 @@
-//! Exponential backoff between failing calls, doubled with each consecutive failure.
+//! Exponential delay between failing calls, doubled with each consecutive failure.
 
 use std::time::Duration;
 
-/// Number of doublings after which the backoff has surely reached its maximum.
-const MOST_DOUBLINGS: u32 = 8;
+/// Number of doublings after which the delay has surely reached its maximum.
+const MAX_DOUBLINGS: u32 = 8;
 
-/// Initial and maximum backoff.
+/// Initial and maximum retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pause {
-    /// Backoff after the first failure.
+    /// Delay after the first failure.
     pub first: Duration,
-    /// Maximum backoff.
+    /// Upper bound of the delay.
     pub longest: Duration,
 }
 
 impl Pause {
-    /// Returns the backoff after `failures` consecutive failures.
+    /// Returns the delay after `failures` consecutive failures.
     pub fn after(&self, failures: u32) -> Duration {
-        let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
+        let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
         (self.first * 2u32.pow(doublings)).min(self.longest)
     }
 
-    /// Stretches the backoff so that `processes` that fail together make at most `per_s` calls per second once they
+    /// Stretches the delays so that `processes` that fail together make at most `per_s` calls per second once they
     /// reach the maximum. A process that succeeds notifies the others.
     pub fn shared(self, processes: usize, per_s: f64) -> Self {
-        let stretch = (processes as f64 / per_s / self.longest.as_secs_f64()).max(1.0);
-        Self { first: self.first.mul_f64(stretch), longest: self.longest.mul_f64(stretch) }
+        let factor = (processes as f64 / per_s / self.longest.as_secs_f64()).max(1.0);
+        Self { first: self.first.mul_f64(factor), longest: self.longest.mul_f64(factor) }
     }
 }
--- a/coord/src/pick.rs
+++ b/coord/src/pick.rs
@@ -34,7 +34,13 @@
 /// Endpoint selection policy.
 pub trait Picker: Send {
     /// Returns at most `count` candidates in order of preference.
-    fn candidates(&mut self, all: &[Candidate], hash: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name>;
+    fn candidates(
+        &mut self,
+        endpoints: &[Candidate],
+        hash: Option<u64>,
+        count: usize,
+        random: &mut dyn Rng,
+    ) -> Vec<Name>;
 
     /// Returns whether the candidates are asked for a quote before one is chosen.
     fn asks(&self) -> bool {
@@ -49,11 +55,11 @@
 }
 
 impl Picker for RoundRobin {
-    fn candidates(&mut self, all: &[Candidate], _: Option<u64>, count: usize, _: &mut dyn Rng) -> Vec<Name> {
+    fn candidates(&mut self, endpoints: &[Candidate], _: Option<u64>, count: usize, _: &mut dyn Rng) -> Vec<Name> {
         self.next = self.next.wrapping_add(1);
         let start = self.next;
-        let count = count.min(all.len());
-        (0..count).map(|step| all[(start + step) % all.len()].endpoint.clone()).collect()
+        let count = count.min(endpoints.len());
+        (0..count).map(|step| endpoints[(start + step) % endpoints.len()].endpoint.clone()).collect()
     }
 }
 
@@ -61,8 +67,8 @@
 pub struct LeastOutstanding;
 
 impl Picker for LeastOutstanding {
-    fn candidates(&mut self, all: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
-        sorted_by(all, count, random, |candidate| u64::from(candidate.outstanding))
+    fn candidates(&mut self, endpoints: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
+        order_by_load(endpoints, count, random, |candidate| u64::from(candidate.outstanding))
     }
 }
 
@@ -73,14 +79,19 @@
 pub struct ActiveTokens;
 
 impl Picker for ActiveTokens {
-    fn candidates(&mut self, all: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
-        sorted_by(all, count, random, |candidate| candidate.active_tokens)
+    fn candidates(&mut self, endpoints: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
+        order_by_load(endpoints, count, random, |candidate| candidate.active_tokens)
     }
 }
 
-fn sorted_by(all: &[Candidate], count: usize, random: &mut dyn Rng, load: impl Fn(&Candidate) -> u64) -> Vec<Name> {
+fn order_by_load(
+    endpoints: &[Candidate],
+    count: usize,
+    random: &mut dyn Rng,
+    load: impl Fn(&Candidate) -> u64,
+) -> Vec<Name> {
     let mut order: Vec<(u64, u64, &Name)> =
-        all.iter().map(|candidate| (load(candidate), random.next_u64(), &candidate.endpoint)).collect();
+        endpoints.iter().map(|candidate| (load(candidate), random.next_u64(), &candidate.endpoint)).collect();
     order.sort_unstable();
     order.into_iter().take(count).map(|(_, _, name)| name.clone()).collect()
 }
@@ -95,18 +106,27 @@
 }
 
 impl Picker for Quoted {
-    fn candidates(&mut self, all: &[Candidate], hash: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
+    fn candidates(
+        &mut self,
+        endpoints: &[Candidate],
+        hash: Option<u64>,
+        count: usize,
+        random: &mut dyn Rng,
+    ) -> Vec<Name> {
         let mut picked = match hash {
-            Some(hash) => chosen(hash, all.iter().map(|candidate| &candidate.endpoint), self.by_prefix.min(count)),
+            Some(hash) => {
+                chosen(hash, endpoints.iter().map(|candidate| &candidate.endpoint), self.by_prefix.min(count))
+            }
             None => Vec::new(),
         };
-        let rest: Vec<&Candidate> = all.iter().filter(|candidate| !picked.contains(&candidate.endpoint)).collect();
-        let mut left: Vec<&Candidate> = rest;
-        while picked.len() < count && !left.is_empty() {
-            let first = random.random_range(0..left.len());
-            let second = random.random_range(0..left.len());
-            let better = if lighter(left[second], left[first]) { second } else { first };
-            picked.push(left.swap_remove(better).endpoint.clone());
+        let others: Vec<&Candidate> =
+            endpoints.iter().filter(|candidate| !picked.contains(&candidate.endpoint)).collect();
+        let mut remaining: Vec<&Candidate> = others;
+        while picked.len() < count && !remaining.is_empty() {
+            let first = random.random_range(0..remaining.len());
+            let second = random.random_range(0..remaining.len());
+            let better = if is_less_loaded(remaining[second], remaining[first]) { second } else { first };
+            picked.push(remaining.swap_remove(better).endpoint.clone());
         }
         picked
     }
@@ -116,8 +136,8 @@
     }
 }
 
-fn lighter(one: &Candidate, other: &Candidate) -> bool {
-    (one.distance, one.outstanding) < (other.distance, other.outstanding)
+fn is_less_loaded(first: &Candidate, second: &Candidate) -> bool {
+    (first.distance, first.outstanding) < (second.distance, second.outstanding)
 }
 
 /// Quote of one endpoint.
@@ -131,7 +151,7 @@
     pub distance: u64,
 }
 
-/// Sorts the offers by preference: endpoints open for work first, then by expected time to first token.
+/// Sorts the offers by preference: endpoints that accept work first, then by expected time to first token.
 pub fn rank_offers(mut offers: Vec<Offer>) -> Vec<Offer> {
     offers.sort_by_key(|offer| {
         let ttft = crate::time::micros(offer.quote.ttft + offer.quote.harm) + offer.distance;
--- a/coord/src/placement.rs
+++ b/coord/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of model versions and adapters on endpoints, decided by one controller per failure domain under a fenced
 //! lease in the log.
 //!
-//! Every replay ignores records that a controller writes after another process took over its lease, so a paused
+//! Every replay ignores records that a controller writes after another process took over its lease, so a suspended
 //! controller that resumes has no effect.
 
 use std::collections::BTreeMap;
@@ -86,18 +86,20 @@
                 lease.replay(&process, incarnation, offset, at, Duration::from_millis(term_ms))
             }
             Record::Place { domain, fence, loads } => {
-                let counts = self.leases.get(&domain).is_some_and(|lease| lease.counts(fence));
-                if counts {
-                    loads.into_iter().for_each(|(endpoint, load)| self.order(endpoint, Order { fence, offset, load }));
+                let is_valid = self.leases.get(&domain).is_some_and(|lease| lease.counts(fence));
+                if is_valid {
+                    loads
+                        .into_iter()
+                        .for_each(|(endpoint, load)| self.record_order(endpoint, Order { fence, offset, load }));
                 }
-                counts
+                is_valid
             }
         }
     }
 
-    fn order(&mut self, endpoint: Name, order: Order) {
-        if let Some(before) = self.orders.get(&endpoint) {
-            crate::invariant!(order.offset > before.offset, "orders follow the log");
+    fn record_order(&mut self, endpoint: Name, order: Order) {
+        if let Some(previous) = self.orders.get(&endpoint) {
+            crate::invariant!(order.offset > previous.offset, "orders follow the log");
         }
         self.orders.insert(endpoint, order);
     }
@@ -168,15 +170,16 @@
     for endpoint in endpoints {
         by_service.entry(&endpoint.service).or_default().push(endpoint);
     }
-    let mut next = BTreeMap::new();
+    let mut next_orders = BTreeMap::new();
     for (service, endpoints) in by_service {
         let Some(load) = wanted(config, service) else { continue };
-        let ordered = |endpoint: &&&Endpoint| orders.get(&endpoint.name).is_some_and(|order| order.load == load);
-        let open =
-            endpoints.iter().filter(|endpoint| ordered(endpoint) && endpoint.holds.as_ref() != Some(&load)).count();
-        let most = ((endpoints.len() as f64 * share) as usize).max(1);
-        let rest = endpoints.iter().filter(|endpoint| !ordered(endpoint)).take(most.saturating_sub(open));
-        next.extend(rest.map(|endpoint| (endpoint.name.clone(), load.clone())));
+        let is_ordered = |endpoint: &&&Endpoint| orders.get(&endpoint.name).is_some_and(|order| order.load == load);
+        let pending_count =
+            endpoints.iter().filter(|endpoint| is_ordered(endpoint) && endpoint.holds.as_ref() != Some(&load)).count();
+        let max_pending = ((endpoints.len() as f64 * share) as usize).max(1);
+        let unordered =
+            endpoints.iter().filter(|endpoint| !is_ordered(endpoint)).take(max_pending.saturating_sub(pending_count));
+        next_orders.extend(unordered.map(|endpoint| (endpoint.name.clone(), load.clone())));
     }
-    next
+    next_orders
 }
--- a/coord/src/prefix.rs
+++ b/coord/src/prefix.rs
@@ -24,13 +24,13 @@
     /// Hashes the complete blocks of `prompt`; a partial block at the end is ignored.
     pub fn of(prompt: &[u8]) -> Self {
         let mut chain = Vec::new();
-        let mut rest = prompt;
+        let mut remaining = prompt;
         let mut seed = 0;
-        while chain.len() < MAX_BLOCKS && rest.len() >= block_bytes(chain.len()) {
-            let (block, after) = rest.split_at(block_bytes(chain.len()));
+        while chain.len() < MAX_BLOCKS && remaining.len() >= block_bytes(chain.len()) {
+            let (block, remainder) = remaining.split_at(block_bytes(chain.len()));
             seed = xxh3_64_with_seed(block, seed);
             chain.push(seed);
-            rest = after;
+            remaining = remainder;
         }
         Self(chain)
     }
@@ -52,49 +52,49 @@
 /// entry only makes a time estimate less accurate; no guarantee depends on it.
 #[derive(Debug)]
 pub struct Cache {
-    most: usize,
+    capacity: usize,
     clock: u64,
-    used: HashMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
 }
 
 impl Cache {
-    /// Creates an empty cache of at most `most` blocks.
-    pub fn new(most: usize) -> Self {
-        Self { most: most.max(1), clock: 0, used: HashMap::new() }
+    /// Creates an empty cache of at most `capacity` blocks.
+    pub fn new(capacity: usize) -> Self {
+        Self { capacity: capacity.max(1), clock: 0, last_used: HashMap::new() }
     }
 
     /// Returns the number of leading blocks of `chain` that the cache holds.
     pub fn shared(&self, chain: &Chain) -> usize {
-        chain.0.iter().take_while(|hash| self.used.contains_key(hash)).count()
+        chain.0.iter().take_while(|hash| self.last_used.contains_key(hash)).count()
     }
 
     /// Records that the engine now holds all blocks of `chain`.
     pub fn insert(&mut self, chain: &Chain) {
         for hash in &chain.0 {
             self.clock += 1;
-            self.used.insert(*hash, self.clock);
+            self.last_used.insert(*hash, self.clock);
         }
-        if self.used.len() > self.most {
+        if self.last_used.len() > self.capacity {
             self.evict();
         }
     }
 
     /// Records that the engine evicted a block.
     pub fn remove(&mut self, hash: u64) {
-        self.used.remove(&hash);
+        self.last_used.remove(&hash);
     }
 
     /// Empties the cache, as after an engine restart or a gap in its events.
     pub fn clear(&mut self) {
-        self.used.clear();
+        self.last_used.clear();
     }
 
     fn evict(&mut self) {
-        let mut ages: Vec<u64> = self.used.values().copied().collect();
+        let mut ages: Vec<u64> = self.last_used.values().copied().collect();
         // Evicts an eighth of the capacity in addition, so that the costly selection runs rarely.
-        let surplus = self.used.len() - self.most + self.most / 8;
-        let (_, oldest_kept, _) = ages.select_nth_unstable(surplus.min(self.used.len() - 1));
+        let evict_count = self.last_used.len() - self.capacity + self.capacity / 8;
+        let (_, oldest_kept, _) = ages.select_nth_unstable(evict_count.min(self.last_used.len() - 1));
         let oldest_kept = *oldest_kept;
-        self.used.retain(|_, age| *age >= oldest_kept);
+        self.last_used.retain(|_, age| *age >= oldest_kept);
     }
 }
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Quarantine of work that repeatedly coincides with replica terminations.
+//! Quarantine of requests that repeatedly coincide with replica terminations.
 //!
-//! A faulty request can terminate every replica that starts to run it. All requests for the same work share a
-//! fingerprint, [`Work`]. Each termination is evidence against all work that ran on the replica, most of it innocent;
-//! the work that is present again at the next termination accumulates evidence. Work with enough evidence is
-//! *condemned*: no replica receives it until an operator lifts the verdict. A complete successful answer clears the
-//! work.
+//! A faulty request can terminate every replica that starts to run it. All repetitions of a request share a
+//! fingerprint, [`Work`]. Each termination is evidence against the fingerprints of all requests on the replica, most
+//! of them innocent; a fingerprint that is present again at the next termination accumulates evidence. A fingerprint
+//! with enough evidence is *condemned*: no replica receives its requests until an operator lifts the verdict. A
+//! complete successful answer clears it.
 //!
 //! Processes exchange evidence and verdicts as [`News`], which can arrive in any order, late or repeatedly. A
 //! [`Register`] that received a verdict keeps it, whatever else arrives. Entries do not expire with time.
@@ -19,23 +19,24 @@
 use crate::name::Name;
 
 /// BLAKE3 key-derivation context of the fingerprints.
-const CONTEXT: &str = "sorrelpass quarantine fingerprint of work 1";
-/// Points at which work is condemned: three terminations with [`Weight::Strong`] evidence, or five of any weight.
+const FINGERPRINT_CONTEXT: &str = "sorrelpass quarantine fingerprint of work 1";
+/// Points at which a fingerprint is condemned: three terminations with [`Weight::Strong`] evidence, or five of any
+/// weight.
 const CONDEMNED_POINTS: u32 = 5;
-/// Number of terminations at which work is condemned even if other work was on the same replicas each time. It
-/// exceeds the four sends that one caller causes with a request and its repetition, at two sends each.
-const CERTAIN_ENDS: usize = 5;
-/// Points at which work is isolated from other work.
+/// Number of terminations at which a fingerprint is condemned even if another one was on the same replicas each time.
+/// It exceeds the four sends that one caller causes with a request and its repetition, at two sends each.
+const CERTAIN_TERMINATIONS: usize = 5;
+/// Points at which requests are isolated from others.
 const SUSPECT_POINTS: u32 = 2;
 /// Points at which evidence is persisted beyond the lifetime of all processes: strong evidence from two terminations.
-/// One more termination condemns the work, whichever process observes it.
-const LASTING_POINTS: u32 = 4;
+/// One more termination condemns the fingerprint, whichever process observes it.
+const PERSISTENT_POINTS: u32 = 4;
 /// Maximum number of suspects; enough for 250 terminations of replicas with 16 requests each, at about 1 MB.
-const MOST_SUSPECTS: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 /// Maximum number of verdicts; each takes 32 bytes plus the names of a few replicas.
-const MOST_CONDEMNED: usize = 4_096;
+const MAX_VERDICTS: usize = 4_096;
 
-/// Fingerprint of the work that a request asks for; equal for each repetition, whichever entry receives it.
+/// Fingerprint of a request, equal for each repetition, whichever entry receives it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Work(pub [u8; 16]);
 
@@ -44,7 +45,7 @@
     /// lists of parts never yield the same input. The hash uses its own context, so that hashes of the same text from
     /// other sources do not reveal the fingerprint.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(FINGERPRINT_CONTEXT);
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
@@ -90,7 +91,7 @@
     }
 }
 
-/// Strength of the evidence that a termination provides against work on the replica.
+/// Strength of the evidence that a termination provides against a request on the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Weight {
     /// The request may only have been queued on the replica, or had run for a while.
@@ -112,25 +113,25 @@
 /// Event that a process observes and sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum News {
-    /// A replica terminated while it held a request for the work.
+    /// A replica terminated while it held a request with the fingerprint.
     Ended {
-        /// Fingerprint of the work.
+        /// Fingerprint of the request.
         work: Work,
         /// Name of the terminated run, unique among all runs of all replicas.
         run: Name,
         /// Strength of the evidence.
         weight: Weight,
     },
-    /// A request for the work completed successfully.
+    /// A request with the fingerprint completed successfully.
     Cleared(Work),
-    /// The work is condemned.
+    /// The fingerprint is condemned.
     Condemned(Work),
     /// An operator lifted the verdict or the suspicion.
     Lifted(Work),
 }
 
 impl News {
-    /// Returns the work that the event concerns.
+    /// Returns the fingerprint that the event concerns.
     pub const fn work(&self) -> Work {
         match self {
             News::Ended { work, .. } => *work,
@@ -139,53 +140,53 @@
     }
 }
 
-/// Status of work in the quarantine.
+/// Status of a fingerprint in the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
     /// The evidence is below the suspicion threshold.
     Clear,
-    /// The work is sent, but isolated from other work.
+    /// Requests are sent, but isolated from others.
     Suspect,
-    /// The work is rejected.
+    /// Requests are rejected.
     Condemned,
 }
 
-/// Evidence against work that is not condemned.
+/// Evidence against a fingerprint that is not condemned.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     /// Evidence by terminated run.
-    ends: BTreeMap<Name, Weight>,
+    terminations: BTreeMap<Name, Weight>,
     /// Run of the most recently reported termination.
-    newest: Name,
+    newest_run: Name,
     /// Sequence number of insertion, for eviction of the oldest.
-    order: u64,
+    sequence: u64,
 }
 
 impl Suspect {
     fn points(&self) -> u32 {
-        self.ends.values().map(|weight| weight.points()).sum()
+        self.terminations.values().map(|weight| weight.points()).sum()
     }
 }
 
-/// Verdict against condemned work.
+/// Verdict against a condemned fingerprint.
 #[derive(Clone, Debug, Default)]
 struct Verdict {
-    /// Known runs that terminated under the work.
-    ends: BTreeMap<Name, Weight>,
+    /// Recorded runs that terminated under the fingerprint.
+    terminations: BTreeMap<Name, Weight>,
     /// Sequence number of insertion, for eviction of the oldest.
-    order: u64,
+    sequence: u64,
 }
 
-/// Suspects and verdicts that one process knows of.
+/// Suspects and verdicts that one process has recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Register {
     suspects: BTreeMap<Work, Suspect>,
     condemned: BTreeMap<Work, Verdict>,
-    next_order: u64,
+    next_sequence: u64,
 }
 
 impl Register {
-    /// Returns the status of work.
+    /// Returns the status of a fingerprint.
     pub fn standing(&self, work: Work) -> Standing {
         if self.condemned.contains_key(&work) {
             return Standing::Condemned;
@@ -196,30 +197,30 @@
         }
     }
 
-    /// Applies an event and returns the events to send to peers. The result is empty if the event was known or adds
-    /// too little evidence.
+    /// Applies an event and returns the events to send to peers. The result is empty if the event was already
+    /// recorded or adds too little evidence.
     pub fn hear(&mut self, news: News) -> Vec<News> {
         match news {
-            News::Ended { work, run, weight } => self.ended(work, run, weight),
-            News::Cleared(work) => self.cleared(work),
+            News::Ended { work, run, weight } => self.record_termination(work, run, weight),
+            News::Cleared(work) => self.clear(work),
             News::Condemned(work) => self.condemn(work),
             News::Lifted(work) => self.lift(work),
         }
     }
 
-    /// Returns the known runs that terminated under condemned work, with the strength of the evidence.
+    /// Returns the recorded runs that terminated under a condemned fingerprint, with the strength of the evidence.
     pub fn ends(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
-        let ends = self.condemned.get(&work).map(|verdict| &verdict.ends);
+        let ends = self.condemned.get(&work).map(|verdict| &verdict.terminations);
         ends.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
-    /// Returns the evidence against work that is not condemned, by terminated run.
+    /// Returns the evidence against a fingerprint that is not condemned, by terminated run.
     pub fn evidence(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
-        let ends = self.suspects.get(&work).map(|suspect| &suspect.ends);
+        let ends = self.suspects.get(&work).map(|suspect| &suspect.terminations);
         ends.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
-    /// Returns all condemned work.
+    /// Returns all condemned fingerprints.
     pub fn condemned(&self) -> impl Iterator<Item = Work> {
         self.condemned.keys().copied()
     }
@@ -230,12 +231,12 @@
         counted.filter(|(_, points)| *points >= SUSPECT_POINTS)
     }
 
-    /// Returns the work whose evidence is worth persisting. With `unheard`, when no peer receives the events, that
-    /// includes all suspects: terminations observed by three isolated processes then condemn work just as those
-    /// observed by one.
-    pub fn lasting(&self, unheard: bool) -> impl Iterator<Item = Work> {
-        let least = if unheard { SUSPECT_POINTS } else { LASTING_POINTS };
-        let suspects = self.suspects().filter(move |(_, points)| *points >= least).map(|(work, _)| work);
+    /// Returns the fingerprints whose evidence is worth persisting. If this process is isolated, so that no peer
+    /// receives its events, that includes all suspects: terminations observed by three isolated processes then
+    /// condemn a fingerprint just as those observed by one.
+    pub fn lasting(&self, is_isolated: bool) -> impl Iterator<Item = Work> {
+        let min_points = if is_isolated { SUSPECT_POINTS } else { PERSISTENT_POINTS };
+        let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(work, _)| work);
         self.condemned().chain(suspects)
     }
 
@@ -248,80 +249,82 @@
         condemned.chain(suspects).collect()
     }
 
-    fn ended(&mut self, work: Work, run: Name, weight: Weight) -> Vec<News> {
-        if self.condemned.contains_key(&work) || self.is_explained(&run) {
+    fn record_termination(&mut self, work: Work, run: Name, weight: Weight) -> Vec<News> {
+        if self.condemned.contains_key(&work) || self.is_attributed(&run) {
             return Vec::new();
         }
-        self.next_order += 1;
-        let order = self.next_order;
-        let suspect = self.suspects.entry(work).or_insert_with(|| Suspect { order, ..Suspect::default() });
-        let known = suspect.ends.insert(run.clone(), weight);
-        suspect.newest = run.clone();
-        if let Some(known) = known.filter(|known| *known >= weight) {
-            suspect.ends.insert(run, known);
+        self.next_sequence += 1;
+        let sequence = self.next_sequence;
+        let suspect = self.suspects.entry(work).or_insert_with(|| Suspect { sequence, ..Suspect::default() });
+        let previous = suspect.terminations.insert(run.clone(), weight);
+        suspect.newest_run = run.clone();
+        if let Some(previous) = previous.filter(|previous| *previous >= weight) {
+            suspect.terminations.insert(run, previous);
             return Vec::new();
         }
-        let (points, ends) = (suspect.points(), suspect.ends.len());
-        let mut told = Vec::new();
+        let (points, termination_count) = (suspect.points(), suspect.terminations.len());
+        let mut relayed = Vec::new();
         if points >= SUSPECT_POINTS {
-            told.push(News::Ended { work, run, weight });
+            relayed.push(News::Ended { work, run, weight });
         }
-        if points >= CONDEMNED_POINTS && (ends >= CERTAIN_ENDS || !self.is_tied(work)) {
-            told.extend(self.condemn(work));
+        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(work)) {
+            relayed.extend(self.condemn(work));
         }
         self.evict();
-        told
+        relayed
     }
 
-    /// Returns whether the termination of `run` is attributed to condemned work, which exonerates all other work on
-    /// that replica. Innocent work that repeatedly shared a replica with the condemned work is cleared this way.
-    fn is_explained(&self, run: &Name) -> bool {
-        self.condemned.values().any(|verdict| verdict.ends.contains_key(run))
+    /// Returns whether the termination of `run` is attributed to a condemned fingerprint, which exonerates all other
+    /// requests on that replica. An innocent request that repeatedly shared a replica with the condemned one is
+    /// cleared this way.
+    fn is_attributed(&self, run: &Name) -> bool {
+        self.condemned.values().any(|verdict| verdict.terminations.contains_key(run))
     }
 
-    /// Returns whether some other work was on all replicas that terminated under this work, so that either may be the
-    /// cause. The newest termination is left out because its report for the other work may still be in transit.
-    fn is_tied(&self, work: Work) -> bool {
+    /// Returns whether another fingerprint was on all replicas that terminated under this one, so that either may be
+    /// the cause. The newest termination is left out because its report for the other fingerprint may still be in
+    /// transit.
+    fn is_ambiguous(&self, work: Work) -> bool {
         let Some(suspect) = self.suspects.get(&work) else { return false };
-        let earlier: Vec<&Name> = suspect.ends.keys().filter(|run| **run != suspect.newest).collect();
+        let earlier: Vec<&Name> = suspect.terminations.keys().filter(|run| **run != suspect.newest_run).collect();
         let mut others = self.suspects.iter().filter(|(other, _)| **other != work);
-        others.any(|(_, other)| earlier.iter().all(|run| other.ends.contains_key(*run)))
+        others.any(|(_, other)| earlier.iter().all(|run| other.terminations.contains_key(*run)))
     }
 
     fn condemn(&mut self, work: Work) -> Vec<News> {
         if self.condemned.contains_key(&work) {
             return Vec::new();
         }
-        let ends = self.suspects.remove(&work).map(|suspect| suspect.ends).unwrap_or_default();
+        let terminations = self.suspects.remove(&work).map(|suspect| suspect.terminations).unwrap_or_default();
         for suspect in self.suspects.values_mut() {
-            suspect.ends.retain(|run, _| !ends.contains_key(run));
+            suspect.terminations.retain(|run, _| !terminations.contains_key(run));
         }
-        self.suspects.retain(|_, suspect| !suspect.ends.is_empty());
-        self.next_order += 1;
-        self.condemned.insert(work, Verdict { ends, order: self.next_order });
+        self.suspects.retain(|_, suspect| !suspect.terminations.is_empty());
+        self.next_sequence += 1;
+        self.condemned.insert(work, Verdict { terminations, sequence: self.next_sequence });
         self.evict();
         vec![News::Condemned(work)]
     }
 
-    /// Clears work after a complete successful answer. An answer that was in flight when its work was condemned
-    /// proves the verdict wrong.
-    fn cleared(&mut self, work: Work) -> Vec<News> {
-        let told = match self.standing(work) {
+    /// Clears a fingerprint after a complete successful answer. An answer that was in flight when its request was
+    /// condemned proves the verdict wrong.
+    fn clear(&mut self, work: Work) -> Vec<News> {
+        let relayed = match self.standing(work) {
             Standing::Clear => Vec::new(),
             Standing::Suspect => vec![News::Cleared(work)],
             Standing::Condemned => vec![News::Lifted(work)],
         };
-        self.forget(work);
-        told
+        self.remove(work);
+        relayed
     }
 
     fn lift(&mut self, work: Work) -> Vec<News> {
         let was_known = self.standing(work) != Standing::Clear;
-        self.forget(work);
+        self.remove(work);
         if was_known { vec![News::Lifted(work)] } else { Vec::new() }
     }
 
-    fn forget(&mut self, work: Work) {
+    fn remove(&mut self, work: Work) {
         self.suspects.remove(&work);
         self.condemned.remove(&work);
     }
@@ -329,13 +332,13 @@
     /// Bounds the state: evicts the suspect with the fewest points, the oldest first among equals, and the oldest
     /// verdict.
     fn evict(&mut self) {
-        while self.suspects.len() > MOST_SUSPECTS {
-            let least = self.suspects.iter().min_by_key(|(_, suspect)| (suspect.points(), suspect.order));
-            let Some(work) = least.map(|(work, _)| *work) else { break };
+        while self.suspects.len() > MAX_SUSPECTS {
+            let weakest = self.suspects.iter().min_by_key(|(_, suspect)| (suspect.points(), suspect.sequence));
+            let Some(work) = weakest.map(|(work, _)| *work) else { break };
             self.suspects.remove(&work);
         }
-        while self.condemned.len() > MOST_CONDEMNED {
-            let oldest = self.condemned.iter().min_by_key(|(_, verdict)| verdict.order);
+        while self.condemned.len() > MAX_VERDICTS {
+            let oldest = self.condemned.iter().min_by_key(|(_, verdict)| verdict.sequence);
             let Some(work) = oldest.map(|(work, _)| *work) else { break };
             self.condemned.remove(&work);
         }
--- a/coord/src/queue.rs
+++ b/coord/src/queue.rs
@@ -67,38 +67,40 @@
 }
 
 /// Minimum cost in ranking; jobs below it count as equally short.
-const SHORTEST: Duration = Duration::from_millis(5);
+const MIN_COST: Duration = Duration::from_millis(5);
 /// Fraction of the slack that must be used before it affects the rank.
-const URGENT_SHARE: f64 = 0.5;
+const URGENT_SLACK_SHARE: f64 = 0.5;
 
 impl Order for Slack {
     fn rank(&self, job: &Job, now: Moment) -> f64 {
         let waited = now.since(job.arrived).as_secs_f64();
-        let cost = job.cost.max(SHORTEST).as_secs_f64();
+        let cost = job.cost.max(MIN_COST).as_secs_f64();
         let slack = (job.deadline.since(job.arrived).as_secs_f64() - cost).max(cost);
         let slowdown = (waited + cost) / cost;
-        let used = (waited / slack - URGENT_SHARE).max(0.0);
-        f64::from(job.priority) + self.slowdown_weight * slowdown + self.ttft_weight * (waited + used * slack) / slack
+        let urgency = (waited / slack - URGENT_SLACK_SHARE).max(0.0);
+        f64::from(job.priority)
+            + self.slowdown_weight * slowdown
+            + self.ttft_weight * (waited + urgency * slack) / slack
     }
 }
 
 /// Half-life of the recorded use of a workspace.
 const USE_HALF_LIFE: Duration = Duration::from_secs(10);
 /// Maximum factor by which recorded use lowers a job's rank.
-const MOST_PENALTY: f64 = 64.0;
+const MAX_PENALTY: f64 = 64.0;
 
 /// Waiting jobs, with the recent use of the endpoint by each workspace.
 pub struct Queue {
     order: Box<dyn Order>,
     waiting: Vec<Job>,
-    used: HashMap<Name, f64>,
-    decayed: Moment,
+    recent_use: HashMap<Name, f64>,
+    decayed_at: Moment,
 }
 
 impl Queue {
     /// Creates an empty queue with the given policy.
     pub fn new(order: Box<dyn Order>) -> Self {
-        Self { order, waiting: Vec::new(), used: HashMap::new(), decayed: Moment::ZERO }
+        Self { order, waiting: Vec::new(), recent_use: HashMap::new(), decayed_at: Moment::ZERO }
     }
 
     /// Returns whether the policy reserves slots and memory for short jobs.
@@ -122,7 +124,7 @@
             .map(|(index, job)| (index, self.fair_rank(job, now)))
             .max_by(|a, b| a.1.total_cmp(&b.1))?;
         let job = self.waiting.swap_remove(best.0);
-        *self.used.entry(job.workspace.clone()).or_default() += job.cost.as_secs_f64();
+        *self.recent_use.entry(job.workspace.clone()).or_default() += job.cost.as_secs_f64();
         Some(job)
     }
 
@@ -155,24 +157,24 @@
 
     fn fair_rank(&self, job: &Job, now: Moment) -> f64 {
         let rank = self.order.rank(job, now);
-        if !self.order.keeps_headroom() || self.used.len() < 2 {
+        if !self.order.keeps_headroom() || self.recent_use.len() < 2 {
             return rank;
         }
-        let total: f64 = self.used.values().sum();
-        let own = self.used.get(&job.workspace).copied().unwrap_or(0.0) / job.weight.max(0.01);
-        let fair = total / self.used.len() as f64;
-        let over = if fair > 0.0 { (own / fair).max(1.0) } else { 1.0 };
-        rank / over.min(MOST_PENALTY)
+        let total: f64 = self.recent_use.values().sum();
+        let own_use = self.recent_use.get(&job.workspace).copied().unwrap_or(0.0) / job.weight.max(0.01);
+        let fair_use = total / self.recent_use.len() as f64;
+        let overuse = if fair_use > 0.0 { (own_use / fair_use).max(1.0) } else { 1.0 };
+        rank / overuse.min(MAX_PENALTY)
     }
 
     fn decay(&mut self, now: Moment) {
-        let span = now.since(self.decayed);
-        if span < USE_HALF_LIFE / 20 {
+        let elapsed = now.since(self.decayed_at);
+        if elapsed < USE_HALF_LIFE / 20 {
             return;
         }
-        self.decayed = now;
-        let keep = 0.5_f64.powf(span.as_secs_f64() / USE_HALF_LIFE.as_secs_f64());
-        self.used.values_mut().for_each(|used| *used *= keep);
-        self.used.retain(|_, used| *used > 1e-4);
+        self.decayed_at = now;
+        let retained = 0.5_f64.powf(elapsed.as_secs_f64() / USE_HALF_LIFE.as_secs_f64());
+        self.recent_use.values_mut().for_each(|used| *used *= retained);
+        self.recent_use.retain(|_, used| *used > 1e-4);
     }
 }
--- a/coord/src/quota.rs
+++ b/coord/src/quota.rs
@@ -9,13 +9,13 @@
 pub struct Bucket {
     rate: f64,
     level: f64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Bucket {
     /// Creates a full bucket that fills at `rate` per second.
     pub fn new(rate: f64, now: Moment) -> Self {
-        Self { rate, level: rate.max(1.0), filled: now }
+        Self { rate, level: rate.max(1.0), filled_at: now }
     }
 
     /// Changes the fill rate from `now` on.
@@ -45,9 +45,9 @@
     }
 
     fn fill(&mut self, now: Moment) {
-        let gained = now.since(self.filled).as_secs_f64() * self.rate;
+        let gained = now.since(self.filled_at).as_secs_f64() * self.rate;
         self.level = (self.level + gained).min(self.rate.max(1.0));
-        self.filled = now;
+        self.filled_at = now;
     }
 }
 
@@ -60,7 +60,7 @@
     if demands.is_empty() {
         return Vec::new();
     }
-    let spare = (rate - total).max(0.0) / demands.len() as f64;
+    let surplus_each = (rate - total).max(0.0) / demands.len() as f64;
     let scale = if total > rate { rate / total } else { 1.0 };
-    demands.iter().map(|demand| demand * scale + spare).collect()
+    demands.iter().map(|demand| demand * scale + surplus_each).collect()
 }
--- a/coord/src/remembered.rs
+++ b/coord/src/remembered.rs
@@ -8,8 +8,8 @@
 /// Set of items with their insertion times.
 #[derive(Debug)]
 pub struct Remembered<T> {
-    at: HashMap<T, Moment>,
-    ages: VecDeque<(Moment, T)>,
+    inserted_at: HashMap<T, Moment>,
+    insertion_order: VecDeque<(Moment, T)>,
 }
 
 impl<T: Copy + Eq + Hash> Default for Remembered<T> {
@@ -21,26 +21,26 @@
 impl<T: Copy + Eq + Hash> Remembered<T> {
     /// Creates an empty set.
     pub fn new() -> Self {
-        Self { at: HashMap::new(), ages: VecDeque::new() }
+        Self { inserted_at: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
     /// Inserts an item; an item already in the set keeps its insertion time for eviction.
     pub fn insert(&mut self, item: T, now: Moment) {
-        if self.at.insert(item, now).is_none() {
-            self.ages.push_back((now, item));
+        if self.inserted_at.insert(item, now).is_none() {
+            self.insertion_order.push_back((now, item));
         }
     }
 
     /// Returns whether the set contains the item.
     pub fn contains(&self, item: T) -> bool {
-        self.at.contains_key(&item)
+        self.inserted_at.contains_key(&item)
     }
 
     /// Evicts the items inserted earlier than `before`.
     pub fn forget(&mut self, before: Moment) {
-        while self.ages.front().is_some_and(|(at, _)| *at < before) {
-            if let Some((_, item)) = self.ages.pop_front() {
-                self.at.remove(&item);
+        while self.insertion_order.front().is_some_and(|(at, _)| *at < before) {
+            if let Some((_, item)) = self.insertion_order.pop_front() {
+                self.inserted_at.remove(&item);
             }
         }
     }
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -13,7 +13,7 @@
 use crate::name::Name;
 
 /// Maximum number of unconfirmed plans, and of verdicts kept for repeated confirmations.
-const REMEMBERED: usize = 10_000;
+const MAX_RETAINED: usize = 10_000;
 
 /// Record on the configuration stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
     /// Configuration at the offset.
     pub config: Arc<Config>,
     /// Latest change of each item.
-    pub changed: Vec<(Item, Changed)>,
+    pub changed: Vec<(Item, LastChange)>,
     /// Unconfirmed plans with their base revisions.
     pub plans: Vec<(Name, u64, Vec<Change>)>,
     /// Verdicts on confirmed plans.
@@ -52,7 +52,7 @@
 
 /// Latest change of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct LastChange {
     /// Revision that the change produced.
     pub revision: u64,
     /// Plan that contained the change.
@@ -73,7 +73,7 @@
         /// Item in conflict.
         item: Item,
         /// Change that took effect first.
-        winner: Changed,
+        winner: LastChange,
     },
     /// The plan does not exist or was evicted.
     UnknownPlan,
@@ -84,7 +84,7 @@
 pub struct Replay {
     next: u64,
     config: Arc<Config>,
-    changed: BTreeMap<Item, Changed>,
+    changed: BTreeMap<Item, LastChange>,
     plans: HashMap<Name, (u64, Arc<Vec<Change>>)>,
     plan_order: VecDeque<Name>,
     verdicts: HashMap<Name, Verdict>,
@@ -102,14 +102,14 @@
         if offset < self.next {
             return false;
         }
-        let before = self.config.revision;
+        let previous_revision = self.config.revision;
         match record {
             Record::Plan { id, base, changes } => self.plan(id, *base, changes),
             Record::Confirm { plan } => self.confirm(offset, plan),
         }
         self.next = offset + 1;
-        crate::invariant!(self.config.revision >= before, "the configuration's revision never goes back");
-        self.config.revision != before
+        crate::invariant!(self.config.revision >= previous_revision, "the configuration's revision never goes back");
+        self.config.revision != previous_revision
     }
 
     /// Skips an unreadable record; every reader skips the same ones.
@@ -173,7 +173,7 @@
         }
         self.plans.insert(id.clone(), (base, Arc::new(changes.to_vec())));
         self.plan_order.push_back(id.clone());
-        if self.plan_order.len() > REMEMBERED
+        if self.plan_order.len() > MAX_RETAINED
             && let Some(oldest) = self.plan_order.pop_front()
         {
             self.plans.remove(&oldest);
@@ -184,17 +184,17 @@
         if self.verdicts.contains_key(plan) {
             return;
         }
-        let verdict = self.judge(offset, plan);
+        let verdict = self.decide(offset, plan);
         self.verdicts.insert(plan.clone(), verdict);
         self.verdict_order.push_back(plan.clone());
-        if self.verdict_order.len() > REMEMBERED
+        if self.verdict_order.len() > MAX_RETAINED
             && let Some(oldest) = self.verdict_order.pop_front()
         {
             self.verdicts.remove(&oldest);
         }
     }
 
-    fn judge(&mut self, offset: u64, plan: &Name) -> Verdict {
+    fn decide(&mut self, offset: u64, plan: &Name) -> Verdict {
         let Some((base, changes)) = self.plans.remove(plan) else { return Verdict::UnknownPlan };
         self.plan_order.retain(|id| id != plan);
         for change in changes.iter() {
@@ -208,7 +208,7 @@
         config.revision = revision;
         for change in changes.iter() {
             config.apply(change);
-            self.changed.insert(change.item(), Changed { revision, plan: plan.clone() });
+            self.changed.insert(change.item(), LastChange { revision, plan: plan.clone() });
         }
         self.config = Arc::new(config);
         Verdict::Accepted { revision }
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -3,11 +3,11 @@
 //! The view is more than a map of records. A run of a replica that announced its end never takes work again; a later
 //! run under the same identity does, and late messages of the earlier run have no effect. A record can disappear
 //! because the replica left, or because the replica could not reach the store and the record expired: after a store
-//! outage, a missing record counts as *lapsed* for a grace period before the replica counts as gone. A store response
-//! older than the known state is ignored. A replica's own statement in a response takes precedence over its record,
-//! which can be outdated or fail to arrive: a replica that states that it is leaving receives no more work.
-//! Evacuations of failure domains are not part of the records; replicas in an evacuated domain stay alive, finish
-//! their requests and receive no new ones.
+//! outage, a missing record counts as *expired* for a grace period before the replica counts as gone. A store
+//! response older than the recorded state is ignored. A replica's own statement in a response takes precedence over
+//! its record, which can be outdated or fail to arrive: a replica that states that it is draining receives no more
+//! work. Evacuations of failure domains are not part of the records; replicas in an evacuated domain stay alive,
+//! finish their requests and receive no new ones.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
@@ -39,10 +39,10 @@
     pub cold: Duration,
 }
 
-/// Change of a replica's record in the store.
+/// State of a replica's record in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum News {
-    /// The record was written.
+    /// The record is present.
     Here(Record),
     /// The record was removed.
     Removed(Name),
@@ -60,16 +60,16 @@
     }
 }
 
-/// Record change with its offset in the store.
+/// State of a replica's record at a store offset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sighting {
-    /// Store offset of the change.
+    /// Store offset of the record's latest change.
     pub offset: u64,
-    /// Change at the offset.
+    /// State of the record at the offset.
     pub news: News,
 }
 
-/// Run of a replica that stated that it is leaving.
+/// Run of a replica that is draining, as stated by the replica itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaver {
     /// Identity of the replica.
@@ -85,9 +85,9 @@
     Ready,
     /// Another writer replaced the record; the replica takes no work until it writes the record again.
     Unusable,
-    /// The record disappeared right after a store outage; the replica takes work until the given time.
+    /// The record expired right after a store outage; the replica takes work until the given time.
     Lapsed(Moment),
-    /// The replica is leaving or gone and takes no new work.
+    /// The replica is draining or gone and takes no new work.
     Gone,
 }
 
@@ -101,9 +101,9 @@
     /// Offset of the latest record change, including heartbeats.
     offset: u64,
     /// Offset of the latest effective change; heartbeats rewrite unchanged records.
-    changed_at: u64,
+    changed_offset: u64,
     /// Whether the record exists in the store.
-    listed: bool,
+    has_record: bool,
     /// End of the period in which the replica accepts fewer requests.
     cold_until: Moment,
 }
@@ -116,38 +116,38 @@
 
     /// Returns whether the replica is gone because its record was removed.
     fn is_removed(&self) -> bool {
-        self.standing == Standing::Gone && !self.listed
+        self.standing == Standing::Gone && !self.has_record
     }
 
     /// Returns the latest effective change in the form sent to peers at `now`.
     fn sighting(&self, now: Moment) -> Sighting {
-        let news = match (self.listed, self.standing) {
+        let news = match (self.has_record, self.standing) {
             (true, Standing::Unusable) => News::Unusable(self.record.id.clone()),
             (true, _) => News::Here(Record { cold: self.cold_until.since(now), ..self.record.clone() }),
             (false, _) => News::Removed(self.record.id.clone()),
         };
-        Sighting { offset: self.changed_at, news }
+        Sighting { offset: self.changed_offset, news }
     }
 }
 
-/// Replicas that this process knows of.
+/// Replicas that this process has recorded.
 #[derive(Debug, Default)]
 pub struct Roster {
     replicas: BTreeMap<Name, Replica>,
-    /// Until this time a missing record counts as lapsed.
-    doubtful_until: Moment,
+    /// Until this time a missing record counts as expired.
+    grace_until: Moment,
     /// End offset of the latest full snapshot. A record below it that was missing from the snapshot is removed.
-    whole_below: u64,
+    snapshot_end: u64,
     /// Evacuated failure domains.
-    emptied: BTreeSet<Name>,
+    evacuated: BTreeSet<Name>,
     /// Failure domains whose evacuation ended, with the time of its end.
-    returned: BTreeMap<Name, Moment>,
-    /// Replicas that stated that they are leaving while their records do not, with the start time of that run.
-    leavers: BTreeMap<Name, Option<u64>>,
+    evacuation_ended: BTreeMap<Name, Moment>,
+    /// Replicas that stated that they are draining while their records do not, with the start time of that run.
+    draining_runs: BTreeMap<Name, Option<u64>>,
 }
 
 /// Minimum extension of the cold period that counts as turning cold again.
-const COLD_AGAIN: Duration = Duration::from_secs(1);
+const MIN_COLD_EXTENSION: Duration = Duration::from_secs(1);
 
 /// Change in availability of a replica, for logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -170,47 +170,47 @@
 
 impl Roster {
     /// Records that the store is available again after an outage; records that disappear within `grace` count as
-    /// lapsed.
+    /// expired.
     pub fn store_returned(&mut self, now: Moment, grace: Duration) {
-        self.doubtful_until = self.doubtful_until.max(now + grace);
+        self.grace_until = self.grace_until.max(now + grace);
     }
 
-    /// Returns the remaining time during which a missing record counts as lapsed.
+    /// Returns the time left during which a missing record counts as expired.
     pub fn doubt_left(&self, now: Moment) -> Duration {
-        self.doubtful_until.since(now)
+        self.grace_until.since(now)
     }
 
-    /// Returns the latest change of each replica that changed at offset `from` or later. A peer that knows nothing
-    /// yet (`from` 0) does not receive removed replicas, whose number grows without bound.
+    /// Returns the latest update of each replica that changed at offset `from` or later. A peer without any data
+    /// (`from` 0) does not receive removed replicas, whose number grows without bound.
     pub fn since(&self, from: u64, now: Moment) -> Vec<Sighting> {
-        let matters = |known: &&Replica| known.changed_at >= from && (from > 0 || known.listed);
-        let changed = self.replicas.values().filter(matters);
+        let is_relevant = |known: &&Replica| known.changed_offset >= from && (from > 0 || known.has_record);
+        let changed = self.replicas.values().filter(is_relevant);
         changed.map(|known| known.sighting(now)).collect()
     }
 
-    /// Applies a record change at its offset; changes older than the known state are ignored.
+    /// Applies the state of a record at its offset; a state older than the recorded one is ignored.
     pub fn hear(&mut self, offset: u64, news: News, now: Moment) -> Option<Change> {
         match news {
-            News::Here(record) => self.here(offset, record, now),
-            News::Removed(id) => self.removed(offset, &id, now),
-            News::Unusable(id) => self.unusable(offset, &id),
+            News::Here(record) => self.apply_record(offset, record, now),
+            News::Removed(id) => self.apply_removal(offset, &id, now),
+            News::Unusable(id) => self.apply_unusable(offset, &id),
         }
     }
 
-    fn here(&mut self, offset: u64, record: Record, now: Moment) -> Option<Change> {
+    fn apply_record(&mut self, offset: u64, record: Record, now: Moment) -> Option<Change> {
         let id = record.id.clone();
         let known = self.replicas.get(&id);
-        // A replica missing from the full snapshot is gone even if a peer still believes in it. Accepting and
-        // relaying the peer's older record would keep that peer from ever learning of the removal.
-        if offset < known.map_or(self.whole_below, |known| known.offset) {
+        // A replica missing from the full snapshot is gone even if a peer still has it. Accepting and relaying the
+        // peer's older record would keep that peer from ever receiving the removal.
+        if offset < known.map_or(self.snapshot_end, |known| known.offset) {
             return None;
         }
-        // A restored log contains records of replicas that were removed after the copy was made. A replica that is
+        // A recovered log contains records of replicas that were removed after the copy was made. A replica that is
         // alive writes its record again.
-        if let Some(gone) = self.replicas.get_mut(&id).filter(|known| known.is_removed())
-            && (offset == gone.offset || offset::era(offset) > offset::era(gone.offset))
+        if let Some(removed) = self.replicas.get_mut(&id).filter(|known| known.is_removed())
+            && (offset == removed.offset || offset::era(offset) > offset::era(removed.offset))
         {
-            gone.offset = offset;
+            removed.offset = offset;
             return None;
         }
         let known = self.replicas.get(&id);
@@ -220,60 +220,62 @@
             return None;
         }
         let restarted = known_born.zip(born).is_some_and(|(known, new)| new > known);
-        let told = self.leavers.get(&id).is_some_and(|run| run.zip(born).is_none_or(|(run, born)| born <= run));
-        // An announced end is final for its run, whereas a lapsed record can reappear together with its replica.
-        let leaving = record.leaving || told || (!restarted && known.is_some_and(|known| known.record.leaving));
-        // The record now states that the replica is leaving, so peers learn it from the record.
-        let confirmed = told && record.leaving;
+        let is_stated =
+            self.draining_runs.get(&id).is_some_and(|run| run.zip(born).is_none_or(|(run, born)| born <= run));
+        // An announced end is final for its run, whereas an expired record can reappear together with its replica.
+        let leaving = record.leaving || is_stated || (!restarted && known.is_some_and(|known| known.record.leaving));
+        // The record now states that the replica is draining, so peers receive it with the record.
+        let confirmed = is_stated && record.leaving;
         let standing = if leaving { Standing::Gone } else { Standing::Ready };
         let cold_until = now + record.cold;
         let cold = cold_until > now;
-        let turned = known.is_some_and(|known| {
+        let cold_changed = known.is_some_and(|known| {
             let was_cold = known.cold_until > now;
-            cold != was_cold || (cold && cold_until > known.cold_until + COLD_AGAIN)
+            cold != was_cold || (cold && cold_until > known.cold_until + MIN_COLD_EXTENSION)
         });
         // The end of the cold period is stored as a moment; in repeated records the remaining time shrinks, which is
         // not a change.
         let record = Record { leaving, born: born.or(known_born), cold: Duration::ZERO, ..record };
-        let changed = restarted || turned || known.is_none_or(|known| known.standing != standing);
-        let same = known.filter(|known| known.listed && known.record == record && !changed && !confirmed);
-        let changed_at = same.map_or(offset, |known| known.changed_at);
-        self.replicas.insert(id.clone(), Replica { record, standing, offset, changed_at, listed: true, cold_until });
-        if confirmed || !told {
-            self.leavers.remove(&id);
+        let changed = restarted || cold_changed || known.is_none_or(|known| known.standing != standing);
+        let unchanged = known.filter(|known| known.has_record && known.record == record && !changed && !confirmed);
+        let changed_offset = unchanged.map_or(offset, |known| known.changed_offset);
+        self.replicas
+            .insert(id.clone(), Replica { record, standing, offset, changed_offset, has_record: true, cold_until });
+        if confirmed || !is_stated {
+            self.draining_runs.remove(&id);
         }
         changed.then_some(Change { id, standing, restarted, cold })
     }
 
-    fn unusable(&mut self, offset: u64, id: &Name) -> Option<Change> {
+    fn apply_unusable(&mut self, offset: u64, id: &Name) -> Option<Change> {
         let known = self.replicas.get_mut(id)?;
         if offset < known.offset {
             return None;
         }
         known.offset = offset;
-        if known.listed && known.standing == Standing::Unusable {
+        if known.has_record && known.standing == Standing::Unusable {
             return None;
         }
-        known.listed = true;
-        known.changed_at = offset;
+        known.has_record = true;
+        known.changed_offset = offset;
         let changed = known.standing != Standing::Unusable;
         known.standing = Standing::Unusable;
         changed.then(|| Change::of(id, Standing::Unusable))
     }
 
-    fn removed(&mut self, offset: u64, id: &Name, now: Moment) -> Option<Change> {
-        let doubtful_until = self.doubtful_until;
+    fn apply_removal(&mut self, offset: u64, id: &Name, now: Moment) -> Option<Change> {
+        let grace_until = self.grace_until;
         let known = self.replicas.get_mut(id)?;
         if offset < known.offset {
             return None;
         }
         known.offset = offset;
-        if known.listed {
-            known.listed = false;
-            known.changed_at = offset;
+        if known.has_record {
+            known.has_record = false;
+            known.changed_offset = offset;
         }
         let standing = match known.standing {
-            Standing::Ready if now < doubtful_until => Standing::Lapsed(doubtful_until),
+            Standing::Ready if now < grace_until => Standing::Lapsed(grace_until),
             Standing::Lapsed(until) if now < until => return None,
             _ => Standing::Gone,
         };
@@ -290,13 +292,13 @@
             self.replicas.values().filter(is_missing).map(|known| known.record.id.clone()).collect();
         let mut changes: Vec<Change> =
             newest.into_iter().filter_map(|sighting| self.hear(sighting.offset, sighting.news, now)).collect();
-        self.whole_below = self.whole_below.max(end);
-        let last = end.saturating_sub(1);
-        changes.extend(missing.iter().filter_map(|id| self.removed(last, id, now)));
+        self.snapshot_end = self.snapshot_end.max(end);
+        let last_offset = end.saturating_sub(1);
+        changes.extend(missing.iter().filter_map(|id| self.apply_removal(last_offset, id, now)));
         changes
     }
 
-    /// Marks lapsed replicas as gone once their grace period is over.
+    /// Marks replicas with expired records as gone once their grace period is over.
     pub fn expire(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         for (id, replica) in &mut self.replicas {
@@ -316,22 +318,23 @@
         changed.then(|| Change::of(&known.record.id, Standing::Gone))
     }
 
-    /// Returns whether this run is already known to be leaving, or a later run is known.
+    /// Returns whether this run is already recorded as draining, or a later run is recorded.
     pub fn knows_leaver(&self, leaver: &Leaver) -> bool {
-        let is_up_to = |born: Option<u64>| leaver.born.zip(born).is_none_or(|(told, known)| told <= known);
-        let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(told, known)| told < known);
+        let is_same_or_later = |born: Option<u64>| leaver.born.zip(born).is_none_or(|(stated, known)| stated <= known);
+        let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(stated, known)| stated < known);
         let known = self.replicas.get(&leaver.id).map(|known| &known.record);
-        let recorded = known.is_some_and(|known| is_later(known.born) || (known.leaving && is_up_to(known.born)));
-        recorded || self.leavers.get(&leaver.id).is_some_and(|run| is_up_to(*run))
+        let recorded =
+            known.is_some_and(|known| is_later(known.born) || (known.leaving && is_same_or_later(known.born)));
+        recorded || self.draining_runs.get(&leaver.id).is_some_and(|run| is_same_or_later(*run))
     }
 
-    /// Records that a run stated that it is leaving; a run of an unknown replica is remembered.
+    /// Records that a run stated that it is draining; a run of an unknown replica is stored for later.
     pub fn leaves(&mut self, leaver: Leaver) -> Option<Change> {
         if self.knows_leaver(&leaver) {
             return None;
         }
         let Leaver { id, born } = leaver;
-        self.leavers.insert(id.clone(), born);
+        self.draining_runs.insert(id.clone(), born);
         let known = self.replicas.get_mut(&id)?;
         known.record.leaving = true;
         let changed = known.standing != Standing::Gone;
@@ -339,14 +342,14 @@
         changed.then(|| Change::of(&id, Standing::Gone))
     }
 
-    /// Returns the leaving runs that peers cannot learn of from the store.
+    /// Returns the draining runs that the store's records do not show.
     pub fn leavers(&self) -> impl Iterator<Item = Leaver> {
-        let is_unheard = |id: &Name| self.replicas.get(id).is_none_or(|known| known.listed);
-        let unheard = self.leavers.iter().filter(move |(id, _)| is_unheard(id));
-        unheard.map(|(id, born)| Leaver { id: id.clone(), born: *born })
+        let is_unreported = |id: &Name| self.replicas.get(id).is_none_or(|known| known.has_record);
+        let unreported = self.draining_runs.iter().filter(move |(id, _)| is_unreported(id));
+        unreported.map(|(id, born)| Leaver { id: id.clone(), born: *born })
     }
 
-    /// Returns whether no later run than the one in `record` is known.
+    /// Returns whether no later run than the one in `record` is recorded.
     pub fn is_newest_run(&self, record: &Record) -> bool {
         let known = self.replicas.get(&record.id).and_then(|known| known.record.born);
         known.zip(record.born).is_none_or(|(known, born)| known <= born)
@@ -359,14 +362,14 @@
 
     /// Sets the evacuated failure domains.
     pub fn set_emptied(&mut self, domains: BTreeSet<Name>, now: Moment) {
-        let returned = self.emptied.difference(&domains);
-        self.returned.extend(returned.map(|domain| (domain.clone(), now)));
-        self.emptied = domains;
+        let ended = self.evacuated.difference(&domains);
+        self.evacuation_ended.extend(ended.map(|domain| (domain.clone(), now)));
+        self.evacuated = domains;
     }
 
     /// Returns whether the replica may receive new work, considering evacuations.
     pub fn takes(&self, replica: &Replica) -> bool {
-        replica.takes_work() && !self.emptied.contains(&replica.record.failure_domain)
+        replica.takes_work() && !self.evacuated.contains(&replica.record.failure_domain)
     }
 
     /// Returns the record of the replica `id` if it may receive new work.
@@ -376,8 +379,8 @@
 
     /// Returns the replicas of `service` that are alive, including those in evacuated failure domains.
     pub fn living<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
-        let fits = move |replica: &&Replica| replica.takes_work() && *replica.record.service == *service;
-        self.replicas.values().filter(fits)
+        let is_match = move |replica: &&Replica| replica.takes_work() && *replica.record.service == *service;
+        self.replicas.values().filter(is_match)
     }
 
     /// Returns the records of the replicas of `service` that may receive new work.
@@ -399,11 +402,11 @@
         lasts: Duration,
         now: Moment,
     ) -> impl Iterator<Item = (&'a Name, Moment)> {
-        let until = move |replica: &Replica| {
-            let returned = self.returned.get(&replica.record.failure_domain);
-            replica.cold_until.max(returned.map_or(Moment::ZERO, |returned| *returned + lasts))
+        let cold_until = move |replica: &Replica| {
+            let ended = self.evacuation_ended.get(&replica.record.failure_domain);
+            replica.cold_until.max(ended.map_or(Moment::ZERO, |ended| *ended + lasts))
         };
-        let cold = self.living(service).map(move |replica| (&replica.record.id, until(replica)));
-        cold.filter(move |(_, until)| *until > now)
+        let cold = self.living(service).map(move |replica| (&replica.record.id, cold_until(replica)));
+        cold.filter(move |(_, cold_until)| *cold_until > now)
     }
 }
--- a/coord/src/route.rs
+++ b/coord/src/route.rs
@@ -46,7 +46,7 @@
     pub timeout: Duration,
     /// Target latency of the response, or of the first event of a stream.
     pub aim: Duration,
-    /// Target for the longest pause between two events; zero if not configured.
+    /// Target for the longest gap between two events; zero if not configured.
     pub gap_aim: Duration,
     /// Maximum number of replicas that may execute one request.
     pub max_attempts: u32,
@@ -59,17 +59,17 @@
 }
 
 /// Minimum time that callers wait for the next event of a stream, including the first.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+const MIN_CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Minimum waiting time of callers as a multiple of the target latency, as stated in the users' protocol
 /// documentation.
-const AIMS_OF_PATIENCE: u32 = 4;
-/// Minimum waiting time of callers as a multiple of the target pause, as stated in the users' protocol documentation.
-const GAPS_OF_PATIENCE: u32 = 8;
+const CLIENT_TIMEOUT_LATENCY_FACTOR: u32 = 4;
+/// Minimum waiting time of callers as a multiple of the target gap, as stated in the users' protocol documentation.
+const CLIENT_TIMEOUT_GAP_FACTOR: u32 = 8;
 
 impl Route {
     /// Returns how long callers wait for the first event of a stream before they give up.
     pub fn patience(&self) -> Duration {
-        LEAST_PATIENCE.max(self.aim * AIMS_OF_PATIENCE).max(self.gap_aim * GAPS_OF_PATIENCE)
+        MIN_CLIENT_TIMEOUT.max(self.aim * CLIENT_TIMEOUT_LATENCY_FACTOR).max(self.gap_aim * CLIENT_TIMEOUT_GAP_FACTOR)
     }
 
     /// Returns the service for a request with the random number `point`, uniform in 0..1; `None` if all weights are
@@ -79,10 +79,10 @@
         if total <= 0.0 {
             return None;
         }
-        let mut left = point.clamp(0.0, 1.0) * total;
+        let mut remaining = point.clamp(0.0, 1.0) * total;
         for share in &self.shares {
-            left -= share.weight;
-            if left < 0.0 {
+            remaining -= share.weight;
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
--- a/coord/src/search.rs
+++ b/coord/src/search.rs
@@ -2,7 +2,7 @@
 //!
 //! All followers of a lost leader search at the same time. If each tried all processes, the number of attempts would
 //! grow quadratically: 100 processes waiting for a store made 6,000 attempts per second. A round therefore tries only
-//! the few highest-ranked candidates and skips those that failed recently, with exponential backoff.
+//! the few highest-ranked candidates and skips those that failed recently, with an exponential retry delay.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -13,17 +13,17 @@
 
 /// Maximum number of candidates per round: the leader and the next two in rank.
 pub const ROUND: usize = 3;
-/// Backoff of a failed candidate. It starts at two heartbeat intervals of a leader, within which the candidate may
-/// come up; its maximum bounds how long the two sides of a healed partition take to find each other.
-const PAUSE: Pause = Pause { first: Duration::from_millis(300), longest: Duration::from_secs(4) };
+/// Retry delay of a failed candidate. It starts at two heartbeat intervals of a leader, within which the candidate
+/// may come up; its maximum bounds how long the two sides of a healed partition take to find each other.
+const RETRY_DELAY: Pause = Pause { first: Duration::from_millis(300), longest: Duration::from_secs(4) };
 
 /// Failed attempts to reach a candidate.
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     /// Number of consecutive failures.
-    count: u32,
-    /// End of the backoff.
-    until: Moment,
+    consecutive: u32,
+    /// Earliest time of the next attempt.
+    retry_at: Moment,
 }
 
 /// Candidates that failed recently.
@@ -41,19 +41,19 @@
 impl<K: Clone + Eq + Hash> Search<K> {
     /// Selects the candidates for a round at `now`. `candidates` must be in order of rank.
     pub fn round(&self, candidates: impl IntoIterator<Item = K>, now: Moment) -> Vec<K> {
-        let may = |candidate: &K| self.failures.get(candidate).is_none_or(|failure| failure.until <= now);
-        candidates.into_iter().filter(may).take(ROUND).collect()
+        let is_eligible = |candidate: &K| self.failures.get(candidate).is_none_or(|failure| failure.retry_at <= now);
+        candidates.into_iter().filter(is_eligible).take(ROUND).collect()
     }
 
-    /// Records that a candidate was unreachable or is not a leader. `jitter` scales the backoff, so that processes
-    /// that failed together do not retry together.
+    /// Records that a candidate was unreachable or is not a leader. `jitter` scales the retry delay, so that
+    /// processes that failed together do not retry together.
     pub fn failed(&mut self, candidate: K, jitter: f64, now: Moment) {
-        let failure = self.failures.entry(candidate).or_insert(Failure { count: 0, until: now });
-        failure.count += 1;
-        failure.until = now + PAUSE.after(failure.count).mul_f64(jitter);
+        let failure = self.failures.entry(candidate).or_insert(Failure { consecutive: 0, retry_at: now });
+        failure.consecutive += 1;
+        failure.retry_at = now + RETRY_DELAY.after(failure.consecutive).mul_f64(jitter);
     }
 
-    /// Records a response of a candidate, which ends its backoff.
+    /// Records a response of a candidate, which resets its retry delay.
     pub fn reached(&mut self, candidate: &K) {
         self.failures.remove(candidate);
     }
--- a/coord/src/span.rs
+++ b/coord/src/span.rs
@@ -26,7 +26,7 @@
 pub struct Spans {
     held: HashMap<Attempt, Span>,
     /// Requested span for which freed memory is being set aside; at most one at a time.
-    wanted: Option<(Attempt, Span)>,
+    requested: Option<(Attempt, Span)>,
     /// Memory of released spans that the engine has not yet confirmed as free, in tokens.
     freeing: HashMap<Attempt, u64>,
 }
@@ -35,13 +35,13 @@
     /// Requests memory for `span`, or extends its request until `until`. Returns `false` if memory is being set aside
     /// for another span.
     pub fn want(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> bool {
-        if self.wanted.is_some_and(|(_, wanted)| wanted.until <= now) {
-            self.wanted = None;
+        if self.requested.is_some_and(|(_, requested)| requested.until <= now) {
+            self.requested = None;
         }
-        match &mut self.wanted {
-            Some((holder, wanted)) if *holder == span => wanted.until = until,
+        match &mut self.requested {
+            Some((owner, requested)) if *owner == span => requested.until = until,
             Some(_) => return false,
-            None => self.wanted = Some((span, Span { tokens, until, filling: None })),
+            None => self.requested = Some((span, Span { tokens, until, filling: None })),
         }
         true
     }
@@ -49,7 +49,7 @@
     /// Records that the memory of `span` is allocated.
     pub fn hold(&mut self, span: Attempt, tokens: u64, until: Moment) {
         if self.is_wanted(span) {
-            self.wanted = None;
+            self.requested = None;
         }
         self.held.insert(span, Span { tokens, until, filling: None });
     }
@@ -66,12 +66,12 @@
 
     /// Returns the number of tokens being set aside for the requested span.
     pub fn wanted_tokens(&self, now: Moment) -> u64 {
-        self.wanted.filter(|(_, wanted)| wanted.until > now).map_or(0, |(_, wanted)| wanted.tokens)
+        self.requested.filter(|(_, requested)| requested.until > now).map_or(0, |(_, requested)| requested.tokens)
     }
 
     /// Returns whether memory is being set aside for this span.
     pub fn is_wanted(&self, span: Attempt) -> bool {
-        self.wanted.is_some_and(|(holder, _)| holder == span)
+        self.requested.is_some_and(|(owner, _)| owner == span)
     }
 
     /// Returns the tokens of held spans that are not being prefilled.
@@ -82,14 +82,14 @@
     /// Returns the remaining time of the prefills in progress.
     pub fn prefill_left(&self, now: Moment) -> Duration {
         let filling = self.held.values().filter_map(|span| span.filling);
-        filling.map(|(since, cost)| cost.saturating_sub(now.since(since))).sum()
+        filling.map(|(started, cost)| cost.saturating_sub(now.since(started))).sum()
     }
 
     /// Releases a span: cancels its request, and if it was held, marks its memory for freeing. Returns whether the
     /// engine now has to free it.
     pub fn give_up(&mut self, span: Attempt) -> bool {
         if self.is_wanted(span) {
-            self.wanted = None;
+            self.requested = None;
         }
         match self.held.remove(&span) {
             Some(held) => self.freeing.insert(span, held.tokens).is_none(),
@@ -99,7 +99,7 @@
 
     /// Returns the spans with expired leases.
     pub fn lapsed(&self, now: Moment) -> Vec<Attempt> {
-        self.held.iter().filter(|(_, span)| span.until <= now).map(|(name, _)| *name).collect()
+        self.held.iter().filter(|(_, span)| span.until <= now).map(|(id, _)| *id).collect()
     }
 
     /// Records that the engine has freed a span, and returns whether that was outstanding.
--- a/coord/src/standing.rs
+++ b/coord/src/standing.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Minimum share of a core that counts, and the unit of capacity.
-const LEAST_CORES: f64 = 0.01;
+const MIN_CORES: f64 = 0.01;
 /// Minimum link rate that counts, in Mbit/s. It corresponds to 0.01 of a core, by the ratio at which both were
 /// scarce: 0.09 of a core with 20 Mbit/s.
-const LEAST_MBPS: f64 = 2.0;
+const MIN_LINK_MBPS: f64 = 2.0;
 
 /// Capacity of a process, as the binary logarithm of a multiple of the minimum; 0 if unknown.
 ///
@@ -21,26 +21,26 @@
     /// Returns the capacity of a process with a share of a core and a link rate in Mbit/s; the scarcer resource
     /// decides.
     pub fn of(cores: f64, link_mbps: f64) -> Self {
-        let doublings = |amount: f64, least: f64| (amount / least).max(1.0).log2() as u8;
-        Self(doublings(cores, LEAST_CORES).min(doublings(link_mbps, LEAST_MBPS)))
+        let doublings = |amount: f64, minimum: f64| (amount / minimum).max(1.0).log2() as u8;
+        Self(doublings(cores, MIN_CORES).min(doublings(link_mbps, MIN_LINK_MBPS)))
     }
 }
 
-/// Position in the order of succession; the smallest comes first.
+/// Rank in the order of succession; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Standing {
-    power: Reverse<Power>,
+    capacity: Reverse<Power>,
     announced: u64,
 }
 
 impl Standing {
-    /// Creates the position of a process from its capacity and the log offset of its announcement.
-    pub fn new(power: Power, announced: u64) -> Self {
-        Self { power: Reverse(power), announced }
+    /// Creates the rank of a process from its capacity and the log offset of its announcement.
+    pub fn new(capacity: Power, announced: u64) -> Self {
+        Self { capacity: Reverse(capacity), announced }
     }
 
     /// Returns the capacity of the process.
     pub fn power(&self) -> Power {
-        self.power.0
+        self.capacity.0
     }
 }
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -1,4 +1,4 @@
-//! Log restored from an older copy of itself: the order of offsets, and the state that the restored log has lost.
+//! Log recovered from an older copy of itself: the order of offsets, and the state that the recovered log has lost.
 
 use std::time::Duration;
 
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuations as known to several processes that learn of them from the log and from each other, in any order.
+//! Evacuations as recorded by several processes that receive them from the log and from each other, in any order.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 const PROCESSES: usize = 3;
-/// End of the grace period for records that a restored log has lost.
+/// End of the grace period for records that a recovered log has lost.
 const LATER: Moment = Moment::from_millis(2_000);
 
 fn step() -> impl Strategy<Value = Step> {
--- a/coord/tests/limits.rs
+++ b/coord/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Which of several stated limits is in force for a replica, and how many requests it allows.
+//! Which of several reported limits is in force for a replica, and how many requests it allows.
 
 use coord::limit::{Allowance, Group, News, Register, Word};
 use coord::name::Name;
@@ -48,7 +48,7 @@
     let mut register = register(&[word(Some(2.0), 0, 10)]);
     assert!(register.restarted("a", at(100)));
     assert_eq!(register.rate("a"), None);
-    // An entry relays what the previous run stated.
+    // An entry relays a report of the previous run.
     assert!(!register.hear(&Name::from("a"), word(Some(2.0), 50, 60)));
     assert!(register.hear(&Name::from("a"), word(Some(4.0), 110, 120)));
     assert_eq!(register.rate("a"), Some(4.0));
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Resets the allowances of an entry that does not know what other leaders granted recently.
+    /// Resets the token buckets of an entry that has no record of what other leaders granted recently.
     fn begin_anew(&mut self, entry: usize) {
         let now = self.now();
         for allowance in self.entries[entry].allowances.values_mut() {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Applies the limits and the group share that a leader knows.
+    /// Applies the limits and the group share that a leader has recorded.
     fn apply(&mut self, entry: usize) {
         let now = self.now();
         let together = self.together(entry);
--- a/coord/tests/parcel.rs
+++ b/coord/tests/parcel.rs
@@ -84,7 +84,7 @@
 }
 
 proptest! {
-    /// A receiver of lost and damaged parcels either holds the version sent or gets an error.
+    /// A receiver of lost and damaged deltas either holds the version sent or gets an error.
     #[test]
     fn receivers_hold_what_was_sent_or_fail(
         steps in vec((vec(any::<u8>(), 0..200), 0_u64..3, any::<Option<(usize, u8)>>()), 1..30),
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -1,4 +1,5 @@
-//! Random leases and placements: orders of a former lease holder are void, and a rolling update respects its share.
+//! Random leases and placements: orders of a former lease holder are ignored, and a rolling update respects its
+//! share.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/coord/tests/quarantine.rs
+++ b/coord/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Conditions under which work is condemned because replicas terminate while they hold it.
+//! Conditions under which a fingerprint is condemned because replicas terminate while they hold its requests.
 
 use coord::name::Name;
 use coord::quarantine::{News, Register, Standing, Weight, Work};
@@ -52,7 +52,7 @@
         ended(2, "b", Weight::Strong),
         ended(1, "c", Weight::Strong),
     ]);
-    // A report that the other work was on the third replica too may still be in transit.
+    // A report that the other fingerprint was on the third replica too may still be in transit.
     assert_eq!(register.standing(work(1)), Standing::Suspect);
     register.hear(ended(1, "d", Weight::Strong));
     assert_eq!(register.standing(work(1)), Standing::Condemned);
@@ -66,7 +66,7 @@
 fn of_two_that_were_on_the_same_replicas_neither_is_condemned_until_one_is_alone() {
     let both = ["a", "b"].into_iter().flat_map(|run| [1, 2].map(|number| ended(number, run, Weight::Strong)));
     let mut register = register(both);
-    // The innocent work is reported first at the third termination.
+    // The innocent fingerprint is reported first at the third termination.
     register.hear(ended(2, "c", Weight::Faint));
     register.hear(ended(1, "c", Weight::Strong));
     assert_eq!(register.standing(work(2)), Standing::Suspect);
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -1,8 +1,8 @@
-//! Simulated replicas that terminate under faulty work or by themselves, with entries that learn of each other's
+//! Simulated replicas that terminate under a faulty request or by themselves, with entries that receive each other's
 //! evidence late.
 //!
-//! The tests count both kinds of error: how many replicas terminate before no entry sends the faulty work, and how
-//! often other work is condemned.
+//! The tests count both kinds of error: how many replicas terminate before no entry sends the faulty request, and how
+//! often other requests are condemned.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Work that terminates every replica that starts it.
+/// Fingerprint of the request that terminates every replica that starts it.
 const FATAL: Work = Work([0xff; 16]);
 const ENTRIES: usize = 5;
 const REPLICAS: usize = 18;
@@ -24,15 +24,15 @@
 /// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct Load {
-    /// Probability per step that the fatal work arrives.
+    /// Probability per step that the fatal request arrives.
     fatal: f64,
     /// Probability per step that a replica terminates by itself.
     ends: f64,
-    /// Maximum transit time of news between entries, in steps.
+    /// Maximum transit time of events between entries, in steps.
     late: usize,
 }
 
-/// Request for other work on a replica.
+/// Non-fatal request on a replica.
 #[derive(Clone, Copy)]
 struct Request {
     work: Work,
@@ -48,7 +48,7 @@
     load: Load,
     random: SmallRng,
     registers: Vec<Register>,
-    /// News in transit, with the arrival step and the receiving entry.
+    /// Events in transit, with the arrival step and the receiving entry.
     coming: Vec<(usize, usize, News)>,
     /// Running requests by replica.
     running: Vec<Vec<Request>>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Selects a replica: for suspected work the least loaded replica without other suspects, for other work a random
+    /// Selects a replica: for a suspect the least loaded replica without other suspects, for other requests a random
     /// replica without suspects.
     fn place(&mut self, entry: usize, work: Work) -> usize {
         let register = &self.registers[entry];
@@ -176,7 +176,7 @@
         self.tell(request.entry, News::Cleared(request.work));
     }
 
-    /// Returns the condemned work other than the fatal one.
+    /// Returns the condemned fingerprints other than the fatal one.
     fn wrong(&self) -> BTreeSet<Work> {
         let condemned = self.registers.iter().flat_map(Register::condemned);
         condemned.filter(|work| *work != FATAL).collect()
@@ -203,7 +203,7 @@
         let mut fleet = Fleet::new(Load { fatal: 0.02, ends: 0.0, late: 200 }, seed);
         fleet.play(4_000);
         assert_eq!(fleet.wrong(), BTreeSet::new(), "seed {seed}");
-        // Each entry condemns the work by itself at its third termination.
+        // Each entry condemns the request by itself at its third termination.
         assert!(fleet.fatal_ends <= 3 * ENTRIES, "seed {seed}: {}", fleet.fatal_ends);
     }
 }
--- a/coord/tests/rests.rs
+++ b/coord/tests/rests.rs
@@ -1,4 +1,4 @@
-//! Cooldowns that replicas ask for: how long each lasts, and which replica is available first.
+//! Backoffs that replicas ask for: how long each lasts, and which replica is available first.
 
 use std::time::Duration;
 
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -1,4 +1,4 @@
-//! A replica's own statement that it is leaving takes precedence over its record.
+//! A replica's own statement that it is draining takes precedence over its record.
 
 use std::time::Duration;
 
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -86,7 +86,7 @@
                 }
                 Step::Return => roster.store_returned(now, GRACE),
                 Step::Repeat(number) => {
-                    // An outdated change that arrives again has no effect.
+                    // An outdated update that arrives again has no effect.
                     if let Some((offset, _)) = truth.newest.get(&number).filter(|(offset, _)| *offset > 1) {
                         let before = roster.get(&name(number)).map(|replica| replica.standing);
                         roster.hear(offset - 1, News::Removed(name(number)), now);
