--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -18,7 +18,7 @@
 use coord::parcel::{Shelf, Version};
 use divan::Bencher;
 
-const SIZES: &[u64] = &[30, 240, 1_500];
+const ROUTE_COUNTS: &[u64] = &[30, 240, 1_500];
 
 fn configuration(routes: u64, changed: u64) -> Vec<u8> {
     let route = |number: u64| {
@@ -34,41 +34,48 @@
     (0..routes).map(route).collect::<Vec<_>>().join(",").into_bytes()
 }
 
-fn shelf(routes: u64, versions: u64) -> Shelf {
-    let mut shelf = Shelf::default();
+fn version_cache(routes: u64, versions: u64) -> Shelf {
+    let mut cache = Shelf::default();
     for offset in 0..versions {
-        shelf.keep(Version { offset, value: configuration(routes, offset).into() });
+        cache.keep(Version { offset, value: configuration(routes, offset).into() });
     }
-    shelf
+    cache
 }
 
 fn main() {
-    for routes in SIZES {
-        let bytes = |next| shelf(*routes, 2).parcel(next).expect("it is made").expect("it is newer").packed.len();
-        let (whole, change) = (bytes(None), bytes(Some(1)));
-        println!("{routes} routes: {} bytes, whole {whole}, change {change}", configuration(*routes, 0).len());
+    for routes in ROUTE_COUNTS {
+        let bytes = |next| {
+            version_cache(*routes, 2)
+                .parcel(next)
+                .expect("encoding succeeds")
+                .expect("a newer version exists")
+                .packed
+                .len()
+        };
+        let (full, change) = (bytes(None), bytes(Some(1)));
+        println!("{routes} routes: {} bytes, full {full}, change {change}", configuration(*routes, 0).len());
     }
     divan::main();
 }
 
-#[divan::bench(args = SIZES)]
-fn pack_whole(bencher: Bencher, routes: u64) {
-    bencher.with_inputs(|| shelf(routes, 2)).bench_refs(|shelf| black_box(shelf.parcel(None)));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn encode_full(bencher: Bencher, routes: u64) {
+    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.parcel(None)));
 }
 
-#[divan::bench(args = SIZES)]
-fn pack_change(bencher: Bencher, routes: u64) {
-    bencher.with_inputs(|| shelf(routes, 2)).bench_refs(|shelf| black_box(shelf.parcel(Some(1))));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn encode_change(bencher: Bencher, routes: u64) {
+    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.parcel(Some(1))));
 }
 
-#[divan::bench(args = SIZES)]
-fn open_whole(bencher: Bencher, routes: u64) {
-    let parcel = shelf(routes, 2).parcel(None).expect("it is made").expect("it is newer");
-    bencher.with_inputs(Shelf::default).bench_refs(|shelf| black_box(shelf.open(&parcel)));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn decode_full(bencher: Bencher, routes: u64) {
+    let delta = version_cache(routes, 2).parcel(None).expect("encoding succeeds").expect("a newer version exists");
+    bencher.with_inputs(Shelf::default).bench_refs(|cache| black_box(cache.open(&delta)));
 }
 
-#[divan::bench(args = SIZES)]
-fn open_change(bencher: Bencher, routes: u64) {
-    let parcel = shelf(routes, 2).parcel(Some(1)).expect("it is made").expect("it is newer");
-    bencher.with_inputs(|| shelf(routes, 1)).bench_refs(|shelf| black_box(shelf.open(&parcel)));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn decode_change(bencher: Bencher, routes: u64) {
+    let delta = version_cache(routes, 2).parcel(Some(1)).expect("encoding succeeds").expect("a newer version exists");
+    bencher.with_inputs(|| version_cache(routes, 1)).bench_refs(|cache| black_box(cache.open(&delta)));
 }
--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -34,12 +34,12 @@
 const SIZES: &[(usize, u64)] =
     &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100), (12_000, 100), (12_000, 1_000)];
 /// Sizes at which the reference implementation finishes in a reasonable time.
-const PLAIN_SIZES: &[(usize, u64)] = &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100)];
+const REFERENCE_SIZES: &[(usize, u64)] = &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100)];
 /// Numbers of engines, of waiting prompts, and of engines with a rate limit.
 const LIMITED_SIZES: &[(usize, u64, usize)] =
     &[(150, 20, 0), (150, 20, 40), (150, 20, 150), (12_000, 100, 0), (12_000, 100, 100), (12_000, 100, 3_000)];
 /// Entry that owns the prompts already running.
-const OTHER: u64 = 1;
+const OTHER_ENTRY: u64 = 1;
 
 fn main() {
     divan::main();
@@ -56,16 +56,16 @@
 }
 
 /// Puts either planner implementation into the same loaded state.
-macro_rules! busy {
+macro_rules! loaded {
     ($planner:expr, $size:expr, $now:expr) => {{
         let (engines, waiting) = $size;
         let mut planner = $planner;
         planner.set_engines((0..engines).map(|index| (name(index), figures(10, 73))));
         for index in 0..engines {
-            for seat in 0..4 {
-                let id = Id { entry: OTHER, number: (index * 4 + seat) as u64 };
+            for sequence in 0..4 {
+                let id = Id { entry: OTHER_ENTRY, number: (index * 4 + sequence) as u64 };
                 let team = Team { writer: name(index), helpers: Vec::new() };
-                planner.adopt(id, &job(9_000, $now), team, seat == 0 && index % 2 == 0, $now);
+                planner.adopt(id, &job(9_000, $now), team, sequence == 0 && index % 2 == 0, $now);
             }
         }
         for number in 0..waiting {
@@ -77,20 +77,20 @@
     }};
 }
 
-fn event(number: u64) -> Id {
+fn event_id(number: u64) -> Id {
     Id { entry: 0, number: 1_000_000 + number }
 }
 
 #[divan::bench(args = SIZES)]
 fn planner(bencher: Bencher, size: (usize, u64)) {
     let now = Moment::from_millis(10_000);
-    let mut planner = busy!(Planner::new(Policy::default(), 0), size, now);
+    let mut planner = loaded!(Planner::new(Policy::default(), 0), size, now);
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
-        planner.submit(event(number), job(3_000, now));
+        planner.submit(event_id(number), job(3_000, now));
         black_box(planner.pump(now));
-        planner.end(event(number), now);
+        planner.end(event_id(number), now);
     });
 }
 
@@ -98,24 +98,24 @@
 #[divan::bench(args = LIMITED_SIZES)]
 fn limited(bencher: Bencher, (engines, waiting, limited): (usize, u64, usize)) {
     let mut now = Moment::from_millis(10_000);
-    let mut planner = busy!(Planner::new(Policy::default(), 0), (engines, waiting), now);
+    let mut planner = loaded!(Planner::new(Policy::default(), 0), (engines, waiting), now);
     (0..limited).for_each(|index| planner.set_limit(&name(index), Some(2.0), 1.0, now));
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
         now = now + Duration::from_micros(100);
-        planner.submit(event(number), job(3_000, now));
+        planner.submit(event_id(number), job(3_000, now));
         black_box(planner.pump(now));
         black_box(planner.refuse(now));
-        planner.end(event(number), now);
+        planner.end(event_id(number), now);
     });
 }
 
 /// Time to record the rate limit of one more engine.
 #[divan::bench(args = [150, 12_000])]
-fn limit_heard(bencher: Bencher, engines: usize) {
+fn set_limit(bencher: Bencher, engines: usize) {
     let now = Moment::from_millis(10_000);
-    let mut planner = busy!(Planner::new(Policy::default(), 0), (engines, 0), now);
+    let mut planner = loaded!(Planner::new(Policy::default(), 0), (engines, 0), now);
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
@@ -123,15 +123,15 @@
     });
 }
 
-#[divan::bench(args = PLAIN_SIZES, sample_count = 10)]
+#[divan::bench(args = REFERENCE_SIZES, sample_count = 10)]
 fn plain(bencher: Bencher, size: (usize, u64)) {
     let now = Moment::from_millis(10_000);
-    let mut planner = busy!(plain::Planner::new(Policy::default(), 0), size, now);
+    let mut planner = loaded!(plain::Planner::new(Policy::default(), 0), size, now);
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
-        planner.submit(event(number), job(3_000, now));
+        planner.submit(event_id(number), job(3_000, now));
         black_box(planner.pump(now));
-        planner.end(event(number), now);
+        planner.end(event_id(number), now);
     });
 }
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -20,16 +20,16 @@
 
 /// Looks up the status of a fingerprint beside `known` suspects and as many verdicts.
 #[divan::bench(args = [0, 100, 4_000])]
-fn standing(bencher: divan::Bencher<'_, '_>, known: u32) {
-    let register = register(known);
+fn status(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
+    let register = register(suspect_count);
     let work = Work::of([b"another".as_slice()]);
     bencher.bench(|| register.standing(divan::black_box(work)));
 }
 
 /// Records a replica termination under a fingerprint beside `known` suspects and as many verdicts.
 #[divan::bench(args = [100, 4_000])]
-fn ended(bencher: divan::Bencher<'_, '_>, known: u32) {
-    let register = register(known);
+fn record_termination(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
+    let register = register(suspect_count);
     let work = Work::of([b"another".as_slice()]);
     let news = News::Ended { work, run: Name::from("run"), weight: Weight::Strong };
     bencher.with_inputs(|| (register.clone(), news.clone())).bench_values(|(mut register, news)| {
@@ -38,9 +38,9 @@
     });
 }
 
-fn register(known: u32) -> Register {
+fn register(count: u32) -> Register {
     let mut register = Register::default();
-    for number in 0..known {
+    for number in 0..count {
         let work = |kind: &[u8]| Work::of([kind, &number.to_le_bytes()]);
         register.hear(News::Condemned(work(b"condemned")));
         let run = Name::from(format!("run-{}", number / 16));
--- a/coord/examples/answer.rs
+++ b/coord/examples/answer.rs
@@ -5,14 +5,14 @@
 use coord::name::Attempt;
 
 fn main() {
-    let (live, dead) = (Attempt(2), Attempt(1));
+    let (live, stale) = (Attempt(2), Attempt(1));
     let mut tally = Tally::new();
     let mut receiver = Receiver::new(live);
     for text in ["Your ", "stall ", "permit"] {
         let number = tally.add(text.as_bytes());
-        println!("{text:?} of a dead attempt: {:?}", receiver.accept(dead, number, text.as_bytes()));
+        println!("{text:?} of a stale attempt: {:?}", receiver.accept(stale, number, text.as_bytes()));
         println!("{text:?}: {:?}", receiver.accept(live, number, text.as_bytes()));
         println!("{text:?} again: {:?}", receiver.accept(live, number, text.as_bytes()));
     }
-    println!("whole: {}", receiver.is_whole(live, tally.seal()));
+    println!("complete: {}", receiver.is_whole(live, tally.seal()));
 }
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -22,13 +22,13 @@
     let log = [
         (0, claim("entry-1"), "entry-1 claims"),
         (100, place(0, "v1"), "entry-1 places v1"),
-        (5_000, claim("entry-2"), "entry-2 claims after the lease lapsed"),
+        (5_000, claim("entry-2"), "entry-2 claims after the lease expired"),
         (5_100, place(2, "v2"), "entry-2 places v2"),
-        (5_200, place(0, "v1"), "entry-1 wakes and places v1 again"),
+        (5_200, place(0, "v1"), "entry-1 resumes and places v1 again"),
     ];
-    for (offset, (millis, record, what)) in log.into_iter().enumerate() {
+    for (offset, (millis, record, description)) in log.into_iter().enumerate() {
         let counts = board.replay(offset as u64, Moment::from_millis(millis), record);
-        println!("{what}: {}", if counts { "counts" } else { "void" });
+        println!("{description}: {}", if counts { "valid" } else { "ignored" });
     }
     println!("order: {:?}", board.order_to("pluma-1"));
 }
--- a/coord/examples/scheduler.rs
+++ b/coord/examples/scheduler.rs
@@ -36,7 +36,7 @@
         };
         println!("offer {attempt} of {tokens} tokens: {:?}", scheduler.offer(job, now));
     }
-    println!("void 4: {:?}", scheduler.void(Attempt(4), None, now));
+    println!("cancel 4: {:?}", scheduler.void(Attempt(4), None, now));
     println!("starts: {:?}", scheduler.advance(now));
-    println!("waiting {}, held {} tokens", scheduler.waiting(), scheduler.memory_held());
+    println!("waiting {}, reserved {} tokens", scheduler.waiting(), scheduler.memory_held());
 }
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coord::evacuation::{News as Word, Picture, Register};
+use coord::evacuation::{News as EvacuationEvent, Picture, Register};
 use coord::name::Name;
 use coord::offset::{Text, era, number, plain};
 use coord::roster::{News, Record, Roster, Sighting, Standing};
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn what_is_written_in_a_later_era_is_newer_at_whatever_offset() {
+fn a_record_of_a_later_era_is_newer_at_any_offset() {
     assert!(number(1, 0) > number(0, 1 << 40));
     assert!(number(2, 3) > number(1, 9) && number(2, 3) < number(2, 4));
     assert_eq!((era(number(7, 5)), plain(number(7, 5))), (7, 5));
-    assert_eq!(number(0, 12), 12, "a log that never came back has plain offsets");
+    assert_eq!(number(0, 12), 12, "a log that was never recovered has plain offsets");
     assert_eq!((Text(12).to_string(), Text(number(3, 12)).to_string()), ("12".to_owned(), "3:12".to_owned()));
 }
 
 #[test]
-fn numbers_beyond_what_can_be_told_apart_are_no_overflow() {
+fn numbers_beyond_the_maximum_saturate() {
     assert_eq!(number(u64::MAX, u64::MAX), u64::MAX);
     assert_eq!(era(number(u64::MAX, 1)), 65_535);
 }
@@ -53,24 +53,24 @@
     roster.hear(3, News::Here(record()), NOW);
     roster.hear(8, News::Removed("r".into()), NOW);
     roster.replace(number(1, 5), vec![sighting(number(1, 3))], NOW);
-    assert!(!takes_work(&roster), "as the copy has it");
+    assert!(!takes_work(&roster), "the recovered log still contains the record");
     roster.replace(number(1, 6), vec![sighting(number(1, 3))], NOW);
-    assert!(!takes_work(&roster), "read once more");
-    assert!(roster.since(0, NOW).is_empty(), "others are not told that it is there");
+    assert!(!takes_work(&roster), "the same record is read again");
+    assert!(roster.since(0, NOW).is_empty(), "the replica is not reported to peers");
     roster.hear(number(1, 7), News::Here(record()), NOW);
-    assert!(takes_work(&roster), "it lives");
+    assert!(takes_work(&roster), "the replica has written its record again");
 }
 
 #[test]
-fn a_replica_whose_record_was_lost_is_used_until_it_should_have_written_again() {
+fn a_replica_whose_record_was_lost_is_used_for_the_grace_period() {
     let mut roster = Roster::default();
     roster.hear(3, News::Here(record()), NOW);
     roster.store_returned(NOW, GRACE);
     roster.replace(number(1, 2), Vec::new(), NOW);
     assert!(takes_work(&roster));
-    let mut others = roster;
-    others.hear(number(1, 4), News::Here(record()), NOW);
-    assert!(takes_work(&others) && others.expire(NOW + GRACE).is_empty(), "written again");
+    let mut rewritten = roster;
+    rewritten.hear(number(1, 4), News::Here(record()), NOW);
+    assert!(takes_work(&rewritten) && rewritten.expire(NOW + GRACE).is_empty(), "the record was written again");
     let mut roster = Roster::default();
     roster.hear(3, News::Here(record()), NOW);
     roster.store_returned(NOW, GRACE);
@@ -82,39 +82,39 @@
     names.iter().map(|name| Name::from(*name)).collect()
 }
 
-fn picture(next: u64, names: &[&str]) -> Picture {
+fn snapshot(next: u64, names: &[&str]) -> Picture {
     Picture { next, domains: domains(names) }
 }
 
 #[test]
-fn a_domain_whose_emptying_was_lost_stays_empty_for_a_while() {
+fn a_domain_whose_evacuation_was_lost_stays_evacuated_for_the_grace_period() {
     let mut register = Register::default();
-    register.hear(6, Word::Begun("a".into()));
-    register.hear(7, Word::Begun("b".into()));
-    assert!(!register.replace(picture(number(1, 2), &[]), NOW + GRACE));
+    register.hear(6, EvacuationEvent::Begun("a".into()));
+    register.hear(7, EvacuationEvent::Begun("b".into()));
+    assert!(!register.replace(snapshot(number(1, 2), &[]), NOW + GRACE));
     assert_eq!(register.picture().domains, domains(&["a", "b"]));
-    register.hear(number(1, 2), Word::Begun("a".into()));
-    assert!(!register.expire(NOW), "too early");
+    register.hear(number(1, 2), EvacuationEvent::Begun("a".into()));
+    assert!(!register.expire(NOW), "the grace period is not over");
     assert!(register.expire(NOW + GRACE));
-    assert_eq!(register.picture().domains, domains(&["a"]), "said again, and not");
+    assert_eq!(register.picture().domains, domains(&["a"]), "only the repeated evacuation stays in force");
     assert!(!register.expire(NOW + GRACE + GRACE));
 }
 
 #[test]
-fn a_domain_that_is_taken_back_after_the_return_is_used_at_once() {
+fn a_domain_whose_evacuation_ends_after_the_recovery_is_used_at_once() {
     let mut register = Register::default();
-    register.hear(6, Word::Begun("a".into()));
-    register.replace(picture(number(1, 2), &[]), NOW + GRACE);
-    assert!(register.hear(number(1, 2), Word::Ended("a".into())));
-    register.replace(picture(number(1, 3), &[]), NOW + GRACE);
+    register.hear(6, EvacuationEvent::Begun("a".into()));
+    register.replace(snapshot(number(1, 2), &[]), NOW + GRACE);
+    assert!(register.hear(number(1, 2), EvacuationEvent::Ended("a".into())));
+    register.replace(snapshot(number(1, 3), &[]), NOW + GRACE);
     assert!(register.picture().domains.is_empty());
 }
 
 #[test]
-fn word_of_an_earlier_era_changes_nothing() {
+fn an_event_of_an_earlier_era_changes_nothing() {
     let mut register = Register::default();
-    register.replace(picture(number(1, 2), &["a"]), NOW);
-    assert!(!register.replace(picture(9, &["b"]), NOW));
-    assert!(!register.hear(9, Word::Ended("a".into())));
+    register.replace(snapshot(number(1, 2), &["a"]), NOW);
+    assert!(!register.replace(snapshot(9, &["b"]), NOW));
+    assert!(!register.hear(9, EvacuationEvent::Ended("a".into())));
     assert_eq!(register.picture().domains, domains(&["a"]));
 }
--- a/coord/tests/inquiry.rs
+++ b/coord/tests/inquiry.rs
@@ -8,42 +8,42 @@
 
 /// Counts of a simulation over ten seconds.
 #[derive(Debug, Default)]
-struct Outcome {
-    asked: usize,
-    counted: usize,
+struct Counts {
+    sent: usize,
+    accepted: usize,
 }
 
 /// Sends a request every `period_ms`, if allowed, on a link that transfers one response at a time in `answer_ms`.
-fn play(period_ms: u64, answer_ms: u64) -> Outcome {
+fn simulate(period_ms: u64, answer_ms: u64) -> Counts {
     let start = Moment::from_micros(1_000_000_000);
     let mut inquiry = Inquiry::default();
-    let mut under_way: VecDeque<(Moment, u64)> = VecDeque::new();
-    let mut outcome = Outcome::default();
+    let mut in_transit: VecDeque<(Moment, u64)> = VecDeque::new();
+    let mut counts = Counts::default();
     for ms in 0..10_000 {
         let now = start + Duration::from_millis(ms);
-        while let Some((_, number)) = under_way.pop_front_if(|(at, _)| *at <= now) {
-            outcome.counted += usize::from(inquiry.answer(number).is_some());
+        while let Some((_, number)) = in_transit.pop_front_if(|(at, _)| *at <= now) {
+            counts.accepted += usize::from(inquiry.answer(number).is_some());
         }
         if ms % period_ms == 0 && inquiry.may_ask(now) {
-            let free_at = under_way.back().map_or(now, |(at, _)| *at);
-            under_way.push_back((free_at + Duration::from_millis(answer_ms), inquiry.ask(now)));
-            outcome.asked += 1;
+            let free_at = in_transit.back().map_or(now, |(at, _)| *at);
+            in_transit.push_back((free_at + Duration::from_millis(answer_ms), inquiry.ask(now)));
+            counts.sent += 1;
         }
     }
-    outcome
+    counts
 }
 
 #[test]
-fn an_answer_that_takes_longer_than_the_time_between_questions_counts() {
+fn a_response_slower_than_the_request_period_counts() {
     for answer_ms in [1, 74, 76, 250, 400, 900] {
-        let outcome = play(75, answer_ms);
-        assert!(outcome.counted >= 9, "{answer_ms} ms: {outcome:?}");
-        assert!(outcome.asked <= outcome.counted + 1, "{answer_ms} ms: {outcome:?}");
+        let counts = simulate(75, answer_ms);
+        assert!(counts.accepted >= 9, "{answer_ms} ms: {counts:?}");
+        assert!(counts.sent <= counts.accepted + 1, "{answer_ms} ms: {counts:?}");
     }
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_again_and_counts_no_more() {
+fn a_lost_response_is_requested_again_and_no_longer_counts() {
     let now = Moment::from_micros(1_000_000_000);
     let mut inquiry = Inquiry::default();
     assert!(inquiry.is_new() && inquiry.may_ask(now));
@@ -54,24 +54,24 @@
     let next = inquiry.ask(later);
     assert_eq!(inquiry.answer(lost), None);
     assert_eq!(inquiry.answer(next), Some(later));
-    assert_eq!(inquiry.answer(next), None, "it counts once");
+    assert_eq!(inquiry.answer(next), None, "a response counts once");
 }
 
 /// Returns the delay of a requester that has already sent its first request.
-fn pause(knows_all: bool) -> Duration {
+fn next_delay(is_complete: bool) -> Duration {
     let mut inquiry = Inquiry::default();
     inquiry.ask(Moment::ZERO);
-    inquiry.pause(Duration::from_millis(250), knows_all, 0.5)
+    inquiry.pause(Duration::from_millis(250), is_complete, 0.5)
 }
 
 #[test]
-fn who_lacks_a_part_of_what_it_asks_for_asks_again_soon() {
-    assert_eq!(pause(false), Duration::from_millis(75));
-    assert_eq!(pause(true), Duration::from_millis(250));
+fn a_requester_with_incomplete_data_repeats_its_request_early() {
+    assert_eq!(next_delay(false), Duration::from_millis(75));
+    assert_eq!(next_delay(true), Duration::from_millis(250));
 }
 
 #[test]
-fn those_that_begin_together_do_not_go_on_together() {
+fn requesters_that_start_together_spread_out() {
     let first = |random| Inquiry::default().pause(Duration::from_millis(250), true, random);
     assert!(first(0.1) < first(0.9) && first(0.9) < Duration::from_millis(250));
 }
--- a/coord/tests/parcel.rs
+++ b/coord/tests/parcel.rs
@@ -23,43 +23,46 @@
     (0..routes).map(route).collect::<Vec<_>>().join(",").into_bytes()
 }
 
-fn parcel(shelf: &mut Shelf, next: Option<u64>) -> Parcel {
-    shelf.parcel(next).expect("it is made").expect("there is something newer")
+fn delta(cache: &mut Shelf, next: Option<u64>) -> Parcel {
+    cache.parcel(next).expect("encoding succeeds").expect("a newer version exists")
 }
 
 #[test]
-fn a_change_of_one_route_is_a_small_parcel_at_any_size() {
+fn a_change_of_one_route_makes_a_small_delta_at_any_size() {
     for routes in [240, 1_500] {
         let (mut sender, mut receiver) = (Shelf::default(), Shelf::default());
         sender.keep(version(3, configuration(routes, &[])));
-        let whole = parcel(&mut sender, None);
-        let first = receiver.open(&whole).expect("it opens with nothing");
+        let full = delta(&mut sender, None);
+        let first = receiver.open(&full).expect("a full delta needs no base");
         receiver.keep(first);
         sender.keep(version(7, configuration(routes, &[routes / 2])));
-        let change = parcel(&mut sender, Some(4));
+        let change = delta(&mut sender, Some(4));
         assert_eq!(change.base, Some(3));
         assert!(change.packed.len() < 400, "{} bytes for one route of {routes}", change.packed.len());
-        assert!(whole.packed.len() < configuration(routes, &[]).len() / 3, "{} bytes", whole.packed.len());
-        assert_eq!(receiver.open(&change).expect("it opens"), version(7, configuration(routes, &[routes / 2])));
+        assert!(full.packed.len() < configuration(routes, &[]).len() / 3, "{} bytes", full.packed.len());
+        assert_eq!(
+            receiver.open(&change).expect("the base is present"),
+            version(7, configuration(routes, &[routes / 2]))
+        );
     }
 }
 
 #[test]
-fn who_has_the_newest_or_asks_one_that_has_nothing_gets_no_parcel() {
-    let mut shelf = Shelf::default();
-    assert_matches!(shelf.parcel(None), Ok(None));
-    shelf.keep(version(5, "five"));
-    assert_matches!(shelf.parcel(Some(6)), Ok(None));
-    shelf.keep(version(5, "other"));
-    assert_eq!(parcel(&mut shelf, Some(5)).base, None, "who knows all below 5 has none of these");
+fn a_receiver_with_the_newest_version_or_an_empty_cache_yields_no_delta() {
+    let mut cache = Shelf::default();
+    assert_matches!(cache.parcel(None), Ok(None));
+    cache.keep(version(5, "five"));
+    assert_matches!(cache.parcel(Some(6)), Ok(None));
+    cache.keep(version(5, "other"));
+    assert_eq!(delta(&mut cache, Some(5)).base, None, "the receiver has no version below offset 5");
 }
 
 #[test]
-fn a_parcel_opens_with_its_own_base_only() {
+fn a_delta_decodes_only_with_its_own_base() {
     let mut sender = Shelf::default();
     sender.keep(version(1, configuration(240, &[])));
     sender.keep(version(2, configuration(240, &[7])));
-    let change = parcel(&mut sender, Some(2));
+    let change = delta(&mut sender, Some(2));
     assert_matches!(Shelf::default().open(&change), Err(Error::Unknown { base: 1 }));
     let mut other = Shelf::default();
     other.keep(version(1, configuration(240, &[100, 101])));
@@ -67,26 +70,26 @@
 }
 
 #[test]
-fn who_is_far_behind_gets_the_whole() {
-    let mut shelf = Shelf::default();
+fn a_receiver_far_behind_gets_the_full_version() {
+    let mut cache = Shelf::default();
     for offset in 0..20 {
-        shelf.keep(version(offset, configuration(10, &[offset])));
+        cache.keep(version(offset, configuration(10, &[offset])));
     }
-    assert_eq!(parcel(&mut shelf, Some(1)).base, None);
-    assert_eq!(parcel(&mut shelf, Some(19)).base, Some(18));
+    assert_eq!(delta(&mut cache, Some(1)).base, None);
+    assert_eq!(delta(&mut cache, Some(19)).base, Some(18));
 }
 
 #[test]
-fn a_parcel_that_claims_too_much_does_not_open() {
-    let mut shelf = Shelf::default();
-    shelf.keep(version(1, vec![0; 2 << 20]));
-    assert_matches!(Shelf::default().open(&parcel(&mut shelf, None)), Err(Error::Codec(_)));
+fn a_delta_that_decompresses_beyond_the_limit_fails() {
+    let mut cache = Shelf::default();
+    cache.keep(version(1, vec![0; 2 << 20]));
+    assert_matches!(Shelf::default().open(&delta(&mut cache, None)), Err(Error::Codec(_)));
 }
 
 proptest! {
     /// A receiver of lost and damaged deltas either holds the version sent or gets an error.
     #[test]
-    fn receivers_hold_what_was_sent_or_fail(
+    fn receivers_hold_the_version_sent_or_fail(
         steps in vec((vec(any::<u8>(), 0..200), 0_u64..3, any::<Option<(usize, u8)>>()), 1..30),
     ) {
         let (mut sender, mut receiver) = (Shelf::default(), Shelf::default());
@@ -99,14 +102,14 @@
             if lost == 0 {
                 continue;
             }
-            let mut parcel = parcel(&mut sender, next);
-            if let Some((place, bits)) = damage {
-                let mut bytes = parcel.packed.to_vec();
-                let place = place % bytes.len();
-                bytes[place] ^= bits;
-                parcel.packed = bytes.into();
+            let mut delta = delta(&mut sender, next);
+            if let Some((index, mask)) = damage {
+                let mut bytes = delta.packed.to_vec();
+                let index = index % bytes.len();
+                bytes[index] ^= mask;
+                delta.packed = bytes.into();
             }
-            match receiver.open(&parcel) {
+            match receiver.open(&delta) {
                 Ok(opened) => {
                     prop_assert_eq!(&opened.value[..], &sent[&offset][..]);
                     receiver.keep(opened);
--- a/coord/tests/parts.rs
+++ b/coord/tests/parts.rs
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn a_late_swapped_or_foreign_frame_is_dropped_and_a_gap_is_seen() {
-    let (live, dead) = (Attempt(1), Attempt(2));
+fn a_late_swapped_or_foreign_frame_is_dropped_and_a_gap_is_detected() {
+    let (live, stale) = (Attempt(1), Attempt(2));
     let mut receiver = Receiver::new(live);
     assert_eq!(receiver.accept(live, 0, b"a"), Verdict::Pass);
-    assert_eq!(receiver.accept(dead, 1, b"x"), Verdict::Drop);
+    assert_eq!(receiver.accept(stale, 1, b"x"), Verdict::Drop);
     assert_eq!(receiver.accept(live, 0, b"a"), Verdict::Drop);
     assert_eq!(receiver.accept(live, 2, b"c"), Verdict::Gap);
     assert_eq!(receiver.accept(live, 1, b"b"), Verdict::Pass);
@@ -44,7 +44,7 @@
     tally.add(b"a");
     tally.add(b"b");
     assert!(receiver.is_whole(live, tally.seal()));
-    assert!(!receiver.is_whole(dead, tally.seal()));
+    assert!(!receiver.is_whole(stale, tally.seal()));
     tally.add(b"c");
     assert!(!receiver.is_whole(live, tally.seal()));
 }
@@ -52,8 +52,8 @@
 #[test]
 fn retries_are_a_bounded_share_of_first_tries() {
     let mut budget = Budget::new(0.1, 10.0);
-    let saved = (0..100).filter(|_| budget.spend()).count();
-    assert_eq!(saved, 10);
+    let allowed = (0..100).filter(|_| budget.spend()).count();
+    assert_eq!(allowed, 10);
     (0..1_000).for_each(|_| budget.earn());
     assert_eq!((0..100).filter(|_| budget.spend()).count(), 10);
 }
@@ -69,17 +69,17 @@
 }
 
 #[test]
-fn a_paused_holder_changes_nothing_when_it_wakes() {
+fn a_suspended_holder_changes_nothing_when_it_resumes() {
     let term = Duration::from_secs(10);
     let mut lease = Lease::default();
-    let (paused, next): (Name, Name) = ("paused".into(), "next".into());
-    assert!(lease.replay(&paused, Incarnation(1), 3, at(0), term));
-    assert!(!lease.replay(&next, Incarnation(2), 4, at(9_000), term), "the lease has not lapsed");
+    let (suspended, next): (Name, Name) = ("paused".into(), "next".into());
+    assert!(lease.replay(&suspended, Incarnation(1), 3, at(0), term));
+    assert!(!lease.replay(&next, Incarnation(2), 4, at(9_000), term), "the lease has not expired");
     assert!(lease.counts(Fence(3)));
     assert!(lease.replay(&next, Incarnation(2), 7, at(10_001), term));
-    assert!(!lease.counts(Fence(3)), "what the paused holder wrote is void");
+    assert!(!lease.counts(Fence(3)), "records of the suspended holder are ignored");
     assert!(lease.counts(Fence(7)));
-    assert!(!lease.replay(&paused, Incarnation(1), 9, at(11_000), term));
+    assert!(!lease.replay(&suspended, Incarnation(1), 9, at(11_000), term));
     let mut guard = Guard::default();
     assert!(guard.admit(Fence(7)) && guard.admit(Fence(7)));
     assert!(!guard.admit(Fence(3)));
@@ -97,26 +97,26 @@
 }
 
 #[test]
-fn a_ledger_gives_out_no_more_than_there_is() {
+fn a_ledger_reserves_no_more_than_its_capacity() {
     let mut ledger = Ledger::new(100);
     assert!(ledger.hold(1, 60, at(5)) && !ledger.hold(2, 41, at(5)) && ledger.hold(2, 40, at(9)));
-    assert!(!ledger.hold(1, 0, at(5)), "an owner holds once");
+    assert!(!ledger.hold(1, 0, at(5)), "an owner has at most one reservation");
     assert_eq!(ledger.lapsed(at(6)), [1]);
     assert_eq!((ledger.free_owner(1), ledger.free_owner(1), ledger.free()), (60, 0, 60));
 }
 
 #[test]
-fn a_bucket_lets_its_rate_through_and_says_when_to_come_back() {
+fn a_bucket_admits_its_rate_and_returns_the_waiting_time() {
     let mut bucket = Bucket::new(10.0, at(0));
     assert_eq!((0..50).filter(|_| bucket.take(1.0, at(0)).is_ok()).count(), 10);
-    let wait = bucket.take(1.0, at(0)).expect_err("it is empty");
+    let wait = bucket.take(1.0, at(0)).expect_err("the bucket is empty");
     assert_matches!(bucket.take(1.0, at(0) + wait + Duration::from_micros(1)), Ok(()));
     let passed = (1..=10_000).filter(|millis| bucket.take(1.0, at(1_000 + millis)).is_ok()).count();
     assert!((100..=110).contains(&passed), "{passed} in ten seconds at ten a second");
 }
 
 #[test]
-fn an_amount_larger_than_a_bucket_passes_and_is_paid_back() {
+fn an_amount_above_the_capacity_passes_and_leaves_the_bucket_in_debt() {
     let mut bucket = Bucket::new(1_000.0, at(0));
     assert_matches!(bucket.take(50_000.0, at(0)), Ok(()));
     assert!(bucket.take(1.0, at(40_000)).is_err());
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn what_leaves_by_anyones_word_is_no_candidate() {
+fn a_draining_endpoint_is_no_candidate_whoever_drains_it() {
     let mut members = Members::new("d".into(), 0, Sample { most: 256, hash: 1 });
     members.list([vm("a", "d"), vm("b", "d"), vm("c", "d"), vm("e", "d")]);
     members.heard(&"a".into(), Incarnation(1), true);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_failed_is_left_alone_for_a_growing_while_unless_nothing_else_is_left() {
+fn failed_endpoints_are_excluded_for_longer_each_time_unless_no_other_remains() {
     let mut members = Members::new("d".into(), 0, Sample { most: 256, hash: 1 });
     members.list([vm("a", "d"), vm("b", "d")]);
     members.failed(&"a".into(), at(1_000));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_process_uses_a_bounded_sample_and_keeps_to_it_as_endpoints_come_and_go() {
+fn a_process_uses_a_bounded_and_stable_sample_of_endpoints() {
     let listed = |count: usize| (0..count).map(|number| vm(&format!("e{number}"), "d")).collect::<Vec<_>>();
     let mut members = Members::new("d".into(), 0, Sample { most: 64, hash: 7 });
     members.list(listed(12_000));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn equal_prompts_meet_at_the_same_endpoints_and_few_move_when_one_leaves() {
+fn equal_prompts_select_the_same_endpoints_and_few_move_when_one_leaves() {
     let candidates = |count: usize| -> Vec<Candidate> {
         let one =
             |number| Candidate { endpoint: format!("e{number}").into(), outstanding: 0, active_tokens: 0, distance: 0 };
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_cache_knows_what_was_sent_and_forgets_the_oldest() {
+fn a_cache_holds_sent_prefixes_and_evicts_the_oldest() {
     let text = |seed: u8| vec![seed; BLOCK_BYTES * 3];
     let mut cache = Cache::new(30);
     let chain = Chain::of(&text(1));
@@ -240,7 +240,7 @@
     }
 
     #[test]
-    fn a_quantile_finds_its_place(target in 0.2..0.95f64, seed in 0..1_000u64) {
+    fn a_quantile_estimate_converges(target in 0.2..0.95f64, seed in 0..1_000u64) {
         use rand::RngExt;
         let mut random = SmallRng::seed_from_u64(seed);
         let mut quantile = Quantile::new(target, 10.0);
--- a/coord/tests/pause.rs
+++ b/coord/tests/pause.rs
@@ -4,27 +4,32 @@
 
 use coord::pause::Pause;
 
-const FOLLOWER: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_secs(2) };
-const PER_S: f64 = 16.0;
+const FOLLOWER_DELAY: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_secs(2) };
+const MAX_CALLS_PER_S: f64 = 16.0;
 
 /// Returns the number of calls that `processes` processes make during an outage.
-fn calls(pause: Pause, processes: usize, outage: Duration) -> usize {
-    let mut at = Duration::ZERO;
-    let mut each = 0;
-    while at < outage {
-        each += 1;
-        at += pause.after(each);
+fn calls(delay: Pause, processes: usize, outage: Duration) -> usize {
+    let mut elapsed = Duration::ZERO;
+    let mut calls_per_process = 0;
+    while elapsed < outage {
+        calls_per_process += 1;
+        elapsed += delay.after(calls_per_process);
     }
-    each as usize * processes
+    calls_per_process as usize * processes
 }
 
 #[test]
-fn a_hundred_processes_make_few_calls_in_an_outage_and_a_handful_call_as_often_as_before() {
+fn many_processes_share_a_call_rate_in_an_outage_and_a_few_keep_their_own() {
     let outage = Duration::from_secs(8);
-    let (before, after) = (calls(FOLLOWER, 103, outage), calls(FOLLOWER.shared(103, PER_S), 103, outage));
-    assert!(after * 2 <= before, "{after} calls in place of {before}");
-    assert_eq!(FOLLOWER.shared(5, PER_S), FOLLOWER);
-    let (hour, many) = (Duration::from_secs(3_600), 770);
-    let per_s = calls(FOLLOWER.shared(many, PER_S), many, hour) as f64 / hour.as_secs_f64();
-    assert!(per_s <= PER_S * 1.2, "{per_s} calls a second of {many} in an outage of an hour");
+    let (before, after) =
+        (calls(FOLLOWER_DELAY, 103, outage), calls(FOLLOWER_DELAY.shared(103, MAX_CALLS_PER_S), 103, outage));
+    assert!(after * 2 <= before, "{after} calls instead of {before}");
+    assert_eq!(FOLLOWER_DELAY.shared(5, MAX_CALLS_PER_S), FOLLOWER_DELAY);
+    let (long_outage, process_count) = (Duration::from_secs(3_600), 770);
+    let per_s = calls(FOLLOWER_DELAY.shared(process_count, MAX_CALLS_PER_S), process_count, long_outage) as f64
+        / long_outage.as_secs_f64();
+    assert!(
+        per_s <= MAX_CALLS_PER_S * 1.2,
+        "{per_s} calls per second from {process_count} processes in an outage of an hour"
+    );
 }
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -36,7 +36,7 @@
     /// Three processes claim the lease and place orders at random times, each with the fence of its last successful
     /// claim.
     #[test]
-    fn only_the_last_holders_placements_count(
+    fn only_placements_of_the_current_holder_take_effect(
         steps in prop::collection::vec((0..3usize, any::<bool>(), 0..5_000u64), 1..100),
     ) {
         let mut board = Board::new();
@@ -54,7 +54,7 @@
                 let won = board.replay(offset, at, record);
                 if won {
                     let fence = board.lease("d").and_then(|lease| lease.holder()).map(|holder| holder.fence);
-                    prop_assert!(fence >= newest, "a fence never goes back");
+                    prop_assert!(fence >= newest, "a fence never decreases");
                     newest = fence;
                     fences[process] = fence;
                 }
@@ -62,9 +62,9 @@
             }
             let Some(fence) = fences[process] else { continue };
             let loads = BTreeMap::from([(Name::from("e"), load(&format!("v{offset}")))]);
-            let counted = board.replay(offset, at, Record::Place { domain: "d".into(), fence, loads });
-            prop_assert_eq!(counted, Some(fence) == newest);
-            if counted {
+            let took_effect = board.replay(offset, at, Record::Place { domain: "d".into(), fence, loads });
+            prop_assert_eq!(took_effect, Some(fence) == newest);
+            if took_effect {
                 let order = board.order_to("e").expect("an order");
                 prop_assert_eq!((order.offset, order.fence), (offset, fence));
             }
@@ -73,7 +73,7 @@
 
     /// Endpoints apply their orders in random order; the others keep their load.
     #[test]
-    fn a_roll_out_takes_no_more_than_its_share_at_a_time_and_ends(
+    fn a_rolling_update_changes_at_most_its_share_at_a_time_and_completes(
         count in 1..40usize,
         share in 0.05..0.6f64,
         arrivals in prop::collection::vec(any::<prop::sample::Index>(), 0..400),
@@ -83,10 +83,10 @@
             .map(|number| Endpoint { name: format!("e{number}").into(), service: "s".into(), holds: Some(load("v1")) })
             .collect();
         let mut orders: BTreeMap<Name, Order> = BTreeMap::new();
-        let most = ((count as f64 * share) as usize).max(1);
-        let finish = (0..count).map(|number| number % count);
-        let picks: Vec<usize> = arrivals.iter().map(|index| index.index(count)).chain(finish.cycle().take(count * count)).collect();
-        for pick in picks {
+        let max_changing = ((count as f64 * share) as usize).max(1);
+        let final_round = (0..count).map(|number| number % count);
+        let arrival_order: Vec<usize> = arrivals.iter().map(|index| index.index(count)).chain(final_round.cycle().take(count * count)).collect();
+        for arrived in arrival_order {
             for (name, load) in roll_out(&config, &endpoints, &orders, share) {
                 orders.insert(name, Order { fence: Fence(1), offset: 1, load });
             }
@@ -94,9 +94,9 @@
                 .iter()
                 .filter(|endpoint| orders.contains_key(&endpoint.name) && endpoint.holds != Some(load("v2")))
                 .count();
-            prop_assert!(changing <= most, "{} of {} change at once", changing, count);
-            if orders.contains_key(&endpoints[pick].name) {
-                endpoints[pick].holds = Some(load("v2"));
+            prop_assert!(changing <= max_changing, "{} of {} change at once", changing, count);
+            if orders.contains_key(&endpoints[arrived].name) {
+                endpoints[arrived].holds = Some(load("v2"));
             }
         }
         prop_assert!(endpoints.iter().all(|endpoint| endpoint.holds == Some(load("v2"))));
--- a/coord/tests/replay_random.rs
+++ b/coord/tests/replay_random.rs
@@ -43,18 +43,18 @@
     })]
 
     #[test]
-    fn readers_agree_from_any_snapshot_and_any_repeat(records in log(), cut in 0..80usize, back in 0..10usize) {
-        let whole = replayed(&records);
+    fn readers_agree_from_any_snapshot_and_any_repeat(records in log(), cut in 0..80usize, reread_count in 0..10usize) {
+        let reference = replayed(&records);
         let cut = cut.min(records.len());
-        let mut other = Replay::new();
-        other.restore(&replayed(&records[..cut]).snapshot());
+        let mut restored = Replay::new();
+        restored.restore(&replayed(&records[..cut]).snapshot());
         // Some records are read again, as after a lost response.
-        for (offset, record) in records.iter().enumerate().skip(cut.saturating_sub(back)) {
-            other.apply(offset as u64, record);
+        for (offset, record) in records.iter().enumerate().skip(cut.saturating_sub(reread_count)) {
+            restored.apply(offset as u64, record);
         }
-        prop_assert_eq!(whole.config(), other.config());
-        prop_assert_eq!(verdicts(&whole), verdicts(&other));
-        prop_assert_eq!(whole.snapshot(), other.snapshot());
+        prop_assert_eq!(reference.config(), restored.config());
+        prop_assert_eq!(verdicts(&reference), verdicts(&restored));
+        prop_assert_eq!(reference.snapshot(), restored.snapshot());
     }
 
     #[test]
@@ -89,7 +89,7 @@
         prop_assert!(accepted);
         match replay.verdict("one") {
             Some(Verdict::Conflict { winner, .. }) => prop_assert_eq!(&*winner.plan, "two"),
-            other => prop_assert!(false, "{:?}", other),
+            restored => prop_assert!(false, "{:?}", restored),
         }
     }
 }
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn leaver(born: Option<u64>) -> Leaver {
+fn draining_run(born: Option<u64>) -> Leaver {
     Leaver { id: "r".into(), born }
 }
 
@@ -28,82 +28,85 @@
     roster.usable_one("r").is_some()
 }
 
-fn hear(roster: &mut Roster, offset: u64, born: Option<u64>, leaving: bool) {
+fn apply_record(roster: &mut Roster, offset: u64, born: Option<u64>, leaving: bool) {
     roster.hear(offset, News::Here(record(born, leaving)), NOW);
 }
 
 #[test]
-fn a_replica_that_said_it_leaves_takes_no_work_whatever_its_record_says_then() {
+fn a_replica_that_reported_draining_takes_no_work_whatever_its_record_states() {
     let mut roster = Roster::default();
-    hear(&mut roster, 1, None, false);
-    let change = roster.leaves(leaver(None)).expect("a change");
+    apply_record(&mut roster, 1, None, false);
+    let change = roster.leaves(draining_run(None)).expect("a change");
     assert_eq!(change.standing, Standing::Gone);
-    assert_eq!(roster.leaves(leaver(None)), None, "said twice");
-    hear(&mut roster, 2, None, false);
-    assert!(!takes_work(&roster), "a heartbeat");
+    assert_eq!(roster.leaves(draining_run(None)), None, "the same statement again changes nothing");
+    apply_record(&mut roster, 2, None, false);
+    assert!(!takes_work(&roster), "after a heartbeat");
     roster.hear(3, News::Removed("r".into()), NOW);
-    hear(&mut roster, 4, None, false);
-    assert!(!takes_work(&roster), "a record that lapsed and came back");
+    apply_record(&mut roster, 4, None, false);
+    assert!(!takes_work(&roster), "after its record expired and reappeared");
     roster.replace(9, vec![Sighting { offset: 8, news: News::Here(record(None, false)) }], NOW);
-    assert!(!takes_work(&roster), "a whole picture");
+    assert!(!takes_work(&roster), "after a full snapshot");
 }
 
 #[test]
-fn one_that_is_not_known_yet_is_remembered() {
+fn a_draining_run_of_an_unknown_replica_is_remembered() {
     let mut roster = Roster::default();
-    assert_eq!(roster.leaves(leaver(Some(5))), None);
-    hear(&mut roster, 1, Some(5), false);
+    assert_eq!(roster.leaves(draining_run(Some(5))), None);
+    apply_record(&mut roster, 1, Some(5), false);
     assert!(!takes_work(&roster));
 }
 
 #[test]
-fn a_later_run_takes_work_and_late_word_of_an_earlier_one_changes_nothing() {
+fn a_later_run_takes_work_and_late_messages_of_an_earlier_one_change_nothing() {
     let mut roster = Roster::default();
-    hear(&mut roster, 1, Some(5), false);
-    roster.leaves(leaver(Some(5)));
-    hear(&mut roster, 2, Some(6), false);
-    assert!(takes_work(&roster), "it started again");
-    assert!(roster.knows_leaver(&leaver(Some(5))));
-    assert_eq!(roster.leaves(leaver(Some(5))), None);
+    apply_record(&mut roster, 1, Some(5), false);
+    roster.leaves(draining_run(Some(5)));
+    apply_record(&mut roster, 2, Some(6), false);
+    assert!(takes_work(&roster), "the replica has restarted");
+    assert!(roster.knows_leaver(&draining_run(Some(5))));
+    assert_eq!(roster.leaves(draining_run(Some(5))), None);
     assert!(takes_work(&roster));
-    roster.leaves(leaver(Some(6)));
+    roster.leaves(draining_run(Some(6)));
     assert!(!takes_work(&roster));
 }
 
 #[test]
-fn word_of_a_run_that_is_not_recorded_yet_holds_once_it_is() {
+fn a_report_of_an_unrecorded_run_applies_once_it_is_recorded() {
     let mut roster = Roster::default();
-    hear(&mut roster, 1, Some(5), false);
-    roster.leaves(leaver(Some(6)));
+    apply_record(&mut roster, 1, Some(5), false);
+    roster.leaves(draining_run(Some(6)));
     assert!(!takes_work(&roster), "the recorded run is over");
-    hear(&mut roster, 2, Some(6), false);
+    apply_record(&mut roster, 2, Some(6), false);
     assert!(!takes_work(&roster));
 }
 
 #[test]
-fn others_are_told_until_they_read_it_in_the_store() {
+fn peers_are_notified_until_the_record_states_the_drain() {
     let mut roster = Roster::default();
-    hear(&mut roster, 1, None, false);
-    roster.leaves(leaver(None));
-    assert_eq!(roster.leavers().collect::<Vec<_>>(), [leaver(None)]);
-    let told = roster.since(0, NOW);
+    apply_record(&mut roster, 1, None, false);
+    roster.leaves(draining_run(None));
+    assert_eq!(roster.leavers().collect::<Vec<_>>(), [draining_run(None)]);
+    let updates = roster.since(0, NOW);
     assert!(
-        matches!(&told[..], [Sighting { news: News::Here(record), .. }] if record.leaving),
-        "a whole picture says it"
+        matches!(&updates[..], [Sighting { news: News::Here(record), .. }] if record.leaving),
+        "a full snapshot shows the drain"
     );
-    hear(&mut roster, 7, None, true);
+    apply_record(&mut roster, 7, None, true);
     assert_eq!(roster.leavers().count(), 0);
-    let told = roster.since(7, NOW);
-    assert!(matches!(&told[..], [Sighting { offset: 7, news: News::Here(record) }] if record.leaving), "{told:?}");
+    let updates = roster.since(7, NOW);
+    assert!(
+        matches!(&updates[..], [Sighting { offset: 7, news: News::Here(record) }] if record.leaving),
+        "{updates:?}"
+    );
 }
 
 #[test]
-fn one_that_is_no_longer_recorded_is_told_to_nobody() {
+fn a_removed_replica_is_not_reported_to_peers() {
     let mut roster = Roster::default();
-    hear(&mut roster, 1, None, false);
-    roster.leaves(leaver(None));
+    apply_record(&mut roster, 1, None, false);
+    roster.leaves(draining_run(None));
     roster.hear(2, News::Removed("r".into()), NOW);
     assert_eq!(roster.leavers().count(), 0);
-    hear(&mut roster, 3, None, false);
-    assert_eq!(roster.leavers().count(), 1, "it lapsed and came back");
+    apply_record(&mut roster, 3, None, false);
+    assert_eq!(roster.leavers().count(), 1, "the record expired and reappeared");
 }
--- a/coord/tests/search.rs
+++ b/coord/tests/search.rs
@@ -8,69 +8,69 @@
 use proptest::prelude::*;
 
 /// Time between two rounds of one process.
-const PAUSE: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Simulates `count` processes that search for the first one in `alive` until time `until`. Returns the number of
 /// failed attempts and the time at which the last process found the leader. A process ranks behind all processes with
 /// a lower index.
-fn play(count: usize, alive: &BTreeSet<usize>, until: Moment) -> (usize, Option<Moment>) {
+fn simulate(count: usize, alive: &BTreeSet<usize>, until: Moment) -> (usize, Option<Moment>) {
     let mut searches: Vec<Search<usize>> = (0..count).map(|_| Search::default()).collect();
-    let mut failed = 0;
-    let mut looking: BTreeSet<usize> = alive.iter().copied().skip(1).collect();
+    let mut failed_attempts = 0;
+    let mut searching: BTreeSet<usize> = alive.iter().copied().skip(1).collect();
     let leader = alive.first().copied();
     let mut now = Moment::from_millis(1_000);
     let mut last = None;
-    while now < until && !looking.is_empty() {
-        for process in looking.clone() {
+    while now < until && !searching.is_empty() {
+        for process in searching.clone() {
             for candidate in searches[process].round(0..process, now) {
                 if Some(candidate) == leader {
-                    looking.remove(&process);
+                    searching.remove(&process);
                     last = Some(now);
                     break;
                 }
                 // A process without a leader is not a leader itself, and a dead process does not respond.
-                failed += 1;
+                failed_attempts += 1;
                 let jitter = 0.75 + (process % 11) as f64 / 20.0;
                 searches[process].failed(candidate, jitter, now);
             }
         }
-        now = now + PAUSE;
+        now = now + ROUND_INTERVAL;
     }
-    (failed, last.filter(|_| looking.is_empty()))
+    (failed_attempts, last.filter(|_| searching.is_empty()))
 }
 
 #[test]
-fn while_nobody_leads_a_hundred_processes_make_few_tries() {
+fn without_a_leader_a_hundred_processes_make_few_attempts() {
     // None of the highest-ranked processes can lead because all wait for the store, for 8 s.
     let count = 103;
     let mut searches: Vec<Search<usize>> = (0..count).map(|_| Search::default()).collect();
-    let mut tries = 0;
+    let mut attempts = 0;
     let mut now = Moment::from_millis(1_000);
     while now < Moment::from_millis(9_000) {
         for (process, search) in searches.iter_mut().enumerate() {
             for candidate in search.round(0..process.min(ROUND), now) {
-                tries += 1;
+                attempts += 1;
                 search.failed(candidate, 1.0, now);
             }
         }
-        now = now + PAUSE;
+        now = now + ROUND_INTERVAL;
     }
-    assert!(tries <= count * ROUND * 5, "{tries} tries in 8 s");
+    assert!(attempts <= count * ROUND * 5, "{attempts} attempts in 8 s");
 }
 
 proptest! {
     #[test]
-    fn everyone_finds_the_first_that_lives(dead in prop::collection::btree_set(0..103usize, 0..60)) {
+    fn all_processes_find_the_first_one_alive(dead in prop::collection::btree_set(0..103usize, 0..60)) {
         let alive: BTreeSet<usize> = (0..103).filter(|process| !dead.contains(process)).collect();
         let first = *alive.first().unwrap_or(&0);
-        let (failed, last) = play(103, &alive, Moment::from_millis(60_000));
-        prop_assert!(last.is_some(), "someone never found it");
+        let (failed_attempts, last) = simulate(103, &alive, Moment::from_millis(60_000));
+        prop_assert!(last.is_some(), "a process never found the leader");
         // A round eliminates up to `ROUND` dead candidates.
         let rounds = first / ROUND + 1;
         let rounds = 2 * rounds + 1;
-        let within = Duration::from_millis(1_000) + PAUSE * rounds as u32;
-        prop_assert!(last.unwrap_or_default() <= Moment::ZERO + within, "{last:?}, first {first}");
-        prop_assert!(failed <= 103 * ROUND * rounds, "{failed} tries");
+        let deadline = Duration::from_millis(1_000) + ROUND_INTERVAL * rounds as u32;
+        prop_assert!(last.unwrap_or_default() <= Moment::ZERO + deadline, "{last:?}, first {first}");
+        prop_assert!(failed_attempts <= 103 * ROUND * rounds, "{failed_attempts} failed attempts");
     }
 
     #[test]
@@ -79,7 +79,7 @@
         let mut now = Moment::from_millis(1_000);
         for (candidate, wait) in failures {
             search.failed(candidate, 1.0, now);
-            prop_assert!(!search.round([candidate], now).contains(&candidate), "at once again");
+            prop_assert!(!search.round([candidate], now).contains(&candidate), "a failed candidate is skipped at first");
             now = now + Duration::from_millis(wait);
             let round = search.round(0..20u8, now);
             prop_assert!(round.len() <= ROUND && round.is_sorted());
--- a/coord/tests/windowed_budget.rs
+++ b/coord/tests/windowed_budget.rs
@@ -15,23 +15,23 @@
     fn no_retry_exceeds_the_share_of_the_window_that_ends_with_it(steps in prop::collection::vec((any::<bool>(), 0..1_500u64), 1..200)) {
         let mut budget = Windowed::new(0.2, 3.0, WINDOW);
         let mut now = Moment::from_millis(20_000);
-        let (mut firsts, mut retries) = (Vec::new(), Vec::new());
-        for (first, pause) in steps {
+        let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
+        for (is_first_attempt, pause) in steps {
             now = now + Duration::from_millis(pause);
-            if first {
+            if is_first_attempt {
                 budget.earn(now);
-                firsts.push(now);
+                first_attempts.push(now);
             } else if budget.spend(now) {
                 retries.push(now);
                 let recent = |times: &[Moment]| times.iter().filter(|at| now.since(**at) <= WINDOW).count();
-                prop_assert!(recent(&retries) as f64 <= 3.0 + 0.2 * recent(&firsts) as f64);
+                prop_assert!(recent(&retries) as f64 <= 3.0 + 0.2 * recent(&first_attempts) as f64);
             }
         }
     }
 }
 
 #[test]
-fn several_processes_that_keep_their_parts_keep_the_whole() {
+fn processes_that_keep_their_parts_keep_the_common_bound() {
     let mut parts: Vec<Windowed> = (0..4).map(|_| Windowed::new(0.2, 2.0, WINDOW)).collect();
     let now = Moment::from_millis(20_000);
     let mut retries = 0;
@@ -45,18 +45,18 @@
 }
 
 #[test]
-fn more_processes_than_were_thought_of_keep_the_whole_once_they_know_their_number() {
+fn processes_keep_the_common_bound_once_their_number_is_updated() {
     let (allowance, processes) = (276.0, 103);
     let now = Moment::from_millis(20_000);
-    let spend = |thought_of: usize| -> usize {
+    let spend = |assumed_processes: usize| -> usize {
         let mut parts: Vec<Windowed> =
-            (0..processes).map(|_| Windowed::new(0.2, part(allowance, thought_of), WINDOW)).collect();
+            (0..processes).map(|_| Windowed::new(0.2, part(allowance, assumed_processes), WINDOW)).collect();
         parts.iter_mut().map(|budget| (0..20).filter(|_| budget.spend(now)).count()).sum()
     };
-    assert!(spend(32) as f64 > allowance, "32 were thought of");
+    assert!(spend(32) as f64 > allowance, "32 processes were assumed");
     assert!(spend(processes) as f64 <= allowance);
     let mut budget = Windowed::new(0.2, part(allowance, 32), WINDOW);
     assert!((0..8).all(|_| budget.spend(now)));
     budget.set_allowance(part(allowance, processes));
-    assert!(!budget.spend(now), "what was spent still counts");
+    assert!(!budget.spend(now), "earlier retries still count");
 }
