--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -96,10 +96,10 @@
 
 /// Same as `planner`, with rate-limited engines and advancing time.
 #[divan::bench(args = LIMITED_SIZES)]
-fn limited(bencher: Bencher, (engines, waiting, limited): (usize, u64, usize)) {
+fn limited_planner(bencher: Bencher, (engines, waiting, limited_engines): (usize, u64, usize)) {
     let mut now = Moment::from_millis(10_000);
     let mut planner = loaded!(Planner::new(Policy::default(), 0), (engines, waiting), now);
-    (0..limited).for_each(|index| planner.set_limit(&name(index), Some(2.0), 1.0, now));
+    (0..limited_engines).for_each(|index| planner.set_limit(&name(index), Some(2.0), 1.0, now));
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
@@ -124,7 +124,7 @@
 }
 
 #[divan::bench(args = REFERENCE_SIZES, sample_count = 10)]
-fn plain(bencher: Bencher, size: (usize, u64)) {
+fn reference_planner(bencher: Bencher, size: (usize, u64)) {
     let now = Moment::from_millis(10_000);
     let mut planner = loaded!(plain::Planner::new(Policy::default(), 0), size, now);
     let mut number = 0;
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -18,7 +18,7 @@
     bencher.bench(|| Work::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"]));
 }
 
-/// Looks up the status of a fingerprint beside `known` suspects and as many verdicts.
+/// Looks up the status of a fingerprint beside `suspect_count` suspects and as many verdicts.
 #[divan::bench(args = [0, 100, 4_000])]
 fn status(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
     let register = register(suspect_count);
@@ -26,7 +26,7 @@
     bencher.bench(|| register.standing(divan::black_box(work)));
 }
 
-/// Records a replica termination under a fingerprint beside `known` suspects and as many verdicts.
+/// Records a replica termination under a fingerprint beside `suspect_count` suspects and as many verdicts.
 #[divan::bench(args = [100, 4_000])]
 fn record_termination(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
     let register = register(suspect_count);
--- a/coord/src/breaker.rs
+++ b/coord/src/breaker.rs
@@ -39,7 +39,7 @@
 impl Breaker {
     /// Records a failure; `share`, from 0 to 1, is the part of the failure that is attributed to the replica.
     pub fn failed(&mut self, share: f64, now: Moment) {
-        self.weight = self.weight(now) + share;
+        self.weight = self.decayed_weight(now) + share;
         self.weighed_at = now;
         self.trial_started = None;
         if self.weight < MIN_OPEN_WEIGHT {
@@ -90,7 +90,7 @@
     }
 
     /// Returns the decayed weight of past failures at `now`.
-    fn weight(&self, now: Moment) -> f64 {
+    fn decayed_weight(&self, now: Moment) -> f64 {
         let half_lives = now.since(self.weighed_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         self.weight * (-half_lives).exp2()
     }
--- a/coord/src/end.rs
+++ b/coord/src/end.rs
@@ -74,7 +74,7 @@
 struct RunName<'a> {
     replica: &'a str,
     /// Start time of the run, if its record stated it and this is the first termination that `author` observed of it.
-    born: Option<u64>,
+    start_ms: Option<u64>,
     /// Process that observed the termination; `None` if the name has another format.
     author: Option<&'a str>,
 }
@@ -86,11 +86,11 @@
             Some((run, suffix)) => (run, suffix.rsplit_once('-').map(|(author, _)| author)),
             None => (name, None),
         };
-        let (replica, born) = match run.rsplit_once('@') {
-            Some((replica, born)) => (replica, born.parse().ok()),
+        let (replica, start_ms) = match run.rsplit_once('@') {
+            Some((replica, start_ms)) => (replica, start_ms.parse().ok()),
             None => (run, None),
         };
-        Self { replica, born, author }
+        Self { replica, start_ms, author }
     }
 }
 
@@ -103,14 +103,14 @@
 }
 
 impl Termination {
-    fn born(&self) -> Option<u64> {
-        self.names.iter().find_map(|name| RunName::parse(name).born)
+    fn start_ms(&self) -> Option<u64> {
+        self.names.iter().find_map(|name| RunName::parse(name).start_ms)
     }
 
     /// Returns whether a reported termination may be this one. One process never gives two names to one termination.
     fn may_match(&self, run: &RunName, span: &Span) -> bool {
         let has_same_author = |name: &Name| run.author.is_some() && RunName::parse(name).author == run.author;
-        let has_other_start = self.born().zip(run.born).is_some_and(|(own, other)| own != other);
+        let has_other_start = self.start_ms().zip(run.start_ms).is_some_and(|(own, other)| own != other);
         self.span.overlaps(span) && !has_other_start && !self.names.iter().any(has_same_author)
     }
 }
@@ -131,9 +131,9 @@
         Self { author: author.to_string().into(), next_number: 0, replicas: BTreeMap::new() }
     }
 
-    /// Records a termination observed by this process. `born` is the start time in the replica's record. Returns the
+    /// Records a termination observed by this process. `start_ms` is the start time in the replica's record. Returns the
     /// name of the terminated run and whether the termination is new.
-    pub fn saw(&mut self, replica: &Name, born: Option<u64>, span: Span) -> (Name, bool) {
+    pub fn saw(&mut self, replica: &Name, start_ms: Option<u64>, span: Span) -> (Name, bool) {
         let terminations = self.replicas.entry(replica.clone()).or_default();
         let overlapping = terminations.iter_mut().filter(|termination| termination.span.overlaps(&span));
         // The request was running on the first run that terminated after it was sent.
@@ -143,8 +143,9 @@
         }
         // A record shows a restart late: if a termination with this start time is already recorded, the start time
         // belongs to an earlier run.
-        let born = born.filter(|born| !terminations.iter().any(|termination| termination.born() == Some(*born)));
-        let start_suffix = born.map_or_else(String::new, |born| format!("@{born}"));
+        let start_ms = start_ms
+            .filter(|start_ms| !terminations.iter().any(|termination| termination.start_ms() == Some(*start_ms)));
+        let start_suffix = start_ms.map_or_else(String::new, |start_ms| format!("@{start_ms}"));
         let run: Name = format!("{replica}{start_suffix}~{}-{}", self.author, self.next_number).into();
         self.next_number += 1;
         push_bounded(terminations, Termination { names: vec![run.clone()], span });
@@ -179,9 +180,9 @@
         self.replicas.len()
     }
 
-    /// Drops the terminations of replicas for which `known` returns `false`.
-    pub fn keep(&mut self, known: impl Fn(&str) -> bool) {
-        self.replicas.retain(|replica, _| known(replica));
+    /// Drops the terminations of replicas for which `is_known` returns `false`.
+    pub fn keep(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.replicas.retain(|replica, _| is_known(replica));
     }
 }
 
--- a/coord/src/inquiry.rs
+++ b/coord/src/inquiry.rs
@@ -8,8 +8,8 @@
 
 use crate::time::Moment;
 
-/// Time after which a response counts as lost with its sender. A snapshot of 24,000 replicas takes a third of this
-/// time on the slowest link observed.
+/// Time after which an outstanding response is considered lost because the peer failed. A snapshot of 24,000 replicas
+/// takes a third of this time on the slowest link observed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Fraction of the request period after which a requester with incomplete data repeats its request.
@@ -45,9 +45,9 @@
     /// Returns the delay before the next request of a process that sends one every `period`; `random` is uniform in
     /// 0..1.
     ///
-    /// A requester that lacks any part of the data repeats its request early because its peer may be about to learn
-    /// it. The first delay is randomised so that requesters that start together spread out: without it, the responses
-    /// to 100 requesters, with a configuration of 20 KB, delayed grants on a link of 200 Mbit/s by 110 ms.
+    /// A requester that lacks any part of the data repeats its request early because its peer may receive that part
+    /// soon. The first delay is randomised so that requesters that start together spread out: without it, the
+    /// responses to 100 requesters, with a configuration of 20 KB, delayed grants on a link of 200 Mbit/s by 110 ms.
     pub fn pause(&self, period: Duration, is_complete: bool, random: f64) -> Duration {
         match is_complete {
             false => period.mul_f64(INCOMPLETE_PERIOD_FRACTION),
--- a/coord/src/limit/allowance.rs
+++ b/coord/src/limit/allowance.rs
@@ -7,7 +7,7 @@
 
 /// Time in seconds for which unused capacity accumulates, at least enough for one request. A longer time would follow
 /// an idle period with a burst that the replica did not allow.
-const MAX_SAVED_S: f64 = 0.25;
+const CREDIT_WINDOW_S: f64 = 0.25;
 /// Minimum rate in requests per second for a replica that accepts almost none: a replica that receives nothing could
 /// never announce that its limit is lifted. One request in ten seconds is less than a hundredth of the load of the
 /// smallest replicas observed.
@@ -55,7 +55,7 @@
 
     /// Returns the number of requests that may be sent at `now`; negative if requests are already promised for later.
     pub fn credit(&self, now: Moment) -> f64 {
-        let max_credit = (self.rate * MAX_SAVED_S).max(REQUEST_COST);
+        let max_credit = (self.rate * CREDIT_WINDOW_S).max(REQUEST_COST);
         (self.credit + self.rate * now.since(self.updated_at).as_secs_f64()).min(max_credit)
     }
 
--- a/coord/src/limit/group.rs
+++ b/coord/src/limit/group.rs
@@ -1,4 +1,4 @@
-//! Share of a common limit for the entries of one leader.
+//! Share of a rate limit that the entries of one leader may use.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Group {
     /// Maximum group size since `period_start`.
-    largest: usize,
+    max_size: usize,
     period_start: Moment,
     /// Maximum group size in the previous period.
-    previous_largest: usize,
+    previous_max_size: usize,
 }
 
 impl Group {
@@ -27,23 +27,23 @@
     pub fn note(&mut self, entries: usize, now: Moment) {
         let age = now.since(self.period_start);
         if age >= SIZE_RETENTION {
-            self.previous_largest = if age < SIZE_RETENTION * 2 { self.largest } else { 0 };
-            self.largest = 0;
+            self.previous_max_size = if age < SIZE_RETENTION * 2 { self.max_size } else { 0 };
+            self.max_size = 0;
             self.period_start = now;
         }
-        self.largest = self.largest.max(entries);
+        self.max_size = self.max_size.max(entries);
     }
 
     /// Returns the share of a leader of `entries` entries, including itself, when at least `known_entries` entries
     /// exist.
     pub fn share(&self, entries: usize, known_entries: usize, now: Moment) -> f64 {
         let age = now.since(self.period_start);
-        let recent_largest = match age {
+        let recent_max_size = match age {
             age if age >= SIZE_RETENTION * 2 => 0,
-            age if age >= SIZE_RETENTION => self.largest,
-            _ => self.largest.max(self.previous_largest),
+            age if age >= SIZE_RETENTION => self.max_size,
+            _ => self.max_size.max(self.previous_max_size),
         };
-        let total = recent_largest.max(known_entries).max(entries).max(1);
+        let total = recent_max_size.max(known_entries).max(entries).max(1);
         entries as f64 / total as f64
     }
 }
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -59,9 +59,9 @@
 
 impl News {
     /// Converts a report for sending at `now`.
-    pub fn of(replica: &Name, word: &Word, now: Moment) -> Self {
-        let (asked_ago, heard_ago) = (now.since(word.asked), now.since(word.heard));
-        Self { replica: replica.clone(), rate: word.rate, asked_ago, heard_ago }
+    pub fn of(replica: &Name, report: &Word, now: Moment) -> Self {
+        let (asked_ago, heard_ago) = (now.since(report.asked), now.since(report.heard));
+        Self { replica: replica.clone(), rate: report.rate, asked_ago, heard_ago }
     }
 
     /// Converts back to moments at the receive time `now`. The transit time makes both moments later by the same
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReplicaLimit {
     /// Report in force; of several with the same limit, the oldest.
-    word: Word,
+    report: Word,
     /// Earliest start time of the current run of the replica; responses to earlier requests belong to a previous run.
     run_started: Moment,
 }
@@ -89,50 +89,50 @@
     ///
     /// Of reports with the same limit the first is kept, so that all entries that received the change hold the same
     /// one.
-    pub fn hear(&mut self, replica: &Name, word: Word) -> bool {
+    pub fn hear(&mut self, replica: &Name, report: Word) -> bool {
         let Some(limit) = self.0.get_mut(replica) else {
-            if word.rate.is_some() {
-                self.0.insert(replica.clone(), ReplicaLimit { word, run_started: Moment::ZERO });
+            if report.rate.is_some() {
+                self.0.insert(replica.clone(), ReplicaLimit { report, run_started: Moment::ZERO });
             }
-            return word.rate.is_some();
+            return report.rate.is_some();
         };
-        let is_from_current_run = word.asked >= limit.run_started;
-        let takes_precedence =
-            word.is_newer_than(&limit.word) || (!limit.word.is_newer_than(&word) && word.is_stricter_than(&limit.word));
-        if !is_from_current_run || !takes_precedence || word.rate == limit.word.rate {
+        let is_from_current_run = report.asked >= limit.run_started;
+        let takes_precedence = report.is_newer_than(&limit.report)
+            || (!limit.report.is_newer_than(&report) && report.is_stricter_than(&limit.report));
+        if !is_from_current_run || !takes_precedence || report.rate == limit.report.rate {
             return false;
         }
-        limit.word = word;
+        limit.report = report;
         true
     }
 
     /// Returns the limit of a replica in requests per second, or `None` if it has no limit.
     pub fn rate(&self, replica: &str) -> Option<f64> {
-        self.0.get(replica).and_then(|limit| limit.word.rate)
+        self.0.get(replica).and_then(|limit| limit.report.rate)
     }
 
     /// Returns the limited replicas with their limits in requests per second.
     pub fn limited(&self) -> impl Iterator<Item = (&Name, f64)> {
-        self.0.iter().filter_map(|(replica, limit)| Some((replica, limit.word.rate?)))
+        self.0.iter().filter_map(|(replica, limit)| Some((replica, limit.report.rate?)))
     }
 
     /// Returns the reports that a peer needs: current limits and the withdrawal of earlier ones.
     pub fn all(&self, now: Moment) -> Vec<News> {
-        self.0.iter().map(|(replica, limit)| News::of(replica, &limit.word, now)).collect()
+        self.0.iter().map(|(replica, limit)| News::of(replica, &limit.report, now)).collect()
     }
 
     /// Returns the report in force of one replica in the form sent to peers.
     pub fn news(&self, replica: &str, now: Moment) -> Option<News> {
         let (replica, limit) = self.0.get_key_value(replica)?;
-        Some(News::of(replica, &limit.word, now))
+        Some(News::of(replica, &limit.report, now))
     }
 
     /// Discards the limit of a replica that restarted, since it belonged to the previous run. Returns whether the
     /// replica had a limit.
     pub fn restarted(&mut self, replica: &str, now: Moment) -> bool {
         let Some(limit) = self.0.get_mut(replica) else { return false };
-        let was_limited = limit.word.rate.is_some();
-        *limit = ReplicaLimit { word: Word { rate: None, asked: now, heard: now }, run_started: now };
+        let was_limited = limit.report.rate.is_some();
+        *limit = ReplicaLimit { report: Word { rate: None, asked: now, heard: now }, run_started: now };
         was_limited
     }
 
--- a/coord/src/membership.rs
+++ b/coord/src/membership.rs
@@ -193,7 +193,7 @@
         let eligible: Vec<&Member> = self.members.values().filter(is_eligible).collect();
         let ready: Vec<&Member> = eligible.iter().copied().filter(|member| member.takes_work(now)).collect();
         let pool = if ready.is_empty() { eligible } else { ready };
-        self.select_sample(pool).into_iter().map(|member| self.candidate(member)).collect()
+        self.select_sample(pool).into_iter().map(|member| self.to_candidate(member)).collect()
     }
 
     /// Reduces the list to the sample size by rendezvous hashing.
@@ -205,7 +205,7 @@
         pool
     }
 
-    fn candidate(&self, member: &Member) -> Candidate {
+    fn to_candidate(&self, member: &Member) -> Candidate {
         Candidate {
             endpoint: member.vm.name.clone(),
             outstanding: member.outstanding,
--- a/coord/src/parcel.rs
+++ b/coord/src/parcel.rs
@@ -60,7 +60,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Unknown { base } => write!(f, "step=open-parcel: base version {base} is not held"),
+            Error::Unknown { base } => write!(f, "step=open-parcel: base version {base} is not in the cache"),
             Error::Codec(error) => write!(f, "step=open-parcel: {error}"),
         }
     }
@@ -117,13 +117,13 @@
     pub fn open(&self, delta: &Parcel) -> Result<Version, Error> {
         let base = match delta.base {
             None => &[][..],
-            Some(base) => self.value(base).ok_or(Error::Unknown { base })?,
+            Some(base) => self.value_at(base).ok_or(Error::Unknown { base })?,
         };
         let value = Decompressor::with_dictionary(base)?.decompress(&delta.packed, MAX_VERSION_BYTES)?;
         Ok(Version { offset: delta.offset, value: value.into() })
     }
 
-    fn value(&self, offset: u64) -> Option<&[u8]> {
+    fn value_at(&self, offset: u64) -> Option<&[u8]> {
         self.versions.iter().find(|version| version.offset == offset).map(|version| &*version.value)
     }
 }
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -199,8 +199,8 @@
 
     /// Applies an event and returns the events to send to peers. The result is empty if the event was already
     /// recorded or adds too little evidence.
-    pub fn hear(&mut self, news: News) -> Vec<News> {
-        match news {
+    pub fn hear(&mut self, event: News) -> Vec<News> {
+        match event {
             News::Ended { work, run, weight } => self.record_termination(work, run, weight),
             News::Cleared(work) => self.clear(work),
             News::Condemned(work) => self.condemn(work),
@@ -210,14 +210,14 @@
 
     /// Returns the recorded runs that terminated under a condemned fingerprint, with the strength of the evidence.
     pub fn ends(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
-        let ends = self.condemned.get(&work).map(|verdict| &verdict.terminations);
-        ends.into_iter().flatten().map(|(run, weight)| (run, *weight))
+        let terminations = self.condemned.get(&work).map(|verdict| &verdict.terminations);
+        terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns the evidence against a fingerprint that is not condemned, by terminated run.
     pub fn evidence(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
-        let ends = self.suspects.get(&work).map(|suspect| &suspect.terminations);
-        ends.into_iter().flatten().map(|(run, weight)| (run, *weight))
+        let terminations = self.suspects.get(&work).map(|suspect| &suspect.terminations);
+        terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns all condemned fingerprints.
@@ -319,9 +319,9 @@
     }
 
     fn lift(&mut self, work: Work) -> Vec<News> {
-        let was_known = self.standing(work) != Standing::Clear;
+        let was_recorded = self.standing(work) != Standing::Clear;
         self.remove(work);
-        if was_known { vec![News::Lifted(work)] } else { Vec::new() }
+        if was_recorded { vec![News::Lifted(work)] } else { Vec::new() }
     }
 
     fn remove(&mut self, work: Work) {
@@ -329,7 +329,7 @@
         self.condemned.remove(&work);
     }
 
-    /// Bounds the state: evicts the suspect with the fewest points, the oldest first among equals, and the oldest
+    /// Bounds the state by evicting the suspect with the fewest points, the oldest first among equals, and the oldest
     /// verdict.
     fn evict(&mut self) {
         while self.suspects.len() > MAX_SUSPECTS {
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -104,8 +104,8 @@
         }
         let previous_revision = self.config.revision;
         match record {
-            Record::Plan { id, base, changes } => self.plan(id, *base, changes),
-            Record::Confirm { plan } => self.confirm(offset, plan),
+            Record::Plan { id, base, changes } => self.apply_plan(id, *base, changes),
+            Record::Confirm { plan } => self.apply_confirm(offset, plan),
         }
         self.next = offset + 1;
         crate::invariant!(self.config.revision >= previous_revision, "the configuration's revision never goes back");
@@ -167,7 +167,7 @@
         self.plans.contains_key(plan)
     }
 
-    fn plan(&mut self, id: &Name, base: u64, changes: &[Change]) {
+    fn apply_plan(&mut self, id: &Name, base: u64, changes: &[Change]) {
         if self.plans.contains_key(id) || self.verdicts.contains_key(id) {
             return;
         }
@@ -180,7 +180,7 @@
         }
     }
 
-    fn confirm(&mut self, offset: u64, plan: &Name) {
+    fn apply_confirm(&mut self, offset: u64, plan: &Name) {
         if self.verdicts.contains_key(plan) {
             return;
         }
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the latest effective change in the form sent to peers at `now`.
-    fn sighting(&self, now: Moment) -> Sighting {
+    fn to_update(&self, now: Moment) -> Sighting {
         let news = match (self.has_record, self.standing) {
             (true, Standing::Unusable) => News::Unusable(self.record.id.clone()),
             (true, _) => News::Here(Record { cold: self.cold_until.since(now), ..self.record.clone() }),
@@ -149,7 +149,7 @@
 /// Minimum extension of the cold period that counts as turning cold again.
 const MIN_COLD_EXTENSION: Duration = Duration::from_secs(1);
 
-/// Change in availability of a replica, for logging.
+/// Change in the availability of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Identity of the replica.
@@ -183,9 +183,9 @@
     /// Returns the latest update of each replica that changed at offset `from` or later. A peer without any data
     /// (`from` 0) does not receive removed replicas, whose number grows without bound.
     pub fn since(&self, from: u64, now: Moment) -> Vec<Sighting> {
-        let is_relevant = |known: &&Replica| known.changed_offset >= from && (from > 0 || known.has_record);
+        let is_relevant = |replica: &&Replica| replica.changed_offset >= from && (from > 0 || replica.has_record);
         let changed = self.replicas.values().filter(is_relevant);
-        changed.map(|known| known.sighting(now)).collect()
+        changed.map(|replica| replica.to_update(now)).collect()
     }
 
     /// Applies the state of a record at its offset; a state older than the recorded one is ignored.
@@ -199,101 +199,103 @@
 
     fn apply_record(&mut self, offset: u64, record: Record, now: Moment) -> Option<Change> {
         let id = record.id.clone();
-        let known = self.replicas.get(&id);
+        let current = self.replicas.get(&id);
         // A replica missing from the full snapshot is gone even if a peer still has it. Accepting and relaying the
         // peer's older record would keep that peer from ever receiving the removal.
-        if offset < known.map_or(self.snapshot_end, |known| known.offset) {
+        if offset < current.map_or(self.snapshot_end, |current| current.offset) {
             return None;
         }
         // A recovered log contains records of replicas that were removed after the copy was made. A replica that is
         // alive writes its record again.
-        if let Some(removed) = self.replicas.get_mut(&id).filter(|known| known.is_removed())
+        if let Some(removed) = self.replicas.get_mut(&id).filter(|current| current.is_removed())
             && (offset == removed.offset || offset::era(offset) > offset::era(removed.offset))
         {
             removed.offset = offset;
             return None;
         }
-        let known = self.replicas.get(&id);
-        let (known_born, born) = (known.and_then(|known| known.record.born), record.born);
-        if known_born.zip(born).is_some_and(|(known, new)| new < known) {
+        let current = self.replicas.get(&id);
+        let (current_born, born) = (current.and_then(|current| current.record.born), record.born);
+        if current_born.zip(born).is_some_and(|(current, new)| new < current) {
             // The record belongs to an earlier run.
             return None;
         }
-        let restarted = known_born.zip(born).is_some_and(|(known, new)| new > known);
+        let restarted = current_born.zip(born).is_some_and(|(current, new)| new > current);
         let is_stated =
             self.draining_runs.get(&id).is_some_and(|run| run.zip(born).is_none_or(|(run, born)| born <= run));
         // An announced end is final for its run, whereas an expired record can reappear together with its replica.
-        let leaving = record.leaving || is_stated || (!restarted && known.is_some_and(|known| known.record.leaving));
+        let leaving =
+            record.leaving || is_stated || (!restarted && current.is_some_and(|current| current.record.leaving));
         // The record now states that the replica is draining, so peers receive it with the record.
-        let confirmed = is_stated && record.leaving;
+        let is_confirmed = is_stated && record.leaving;
         let standing = if leaving { Standing::Gone } else { Standing::Ready };
         let cold_until = now + record.cold;
         let cold = cold_until > now;
-        let cold_changed = known.is_some_and(|known| {
-            let was_cold = known.cold_until > now;
-            cold != was_cold || (cold && cold_until > known.cold_until + MIN_COLD_EXTENSION)
+        let cold_changed = current.is_some_and(|current| {
+            let was_cold = current.cold_until > now;
+            cold != was_cold || (cold && cold_until > current.cold_until + MIN_COLD_EXTENSION)
         });
         // The end of the cold period is stored as a moment; in repeated records the remaining time shrinks, which is
         // not a change.
-        let record = Record { leaving, born: born.or(known_born), cold: Duration::ZERO, ..record };
-        let changed = restarted || cold_changed || known.is_none_or(|known| known.standing != standing);
-        let unchanged = known.filter(|known| known.has_record && known.record == record && !changed && !confirmed);
-        let changed_offset = unchanged.map_or(offset, |known| known.changed_offset);
+        let record = Record { leaving, born: born.or(current_born), cold: Duration::ZERO, ..record };
+        let changed = restarted || cold_changed || current.is_none_or(|current| current.standing != standing);
+        let unchanged =
+            current.filter(|current| current.has_record && current.record == record && !changed && !is_confirmed);
+        let changed_offset = unchanged.map_or(offset, |current| current.changed_offset);
         self.replicas
             .insert(id.clone(), Replica { record, standing, offset, changed_offset, has_record: true, cold_until });
-        if confirmed || !is_stated {
+        if is_confirmed || !is_stated {
             self.draining_runs.remove(&id);
         }
         changed.then_some(Change { id, standing, restarted, cold })
     }
 
     fn apply_unusable(&mut self, offset: u64, id: &Name) -> Option<Change> {
-        let known = self.replicas.get_mut(id)?;
-        if offset < known.offset {
+        let replica = self.replicas.get_mut(id)?;
+        if offset < replica.offset {
             return None;
         }
-        known.offset = offset;
-        if known.has_record && known.standing == Standing::Unusable {
+        replica.offset = offset;
+        if replica.has_record && replica.standing == Standing::Unusable {
             return None;
         }
-        known.has_record = true;
-        known.changed_offset = offset;
-        let changed = known.standing != Standing::Unusable;
-        known.standing = Standing::Unusable;
+        replica.has_record = true;
+        replica.changed_offset = offset;
+        let changed = replica.standing != Standing::Unusable;
+        replica.standing = Standing::Unusable;
         changed.then(|| Change::of(id, Standing::Unusable))
     }
 
     fn apply_removal(&mut self, offset: u64, id: &Name, now: Moment) -> Option<Change> {
         let grace_until = self.grace_until;
-        let known = self.replicas.get_mut(id)?;
-        if offset < known.offset {
+        let replica = self.replicas.get_mut(id)?;
+        if offset < replica.offset {
             return None;
         }
-        known.offset = offset;
-        if known.has_record {
-            known.has_record = false;
-            known.changed_offset = offset;
+        replica.offset = offset;
+        if replica.has_record {
+            replica.has_record = false;
+            replica.changed_offset = offset;
         }
-        let standing = match known.standing {
+        let standing = match replica.standing {
             Standing::Ready if now < grace_until => Standing::Lapsed(grace_until),
             Standing::Lapsed(until) if now < until => return None,
             _ => Standing::Gone,
         };
-        let changed = known.standing != standing;
-        known.standing = standing;
+        let changed = replica.standing != standing;
+        replica.standing = standing;
         changed.then(|| Change::of(id, standing))
     }
 
-    /// Applies a full snapshot with all offsets below `end`; records missing from it were removed.
-    pub fn replace(&mut self, end: u64, newest: Vec<Sighting>, now: Moment) -> Vec<Change> {
-        let listed: HashSet<&Name> = newest.iter().map(|sighting| sighting.news.id()).collect();
-        let is_missing = |known: &&Replica| known.offset < end && !listed.contains(&known.record.id);
+    /// Applies a full snapshot with all offsets below `end_offset`; records missing from it were removed.
+    pub fn replace(&mut self, end_offset: u64, records: Vec<Sighting>, now: Moment) -> Vec<Change> {
+        let snapshot_ids: HashSet<&Name> = records.iter().map(|update| update.news.id()).collect();
+        let is_missing = |replica: &&Replica| replica.offset < end_offset && !snapshot_ids.contains(&replica.record.id);
         let missing: Vec<Name> =
-            self.replicas.values().filter(is_missing).map(|known| known.record.id.clone()).collect();
+            self.replicas.values().filter(is_missing).map(|replica| replica.record.id.clone()).collect();
         let mut changes: Vec<Change> =
-            newest.into_iter().filter_map(|sighting| self.hear(sighting.offset, sighting.news, now)).collect();
-        self.snapshot_end = self.snapshot_end.max(end);
-        let last_offset = end.saturating_sub(1);
+            records.into_iter().filter_map(|update| self.hear(update.offset, update.news, now)).collect();
+        self.snapshot_end = self.snapshot_end.max(end_offset);
+        let last_offset = end_offset.saturating_sub(1);
         changes.extend(missing.iter().filter_map(|id| self.apply_removal(last_offset, id, now)));
         changes
     }
@@ -312,20 +314,21 @@
 
     /// Marks a replica as gone because another replica was found at its address.
     pub fn displaced(&mut self, id: &str) -> Option<Change> {
-        let known = self.replicas.get_mut(id)?;
-        let changed = known.standing != Standing::Gone;
-        known.standing = Standing::Gone;
-        changed.then(|| Change::of(&known.record.id, Standing::Gone))
+        let replica = self.replicas.get_mut(id)?;
+        let changed = replica.standing != Standing::Gone;
+        replica.standing = Standing::Gone;
+        changed.then(|| Change::of(&replica.record.id, Standing::Gone))
     }
 
     /// Returns whether this run is already recorded as draining, or a later run is recorded.
     pub fn knows_leaver(&self, leaver: &Leaver) -> bool {
-        let is_same_or_later = |born: Option<u64>| leaver.born.zip(born).is_none_or(|(stated, known)| stated <= known);
-        let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(stated, known)| stated < known);
-        let known = self.replicas.get(&leaver.id).map(|known| &known.record);
-        let recorded =
-            known.is_some_and(|known| is_later(known.born) || (known.leaving && is_same_or_later(known.born)));
-        recorded || self.draining_runs.get(&leaver.id).is_some_and(|run| is_same_or_later(*run))
+        let is_same_or_later =
+            |born: Option<u64>| leaver.born.zip(born).is_none_or(|(stated, current)| stated <= current);
+        let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(stated, current)| stated < current);
+        let current = self.replicas.get(&leaver.id).map(|current| &current.record);
+        let is_recorded = current
+            .is_some_and(|current| is_later(current.born) || (current.leaving && is_same_or_later(current.born)));
+        is_recorded || self.draining_runs.get(&leaver.id).is_some_and(|run| is_same_or_later(*run))
     }
 
     /// Records that a run stated that it is draining; a run of an unknown replica is stored for later.
@@ -335,24 +338,24 @@
         }
         let Leaver { id, born } = leaver;
         self.draining_runs.insert(id.clone(), born);
-        let known = self.replicas.get_mut(&id)?;
-        known.record.leaving = true;
-        let changed = known.standing != Standing::Gone;
-        known.standing = Standing::Gone;
+        let replica = self.replicas.get_mut(&id)?;
+        replica.record.leaving = true;
+        let changed = replica.standing != Standing::Gone;
+        replica.standing = Standing::Gone;
         changed.then(|| Change::of(&id, Standing::Gone))
     }
 
     /// Returns the draining runs that the store's records do not show.
     pub fn leavers(&self) -> impl Iterator<Item = Leaver> {
-        let is_unreported = |id: &Name| self.replicas.get(id).is_none_or(|known| known.has_record);
+        let is_unreported = |id: &Name| self.replicas.get(id).is_none_or(|replica| replica.has_record);
         let unreported = self.draining_runs.iter().filter(move |(id, _)| is_unreported(id));
         unreported.map(|(id, born)| Leaver { id: id.clone(), born: *born })
     }
 
     /// Returns whether no later run than the one in `record` is recorded.
     pub fn is_newest_run(&self, record: &Record) -> bool {
-        let known = self.replicas.get(&record.id).and_then(|known| known.record.born);
-        known.zip(record.born).is_none_or(|(known, born)| known <= born)
+        let current = self.replicas.get(&record.id).and_then(|current| current.record.born);
+        current.zip(record.born).is_none_or(|(current, born)| current <= born)
     }
 
     /// Returns a replica by identity.
@@ -395,16 +398,16 @@
 
     /// Returns the cold replicas of `service`, which accept fewer requests, with the end of their cold period. A
     /// replica whose failure domain was evacuated may have turned cold without having reported it yet, so it counts
-    /// as cold for `lasts` after the evacuation ended.
+    /// as cold for `cold_duration` after the evacuation ended.
     pub fn cold<'a>(
         &'a self,
         service: &'a str,
-        lasts: Duration,
+        cold_duration: Duration,
         now: Moment,
     ) -> impl Iterator<Item = (&'a Name, Moment)> {
         let cold_until = move |replica: &Replica| {
             let ended = self.evacuation_ended.get(&replica.record.failure_domain);
-            replica.cold_until.max(ended.map_or(Moment::ZERO, |ended| *ended + lasts))
+            replica.cold_until.max(ended.map_or(Moment::ZERO, |ended| *ended + cold_duration))
         };
         let cold = self.living(service).map(move |replica| (&replica.record.id, cold_until(replica)));
         cold.filter(move |(_, cold_until)| *cold_until > now)
--- a/coord/src/search.rs
+++ b/coord/src/search.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     /// Number of consecutive failures.
-    consecutive: u32,
+    consecutive_failures: u32,
     /// Earliest time of the next attempt.
     retry_at: Moment,
 }
@@ -48,9 +48,9 @@
     /// Records that a candidate was unreachable or is not a leader. `jitter` scales the retry delay, so that
     /// processes that failed together do not retry together.
     pub fn failed(&mut self, candidate: K, jitter: f64, now: Moment) {
-        let failure = self.failures.entry(candidate).or_insert(Failure { consecutive: 0, retry_at: now });
-        failure.consecutive += 1;
-        failure.retry_at = now + RETRY_DELAY.after(failure.consecutive).mul_f64(jitter);
+        let failure = self.failures.entry(candidate).or_insert(Failure { consecutive_failures: 0, retry_at: now });
+        failure.consecutive_failures += 1;
+        failure.retry_at = now + RETRY_DELAY.after(failure.consecutive_failures).mul_f64(jitter);
     }
 
     /// Records a response of a candidate, which resets its retry delay.
@@ -63,8 +63,8 @@
         self.failures.clear();
     }
 
-    /// Drops the failures of candidates for which `known` returns `false`.
-    pub fn keep(&mut self, known: impl Fn(&K) -> bool) {
-        self.failures.retain(|candidate, _| known(candidate));
+    /// Drops the failures of candidates for which `is_known` returns `false`.
+    pub fn keep(&mut self, is_known: impl Fn(&K) -> bool) {
+        self.failures.retain(|candidate, _| is_known(candidate));
     }
 }
--- a/coord/src/standing.rs
+++ b/coord/src/standing.rs
@@ -30,13 +30,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Standing {
     capacity: Reverse<Power>,
-    announced: u64,
+    announced_offset: u64,
 }
 
 impl Standing {
     /// Creates the rank of a process from its capacity and the log offset of its announcement.
-    pub fn new(capacity: Power, announced: u64) -> Self {
-        Self { capacity: Reverse(capacity), announced }
+    pub fn new(capacity: Power, announced_offset: u64) -> Self {
+        Self { capacity: Reverse(capacity), announced_offset }
     }
 
     /// Returns the capacity of the process.
--- a/coord/tests/ends.rs
+++ b/coord/tests/ends.rs
@@ -27,7 +27,7 @@
     ends.saw(&replica.into(), None, span(after, by)).0
 }
 
-/// Reports `run` from `from` to `ends`, which share a clock, with a transit time of `way` milliseconds.
+/// Reports `run` from `from` to `ends`, which share a clock, with a transit time of `transit_ms`.
 fn report_to(ends: &mut Ends, from: &Ends, run: &Name, sent: u64, transit_ms: u64) -> Name {
     let age = Age::of(&from.span(run).expect("the termination is recorded"), at(sent));
     ends.heard(run, age.span(at(sent + transit_ms)))
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn sighting(offset: u64) -> Sighting {
+fn update(offset: u64) -> Sighting {
     Sighting { offset, news: News::Here(record()) }
 }
 
@@ -52,9 +52,9 @@
     let mut roster = Roster::default();
     roster.hear(3, News::Here(record()), NOW);
     roster.hear(8, News::Removed("r".into()), NOW);
-    roster.replace(number(1, 5), vec![sighting(number(1, 3))], NOW);
+    roster.replace(number(1, 5), vec![update(number(1, 3))], NOW);
     assert!(!takes_work(&roster), "the recovered log still contains the record");
-    roster.replace(number(1, 6), vec![sighting(number(1, 3))], NOW);
+    roster.replace(number(1, 6), vec![update(number(1, 3))], NOW);
     assert!(!takes_work(&roster), "the same record is read again");
     assert!(roster.since(0, NOW).is_empty(), "the replica is not reported to peers");
     roster.hear(number(1, 7), News::Here(record()), NOW);
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 
 /// Fingerprint of the request that terminates every replica that starts it.
-const FATAL: Work = Work([0xff; 16]);
+const FATAL_FINGERPRINT: Work = Work([0xff; 16]);
 const ENTRIES: usize = 5;
 const REPLICAS: usize = 18;
 /// Number of other requests running at any time.
@@ -130,14 +130,14 @@
 
     fn send_fatal(&mut self) {
         let entry = self.random.random_range(0..ENTRIES);
-        if self.registers[entry].standing(FATAL) == Standing::Condemned {
+        if self.registers[entry].standing(FATAL_FINGERPRINT) == Standing::Condemned {
             return;
         }
-        let replica = self.select_replica(entry, FATAL);
+        let replica = self.select_replica(entry, FATAL_FINGERPRINT);
         self.fatal_terminations += 1;
         let run: Name = format!("{replica}/{}", self.terminations[replica] + 1).into();
         self.terminate_replica(replica);
-        self.publish(entry, News::Ended { work: FATAL, run, weight: Weight::Strong });
+        self.publish(entry, News::Ended { work: FATAL_FINGERPRINT, run, weight: Weight::Strong });
     }
 
     fn run(&mut self, steps: usize) {
@@ -179,7 +179,7 @@
     /// Returns the condemned fingerprints other than the fatal one.
     fn wrongly_condemned(&self) -> BTreeSet<Work> {
         let condemned = self.registers.iter().flat_map(Register::condemned);
-        condemned.filter(|work| *work != FATAL).collect()
+        condemned.filter(|work| *work != FATAL_FINGERPRINT).collect()
     }
 }
 
@@ -194,7 +194,7 @@
         simulation.run(3_000);
         assert_eq!(simulation.wrongly_condemned(), BTreeSet::new(), "seed {seed}");
         assert!(
-            simulation.registers.iter().all(|register| register.standing(FATAL) == Standing::Condemned),
+            simulation.registers.iter().all(|register| register.standing(FATAL_FINGERPRINT) == Standing::Condemned),
             "seed {seed}"
         );
         *terminations.entry(simulation.fatal_terminations).or_default() += 1;
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -94,8 +94,8 @@
                     }
                 }
                 Step::ApplySnapshot => {
-                    let sighting = |(offset, record): &(u64, Record)| Sighting { offset: *offset, news: News::Here(record.clone()) };
-                    let newest = expected.newest.values().map(sighting).collect();
+                    let update = |(offset, record): &(u64, Record)| Sighting { offset: *offset, news: News::Here(record.clone()) };
+                    let newest = expected.newest.values().map(update).collect();
                     roster.replace(expected.offset + 1, newest, now);
                 }
                 Step::Wait(millis) => {
@@ -179,8 +179,8 @@
                 Step::StoreRecovered | Step::ApplySnapshot | Step::Wait(_) => {}
             }
             if sends_updates {
-                for sighting in reader.since(sent_offset, now) {
-                    receiver.hear(sighting.offset, sighting.news, now);
+                for update in reader.since(sent_offset, now) {
+                    receiver.hear(update.offset, update.news, now);
                 }
                 sent_offset = offset;
                 for number in 0..5 {
@@ -209,14 +209,14 @@
 #[test]
 fn a_replica_missing_from_a_full_snapshot_does_not_return_with_an_older_record() {
     let now = Moment::from_millis(1_000);
-    let sighting = |offset, number| Sighting { offset, news: News::Here(record(number, false)) };
+    let update = |offset, number| Sighting { offset, news: News::Here(record(number, false)) };
     // The replica disappears at offset 50 without announcing its end, unnoticed by the outdated process.
     let mut outdated = Roster::default();
-    outdated.hear(10, sighting(10, 1).news, now);
-    outdated.hear(11, sighting(11, 2).news, now);
+    outdated.hear(10, update(10, 1).news, now);
+    outdated.hear(11, update(11, 2).news, now);
     // A new process reads the full snapshot up to offset 60, and then receives the state of the outdated process.
     let mut fresh = Roster::default();
-    fresh.replace(60, vec![sighting(11, 2)], now);
+    fresh.replace(60, vec![update(11, 2)], now);
     for receiver in outdated.since(0, now) {
         fresh.hear(receiver.offset, receiver.news, now);
     }
@@ -225,7 +225,7 @@
     outdated.replace(60, fresh.since(0, now), now);
     assert!(!outdated.get("replica-1").expect("the replica was recorded").takes_work());
     // A record of the returned replica is newer than the removal.
-    fresh.hear(61, sighting(61, 1).news, now);
+    fresh.hear(61, update(61, 1).news, now);
     assert!(fresh.get("replica-1").expect("the replica has returned").takes_work());
 }
 
@@ -286,9 +286,9 @@
                     log.push(run_record(born, true));
                 }
                 _ => {
-                    let sightings = reader.since(sent_offset, now);
-                    for sighting in sightings.iter().chain(&sightings) {
-                        receiver.hear(sighting.offset, sighting.news.clone(), now);
+                    let updates = reader.since(sent_offset, now);
+                    for update in updates.iter().chain(&updates) {
+                        receiver.hear(update.offset, update.news.clone(), now);
                     }
                     sent_offset = log.len() as u64;
                 }
