--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims, which bind a key that may run at most once to the first claimant in the log.
+//! Claims, which bind an idempotency key to the first sidecar that claims it in the log.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::name::{Incarnation, Name};
 use crate::time::Moment;
 
-/// Idempotency key that may run at most once, scoped to a workspace.
+/// Idempotency key, scoped to a workspace. Its request runs at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// Workspace of the caller.
@@ -22,7 +22,7 @@
 pub struct Binding {
     /// Endpoint that the sidecar belongs to.
     pub endpoint: Name,
-    /// Incarnation of the sidecar; after a restart, the sidecar never runs the key.
+    /// Incarnation of the sidecar; after a restart, the sidecar never runs requests with the key.
     pub incarnation: Incarnation,
 }
 
--- a/coord/src/membership.rs
+++ b/coord/src/membership.rs
@@ -175,7 +175,7 @@
         self.members.get(endpoint)
     }
 
-    /// Iterates over all endpoints by name.
+    /// Iterates over all endpoints in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
--- a/coord/src/queue.rs
+++ b/coord/src/queue.rs
@@ -108,7 +108,7 @@
         self.order.keeps_headroom()
     }
 
-    /// Adds a job to the queue.
+    /// Adds a job; its position is decided when jobs are removed.
     pub fn push(&mut self, job: Job) {
         self.waiting.push(job);
     }
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -70,7 +70,7 @@
     },
     /// Another plan changed an item after the base revision.
     Conflict {
-        /// Item in conflict.
+        /// Item that both plans change.
         item: Item,
         /// Change that took effect first.
         winner: LastChange,
@@ -79,7 +79,7 @@
     UnknownPlan,
 }
 
-/// Replayed state of the configuration stream.
+/// State of the configuration stream after the records replayed so far.
 #[derive(Clone, Debug, Default)]
 pub struct Replay {
     next: u64,
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -25,7 +25,6 @@
 /// Transit time of a report between two entries, in steps.
 const TRANSIT_STEPS: u64 = 2;
 
-/// Simulated entry.
 struct Entry {
     register: Register,
     allowances: BTreeMap<Name, Allowance>,
@@ -40,7 +39,6 @@
     first_reported: BTreeMap<Name, u64>,
 }
 
-/// Parameters of a simulation.
 struct Parameters {
     entries: usize,
     rates: Vec<f64>,
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -21,7 +21,6 @@
 /// Sends of one request: two per attempt of the caller, who tries twice.
 const MAX_SENDS: usize = 4;
 
-/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct Parameters {
     /// Probability per step that the fatal request arrives.
@@ -43,7 +42,6 @@
     sends: usize,
 }
 
-/// State of a simulation.
 struct Simulation {
     parameters: Parameters,
     random: SmallRng,
@@ -52,7 +50,6 @@
     in_transit: Vec<(usize, usize, News)>,
     /// Running requests by replica.
     running: Vec<Vec<Request>>,
-    /// Number of terminations of each replica.
     terminations: Vec<usize>,
     step: usize,
     next_fingerprint: u128,
