--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims, which bind an idempotency key to the first sidecar that claims it in the log.
+//! Claims, which bind an idempotency key to one sidecar; the first claim in the log wins.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
