--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -1,11 +1,13 @@
-//! Time and size of passing one version of a configuration on.
+//! Run time and size of deltas that transfer a configuration to a receiver.
 //!
-//! `cargo bench -p coord --bench parcel`. A configuration of so many routes with names of their own, of which one changes.
-//! Sizes are printed first. Nobody passed on more than 32 KB before: then each receiver read the whole from the store.
+//! Run with `cargo bench -p coord --bench parcel`. The configuration consists of distinct routes, one of which
+//! changes. Sizes are printed first. For comparison: without deltas, peers relay at most 32 KB, and each receiver
+//! reads a larger configuration in full from the store.
 //!
-//! One core of the development machine, 8 cores, beside other load; bytes and median microseconds:
+//! Sizes in bytes and median run times in microseconds, on one core of an 8-core development machine under other
+//! load. `full` is a delta that holds the full version:
 //!
-//! | routes | bytes | whole | change | pack whole | pack change | open whole | open change |
+//! | routes | bytes | full | change | encode full | encode change | decode full | decode change |
 //! |---|---|---|---|---|---|---|---|
 //! | 30 | 5,969 | 672 | 36 | 23 | 29 | 11 | 4.5 |
 //! | 240 | 47,759 | 3,633 | 37 | 103 | 144 | 42 | 9.8 |
@@ -16,7 +18,7 @@
 use coord::parcel::{Shelf, Version};
 use divan::Bencher;
 
-const SIZES: &[u64] = &[30, 240, 1_500];
+const ROUTE_COUNTS: &[u64] = &[30, 240, 1_500];
 
 fn configuration(routes: u64, changed: u64) -> Vec<u8> {
     let route = |number: u64| {
@@ -32,41 +34,48 @@
     (0..routes).map(route).collect::<Vec<_>>().join(",").into_bytes()
 }
 
-fn shelf(routes: u64, versions: u64) -> Shelf {
-    let mut shelf = Shelf::default();
+fn version_cache(routes: u64, versions: u64) -> Shelf {
+    let mut cache = Shelf::default();
     for offset in 0..versions {
-        shelf.keep(Version { offset, value: configuration(routes, offset).into() });
+        cache.keep(Version { offset, value: configuration(routes, offset).into() });
     }
-    shelf
+    cache
 }
 
 fn main() {
-    for routes in SIZES {
-        let bytes = |next| shelf(*routes, 2).parcel(next).expect("it is made").expect("it is newer").packed.len();
-        let (whole, change) = (bytes(None), bytes(Some(1)));
-        println!("{routes} routes: {} bytes, whole {whole}, change {change}", configuration(*routes, 0).len());
+    for routes in ROUTE_COUNTS {
+        let bytes = |next| {
+            version_cache(*routes, 2)
+                .parcel(next)
+                .expect("encoding succeeds")
+                .expect("a newer version exists")
+                .packed
+                .len()
+        };
+        let (full, change) = (bytes(None), bytes(Some(1)));
+        println!("{routes} routes: {} bytes, full {full}, change {change}", configuration(*routes, 0).len());
     }
     divan::main();
 }
 
-#[divan::bench(args = SIZES)]
-fn pack_whole(bencher: Bencher, routes: u64) {
-    bencher.with_inputs(|| shelf(routes, 2)).bench_refs(|shelf| black_box(shelf.parcel(None)));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn encode_full(bencher: Bencher, routes: u64) {
+    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.parcel(None)));
 }
 
-#[divan::bench(args = SIZES)]
-fn pack_change(bencher: Bencher, routes: u64) {
-    bencher.with_inputs(|| shelf(routes, 2)).bench_refs(|shelf| black_box(shelf.parcel(Some(1))));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn encode_change(bencher: Bencher, routes: u64) {
+    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.parcel(Some(1))));
 }
 
-#[divan::bench(args = SIZES)]
-fn open_whole(bencher: Bencher, routes: u64) {
-    let parcel = shelf(routes, 2).parcel(None).expect("it is made").expect("it is newer");
-    bencher.with_inputs(Shelf::default).bench_refs(|shelf| black_box(shelf.open(&parcel)));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn decode_full(bencher: Bencher, routes: u64) {
+    let delta = version_cache(routes, 2).parcel(None).expect("encoding succeeds").expect("a newer version exists");
+    bencher.with_inputs(Shelf::default).bench_refs(|cache| black_box(cache.open(&delta)));
 }
 
-#[divan::bench(args = SIZES)]
-fn open_change(bencher: Bencher, routes: u64) {
-    let parcel = shelf(routes, 2).parcel(Some(1)).expect("it is made").expect("it is newer");
-    bencher.with_inputs(|| shelf(routes, 1)).bench_refs(|shelf| black_box(shelf.open(&parcel)));
+#[divan::bench(args = ROUTE_COUNTS)]
+fn decode_change(bencher: Bencher, routes: u64) {
+    let delta = version_cache(routes, 2).parcel(Some(1)).expect("encoding succeeds").expect("a newer version exists");
+    bencher.with_inputs(|| version_cache(routes, 1)).bench_refs(|cache| black_box(cache.open(&delta)));
 }
--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -1,8 +1,10 @@
-//! Time that a planner takes for one event: a short prompt comes in, what may start is granted, and the prompt ends.
+//! Time of a planner for one event: a short prompt arrives, the planner grants the prompts that can start, and the
+//! new prompt ends.
 //!
-//! `cargo bench -p coord --bench planner`. Half of the engines read and all write for callers who mind pauses; what
-//! waits is two thirds short prompts and a third long ones, as in a burst. `plain` is the same decision worked out anew
-//! for each prompt at each event. Median on one core of the development machine, 8 cores, in microseconds:
+//! Run with `cargo bench -p coord --bench planner`. Half of the engines are prefilling, and all of them are decoding
+//! for callers with a limit on pauses. Two thirds of the waiting prompts are short and one third are long, as in a
+//! burst. `plain` is the reference implementation, which recomputes the decision for each prompt at each event.
+//! Median times in microseconds, on one core of an 8-core development machine:
 //!
 //! | engines / waiting | plain | planner |
 //! |---|---|---|
@@ -28,16 +30,16 @@
 use coord::time::Moment;
 use divan::{Bencher, black_box};
 
-/// Engines and prompts that wait.
+/// Pairs of the number of engines and the number of waiting prompts.
 const SIZES: &[(usize, u64)] =
     &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100), (12_000, 100), (12_000, 1_000)];
-/// Those at which the plain form ends in a reasonable time.
-const PLAIN_SIZES: &[(usize, u64)] = &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100)];
-/// Engines, prompts that wait, engines that name a limit.
+/// Sizes at which the reference implementation finishes in a reasonable time.
+const REFERENCE_SIZES: &[(usize, u64)] = &[(18, 10), (150, 20), (150, 100), (150, 1_000), (1_000, 100)];
+/// Numbers of engines, of waiting prompts, and of engines with a rate limit.
 const LIMITED_SIZES: &[(usize, u64, usize)] =
     &[(150, 20, 0), (150, 20, 40), (150, 20, 150), (12_000, 100, 0), (12_000, 100, 100), (12_000, 100, 3_000)];
-/// The entry whose prompts run already.
-const OTHER: u64 = 1;
+/// Entry that owns the prompts already running.
+const OTHER_ENTRY: u64 = 1;
 
 fn main() {
     divan::main();
@@ -53,17 +55,17 @@
     Job { prompt, output: 1_000, aim, gap_ms, deadline: now + Duration::from_secs(10), priority: 1, work: None }
 }
 
-/// Makes both kinds of planner busy in the same way.
-macro_rules! busy {
+/// Puts either planner implementation into the same loaded state.
+macro_rules! loaded {
     ($planner:expr, $size:expr, $now:expr) => {{
         let (engines, waiting) = $size;
         let mut planner = $planner;
         planner.set_engines((0..engines).map(|index| (name(index), figures(10, 73))));
         for index in 0..engines {
-            for seat in 0..4 {
-                let id = Id { entry: OTHER, number: (index * 4 + seat) as u64 };
+            for sequence in 0..4 {
+                let id = Id { entry: OTHER_ENTRY, number: (index * 4 + sequence) as u64 };
                 let team = Team { writer: name(index), helpers: Vec::new() };
-                planner.adopt(id, &job(9_000, $now), team, seat == 0 && index % 2 == 0, $now);
+                planner.adopt(id, &job(9_000, $now), team, sequence == 0 && index % 2 == 0, $now);
             }
         }
         for number in 0..waiting {
@@ -75,45 +77,45 @@
     }};
 }
 
-fn event(number: u64) -> Id {
+fn event_id(number: u64) -> Id {
     Id { entry: 0, number: 1_000_000 + number }
 }
 
 #[divan::bench(args = SIZES)]
 fn planner(bencher: Bencher, size: (usize, u64)) {
     let now = Moment::from_millis(10_000);
-    let mut planner = busy!(Planner::new(Policy::default(), 0), size, now);
+    let mut planner = loaded!(Planner::new(Policy::default(), 0), size, now);
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
-        planner.submit(event(number), job(3_000, now));
+        planner.submit(event_id(number), job(3_000, now));
         black_box(planner.pump(now));
-        planner.end(event(number), now);
+        planner.end(event_id(number), now);
     });
 }
 
-/// The same beside engines that name a limit, while time goes on.
+/// Same as `planner`, with rate-limited engines and advancing time.
 #[divan::bench(args = LIMITED_SIZES)]
-fn limited(bencher: Bencher, (engines, waiting, limited): (usize, u64, usize)) {
+fn limited_planner(bencher: Bencher, (engines, waiting, limited_engines): (usize, u64, usize)) {
     let mut now = Moment::from_millis(10_000);
-    let mut planner = busy!(Planner::new(Policy::default(), 0), (engines, waiting), now);
-    (0..limited).for_each(|index| planner.set_limit(&name(index), Some(2.0), 1.0, now));
+    let mut planner = loaded!(Planner::new(Policy::default(), 0), (engines, waiting), now);
+    (0..limited_engines).for_each(|index| planner.set_limit(&name(index), Some(2.0), 1.0, now));
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
         now = now + Duration::from_micros(100);
-        planner.submit(event(number), job(3_000, now));
+        planner.submit(event_id(number), job(3_000, now));
         black_box(planner.pump(now));
         black_box(planner.refuse(now));
-        planner.end(event(number), now);
+        planner.end(event_id(number), now);
     });
 }
 
-/// One more limit that is heard of.
+/// Time to record the rate limit of one more engine.
 #[divan::bench(args = [150, 12_000])]
-fn limit_heard(bencher: Bencher, engines: usize) {
+fn set_limit(bencher: Bencher, engines: usize) {
     let now = Moment::from_millis(10_000);
-    let mut planner = busy!(Planner::new(Policy::default(), 0), (engines, 0), now);
+    let mut planner = loaded!(Planner::new(Policy::default(), 0), (engines, 0), now);
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
@@ -121,15 +123,15 @@
     });
 }
 
-#[divan::bench(args = PLAIN_SIZES, sample_count = 10)]
-fn plain(bencher: Bencher, size: (usize, u64)) {
+#[divan::bench(args = REFERENCE_SIZES, sample_count = 10)]
+fn reference_planner(bencher: Bencher, size: (usize, u64)) {
     let now = Moment::from_millis(10_000);
-    let mut planner = busy!(plain::Planner::new(Policy::default(), 0), size, now);
+    let mut planner = loaded!(plain::Planner::new(Policy::default(), 0), size, now);
     let mut number = 0;
     bencher.bench_local(|| {
         number += 1;
-        planner.submit(event(number), job(3_000, now));
+        planner.submit(event_id(number), job(3_000, now));
         black_box(planner.pump(now));
-        planner.end(event(number), now);
+        planner.end(event_id(number), now);
     });
 }
--- a/coord/src/end.rs
+++ b/coord/src/end.rs
@@ -1,13 +1,15 @@
-//! Which ends of replicas' processes are the same: several processes see one end, none of them all.
+//! Deduplication of replica terminations that several processes observe, none of which observes all of them.
 //!
-//! A replica may start again under its identity, and where its record does not tell its start, nothing that it says tells
-//! one run from the next. What tells them apart is time: a request that was sent at one moment, and whose connection was
-//! found ended at another, shows an end between the two. Two such spans that have nothing in common are two ends. Spans
-//! that overlap are taken for one: counted twice, one end would make innocent work look guilty, and that would stand until
-//! an operator lifts it; two ends counted as one cost one more replica and are told apart by the next.
+//! A replica can restart under the same identity. Unless its record states its start time, its messages do not
+//! distinguish one run from the next, so terminations are told apart by time: a request sent at one moment whose
+//! connection is found closed at a later one proves a termination in between. Two disjoint intervals are two
+//! terminations. Overlapping intervals are treated as one: counting one termination twice makes innocent requests
+//! look guilty until an operator lifts the verdict, whereas counting two as one costs one more replica and is
+//! corrected by the next termination.
 //!
-//! Who sees an end gives it a name that nobody else gives; who hears of it finds by its span whether it is one that is known
-//! already. Clocks differ, so that spans are passed on as ages.
+//! The process that observes a termination gives it a globally unique name. A process that receives a report compares
+//! its interval with the terminations it has recorded. Intervals are sent as ages because clocks differ between
+//! processes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,22 +20,22 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// For how long word of an end may be under way unnoticed: connections between processes are given up after less.
-const LONGEST_WAY: Duration = Duration::from_millis(500);
-/// Ends of one replica that are remembered, the newest.
-const MOST_ENDS: usize = 32;
+/// Longest time that a report of a termination can be in transit; connections between processes time out sooner.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
+/// Terminations kept per replica; the oldest is dropped first.
+const MAX_TERMINATIONS_PER_REPLICA: usize = 32;
 
-/// The time in which an end came about.
+/// Interval in which a termination happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// The process ran then, or had not begun.
+    /// Time at which the process was still running or had not started.
     pub after: Moment,
-    /// It had ended by then.
+    /// Time by which the process had terminated.
     pub by: Moment,
 }
 
 impl Span {
-    /// What is known of an end that was heard of at `now` and may have come about at any time before.
+    /// Returns the interval of a termination that is known only to have happened before `now`.
     pub const fn before(now: Moment) -> Self {
         Self { after: Moment::ZERO, by: now }
     }
@@ -42,149 +44,152 @@
         self.after <= other.by && other.after <= self.by
     }
 
-    /// The time that both have in common.
-    fn narrowed(&self, other: &Span) -> Span {
+    /// Returns the intersection of both intervals.
+    fn intersection(&self, other: &Span) -> Span {
         Span { after: self.after.max(other.after), by: self.by.min(other.by) }
     }
 }
 
-/// A span as it is passed on, with ages in place of moments.
+/// Interval in transit between processes, with ages in place of moments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Age {
-    after: Duration,
-    by: Duration,
+    start_age: Duration,
+    end_age: Duration,
 }
 
 impl Age {
-    /// The form of `span` that is sent at `now`.
+    /// Converts `span` for sending at `now`.
     pub fn of(span: &Span, now: Moment) -> Self {
-        Self { after: now.since(span.after), by: now.since(span.by) }
+        Self { start_age: now.since(span.after), end_age: now.since(span.by) }
     }
 
-    /// The span that was received at `now`. On its way it grew older by an unknown while.
+    /// Converts back to an interval at the receive time `now`. The interval is widened by the longest transit time
+    /// because the actual one is unknown.
     pub fn span(&self, now: Moment) -> Span {
-        Span { after: now - self.after - LONGEST_WAY, by: now - self.by }
+        Span { after: now - self.start_age - MAX_TRANSIT_TIME, by: now - self.end_age }
     }
 }
 
-/// The name of a run that ended, in its parts.
-struct Run<'a> {
+/// Parsed name of a terminated run.
+struct RunName<'a> {
     replica: &'a str,
-    /// When it was started, if its record told that and the end is the first that its author saw of it.
-    born: Option<u64>,
-    /// Who saw the end; none in names of another form.
+    /// Start time of the run, if its record stated it and this is the first termination that `author` observed of it.
+    start_ms: Option<u64>,
+    /// Process that observed the termination; `None` if the name has another format.
     author: Option<&'a str>,
 }
 
-impl<'a> Run<'a> {
-    /// Reads a name. One of another form is that of a replica.
+impl<'a> RunName<'a> {
+    /// Parses a name; a name in another format counts as the name of a replica.
     fn parse(name: &'a str) -> Self {
         let (run, author) = match name.rsplit_once('~') {
-            Some((run, seen)) => (run, seen.rsplit_once('-').map(|(author, _)| author)),
+            Some((run, suffix)) => (run, suffix.rsplit_once('-').map(|(author, _)| author)),
             None => (name, None),
         };
-        let (replica, born) = match run.rsplit_once('@') {
-            Some((replica, born)) => (replica, born.parse().ok()),
+        let (replica, start_ms) = match run.rsplit_once('@') {
+            Some((replica, start_ms)) => (replica, start_ms.parse().ok()),
             None => (run, None),
         };
-        Self { replica, born, author }
+        Self { replica, start_ms, author }
     }
 }
 
-/// One end, under all the names that it was given.
+/// One termination with all names that processes gave it.
 #[derive(Clone, Debug)]
-struct End {
-    /// The first is the one that it has here.
+struct Termination {
+    /// The first name is the one used in this process.
     names: Vec<Name>,
     span: Span,
 }
 
-impl End {
-    fn born(&self) -> Option<u64> {
-        self.names.iter().find_map(|name| Run::parse(name).born)
+impl Termination {
+    fn start_ms(&self) -> Option<u64> {
+        self.names.iter().find_map(|name| RunName::parse(name).start_ms)
     }
 
-    /// Whether an end of this name and span may be this one. Nobody gives one end two names.
-    fn may_be(&self, run: &Run, span: &Span) -> bool {
-        let by_author = |name: &Name| run.author.is_some() && Run::parse(name).author == run.author;
-        let other_start = self.born().zip(run.born).is_some_and(|(own, other)| own != other);
-        self.span.overlaps(span) && !other_start && !self.names.iter().any(by_author)
+    /// Returns whether a reported termination may be this one. One process never gives two names to one termination.
+    fn may_match(&self, run: &RunName, span: &Span) -> bool {
+        let has_same_author = |name: &Name| run.author.is_some() && RunName::parse(name).author == run.author;
+        let has_other_start = self.start_ms().zip(run.start_ms).is_some_and(|(own, other)| own != other);
+        self.span.overlaps(span) && !has_other_start && !self.names.iter().any(has_same_author)
     }
 }
 
-/// Ends of replicas' processes that one process knows of.
+/// Terminations of replica processes that this process has recorded.
 #[derive(Debug)]
 pub struct Ends {
-    /// What the names that are given here begin with, behind the replica.
+    /// Unique part, after the replica, of the names that this process generates.
     author: Name,
-    next: u64,
-    /// By replica, in the order in which they became known.
-    replicas: BTreeMap<Name, Vec<End>>,
+    next_number: u64,
+    /// Terminations by replica, in the order in which they were recorded.
+    replicas: BTreeMap<Name, Vec<Termination>>,
 }
 
 impl Ends {
-    /// Nothing known. No other process may have the same `author`, which has neither `-` nor `~` in it.
+    /// Creates an empty set. `author` must be unique among processes and contain neither `-` nor `~`.
     pub fn new(author: impl fmt::Display) -> Self {
-        Self { author: author.to_string().into(), next: 0, replicas: BTreeMap::new() }
+        Self { author: author.to_string().into(), next_number: 0, replicas: BTreeMap::new() }
     }
 
-    /// Notes an end that was seen here, of a replica whose record tells when it was `born`; returns the name of the run
-    /// that ended, and whether the end was not known.
-    pub fn saw(&mut self, replica: &Name, born: Option<u64>, span: Span) -> (Name, bool) {
-        let known = self.replicas.entry(replica.clone()).or_default();
-        let overlapping = known.iter_mut().filter(|end| end.span.overlaps(&span));
-        // A request was at the run that ended first after it was sent.
-        if let Some(end) = overlapping.min_by_key(|end| end.span.by) {
-            end.span = end.span.narrowed(&span);
-            return (end.names[0].clone(), false);
+    /// Records a termination observed by this process. `start_ms` is the start time in the replica's record. Returns the
+    /// name of the terminated run and whether the termination is new.
+    pub fn saw(&mut self, replica: &Name, start_ms: Option<u64>, span: Span) -> (Name, bool) {
+        let terminations = self.replicas.entry(replica.clone()).or_default();
+        let overlapping = terminations.iter_mut().filter(|termination| termination.span.overlaps(&span));
+        // The request was running on the first run that terminated after it was sent.
+        if let Some(termination) = overlapping.min_by_key(|termination| termination.span.by) {
+            termination.span = termination.span.intersection(&span);
+            return (termination.names[0].clone(), false);
         }
-        // Records tell of a new start late: what ended before of the same start was an earlier run.
-        let born = born.filter(|born| !known.iter().any(|end| end.born() == Some(*born)));
-        let start = born.map_or_else(String::new, |born| format!("@{born}"));
-        let run: Name = format!("{replica}{start}~{}-{}", self.author, self.next).into();
-        self.next += 1;
-        add(known, End { names: vec![run.clone()], span });
+        // A record shows a restart late: if a termination with this start time is already recorded, the start time
+        // belongs to an earlier run.
+        let start_ms = start_ms
+            .filter(|start_ms| !terminations.iter().any(|termination| termination.start_ms() == Some(*start_ms)));
+        let start_suffix = start_ms.map_or_else(String::new, |start_ms| format!("@{start_ms}"));
+        let run: Name = format!("{replica}{start_suffix}~{}-{}", self.author, self.next_number).into();
+        self.next_number += 1;
+        push_bounded(terminations, Termination { names: vec![run.clone()], span });
         (run, true)
     }
 
-    /// Notes an end that another process told of; returns the name that it has here.
+    /// Records a termination reported by another process, and returns its name in this process.
     pub fn heard(&mut self, name: &Name, span: Span) -> Name {
-        let run = Run::parse(name);
-        let known = self.replicas.entry(run.replica.into()).or_default();
-        if let Some(end) = known.iter().find(|end| end.names.contains(name)) {
-            return end.names[0].clone();
+        let run = RunName::parse(name);
+        let terminations = self.replicas.entry(run.replica.into()).or_default();
+        if let Some(termination) = terminations.iter().find(|termination| termination.names.contains(name)) {
+            return termination.names[0].clone();
         }
-        let candidates = known.iter_mut().filter(|end| end.may_be(&run, &span));
-        if let Some(end) = candidates.min_by_key(|end| end.span.by) {
-            end.span = end.span.narrowed(&span);
-            end.names.push(name.clone());
-            return end.names[0].clone();
+        let candidates = terminations.iter_mut().filter(|termination| termination.may_match(&run, &span));
+        if let Some(termination) = candidates.min_by_key(|termination| termination.span.by) {
+            termination.span = termination.span.intersection(&span);
+            termination.names.push(name.clone());
+            return termination.names[0].clone();
         }
-        add(known, End { names: vec![name.clone()], span });
+        push_bounded(terminations, Termination { names: vec![name.clone()], span });
         name.clone()
     }
 
-    /// When a run ended, if that is known here.
+    /// Returns the interval in which a run terminated, or `None` if no such termination is recorded.
     pub fn span(&self, run: &Name) -> Option<Span> {
-        let known = self.replicas.get(Run::parse(run).replica)?;
-        known.iter().find(|end| end.names.contains(run)).map(|end| end.span)
+        let terminations = self.replicas.get(RunName::parse(run).replica)?;
+        terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.span)
     }
 
-    /// Replicas that have ended, as far as is known.
+    /// Returns the number of replicas with a recorded termination.
     pub fn replicas(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Forgets the ends of replicas that are not among `known`.
-    pub fn keep(&mut self, known: impl Fn(&str) -> bool) {
-        self.replicas.retain(|replica, _| known(replica));
+    /// Drops the terminations of replicas for which `is_known` returns `false`.
+    pub fn keep(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.replicas.retain(|replica, _| is_known(replica));
     }
 }
 
-/// Adds an end to those of its replica; the oldest is forgotten for it.
-fn add(known: &mut Vec<End>, end: End) {
-    if known.len() >= MOST_ENDS {
-        known.remove(0);
+/// Appends a termination and drops the oldest one if the list is full.
+fn push_bounded(terminations: &mut Vec<Termination>, termination: Termination) {
+    if terminations.len() >= MAX_TERMINATIONS_PER_REPLICA {
+        terminations.remove(0);
     }
-    known.push(end);
+    terminations.push(termination);
 }
--- a/coord/src/evacuation.rs
+++ b/coord/src/evacuation.rs
@@ -1,9 +1,11 @@
-//! Failure domains that operators have emptied: nothing new goes to their replicas until that is taken back.
+//! Failure domains that operators evacuated. Replicas in an evacuated domain get no new work until the operator ends
+//! the evacuation.
 //!
-//! The operators' word stands in a log. Whoever reads it has all that was said below an offset; whoever is told by another
-//! process gets that process's whole [`Picture`]. The picture that reaches further wins, so that word which comes late, by
-//! whichever way, takes nothing back. A log that comes back from an older copy of itself may have lost such word: what it
-//! leaves out then stays emptied for a while, in which operators say it again.
+//! Evacuations are recorded in a log. A process that reads the log has applied all records below an offset; a process
+//! that receives them from a peer gets the peer's full [`Picture`]. The snapshot with the higher offset wins, so that
+//! late messages never undo newer ones, whichever way they arrive. A log recovered from an older copy of itself may
+//! have lost records: domains missing from it stay evacuated for a grace period in which operators can repeat the
+//! evacuation.
 
 use std::collections::BTreeSet;
 
@@ -13,85 +15,86 @@
 use crate::offset;
 use crate::time::Moment;
 
-/// What one record of the log says.
+/// Content of one log record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// A failure domain is to be emptied.
+    /// The evacuation of a failure domain started.
     Begun(Name),
-    /// Its replicas may be used again.
+    /// The evacuation ended; the domain's replicas may be used again.
     Ended(Name),
 }
 
-/// The failure domains that are emptied, as of one point of the log.
+/// Snapshot of the evacuated failure domains at one log offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Picture {
-    /// All records below this offset are taken in.
+    /// Offset of the next log record; all records below it are applied.
     pub next: u64,
-    /// The domains.
+    /// Names of the evacuated failure domains.
     pub domains: BTreeSet<Name>,
 }
 
-/// What this process knows of emptied failure domains.
+/// Evacuations that this process has recorded.
 #[derive(Debug, Default)]
 pub struct Register {
-    picture: Picture,
-    /// Domains that the log knew to be emptied before it came back, and does not now.
-    lost: BTreeSet<Name>,
-    /// Until when they stay emptied.
-    lost_until: Moment,
+    snapshot: Picture,
+    /// Domains that were evacuated before the log was recovered and are missing from the recovered log.
+    missing: BTreeSet<Name>,
+    /// End of the grace period of the missing domains.
+    missing_until: Moment,
 }
 
 impl Register {
-    /// Takes in what the record at `offset` says; says whether that changed anything. Records that were taken in before
-    /// change nothing.
+    /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records that are
+    /// already applied are ignored.
     pub fn hear(&mut self, offset: u64, news: News) -> bool {
-        if offset < self.picture.next {
+        if offset < self.snapshot.next {
             return false;
         }
-        self.picture.next = offset + 1;
+        self.snapshot.next = offset + 1;
         match news {
             News::Begun(domain) => {
-                self.lost.remove(&domain);
-                self.picture.domains.insert(domain)
+                self.missing.remove(&domain);
+                self.snapshot.domains.insert(domain)
             }
             News::Ended(domain) => {
-                self.lost.remove(&domain);
-                self.picture.domains.remove(&domain)
+                self.missing.remove(&domain);
+                self.snapshot.domains.remove(&domain)
             }
         }
     }
 
-    /// Takes in a whole picture, unless it is older than what is known; says whether that changed anything. What a log that
-    /// came back from an older copy leaves out stays emptied until `lost_until`.
-    pub fn replace(&mut self, mut picture: Picture, lost_until: Moment) -> bool {
-        if picture.next < self.picture.next {
+    /// Applies a full snapshot unless it is older than the current one, and returns whether the set of evacuated
+    /// domains changed. Domains that a recovered log has lost stay evacuated until `grace_until`.
+    pub fn replace(&mut self, mut snapshot: Picture, grace_until: Moment) -> bool {
+        if snapshot.next < self.snapshot.next {
             return false;
         }
-        if offset::era(picture.next) > offset::era(self.picture.next) {
-            self.lost = self.picture.domains.difference(&picture.domains).cloned().collect();
-            self.lost_until = lost_until;
+        if offset::era(snapshot.next) > offset::era(self.snapshot.next) {
+            self.missing = self.snapshot.domains.difference(&snapshot.domains).cloned().collect();
+            self.missing_until = grace_until;
         }
-        // Those that the picture has are known again.
-        self.lost.retain(|domain| !picture.domains.contains(domain));
-        picture.domains.extend(self.lost.iter().cloned());
-        let changed = picture.domains != self.picture.domains;
-        self.picture = picture;
+        // Domains in the snapshot are no longer missing.
+        self.missing.retain(|domain| !snapshot.domains.contains(domain));
+        snapshot.domains.extend(self.missing.iter().cloned());
+        let changed = snapshot.domains != self.snapshot.domains;
+        self.snapshot = snapshot;
         changed
     }
 
-    /// Gives up what nobody has said again when the time for that is over; says whether that changed anything.
+    /// Drops the missing domains once their grace period is over, and returns whether the set of evacuated domains
+    /// changed.
     pub fn expire(&mut self, now: Moment) -> bool {
-        if now < self.lost_until {
+        if now < self.missing_until {
             return false;
         }
-        let lost = std::mem::take(&mut self.lost);
-        let before = self.picture.domains.len();
-        self.picture.domains.retain(|domain| !lost.contains(domain));
-        self.picture.domains.len() < before
+        let missing = std::mem::take(&mut self.missing);
+        let count_before = self.snapshot.domains.len();
+        self.snapshot.domains.retain(|domain| !missing.contains(domain));
+        self.snapshot.domains.len() < count_before
     }
 
-    /// All that is known.
+    /// Returns a snapshot of the evacuated domains.
     pub fn picture(&self) -> &Picture {
-        &self.picture
+        &self.snapshot
     }
 }
--- a/coord/src/limit/group.rs
+++ b/coord/src/limit/group.rs
@@ -1,48 +1,49 @@
-//! Which part of what is common to all entries those may use for whom one of them decides.
+//! Share of a rate limit that the entries of one leader may use.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// For how long entries that were together count: longer than the cuts that separate them for a while last, and short
-/// enough that the rest gets the whole again when some were taken away for good.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// Time for which the largest group size counts: longer than temporary partitions last, and short enough that the
+/// remaining entries soon use the full limit when others are removed for good.
+const SIZE_RETENTION: Duration = Duration::from_secs(30);
 
-/// How many entries were together of late.
+/// Number of entries that recently formed one group.
 ///
-/// One that decides for `k` of `n` entries uses `k / n` of a common bound. Where a cut leaves several who decide, their
-/// shares add up to one, without a word between them; where one is lost, those that it decided for use a share each until
-/// they have found the next.
+/// A leader of `k` out of `n` entries uses `k / n` of a common limit. During a partition, the shares of several
+/// leaders add up to one without communication between them. When a leader is lost, each of its entries uses its own
+/// share until it has found the next leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Group {
-    /// The most that were together since `since`.
-    largest: usize,
-    since: Moment,
-    /// The most in the period before.
-    before: usize,
+    /// Maximum group size since `period_start`.
+    max_size: usize,
+    period_start: Moment,
+    /// Maximum group size in the previous period.
+    previous_max_size: usize,
 }
 
 impl Group {
-    /// Notes that so many are together now.
+    /// Records the current number of entries in the group.
     pub fn note(&mut self, entries: usize, now: Moment) {
-        let age = now.since(self.since);
-        if age >= REMEMBERED {
-            self.before = if age < REMEMBERED * 2 { self.largest } else { 0 };
-            self.largest = 0;
-            self.since = now;
+        let age = now.since(self.period_start);
+        if age >= SIZE_RETENTION {
+            self.previous_max_size = if age < SIZE_RETENTION * 2 { self.max_size } else { 0 };
+            self.max_size = 0;
+            self.period_start = now;
         }
-        self.largest = self.largest.max(entries);
+        self.max_size = self.max_size.max(entries);
     }
 
-    /// The share of one that decides for `entries`, itself among them, of `known` or more.
-    pub fn share(&self, entries: usize, known: usize, now: Moment) -> f64 {
-        let age = now.since(self.since);
-        let of_late = match age {
-            age if age >= REMEMBERED * 2 => 0,
-            age if age >= REMEMBERED => self.largest,
-            _ => self.largest.max(self.before),
+    /// Returns the share of a leader of `entries` entries, including itself, when at least `known_entries` entries
+    /// exist.
+    pub fn share(&self, entries: usize, known_entries: usize, now: Moment) -> f64 {
+        let age = now.since(self.period_start);
+        let recent_max_size = match age {
+            age if age >= SIZE_RETENTION * 2 => 0,
+            age if age >= SIZE_RETENTION => self.max_size,
+            _ => self.max_size.max(self.previous_max_size),
         };
-        let all = of_late.max(known).max(entries).max(1);
-        entries as f64 / all as f64
+        let total = recent_max_size.max(known_entries).max(entries).max(1);
+        entries as f64 / total as f64
     }
 }
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -1,11 +1,13 @@
-//! Limits that replicas name: the requests a second that one takes from all entries together.
+//! Rate limits that replicas announce: the number of requests per second that a replica accepts from all entries
+//! together.
 //!
-//! [`Register`] holds what replicas say, whoever heard it. A replica says it in each of its answers, and answers cross
-//! on their way: which of two words is the later one is known only where one was asked for after the other had come.
-//! Where it is not known the stricter one holds; the next answer settles it.
+//! [`Register`] holds the limits that this process or its peers received. A replica reports its limit in each
+//! response, and responses can overtake each other: one report is certainly newer than another only if its request
+//! was sent after the other response arrived. While the order is unknown, the stricter limit is in force; the next
+//! response settles it.
 //!
-//! [`Allowance`] counts what may still be sent to one such replica, [`Group`] tells which share of all that the entries may
-//! use for whom one of them decides.
+//! [`Allowance`] counts the requests that may still be sent to a limited replica. [`Group`] yields the share of a
+//! limit that the entries of one leader may use.
 
 mod allowance;
 mod group;
@@ -19,119 +21,122 @@
 use crate::name::Name;
 use crate::time::Moment;
 
-/// What an answer of a replica says.
+/// Report of a replica's limit in one response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Word {
-    /// Requests a second that it takes from all entries together; none if it names no limit.
+    /// Requests per second accepted from all entries together; `None` if the replica has no limit.
     pub rate: Option<f64>,
-    /// When the request that it answers was sent.
+    /// Send time of the request.
     pub asked: Moment,
-    /// When the answer came.
+    /// Arrival time of the response.
     pub heard: Moment,
 }
 
 impl Word {
-    /// Whether it was certainly said after another.
-    fn is_after(&self, other: &Word) -> bool {
+    /// Returns whether this report is certainly newer than `other`.
+    fn is_newer_than(&self, other: &Word) -> bool {
         self.asked >= other.heard
     }
 
-    /// Whether it leaves a replica less than another does.
-    fn is_stricter(&self, other: &Word) -> bool {
+    /// Returns whether this report allows fewer requests than `other`.
+    fn is_stricter_than(&self, other: &Word) -> bool {
         self.rate.unwrap_or(f64::INFINITY) < other.rate.unwrap_or(f64::INFINITY)
     }
 }
 
-/// A word as it is passed on, with ages in place of moments: clocks differ.
+/// Report in transit between entries, with ages in place of moments because clocks differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct News {
-    /// The replica that said it.
+    /// Replica that reported the limit.
     pub replica: Name,
-    /// As in [`Word`].
+    /// Reported limit, as in [`Word`].
     pub rate: Option<f64>,
-    /// Time since the request was sent that it answers.
+    /// Time since the request was sent.
     pub asked_ago: Duration,
-    /// Time since the answer came.
+    /// Time since the response arrived.
     pub heard_ago: Duration,
 }
 
 impl News {
-    /// The form of `word` that is sent at `now`.
-    pub fn of(replica: &Name, word: &Word, now: Moment) -> Self {
-        let (asked_ago, heard_ago) = (now.since(word.asked), now.since(word.heard));
-        Self { replica: replica.clone(), rate: word.rate, asked_ago, heard_ago }
+    /// Converts a report for sending at `now`.
+    pub fn of(replica: &Name, report: &Word, now: Moment) -> Self {
+        let (asked_ago, heard_ago) = (now.since(report.asked), now.since(report.heard));
+        Self { replica: replica.clone(), rate: report.rate, asked_ago, heard_ago }
     }
 
-    /// The word that was received at `now`. Its way makes it look younger by that long, on both ends alike.
+    /// Converts back to moments at the receive time `now`. The transit time makes both moments later by the same
+    /// amount.
     pub fn word(&self, now: Moment) -> Word {
         Word { rate: self.rate, asked: now - self.asked_ago, heard: now - self.heard_ago }
     }
 }
 
-/// What is known of one replica.
+/// Limit of one replica.
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    /// The word in force: of several that say the same, the first.
-    word: Word,
-    /// What was asked before this was asked of an earlier run of the replica.
-    started: Moment,
+struct ReplicaLimit {
+    /// Report in force; of several with the same limit, the oldest.
+    report: Word,
+    /// Earliest start time of the current run of the replica; responses to earlier requests belong to a previous run.
+    run_started: Moment,
 }
 
-/// What replicas say of themselves. One that never named a limit takes no room.
+/// Limits by replica. A replica that never reported a limit uses no memory.
 #[derive(Debug, Default)]
-pub struct Register(BTreeMap<Name, Known>);
+pub struct Register(BTreeMap<Name, ReplicaLimit>);
 
 impl Register {
-    /// Takes a word in; says whether another limit is in force now than before.
+    /// Records a report and returns whether the limit in force changed.
     ///
-    /// Of words that say the same the first one stands, so that all entries which heard of a change hold the same word.
-    pub fn hear(&mut self, replica: &Name, word: Word) -> bool {
-        let Some(known) = self.0.get_mut(replica) else {
-            if word.rate.is_some() {
-                self.0.insert(replica.clone(), Known { word, started: Moment::ZERO });
+    /// Of reports with the same limit the first is kept, so that all entries that received the change hold the same
+    /// one.
+    pub fn hear(&mut self, replica: &Name, report: Word) -> bool {
+        let Some(limit) = self.0.get_mut(replica) else {
+            if report.rate.is_some() {
+                self.0.insert(replica.clone(), ReplicaLimit { report, run_started: Moment::ZERO });
             }
-            return word.rate.is_some();
+            return report.rate.is_some();
         };
-        let is_of_this_run = word.asked >= known.started;
-        let holds = word.is_after(&known.word) || (!known.word.is_after(&word) && word.is_stricter(&known.word));
-        if !is_of_this_run || !holds || word.rate == known.word.rate {
+        let is_from_current_run = report.asked >= limit.run_started;
+        let takes_precedence = report.is_newer_than(&limit.report)
+            || (!limit.report.is_newer_than(&report) && report.is_stricter_than(&limit.report));
+        if !is_from_current_run || !takes_precedence || report.rate == limit.report.rate {
             return false;
         }
-        known.word = word;
+        limit.report = report;
         true
     }
 
-    /// The limit in force for a replica, in requests a second.
+    /// Returns the limit of a replica in requests per second, or `None` if it has no limit.
     pub fn rate(&self, replica: &str) -> Option<f64> {
-        self.0.get(replica).and_then(|known| known.word.rate)
+        self.0.get(replica).and_then(|limit| limit.report.rate)
     }
 
-    /// The replicas that name a limit, with their rates.
+    /// Returns the limited replicas with their limits in requests per second.
     pub fn limited(&self) -> impl Iterator<Item = (&Name, f64)> {
-        self.0.iter().filter_map(|(replica, known)| Some((replica, known.word.rate?)))
+        self.0.iter().filter_map(|(replica, limit)| Some((replica, limit.report.rate?)))
     }
 
-    /// All that another entry should know: limits, and those that ended.
+    /// Returns the reports that a peer needs: current limits and the withdrawal of earlier ones.
     pub fn all(&self, now: Moment) -> Vec<News> {
-        self.0.iter().map(|(replica, known)| News::of(replica, &known.word, now)).collect()
+        self.0.iter().map(|(replica, limit)| News::of(replica, &limit.report, now)).collect()
     }
 
-    /// What is in force for a replica, as it is passed on.
+    /// Returns the report in force of one replica in the form sent to peers.
     pub fn news(&self, replica: &str, now: Moment) -> Option<News> {
-        let (replica, known) = self.0.get_key_value(replica)?;
-        Some(News::of(replica, &known.word, now))
+        let (replica, limit) = self.0.get_key_value(replica)?;
+        Some(News::of(replica, &limit.report, now))
     }
 
-    /// Notes that a replica started again under its identity: what it said before was said of another run. Says whether
-    /// it had named a limit.
+    /// Discards the limit of a replica that restarted, since it belonged to the previous run. Returns whether the
+    /// replica had a limit.
     pub fn restarted(&mut self, replica: &str, now: Moment) -> bool {
-        let Some(known) = self.0.get_mut(replica) else { return false };
-        let was_limited = known.word.rate.is_some();
-        *known = Known { word: Word { rate: None, asked: now, heard: now }, started: now };
+        let Some(limit) = self.0.get_mut(replica) else { return false };
+        let was_limited = limit.report.rate.is_some();
+        *limit = ReplicaLimit { report: Word { rate: None, asked: now, heard: now }, run_started: now };
         was_limited
     }
 
-    /// Forgets a replica that is gone.
+    /// Removes a replica that no longer exists.
     pub fn forget(&mut self, replica: &str) {
         self.0.remove(replica);
     }
--- a/coord/src/pick.rs
+++ b/coord/src/pick.rs
@@ -1,4 +1,4 @@
-//! Which endpoint to try first: candidates by rendezvous and chance, then a choice among them.
+//! Endpoint selection: candidates come from rendezvous hashing and random sampling, and a policy chooses among them.
 
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -6,107 +6,127 @@
 use crate::name::Name;
 use crate::scheduler::Quote;
 
-/// The rendezvous score of `name` for `hash`; the highest scores are chosen.
+/// Returns the rendezvous score of `name` for `hash`; the names with the highest scores are selected.
 pub fn rendezvous(hash: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), hash)
 }
 
-/// The `count` names that rendezvous hashing chooses for `hash`, best first.
+/// Returns the `count` names with the highest rendezvous scores for `hash`, best first.
 pub fn chosen<'a>(hash: u64, names: impl Iterator<Item = &'a Name>, count: usize) -> Vec<Name> {
     let mut scored: Vec<(u64, &Name)> = names.map(|name| (rendezvous(hash, name), name)).collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored.into_iter().take(count).map(|(_, name)| name.clone()).collect()
 }
 
-/// What an entry knows of one endpoint when it picks.
+/// Endpoint as known to an entry at selection time.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// Attempts of this entry that the endpoint has not ended.
+    /// Number of this entry's unfinished attempts at the endpoint.
     pub outstanding: u32,
-    /// Prefill and output tokens of those attempts.
+    /// Prefill and output tokens of the unfinished attempts.
     pub active_tokens: u64,
-    /// Extra time to reach its failure domain, in microseconds.
+    /// Additional latency to the endpoint's failure domain, in microseconds.
     pub distance: u64,
 }
 
-/// A way of picking.
+/// Endpoint selection policy.
 pub trait Picker: Send {
-    /// Candidates to try, best first, at most `count`.
-    fn candidates(&mut self, all: &[Candidate], hash: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name>;
-
-    /// Whether the candidates are asked for a quote before one is chosen.
+    /// Returns at most `count` candidates in order of preference.
+    fn candidates(
+        &mut self,
+        endpoints: &[Candidate],
+        hash: Option<u64>,
+        count: usize,
+        random: &mut dyn Rng,
+    ) -> Vec<Name>;
+
+    /// Returns whether the candidates are asked for a quote before one is chosen.
     fn asks(&self) -> bool {
         false
     }
 }
 
-/// One after the other: a baseline.
+/// Baseline policy that cycles through the endpoints.
 #[derive(Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
 impl Picker for RoundRobin {
-    fn candidates(&mut self, all: &[Candidate], _: Option<u64>, count: usize, _: &mut dyn Rng) -> Vec<Name> {
+    fn candidates(&mut self, endpoints: &[Candidate], _: Option<u64>, count: usize, _: &mut dyn Rng) -> Vec<Name> {
         self.next = self.next.wrapping_add(1);
         let start = self.next;
-        let count = count.min(all.len());
-        (0..count).map(|step| all[(start + step) % all.len()].endpoint.clone()).collect()
+        let count = count.min(endpoints.len());
+        (0..count).map(|step| endpoints[(start + step) % endpoints.len()].endpoint.clone()).collect()
     }
 }
 
-/// Fewest attempts outstanding: a baseline.
+/// Baseline policy that prefers the endpoint with the fewest unfinished attempts.
 pub struct LeastOutstanding;
 
 impl Picker for LeastOutstanding {
-    fn candidates(&mut self, all: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
-        sorted_by(all, count, random, |candidate| u64::from(candidate.outstanding))
+    fn candidates(&mut self, endpoints: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
+        order_by_load(endpoints, count, random, |candidate| u64::from(candidate.outstanding))
     }
 }
 
-/// Fewest active tokens, as the slot tracker accounts them: a baseline.
+/// Baseline policy that prefers the endpoint with the fewest active tokens.
 ///
-/// After "Standalone Slot Tracker (NVIDIA Dynamo KV router)": prefill tokens and
-/// decode load of the active requests are added up per worker.
+/// It follows the "Standalone Slot Tracker" of the NVIDIA Dynamo KV router, which adds up the prefill tokens and the
+/// decode load of the active requests per worker.
 pub struct ActiveTokens;
 
 impl Picker for ActiveTokens {
-    fn candidates(&mut self, all: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
-        sorted_by(all, count, random, |candidate| candidate.active_tokens)
+    fn candidates(&mut self, endpoints: &[Candidate], _: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
+        order_by_load(endpoints, count, random, |candidate| candidate.active_tokens)
     }
 }
 
-fn sorted_by(all: &[Candidate], count: usize, random: &mut dyn Rng, load: impl Fn(&Candidate) -> u64) -> Vec<Name> {
+fn order_by_load(
+    endpoints: &[Candidate],
+    count: usize,
+    random: &mut dyn Rng,
+    load: impl Fn(&Candidate) -> u64,
+) -> Vec<Name> {
     let mut order: Vec<(u64, u64, &Name)> =
-        all.iter().map(|candidate| (load(candidate), random.next_u64(), &candidate.endpoint)).collect();
+        endpoints.iter().map(|candidate| (load(candidate), random.next_u64(), &candidate.endpoint)).collect();
     order.sort_unstable();
     order.into_iter().take(count).map(|(_, _, name)| name.clone()).collect()
 }
 
-/// Asks a few candidates for their expected time to first token.
+/// Policy that asks a few candidates for their expected time to first token.
 ///
-/// The first candidates are those that rendezvous hashing gives for the prompt's
-/// prefix, where its cache is likely; the rest are two-choice samples by load.
+/// The first candidates come from rendezvous hashing of the prompt's prefix, because their caches probably hold it.
+/// The others are the less loaded of two random endpoints each.
 pub struct Quoted {
-    /// Candidates by prefix.
+    /// Number of candidates selected by prefix.
     pub by_prefix: usize,
 }
 
 impl Picker for Quoted {
-    fn candidates(&mut self, all: &[Candidate], hash: Option<u64>, count: usize, random: &mut dyn Rng) -> Vec<Name> {
+    fn candidates(
+        &mut self,
+        endpoints: &[Candidate],
+        hash: Option<u64>,
+        count: usize,
+        random: &mut dyn Rng,
+    ) -> Vec<Name> {
         let mut picked = match hash {
-            Some(hash) => chosen(hash, all.iter().map(|candidate| &candidate.endpoint), self.by_prefix.min(count)),
+            Some(hash) => {
+                chosen(hash, endpoints.iter().map(|candidate| &candidate.endpoint), self.by_prefix.min(count))
+            }
             None => Vec::new(),
         };
-        let rest: Vec<&Candidate> = all.iter().filter(|candidate| !picked.contains(&candidate.endpoint)).collect();
-        let mut left: Vec<&Candidate> = rest;
-        while picked.len() < count && !left.is_empty() {
-            let first = random.random_range(0..left.len());
-            let second = random.random_range(0..left.len());
-            let better = if lighter(left[second], left[first]) { second } else { first };
-            picked.push(left.swap_remove(better).endpoint.clone());
+        let others: Vec<&Candidate> =
+            endpoints.iter().filter(|candidate| !picked.contains(&candidate.endpoint)).collect();
+        let mut remaining: Vec<&Candidate> = others;
+        while picked.len() < count && !remaining.is_empty() {
+            let first = random.random_range(0..remaining.len());
+            let second = random.random_range(0..remaining.len());
+            let better = if is_less_loaded(remaining[second], remaining[first]) { second } else { first };
+            picked.push(remaining.swap_remove(better).endpoint.clone());
         }
         picked
     }
@@ -116,22 +136,22 @@
     }
 }
 
-fn lighter(one: &Candidate, other: &Candidate) -> bool {
-    (one.distance, one.outstanding) < (other.distance, other.outstanding)
+fn is_less_loaded(first: &Candidate, second: &Candidate) -> bool {
+    (first.distance, first.outstanding) < (second.distance, second.outstanding)
 }
 
-/// An endpoint's answer to a question for a quote.
+/// Quote of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// The endpoint that answered.
+    /// Name of the endpoint that sent the quote.
     pub endpoint: Name,
-    /// What it expects.
+    /// Estimate that the endpoint returned.
     pub quote: Quote,
-    /// Extra time to reach it, in microseconds.
+    /// Additional latency to the endpoint, in microseconds.
     pub distance: u64,
 }
 
-/// The offers in the order in which to try them: open ones first, then by expected time.
+/// Sorts the offers by preference: endpoints that accept work first, then by expected time to first token.
 pub fn rank_offers(mut offers: Vec<Offer>) -> Vec<Offer> {
     offers.sort_by_key(|offer| {
         let ttft = crate::time::micros(offer.quote.ttft + offer.quote.harm) + offer.distance;
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -1,8 +1,8 @@
-//! Configuration by replay: every reader of the log reaches the same verdicts.
+//! Configuration by log replay: every reader of the log reaches the same verdicts.
 //!
-//! A [`Record::Confirm`] takes effect iff no item that its plan touches changed
-//! after the plan's base. There is no lock and no leader: of two racing
-//! operators the lower offset wins, and the other is told who did.
+//! A [`Record::Confirm`] takes effect if and only if no item in its plan changed after the plan's base revision. This
+//! needs neither a lock nor a leader: of two concurrent confirmations the one with the lower offset succeeds, and the
+//! other receives a conflict that names the winner.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,79 +12,79 @@
 use crate::intent::{Change, Config, Item};
 use crate::name::Name;
 
-/// Plans that wait for a confirm, and verdicts remembered for repeated confirms.
-const REMEMBERED: usize = 10_000;
+/// Maximum number of unconfirmed plans, and of verdicts kept for repeated confirmations.
+const MAX_RETAINED: usize = 10_000;
 
-/// A record on the configuration stream.
+/// Record on the configuration stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A plan, not in effect.
+    /// Proposes changes, without effect until confirmed.
     Plan {
-        /// Unique id, also of repeated appends.
+        /// Unique identifier; a repeated append of the plan reuses it.
         id: Name,
-        /// Revision that the plan was made against.
+        /// Revision on which the plan is based.
         base: u64,
-        /// What it would change.
+        /// Proposed changes.
         changes: Vec<Change>,
     },
-    /// An operator's confirmation.
+    /// Confirms a plan on behalf of an operator.
     Confirm {
-        /// The plan's id.
+        /// Identifier of the plan.
         plan: Name,
     },
 }
 
-/// State that replay needs to go on from an offset, so that older records may go.
+/// Replay state at an offset. It replaces all earlier records, which can then be deleted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Offset of the next record to replay.
     pub next: u64,
-    /// Configuration there.
+    /// Configuration at the offset.
     pub config: Arc<Config>,
-    /// Revision at which each item last changed, and by which plan.
-    pub changed: Vec<(Item, Changed)>,
-    /// Plans that may still be confirmed.
+    /// Latest change of each item.
+    pub changed: Vec<(Item, LastChange)>,
+    /// Unconfirmed plans with their base revisions.
     pub plans: Vec<(Name, u64, Vec<Change>)>,
     /// Verdicts on confirmed plans.
     pub verdicts: Vec<(Name, Verdict)>,
 }
 
-/// The last change of an item.
+/// Latest change of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
-    /// Revision at which it changed.
+pub struct LastChange {
+    /// Revision that the change produced.
     pub revision: u64,
-    /// The plan that changed it.
+    /// Plan that contained the change.
     pub plan: Name,
 }
 
-/// What became of a confirm.
+/// Result of a confirmation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force since this revision.
+    /// The plan is in force.
     Accepted {
-        /// The revision.
+        /// Revision that the plan produced.
         revision: u64,
     },
-    /// Another plan changed an item first.
+    /// Another plan changed an item after the base revision.
     Conflict {
-        /// The item.
+        /// Item that both plans change.
         item: Item,
-        /// Who changed it.
-        winner: Changed,
+        /// Change that took effect first.
+        winner: LastChange,
     },
-    /// No such plan, or too old.
+    /// The plan does not exist or was evicted.
     UnknownPlan,
 }
 
-/// Replays the configuration stream.
+/// State of the configuration stream after the records replayed so far.
 #[derive(Clone, Debug, Default)]
 pub struct Replay {
     next: u64,
     config: Arc<Config>,
-    changed: BTreeMap<Item, Changed>,
+    changed: BTreeMap<Item, LastChange>,
     plans: HashMap<Name, (u64, Arc<Vec<Change>>)>,
     plan_order: VecDeque<Name>,
     verdicts: HashMap<Name, Verdict>,
@@ -92,34 +92,32 @@
 }
 
 impl Replay {
-    /// Nothing replayed yet.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replays the record at `offset`; records already replayed are passed over.
-    ///
-    /// Returns whether the configuration changed.
+    /// Replays the record at `offset` unless it was replayed before, and returns whether the configuration changed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> bool {
         if offset < self.next {
             return false;
         }
-        let before = self.config.revision;
+        let previous_revision = self.config.revision;
         match record {
-            Record::Plan { id, base, changes } => self.plan(id, *base, changes),
-            Record::Confirm { plan } => self.confirm(offset, plan),
+            Record::Plan { id, base, changes } => self.apply_plan(id, *base, changes),
+            Record::Confirm { plan } => self.apply_confirm(offset, plan),
         }
         self.next = offset + 1;
-        crate::invariant!(self.config.revision >= before, "the configuration's revision never goes back");
-        self.config.revision != before
+        crate::invariant!(self.config.revision >= previous_revision, "the configuration's revision never goes back");
+        self.config.revision != previous_revision
     }
 
-    /// Passes over a record that cannot be read; every reader does the same.
+    /// Skips an unreadable record; every reader skips the same ones.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
 
-    /// Takes a snapshot's state if it is newer than what was replayed.
+    /// Restores a snapshot if it is newer than the replayed state, and returns whether it did.
     pub fn restore(&mut self, snapshot: &Snapshot) -> bool {
         if snapshot.next <= self.next {
             return false;
@@ -136,7 +134,7 @@
         true
     }
 
-    /// The state to publish or to give to a peer.
+    /// Returns the state to publish or to send to a peer.
     pub fn snapshot(&self) -> Snapshot {
         let plan = |id: &Name| self.plans.get(id).map(|(base, changes)| (id.clone(), *base, changes.to_vec()));
         let verdict = |id: &Name| self.verdicts.get(id).map(|verdict| (id.clone(), verdict.clone()));
@@ -149,54 +147,54 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Offset of the next record to replay.
+    /// Returns the offset of the next record to replay.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The verdict on a plan's confirm, once replayed.
+    /// Returns the verdict on a plan, once its confirmation is replayed.
     pub fn verdict(&self, plan: &str) -> Option<&Verdict> {
         self.verdicts.get(plan)
     }
 
-    /// Whether the plan was replayed and waits for its confirm.
+    /// Returns whether the plan was replayed and is unconfirmed.
     pub fn has_plan(&self, plan: &str) -> bool {
         self.plans.contains_key(plan)
     }
 
-    fn plan(&mut self, id: &Name, base: u64, changes: &[Change]) {
+    fn apply_plan(&mut self, id: &Name, base: u64, changes: &[Change]) {
         if self.plans.contains_key(id) || self.verdicts.contains_key(id) {
             return;
         }
         self.plans.insert(id.clone(), (base, Arc::new(changes.to_vec())));
         self.plan_order.push_back(id.clone());
-        if self.plan_order.len() > REMEMBERED
+        if self.plan_order.len() > MAX_RETAINED
             && let Some(oldest) = self.plan_order.pop_front()
         {
             self.plans.remove(&oldest);
         }
     }
 
-    fn confirm(&mut self, offset: u64, plan: &Name) {
+    fn apply_confirm(&mut self, offset: u64, plan: &Name) {
         if self.verdicts.contains_key(plan) {
             return;
         }
-        let verdict = self.judge(offset, plan);
+        let verdict = self.decide(offset, plan);
         self.verdicts.insert(plan.clone(), verdict);
         self.verdict_order.push_back(plan.clone());
-        if self.verdict_order.len() > REMEMBERED
+        if self.verdict_order.len() > MAX_RETAINED
             && let Some(oldest) = self.verdict_order.pop_front()
         {
             self.verdicts.remove(&oldest);
         }
     }
 
-    fn judge(&mut self, offset: u64, plan: &Name) -> Verdict {
+    fn decide(&mut self, offset: u64, plan: &Name) -> Verdict {
         let Some((base, changes)) = self.plans.remove(plan) else { return Verdict::UnknownPlan };
         self.plan_order.retain(|id| id != plan);
         for change in changes.iter() {
@@ -210,7 +208,7 @@
         config.revision = revision;
         for change in changes.iter() {
             config.apply(change);
-            self.changed.insert(change.item(), Changed { revision, plan: plan.clone() });
+            self.changed.insert(change.item(), LastChange { revision, plan: plan.clone() });
         }
         self.config = Arc::new(config);
         Verdict::Accepted { revision }
--- a/coord/tests/replay_random.rs
+++ b/coord/tests/replay_random.rs
@@ -1,4 +1,4 @@
-//! Random logs: every reader reaches the same verdicts, from any start, and no revision goes back.
+//! Random logs: every reader reaches the same verdicts from any starting point, and the revision never decreases.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 use coord::replay::{Record, Replay, Verdict};
 use proptest::prelude::*;
 
-/// A log of plans against bases of their own choice, confirms, repeats of both, and confirms of nothing.
+/// Generates a log of plans with random base revisions, confirmations, repetitions of both, and confirmations of
+/// unknown plans.
 fn log() -> impl Strategy<Value = Vec<Record>> {
     let item = 0..4u8;
     let plan = (0..30u8, 0..60u64, prop::collection::vec((item, 1..5u64), 1..4)).prop_map(|(id, base, changes)| {
@@ -42,18 +43,18 @@
     })]
 
     #[test]
-    fn readers_agree_from_any_snapshot_and_any_repeat(records in log(), cut in 0..80usize, back in 0..10usize) {
-        let whole = replayed(&records);
+    fn readers_agree_from_any_snapshot_and_any_repeat(records in log(), cut in 0..80usize, reread_count in 0..10usize) {
+        let reference = replayed(&records);
         let cut = cut.min(records.len());
-        let mut other = Replay::new();
-        other.restore(&replayed(&records[..cut]).snapshot());
-        // What was read before is read again, as after a lost answer.
-        for (offset, record) in records.iter().enumerate().skip(cut.saturating_sub(back)) {
-            other.apply(offset as u64, record);
+        let mut restored = Replay::new();
+        restored.restore(&replayed(&records[..cut]).snapshot());
+        // Some records are read again, as after a lost response.
+        for (offset, record) in records.iter().enumerate().skip(cut.saturating_sub(reread_count)) {
+            restored.apply(offset as u64, record);
         }
-        prop_assert_eq!(whole.config(), other.config());
-        prop_assert_eq!(verdicts(&whole), verdicts(&other));
-        prop_assert_eq!(whole.snapshot(), other.snapshot());
+        prop_assert_eq!(reference.config(), restored.config());
+        prop_assert_eq!(verdicts(&reference), verdicts(&restored));
+        prop_assert_eq!(reference.snapshot(), restored.snapshot());
     }
 
     #[test]
@@ -88,7 +89,7 @@
         prop_assert!(accepted);
         match replay.verdict("one") {
             Some(Verdict::Conflict { winner, .. }) => prop_assert_eq!(&*winner.plan, "two"),
-            other => prop_assert!(false, "{:?}", other),
+            restored => prop_assert!(false, "{:?}", restored),
         }
     }
 }
