--- a/sorrelpass/src/gateway/answer.rs
+++ b/sorrelpass/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: their body, and the ones that are our own.
+//! Responses to callers: their body type, and the error responses that this process generates itself.
 
 use axum::response::IntoResponse;
 use bytes::Bytes;
@@ -10,38 +10,40 @@
 
 use crate::failure::Failure;
 
-/// An answer's body broke off; the connection to the caller ends with it.
+/// Reports that a response body ended early. hyper then closes the caller's connection, so that the caller does not take
+/// the partial body for a complete one.
 #[derive(Clone, Copy, Debug)]
-pub struct Broken;
+pub struct BodyError;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response body ended early")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
-/// A body that we send to a caller.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
+/// Body of a response to a caller, either buffered or streamed.
+pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// An answer to a caller.
+/// HTTP response to a caller.
 pub type Answer = Response<Body>;
 
-/// A body of known bytes.
+/// Wraps bytes that are completely buffered into a response body.
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// The answer that tells a caller of a failure.
+/// Builds the error response for `failure`. The response carries the caller's request id and, if the failure has one, the
+/// `retry-after` header.
 pub fn failure(failure: Failure, id: &str) -> Answer {
     let retry_after = failure.retry_after;
-    let mut response = failure.into_response().map(|body| body.map_err(|_| Broken).boxed_unsync());
+    let mut response = failure.into_response().map(|body| body.map_err(|_| BodyError).boxed_unsync());
     dialect::own_answer(response.headers_mut(), id, retry_after);
     response
 }
 
-/// Tells the caller not to use the connection again.
+/// Sets `connection: close`, so that the caller does not reuse the connection.
 pub fn close_after(answer: &mut Answer) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/sorrelpass/src/gateway/attempt.rs
+++ b/sorrelpass/src/gateway/attempt.rs
@@ -1,8 +1,8 @@
-//! One send of a request to one replica, on a connection of its own.
+//! Sends a request once to one replica, on a new connection.
 //!
-//! A connection is never used twice: what a replica sends behind an answer, or late, then has no
-//! request that it could be taken for. A new connection costs a millisecond and a price that the
-//! measurements in `docs/design/08-platform.md` put below 0.002 of what a day earns.
+//! Connections are not reused: bytes that a replica sends after its response, or too late, then cannot be mistaken for the
+//! response to another request. A new connection costs about 1 ms, and all connections of a day together less than 0.002
+//! of the day's revenue (see `docs/design/08-platform.md`).
 
 use std::net::SocketAddr;
 
@@ -17,32 +17,32 @@
 use platform::dialect;
 use tokio::task::JoinHandle;
 
-/// A request as it goes to replicas.
+/// Caller's request in the form that is sent to replicas.
 pub struct Outgoing {
-    /// Its method.
+    /// HTTP method of the caller's request.
     pub method: Method,
-    /// Its path and query, unchanged.
+    /// Path and query of the caller's request, unchanged.
     pub uri: Uri,
-    /// The caller's headers.
+    /// Headers of the caller's request; each send removes the hop-by-hop headers and adds its own.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete request body.
     pub body: Bytes,
 }
 
-/// Why a send came to no answer head.
+/// Reason why a send returned no response head.
 #[derive(Debug)]
 pub enum Failed {
-    /// No connection came up: the replica never saw the request.
+    /// The request was not built or the connection was not established: the replica cannot have received the request.
     Unsent(eyre::Report),
-    /// The connection ended: the replica may have run the request.
+    /// The connection ended after the request may have been sent: the replica may have executed the request.
     Lost(eyre::Report),
 }
 
-/// An open connection; dropping it ends what the replica does for it.
+/// Open connection to a replica. Dropping it closes the connection, upon which the replica cancels the request.
 pub struct Connection(JoinHandle<()>);
 
 impl Connection {
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn close(self) {
         drop(self);
     }
@@ -54,20 +54,20 @@
     }
 }
 
-/// Sends a request, with `head` added to the caller's, and waits for the head of the answer.
+/// Sends a request with `added_headers` beside the caller's headers, and waits for the head of the response.
 pub async fn send(
     record: &Record,
     outgoing: &Outgoing,
-    head: &dialect::Send,
+    added_headers: &dialect::Send,
 ) -> Result<(Response<Incoming>, Connection), Failed> {
-    let request = request(record, outgoing, head).map_err(Failed::Unsent)?;
-    let stream = reach(record).await.map_err(Failed::Unsent)?;
+    let request = build_request(record, outgoing, added_headers).map_err(Failed::Unsent)?;
+    let stream = connect_to_replica(record).await.map_err(Failed::Unsent)?;
     let peer = &record.id;
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
     let (mut sender, driver) =
         handshake.map_err(|error| Failed::Unsent(eyre::eyre!("step=connect peer={peer}: {error}")))?;
     let connection = Connection(tokio::task::spawn_local(async move {
-        // The request under way reports what went wrong.
+        // `send_request` and the response body return the same error.
         let _ = driver.await;
     }));
     match sender.send_request(request).await {
@@ -76,8 +76,12 @@
     }
 }
 
-fn request(record: &Record, outgoing: &Outgoing, head: &dialect::Send) -> eyre::Result<Request<Full<Bytes>>> {
-    let headers = dialect::forward(&outgoing.headers, head)
+fn build_request(
+    record: &Record,
+    outgoing: &Outgoing,
+    added_headers: &dialect::Send,
+) -> eyre::Result<Request<Full<Bytes>>> {
+    let headers = dialect::forward(&outgoing.headers, added_headers)
         .map_err(|error| eyre::eyre!("step=build-request peer={:?}: {error}", record.id))?;
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
@@ -86,7 +90,7 @@
     Ok(request)
 }
 
-/// Looks whether a replica whose connection ended has ended itself.
+/// Probes whether the process of a replica still listens after a connection to the replica ended.
 pub async fn liveness(record: &Record) -> Liveness {
     match record.address.parse() {
         Ok(address) => connection::liveness(address).await,
@@ -97,8 +101,8 @@
     }
 }
 
-/// Connects to a replica.
-async fn reach(record: &Record) -> eyre::Result<tokio::net::TcpStream> {
+/// Opens a TCP connection to a replica within [`CONNECT_TIMEOUT`].
+async fn connect_to_replica(record: &Record) -> eyre::Result<tokio::net::TcpStream> {
     let peer = &record.id;
     let address: SocketAddr = record
         .address
@@ -107,6 +111,6 @@
     match tokio::time::timeout(CONNECT_TIMEOUT, connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) => Err(eyre::eyre!("step=connect peer={peer}: {error}")),
-        Err(_) => Err(eyre::eyre!("step=connect peer={peer}: not up within {} ms", CONNECT_TIMEOUT.as_millis())),
+        Err(_) => Err(eyre::eyre!("step=connect peer={peer}: timeout after {} ms", CONNECT_TIMEOUT.as_millis())),
     }
 }
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store says, whoever read it: a configuration, and news of replicas.
+//! Applies what was read from the store, here or by another entry: configurations, evacuations and replica records.
 
 use std::time::Duration;
 
@@ -13,70 +13,73 @@
 use super::state::Gateway;
 use crate::{debug_event, event, metric, warn_event};
 
-/// When callers should come back whose service has replicas in emptied failure domains only: operators take that back
-/// after seconds at the least.
+/// `retry-after` of requests to a service all of whose replicas are in evacuated failure domains. Operators need at least
+/// some seconds to end an evacuation.
 pub const EMPTIED_RETRY: Duration = Duration::from_secs(2);
 
-/// What was written is written again within this time of the store's return, if its writer lives and reaches the store.
-pub const RETURN_GRACE: Duration = Duration::from_secs(2);
+/// Time after a recovery of the store within which each live writer that reaches the store has written its record again.
+pub const STORE_RECOVERY_GRACE: Duration = Duration::from_secs(2);
 
-/// What a configuration was worth.
+/// Outcome of applying a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    /// It is in force.
+pub enum ApplyOutcome {
+    /// The configuration is in force.
     InForce,
-    /// It is older than the one in force.
-    Older,
-    /// It cannot be decoded, and changes nothing.
-    Unsound,
+    /// The configuration is older than the one in force, which stays.
+    Outdated,
+    /// The configuration cannot be decoded; the one in force stays.
+    Undecodable,
 }
 
-/// Puts one configuration in force, unless it is older than the one that is.
-pub fn apply(gateway: &Gateway, document: Version) -> Applied {
+/// Puts a configuration in force unless a newer one already is.
+pub fn apply_configuration(gateway: &Gateway, document: Version) -> ApplyOutcome {
     let offset = Text(document.offset);
     match table::decode(&document.value) {
         Ok(table) => {
             let (version, (routes, services, keys)) = (table.version(), table.sizes());
-            let taken = gateway.put_table(table);
+            let taken = gateway.replace_table(table);
             gateway.refresh_engines();
             event!("configuration", version, routes, services, keys, offset = %offset, taken);
             if taken {
-                gateway.facts.keep(document);
+                gateway.facts.cache_configuration(document);
             }
-            if version < gateway.table().version() { Applied::Older } else { Applied::InForce }
+            if version < gateway.table().version() { ApplyOutcome::Outdated } else { ApplyOutcome::InForce }
         }
         Err(error) => {
             warn_event!("configuration", offset = %offset, error = %format!("{error:#}"));
-            Applied::Unsound
+            ApplyOutcome::Undecodable
         }
     }
 }
 
-/// Takes in what operators say of failure domains in records of their topic, `whole` if these are all that stand there.
-pub fn hear_operators(gateway: &Gateway, page: &Page, whole: bool) {
+/// Applies the operators' evacuation records in `page`. `is_snapshot` says that the page holds the newest record of every
+/// key, so that a failure domain without a record is not evacuated.
+pub fn apply_evacuation_records(gateway: &Gateway, page: &Page, is_snapshot: bool) {
     let mut register = gateway.evacuations.borrow_mut();
-    let news = page.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
-    let changed = if whole {
-        let begun = news.filter_map(|(_, news)| if let News::Begun(domain) = news { Some(domain) } else { None });
-        register.replace(Picture { next: page.next, domains: begun.collect() }, now() + RETURN_GRACE)
+    let records = page.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
+    let has_changed = if is_snapshot {
+        let evacuated =
+            records.filter_map(|(_, news)| if let News::Begun(domain) = news { Some(domain) } else { None });
+        register.replace(Picture { next: page.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
     } else {
-        news.fold(false, |changed, (offset, news)| register.hear(offset, news) || changed)
+        records.fold(false, |has_changed, (offset, news)| register.hear(offset, news) || has_changed)
     };
     drop(register);
-    if changed {
-        empty(gateway);
+    if has_changed {
+        enforce_evacuations(gateway);
     }
 }
 
-/// Takes in which failure domains another entry knows to be emptied.
-pub fn hear_evacuations(gateway: &Gateway, picture: Picture) {
-    if gateway.evacuations.borrow_mut().replace(picture, now() + RETURN_GRACE) {
-        empty(gateway);
+/// Applies the set of evacuated failure domains that another entry sent.
+pub fn apply_evacuation_snapshot(gateway: &Gateway, snapshot: Picture) {
+    if gateway.evacuations.borrow_mut().replace(snapshot, now() + STORE_RECOVERY_GRACE) {
+        enforce_evacuations(gateway);
     }
 }
 
-/// Puts in force which failure domains are emptied. What waits for a service that has replicas nowhere else is refused.
-fn empty(gateway: &Gateway) {
+/// Excludes the replicas in evacuated failure domains from new work. Refuses the prompts that wait for a service all of
+/// whose replicas are excluded.
+fn enforce_evacuations(gateway: &Gateway) {
     let domains = gateway.evacuations.borrow().picture().domains.clone();
     event!("evacuations", emptied = domains.iter().map(|domain| &**domain).collect::<Vec<_>>().join(","));
     metric::emptied(&domains);
@@ -89,62 +92,61 @@
     }
 }
 
-/// Whether a replica takes work, as far as is known.
-pub fn is_usable(gateway: &Gateway, id: &str) -> bool {
+/// Returns whether a replica is known and accepts new work. Evacuations are not considered.
+pub fn accepts_work(gateway: &Gateway, id: &str) -> bool {
     gateway.roster.borrow().get(id).is_some_and(Replica::takes_work)
 }
 
-/// Where news of replicas comes from.
+/// Origin of an update about replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// This entry has read it in the store.
+    /// This entry read the update from the store.
     Store,
-    /// Another entry has told it, whose log has a line for each change.
+    /// Another entry sent the update; its log has a line for each change.
     Peer,
-    /// The replica has said it itself, in an answer to this entry.
-    Answer,
+    /// The replica reported the update itself, in a response to this entry.
+    Response,
 }
 
-/// Takes in what the log says.
-pub fn hear(gateway: &Gateway, sightings: Vec<Sighting>, source: Source) {
+/// Applies replica updates that were read from the log of the store.
+pub fn apply_updates(gateway: &Gateway, updates: Vec<Sighting>, source: Source) {
     let now = now();
     let mut roster = gateway.roster.borrow_mut();
     let changes: Vec<Change> =
-        sightings.into_iter().filter_map(|Sighting { offset, news }| roster.hear(offset, news, now)).collect();
+        updates.into_iter().filter_map(|Sighting { offset, news }| roster.hear(offset, news, now)).collect();
     drop(roster);
-    // Once for all of them: engines are chosen anew each time, which takes longer the more there are.
-    tell(gateway, &changes, source);
+    // One call for all changes: each call rebuilds the lists of engines, which takes longer the more engines there are.
+    publish_changes(gateway, &changes, source);
 }
 
-/// Takes in a whole picture whose newest offset is below `end`: what it leaves out was removed.
-pub fn replace(gateway: &Gateway, end: u64, newest: Vec<Sighting>, source: Source) {
+/// Applies a snapshot of all replica records below the offset `end`. A replica that is not in the snapshot was removed.
+pub fn apply_snapshot(gateway: &Gateway, end: u64, newest: Vec<Sighting>, source: Source) {
     let changes = gateway.roster.borrow_mut().replace(end, newest, now());
-    tell(gateway, &changes, source);
+    publish_changes(gateway, &changes, source);
 }
 
-/// Gives up what the store has lost and nobody has written again when the time for that is over: replicas whose records are
-/// missing, and domains that were emptied.
-pub fn expire(gateway: &Gateway, source: Source) {
+/// Removes replicas and evacuations whose records the store lost and that were not written again within the grace period.
+pub fn expire_records(gateway: &Gateway, source: Source) {
     if gateway.evacuations.borrow_mut().expire(now()) {
-        empty(gateway);
+        enforce_evacuations(gateway);
     }
     let changes = gateway.roster.borrow_mut().expire(now());
-    tell(gateway, &changes, source);
+    publish_changes(gateway, &changes, source);
 }
 
-/// Takes in that replicas leave, as they said themselves; returns those of which nobody had told this entry before.
-pub fn hear_leavers(gateway: &Gateway, leavers: Vec<Leaver>, source: Source) -> Vec<Leaver> {
+/// Marks runs of replicas that reported that they are draining. Returns those that were not marked before.
+pub fn apply_draining_runs(gateway: &Gateway, runs: Vec<Leaver>, source: Source) -> Vec<Leaver> {
     let mut roster = gateway.roster.borrow_mut();
-    let news: Vec<Leaver> = leavers.into_iter().filter(|leaver| !roster.knows_leaver(leaver)).collect();
-    let changes: Vec<Change> = news.iter().cloned().filter_map(|leaver| roster.leaves(leaver)).collect();
+    let new_runs: Vec<Leaver> = runs.into_iter().filter(|run| !roster.knows_leaver(run)).collect();
+    let changes: Vec<Change> = new_runs.iter().cloned().filter_map(|run| roster.leaves(run)).collect();
     drop(roster);
-    tell(gateway, &changes, source);
-    news
+    publish_changes(gateway, &changes, source);
+    new_runs
 }
 
-/// Logs changes of belief and passes them to those who choose engines. A line for each replica at each entry would be more
-/// than anyone can read or pay for: where another entry has told of them there is one for all.
-fn tell(gateway: &Gateway, changes: &[Change], source: Source) {
+/// Logs changes of replicas, discards the state of replicas that ended, and refreshes the lists of engines. Changes that
+/// another entry sent share one line: a line for each replica at each entry would be too many to read or to store.
+fn publish_changes(gateway: &Gateway, changes: &[Change], source: Source) {
     if source == Source::Peer && !changes.is_empty() {
         let ready = changes.iter().filter(|change| change.standing == Standing::Ready).count();
         event!("replicas", changed = changes.len(), ready);
@@ -157,7 +159,7 @@
             Standing::Gone => "gone",
         };
         match source {
-            Source::Store | Source::Answer => event!("replica", peer = %change.id, standing),
+            Source::Store | Source::Response => event!("replica", peer = %change.id, standing),
             Source::Peer => debug_event!("replica", peer = %change.id, standing),
         }
         if change.cold {
--- a/sorrelpass/src/gateway/hold.rs
+++ b/sorrelpass/src/gateway/hold.rs
@@ -1,8 +1,8 @@
-//! Engine memory held for one prompt that exceeds a single engine.
+//! Reservations of engine memory for a prompt that does not fit into the memory of one engine.
 //!
-//! All of it is had or none: what was had when a part is refused goes back at once. A hold is
-//! short and renewed while the prompt needs it, so that it ends by itself if this process dies.
-//! An order without an answer may be carried out seconds later; its release is repeated for as long.
+//! A reservation covers all engines or fails: if one engine refuses its part, the other parts are released at once. A
+//! reservation has a short lifetime and is renewed while the prompt needs it, so that it expires if this process dies. An
+//! engine may still execute a request whose response was lost seconds later, so the release is repeated for that long.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,67 +15,69 @@
 
 use crate::{event, util, warn_event};
 
-/// Renewals in the time of one hold: two may be lost without harm.
-const RENEWALS: u32 = 3;
-/// Time for an engine's answer to an order.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Pause before a release is tried again.
-const RELEASE_PAUSE: Duration = Duration::from_millis(300);
-/// An order without an answer is carried out within this time, if at all.
-const LATE_ORDER: Duration = Duration::from_secs(13);
-/// Pause between releases that are repeated for such an order.
-const LATE_PAUSE: Duration = Duration::from_secs(2);
+/// Number of renewals within the lifetime of a reservation: the reservation survives two lost renewals.
+const RENEWALS_PER_LIFETIME: u32 = 3;
+/// Bounds the time for an engine's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a failed release is retried.
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time after which an engine no longer executes a request whose response was lost.
+const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(13);
+/// Interval between repeated releases after such a request.
+const REPEATED_RELEASE_INTERVAL: Duration = Duration::from_secs(2);
 
 thread_local! {
-    /// Number of the next piece of this process.
-    static NEXT: Cell<u64> = const { Cell::new(0) };
+    /// Number of the next reservation part of this process.
+    static NEXT_NUMBER: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Memory at one engine.
-struct Piece {
+/// Part of a reservation at one engine.
+struct Part {
     engine: Name,
     id: Name,
     tokens: u64,
-    /// An order got no answer and may be carried out later.
-    doubtful: Cell<bool>,
+    /// Whether the engine may still execute a request whose response was lost.
+    is_uncertain: Cell<bool>,
 }
 
-/// Memory at several engines; dropping it releases all.
+/// Reservation of memory at several engines. Dropping it releases all parts.
 pub struct Hold {
-    /// One at each engine.
-    pieces: Vec<Rc<Piece>>,
+    /// One part for each engine.
+    parts: Vec<Rc<Part>>,
     renewals: Vec<JoinHandle<()>>,
 }
 
-/// Takes memory at engines, named by address, or none of it.
-pub async fn take(request: &Name, wants: Vec<(Name, u64)>, span: Duration) -> Option<Hold> {
-    let pieces: Vec<Rc<Piece>> = wants.into_iter().map(|(engine, tokens)| Rc::new(piece(engine, tokens))).collect();
-    let mut hold = Hold { pieces, renewals: Vec::new() };
-    let outcomes = join_all(hold.pieces.iter().map(|piece| piece.reserve(span))).await;
-    let held = outcomes.iter().filter(|held| **held).count();
+/// Reserves memory for `request` at engines, given by address and number of tokens, for the time `lifetime`, and renews the
+/// reservation until it is dropped. Returns `None` if an engine refuses or does not answer.
+pub async fn take(request: &Name, demands: Vec<(Name, u64)>, lifetime: Duration) -> Option<Hold> {
+    let parts: Vec<Rc<Part>> = demands.into_iter().map(|(engine, tokens)| Rc::new(new_part(engine, tokens))).collect();
+    let mut hold = Hold { parts, renewals: Vec::new() };
+    let outcomes = join_all(hold.parts.iter().map(|part| part.reserve(lifetime))).await;
+    let held = outcomes.iter().filter(|is_reserved| **is_reserved).count();
     event!("memory", request = %request, engines = outcomes.len(), held, tokens = hold.tokens());
     if held < outcomes.len() {
         return None;
     }
-    let renew = |piece: &Rc<Piece>| tokio::task::spawn_local(piece.clone().renew(span));
-    hold.renewals = hold.pieces.iter().map(renew).collect();
+    let renew = |part: &Rc<Part>| tokio::task::spawn_local(part.clone().keep_renewing(lifetime));
+    hold.renewals = hold.parts.iter().map(renew).collect();
     Some(hold)
 }
 
-/// The id names this run of the process, so that no other run ever touches it.
-fn piece(engine: Name, tokens: u64) -> Piece {
-    let number = NEXT.replace(NEXT.get() + 1);
-    Piece { engine, id: format!("{}-{number}", util::incarnation()).into(), tokens, doubtful: Cell::new(false) }
+/// Creates a part with a new id. The id contains the incarnation of this process, so that no other incarnation renews or
+/// releases the part.
+fn new_part(engine: Name, tokens: u64) -> Part {
+    let number = NEXT_NUMBER.replace(NEXT_NUMBER.get() + 1);
+    Part { engine, id: format!("{}-{number}", util::incarnation()).into(), tokens, is_uncertain: Cell::new(false) }
 }
 
 impl Hold {
-    /// The name under which each engine holds its memory.
+    /// Returns the id of the part at `engine`, or `None` if the reservation does not include that engine.
     pub fn id(&self, engine: &str) -> Option<Name> {
-        self.pieces.iter().find(|piece| *piece.engine == *engine).map(|piece| piece.id.clone())
+        self.parts.iter().find(|part| *part.engine == *engine).map(|part| part.id.clone())
     }
 
     fn tokens(&self) -> u64 {
-        self.pieces.iter().map(|piece| piece.tokens).sum()
+        self.parts.iter().map(|part| part.tokens).sum()
     }
 }
 
@@ -84,50 +86,50 @@
         for renewal in &self.renewals {
             renewal.abort();
         }
-        for piece in self.pieces.drain(..) {
-            tokio::task::spawn_local(piece.release());
+        for part in self.parts.drain(..) {
+            tokio::task::spawn_local(part.release());
         }
     }
 }
 
-impl Piece {
-    /// Orders the memory, or renews it; says whether it is held.
-    async fn reserve(&self, span: Duration) -> bool {
-        match memory::reserve(&self.engine, &self.id, self.tokens, span, PATIENCE).await {
+impl Part {
+    /// Reserves the memory, or renews its reservation. Returns whether the memory is reserved.
+    async fn reserve(&self, lifetime: Duration) -> bool {
+        match memory::reserve(&self.engine, &self.id, self.tokens, lifetime, RESPONSE_TIMEOUT).await {
             Ok(Outcome::Held) => true,
             Ok(Outcome::NotFree) => false,
             Err(error) => {
-                self.doubtful.set(true);
+                self.is_uncertain.set(true);
                 warn_event!("memory", peer = %self.engine, id = %self.id, error = %format!("{error:#}"));
                 false
             }
         }
     }
 
-    /// Renews for ever; a renewal that fails leaves what is held until its time is over.
-    async fn renew(self: Rc<Self>, span: Duration) {
+    /// Renews the reservation until the task is aborted. A failed renewal does not end the reservation before it expires.
+    async fn keep_renewing(self: Rc<Self>, lifetime: Duration) {
         loop {
-            tokio::time::sleep(span / RENEWALS).await;
-            let held = self.reserve(span).await;
-            if !held {
+            tokio::time::sleep(lifetime / RENEWALS_PER_LIFETIME).await;
+            let is_reserved = self.reserve(lifetime).await;
+            if !is_reserved {
                 warn_event!("memory", peer = %self.engine, id = %self.id, outcome = "not renewed");
             }
         }
     }
 
-    /// Releases the memory, and again for as long as an order without an answer may still be carried out.
+    /// Releases the memory. Repeats that for as long as the engine may still execute a request whose response was lost.
     async fn release(self: Rc<Self>) {
-        let started = util::now();
+        let started_at = util::now();
         loop {
-            let outcome = memory::release(&self.engine, &self.id, PATIENCE).await;
+            let outcome = memory::release(&self.engine, &self.id, RESPONSE_TIMEOUT).await;
             if let Err(error) = &outcome {
                 warn_event!("memory", peer = %self.engine, id = %self.id, error = %format!("{error:#}"));
             }
-            let over = util::now().since(started) >= LATE_ORDER;
-            if over || (outcome.is_ok() && !self.doubtful.get()) {
+            let is_expired = util::now().since(started_at) >= MAX_EXECUTION_DELAY;
+            if is_expired || (outcome.is_ok() && !self.is_uncertain.get()) {
                 return;
             }
-            tokio::time::sleep(if outcome.is_ok() { LATE_PAUSE } else { RELEASE_PAUSE }).await;
+            tokio::time::sleep(if outcome.is_ok() { REPEATED_RELEASE_INTERVAL } else { RELEASE_RETRY_DELAY }).await;
         }
     }
 }
--- a/sorrelpass/src/gateway/leaving.rs
+++ b/sorrelpass/src/gateway/leaving.rs
@@ -1,7 +1,7 @@
-//! Replicas that say in their answers that they leave: believing it, and passing it on.
+//! Applies and distributes the information, sent by replicas in their responses, that they are draining.
 //!
-//! A replica's record may say it late: the store may be away, or not reach the replica. Its own word goes from the entry that
-//! heard it to all others by way of the one that plans for them.
+//! The record of a replica may show too late that it is draining, because the store may be down or cut off from the replica. The entry that
+//! received the response therefore distributes the information to all other entries via the leader.
 
 use coord::roster::{Leaver, Record};
 use platform::dialect;
@@ -12,37 +12,37 @@
 use super::state::Gateway;
 use crate::{event, metric};
 
-/// Leavers in one message: some 30 bytes each, so a message stays below 32 KB.
-const LEAVERS_A_MESSAGE: usize = 512;
+/// Bounds the number of draining runs of replicas in one message. Each takes some 30 bytes, so a message stays below 32 KB.
+const MAX_RUNS_PER_MESSAGE: usize = 512;
 
-/// Takes in what an answer of a replica says of its end.
-pub fn said(gateway: &Gateway, record: &Record, answer: &dialect::Answer) {
-    if !answer.leaving {
+/// Applies a replica's report that it is draining, if the head of its response contains one.
+pub fn said(gateway: &Gateway, record: &Record, response: &dialect::Answer) {
+    if !response.leaving {
         return;
     }
-    let for_itself = answer.speaks_for_itself();
-    event!("leaving-told", peer = %record.id, for_itself);
+    let for_itself = response.speaks_for_itself();
+    event!("replica-draining", peer = %record.id, for_itself);
     metric::leaving_told();
     if for_itself {
-        hear(gateway, vec![Leaver { id: record.id.clone(), born: record.born }], Source::Own);
+        apply_updates(gateway, vec![Leaver { id: record.id.clone(), born: record.born }], Source::Own);
     }
 }
 
-/// Takes in which replicas leave, and passes on what is new.
-pub fn hear(gateway: &Gateway, leavers: Vec<Leaver>, source: Source) {
-    let way = match source {
-        Source::Own => belief::Source::Answer,
+/// Marks runs of replicas as draining, and distributes those that were not marked before.
+pub fn apply_updates(gateway: &Gateway, runs: Vec<Leaver>, source: Source) {
+    let origin = match source {
+        Source::Own => belief::Source::Response,
         Source::Leader | Source::Follower => belief::Source::Peer,
     };
-    let news = belief::hear_leavers(gateway, leavers, way);
-    if news.is_empty() {
+    let new_runs = belief::apply_draining_runs(gateway, runs, origin);
+    if new_runs.is_empty() {
         return;
     }
-    gateway.desk.pass_on(news, source, Report::Leaving, Order::Leaving);
+    gateway.desk.pass_on(new_runs, source, Report::Leaving, Order::Leaving);
 }
 
-/// All that another entry should know, in messages.
-pub fn messages(gateway: &Gateway) -> Vec<Vec<Leaver>> {
-    let leavers: Vec<Leaver> = gateway.roster.borrow().leavers().collect();
-    leavers.chunks(LEAVERS_A_MESSAGE).map(<[Leaver]>::to_vec).collect()
+/// Returns all known draining runs of replicas in messages for an entry that has just connected.
+pub fn sync_messages(gateway: &Gateway) -> Vec<Vec<Leaver>> {
+    let runs: Vec<Leaver> = gateway.roster.borrow().leavers().collect();
+    runs.chunks(MAX_RUNS_PER_MESSAGE).map(<[Leaver]>::to_vec).collect()
 }
--- a/sorrelpass/src/gateway/link.rs
+++ b/sorrelpass/src/gateway/link.rs
@@ -1,4 +1,4 @@
-//! What entries say to each other about prompts and the store: messages, and a connection that carries them.
+//! Protocol between entries: the messages between a leader and its followers, and the connection that carries them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,323 +20,332 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use super::members::Newcomer;
+use super::membership::Announcement;
 use super::packed::Packed;
 use super::peers::Peer;
 use super::quarantine::Told;
 use crate::metric;
 
-/// Largest message, in bytes: room for an update about 24,000 replicas, some 30 bytes each.
-const MOST_MESSAGE_BYTES: usize = 1_024 * 1_024;
-/// Messages that may wait to be sent; a peer that is so far behind is given up.
-pub const RING: usize = 1_024;
+/// Bounds the size of a message, in bytes: an update about 24,000 replicas takes some 30 bytes for each.
+const MAX_MESSAGE_BYTES: usize = 1_024 * 1_024;
+/// Bounds the number of messages that wait to be sent to a peer. The connection to a peer that falls further behind is
+/// closed.
+pub const SEND_CHANNEL_CAPACITY: usize = 1_024;
 
-/// How often an entry that plans tells the others that it lives. They wait for a few of these.
+/// Interval between the heartbeats that a leader sends to its followers.
 pub const BEAT: Duration = Duration::from_millis(150);
-/// A peer that is silent, or does not read, for so many beats is given up.
-const BEATS_MISSED: u32 = 3;
-/// That time.
-pub const SILENCE: Duration = BEAT.saturating_mul(BEATS_MISSED);
+/// Number of heartbeat intervals after which a peer that sends nothing, or does not read, counts as lost.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// Time after which a peer that sends nothing, or does not read, counts as lost.
+pub const PEER_TIMEOUT: Duration = BEAT.saturating_mul(MAX_MISSED_HEARTBEATS);
 
-/// What a prompt asks for, with times left in place of moments: clocks differ.
+/// Requirements of a prompt as they are sent to the leader. The message carries remaining times instead of points in time,
+/// because the clocks of the entries differ.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    prompt: u64,
-    output: u64,
-    aim_left: Duration,
+    prompt_tokens: u64,
+    output_tokens: u64,
+    /// Time until the first event is due.
+    first_event_target_in: Duration,
     gap_ms: f64,
-    left: Duration,
+    deadline_in: Duration,
     priority: u32,
     work: Option<Work>,
 }
 
 impl Ask {
-    /// The form of `job` that is sent at `now`.
+    /// Converts `job` for a message that is sent at `now`.
     pub fn of(job: &planner::Job, now: Moment) -> Self {
         Self {
-            prompt: job.prompt,
-            output: job.output,
-            aim_left: job.aim.since(now),
+            prompt_tokens: job.prompt,
+            output_tokens: job.output,
+            first_event_target_in: job.aim.since(now),
             gap_ms: job.gap_ms,
-            left: job.deadline.since(now),
+            deadline_in: job.deadline.since(now),
             priority: job.priority,
             work: job.work,
         }
     }
 
-    /// The job that was received at `now`.
+    /// Converts the message, received at `now`, back to a job.
     pub fn job(&self, now: Moment) -> planner::Job {
         planner::Job {
-            prompt: self.prompt,
-            output: self.output,
-            aim: now + self.aim_left,
+            prompt: self.prompt_tokens,
+            output: self.output_tokens,
+            aim: now + self.first_event_target_in,
             gap_ms: self.gap_ms,
-            deadline: now + self.left,
+            deadline: now + self.deadline_in,
             priority: self.priority,
             work: self.work,
         }
     }
 }
 
-/// The engines of a prompt that may start.
+/// Engines that are assigned to a prompt that may start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Who reads and who writes.
+    /// Engine that generates the answer, and the engines that help to prefill the prompt.
     pub team: Team,
-    /// If the first event takes longer than this it will probably never come; none where that cannot be told.
+    /// Time after which a first event that has not arrived probably never will, or `None` if that cannot be estimated.
     pub silent_after: Option<Duration>,
 }
 
-/// How far a topic of the store is known, and as of when.
+/// State of an entry's copy of a topic of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
-    /// The offset behind the newest record taken in.
-    pub next: u64,
-    /// Time since the reading was sent that showed this to be the newest, when the message was made.
+pub struct CopyState {
+    /// Offset after the newest record in the copy.
+    pub next_offset: u64,
+    /// Age of the read that showed the copy to be the newest state: from the sending of that read to the creation of this
+    /// message.
     pub age: Duration,
 }
 
-/// A question about what is new in the store.
+/// Request for changes in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// Its number on its connection; an answer to an earlier one is too old to count.
+    /// Number of the request on its connection. The response to an earlier request is discarded as too old.
     pub number: u64,
-    /// How far who asks knows the configuration's topic.
-    pub configuration: Option<u64>,
-    /// How far who asks knows the replicas' topic.
-    pub replicas: Option<u64>,
-    /// What who asks knows of successors.
-    pub successors: u64,
+    /// Offset up to which the requester has the configuration's topic, or `None` if it has no copy.
+    pub configuration_offset: Option<u64>,
+    /// Offset up to which the requester has the topic of the replicas' records, or `None` if it has no copy.
+    pub replicas_offset: Option<u64>,
+    /// Revision of the list of successors that the requester has.
+    pub successors_revision: u64,
 }
 
-/// What one entry knows from the store that another does not, and how old it is.
+/// Response to a request for changes in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// How far the configuration is known, once it is proven; none also if the newest is to be asked for again.
-    pub configuration: Option<Known>,
-    /// The newest configuration, if the other has an older one and this is small enough to pass on.
-    pub parcel: Option<Parcel>,
-    /// Whether there is one that is too large for that.
-    pub too_large: bool,
-    /// Failure domains that operators have emptied.
+    /// State of the sender's copy of the configuration, or `None` before its first verification, or if the requester is to
+    /// ask again for the newest configuration.
+    pub configuration: Option<CopyState>,
+    /// Newest configuration, if the requester has an older one and the delta is small enough to be sent.
+    pub delta: Option<Parcel>,
+    /// Whether there is a newer configuration that is too large to be sent, so that the requester must read it itself.
+    pub is_too_large: bool,
+    /// Failure domains that operators have evacuated.
     pub evacuations: evacuation::Picture,
-    /// How far the replicas' records are known.
-    pub replicas: Option<Known>,
-    /// What changed there, or all that is there.
-    pub sightings: Packed,
-    /// Whether it is all that is there: what the other knows and this leaves out was removed.
-    pub whole: bool,
-    /// For how long a vanished record may only have lapsed.
-    pub doubt_left: Duration,
-    /// How many entries there may be.
-    pub entries: usize,
-    /// Who is next to lead, if the other knows something else.
+    /// State of the sender's copy of the replicas' records, or `None` before its first verification, or if
+    /// `replica_updates` is not valid.
+    pub replicas: Option<CopyState>,
+    /// Replica records that changed, or those of all replicas.
+    pub replica_updates: Packed,
+    /// Whether `replica_updates` is a snapshot, so that a replica that is not in it was removed.
+    pub is_snapshot: bool,
+    /// Remaining grace period after a recovery of the store, during which a missing record may be written again.
+    pub grace_time_left: Duration,
+    /// Number of entries that may exist.
+    pub entry_count: usize,
+    /// Next entries in the succession order, if the requester has another list.
     pub successors: Option<Vec<Peer>>,
 }
 
-/// From an entry to the one that plans.
+/// Message from a follower to its leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Report {
-    /// A prompt wants engines.
+    /// Submits a prompt that waits for engines.
     Submit {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// Its service.
+        /// Service of the prompt.
         service: Name,
-        /// What it asks for.
+        /// Requirements of the prompt.
         ask: Ask,
     },
-    /// A prompt has engines already.
+    /// Reports a prompt that was granted its engines before this connection was established.
     Adopt {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// Its service.
+        /// Service of the prompt.
         service: Name,
-        /// What it asks for.
+        /// Requirements of the prompt.
         ask: Ask,
-        /// Its engines.
+        /// Engines that are assigned to the prompt.
         team: Team,
-        /// Whether it is still being read.
+        /// Whether the prompt is still in prefill: its first event has not arrived.
         reading: bool,
     },
-    /// A prompt is read.
+    /// Reports the first event of a prompt: its prefill is complete.
     FirstEvent {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// Its service.
+        /// Service of the prompt.
         service: Name,
     },
-    /// Nothing comes from a prompt's engines; it is sent elsewhere.
+    /// Reports that the engines of a prompt sent no first event in time, so that the prompt is sent to others.
     Silent {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// Its service.
+        /// Service of the prompt.
         service: Name,
     },
-    /// A prompt is over or withdrawn.
+    /// Reports that a prompt has ended or was withdrawn.
     End {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// Its service.
+        /// Service of the prompt.
         service: Name,
     },
-    /// An engine failed a prompt.
+    /// Reports that an engine failed to answer a prompt.
     Failed {
-        /// The service.
+        /// Service of the engine.
         service: Name,
-        /// The engine.
+        /// Engine that failed.
         engine: Name,
     },
-    /// The entry wants to know what is new in the store.
+    /// Requests the changes in the store from the leader.
     Sync(Question),
-    /// What is new in the store, for an entry that plans and is cut off from it.
+    /// Answers [`Order::Sync`] of a leader that is cut off from the store.
     Update {
-        /// The number of the question.
+        /// Number of the request.
         number: u64,
-        /// The answer.
+        /// Changes in the store.
         update: Update,
     },
-    /// What the entry learned of work under which replicas end.
+    /// Quarantine events: requests that are suspected or known to terminate replicas.
     Quarantine(Vec<Told>),
-    /// What the entry learned of limits that replicas name.
+    /// Reports of the rate limits that replicas announced.
     Limits(Vec<limit::News>),
-    /// The entry wants to send a request to one of these replicas, all of which name limits.
+    /// Requests a permit at one of several replicas, all of which announced rate limits.
     Turn {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the permit request.
         number: u64,
-        /// The replicas, the best first.
+        /// Candidate replicas, the best first.
         replicas: Vec<Name>,
-        /// How long it may wait at most.
+        /// Longest acceptable wait for the permit.
         most_wait: Duration,
     },
-    /// What is new in the store, as this entry has read it for one that plans and gets no answers there.
+    /// Reports the result of a delegated read ([`Order::Read`]).
     Read {
-        /// The number of that one's wish.
+        /// Number of the delegated read.
         number: u64,
-        /// The answer.
+        /// Changes in the store.
         update: Update,
     },
-    /// The entry wants to be announced in the store.
-    Announce(Newcomer),
-    /// The entry's process did not run for so long: what it reports now may have come long before.
+    /// Asks the leader to announce the sender in the store.
+    Announce(Announcement),
+    /// Reports that the sender's process was suspended for this time: the events that it reports next may be that much older.
     Absent(Duration),
-    /// Replicas that said themselves that they leave.
+    /// Runs of replicas that reported that they are draining.
     Leaving(Vec<Leaver>),
-    /// An engine turned the entry away, and wants nothing from it for so long.
+    /// Reports that an engine refused a request of the sender and asked it to back off.
     Rests {
-        /// The service.
+        /// Service of the engine.
         service: Name,
-        /// The engine.
+        /// Engine that asked for backoff.
         engine: Name,
-        /// The time that is left.
+        /// Remaining backoff time.
         rest: Duration,
     },
 }
 
-/// From the entry that plans to another, or from one that names it.
+/// Message from a leader to a follower, or from an entry that redirects the other one to its leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Order {
-    /// The first message.
+    /// Greets the entry that connected. This is the first message on a connection.
     Welcome {
-        /// The run of its process.
+        /// Incarnation of the sender's process.
         incarnation: String,
-        /// The entry that it follows itself; whoever connected should go there.
+        /// Leader that the sender follows, to which the receiver must connect instead; `None` if the sender leads.
         leader: Option<SocketAddr>,
     },
-    /// A prompt may start.
+    /// Grants a prompt its engines.
     Grant {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// Its engines.
+        /// Engines that are assigned to the prompt.
         placement: Placement,
     },
-    /// A prompt will not get engines in time to be of use.
+    /// Refuses a prompt that will not get engines soon enough to be useful to its caller.
     Refuse {
-        /// The entry's number for it.
+        /// Number by which the follower identifies the prompt.
         number: u64,
-        /// When its caller should come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
-    /// What is new in the store.
+    /// Answers [`Report::Sync`].
     Update {
-        /// The number of the question.
+        /// Number of the request.
         number: u64,
-        /// The answer.
+        /// Changes in the store.
         update: Update,
     },
-    /// The entry that plans wants to know what is new in the store: its own readings are too old.
+    /// Requests the changes in the store from a follower, because the leader's own copy is too old.
     Sync(Question),
-    /// The store does not answer the entry that plans: this one is to read it, and to tell what is new.
+    /// Delegates a read of the store, which does not answer the leader, to the receiver.
     Read(Question),
-    /// The store has the entry's announcement.
+    /// Confirms that the store has the receiver's announcement.
     Announced,
-    /// The planner is alive, and plans for so many entries, itself among them.
-    Beat {
-        /// That number.
-        entries: usize,
+    /// Heartbeat of the leader.
+    Heartbeat {
+        /// Number of entries in the leader's group, including the leader.
+        entry_count: usize,
     },
-    /// What is known of work under which replicas end.
+    /// Quarantine events: requests that are suspected or known to terminate replicas.
     Quarantine(Vec<Told>),
-    /// What is known of limits that replicas name.
+    /// Reports of the rate limits that replicas announced.
     Limits(Vec<limit::News>),
-    /// The answer to a wish to send to a replica that names a limit.
+    /// Answers [`Report::Turn`].
     Turn {
-        /// The entry's number for the wish.
+        /// Number of the permit request.
         number: u64,
-        /// The turn, or the time after which there would be one.
+        /// Permit, or the time after which one would be available.
         turn: Result<Turn, Duration>,
     },
-    /// Replicas that said themselves that they leave.
+    /// Runs of replicas that reported that they are draining.
     Leaving(Vec<Leaver>),
 }
 
-/// A turn at a replica that names a limit.
+/// Permit to send one request to a replica that announced a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The replica.
+    /// Replica to which the request is sent.
     pub replica: Name,
-    /// When the request may be sent there.
+    /// Delay after which the request may be sent.
     pub after: Duration,
 }
 
-/// A connection that carries messages both ways.
-pub struct Link(Framed<TcpStream, LengthDelimitedCodec>);
+/// Connection to another entry that carries messages in both directions.
+pub struct PeerConnection(Framed<TcpStream, LengthDelimitedCodec>);
 
-impl Link {
-    /// A link over an open connection.
+impl PeerConnection {
+    /// Wraps an established TCP connection.
     pub fn new(stream: TcpStream) -> Self {
         let codec =
-            LengthDelimitedCodec::builder().max_frame_length(MOST_MESSAGE_BYTES).length_field_length(4).new_codec();
+            LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).length_field_length(4).new_codec();
         Self(Framed::new(stream, codec))
     }
 
-    /// The next message; an error if the peer is gone.
+    /// Receives the next message. Returns an error if the connection is closed or the message cannot be decoded.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T> {
-        let frame = self.0.next().await.ok_or_else(|| eyre!("step=receive: closed by the peer"))?;
+        let frame = self.0.next().await.ok_or_else(|| eyre!("step=receive: connection closed by the peer"))?;
         let frame = frame.wrap_err("step=receive")?;
         postcard::from_bytes(&frame).wrap_err("step=decode-message")
     }
 
-    /// Sends a message and what waits behind it. A peer that does not read would hold the sender up, and is given up.
-    pub async fn send<T: Serialize>(&mut self, first: T, waiting: &mut mpsc::Receiver<T>) -> Result<()> {
-        tokio::time::timeout(SILENCE, self.send_all(first, waiting)).await.wrap_err("step=send: not taken")?
+    /// Sends a message and those in the queue. Returns an error if the peer does not read within [`PEER_TIMEOUT`], so that a
+    /// slow peer does not block the sender.
+    pub async fn send<T: Serialize>(&mut self, first: T, queue: &mut mpsc::Receiver<T>) -> Result<()> {
+        tokio::time::timeout(PEER_TIMEOUT, self.send_all(first, queue))
+            .await
+            .wrap_err("step=send: the peer did not read in time")?
     }
 
-    /// Sends one message, as [`Link::send`] does.
+    /// Sends one message. Fails like [`PeerConnection::send`].
     pub async fn send_one<T: Serialize>(&mut self, message: T) -> Result<()> {
-        let sent = async {
+        let send = async {
             self.feed(message).await?;
             self.flush().await
         };
-        tokio::time::timeout(SILENCE, sent).await.wrap_err("step=send: not taken")?
+        tokio::time::timeout(PEER_TIMEOUT, send).await.wrap_err("step=send: the peer did not read in time")?
     }
 
-    /// Sends a message and all that wait behind it, in one write.
-    async fn send_all<T: Serialize>(&mut self, first: T, waiting: &mut mpsc::Receiver<T>) -> Result<()> {
+    /// Sends a message and all messages in the queue with one flush.
+    async fn send_all<T: Serialize>(&mut self, first: T, queue: &mut mpsc::Receiver<T>) -> Result<()> {
         let mut next = Some(first);
         while let Some(message) = next {
             self.feed(message).await?;
-            next = waiting.try_recv().ok();
+            next = queue.try_recv().ok();
         }
         self.flush().await
     }
--- a/sorrelpass/src/gateway/mod.rs
+++ b/sorrelpass/src/gateway/mod.rs
@@ -1,25 +1,23 @@
-//! An entry that serves replicas directly: no sidecar, no disk, nothing of its own in between.
+//! Entry that forwards requests to replicas directly, without a sidecar and without a disk.
 //!
-//! One thread does all of it: on a fifth of a core the wake-ups of a thread per duty cost more
-//! than the duties (see `docs/design/08-platform.md`). Each duty is a task of its own, and what
-//! they share lives in [`state::Gateway`].
+//! The whole process runs on one thread: on a fifth of a core, waking a thread for each activity takes more CPU time than
+//! the activity itself (see `docs/design/08-platform.md`). Each activity is a task of its own; the tasks share
+//! [`state::Gateway`].
 
 mod answer;
 mod attempt;
 mod belief;
 mod call;
-mod deputies;
+mod delegates;
 mod desk;
-mod facts;
-mod follow;
+mod follower;
 mod health;
 mod hold;
-mod lead;
+mod leader;
 mod leaving;
 mod limits;
 mod link;
-mod members;
-mod pace;
+mod membership;
 mod packed;
 mod peers;
 mod place;
@@ -27,9 +25,11 @@
 mod reader;
 mod relay;
 mod rests;
-mod serve;
+mod server;
+mod slowdown;
+mod sse;
 mod state;
-mod stream;
+mod store_view;
 mod topic;
 mod watch;
 mod work;
@@ -44,7 +44,7 @@
 use crate::config::{self, Settings};
 use crate::{event, http, metric, timeline, util, warn_event};
 
-/// Runs until SIGTERM and the end of the requests in flight.
+/// Runs the entry until SIGTERM or SIGINT, then until the requests in flight have ended or the grace period is over.
 pub fn run(settings: config::Gateway, file: PathBuf) -> Result<()> {
     timeline::init(&settings.process.name, &settings.process.log_level);
     metric::init()?;
@@ -54,7 +54,8 @@
 }
 
 async fn serve(settings: config::Gateway, file: PathBuf) -> Result<()> {
-    // Before anyone can reach this process: from then on its end is a planned one, and a reload does not end it.
+    // The handlers are installed before the process accepts connections: from then on SIGTERM shuts it down gracefully, and
+    // SIGHUP does not end it.
     let mut terminate = signal(SignalKind::terminate()).wrap_err("step=watch-signals")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("step=watch-signals")?;
     let hangup = signal(SignalKind::hangup()).wrap_err("step=watch-signals")?;
@@ -62,41 +63,41 @@
     let ready_listener = http::listen(settings.ready_listen)?;
     event!("start", role = "gateway", listen = %settings.listen, store = %settings.store, policy = ?settings.policy);
     let gateway = Rc::new(Gateway::new(settings));
-    tokio::task::spawn_local(watch::configuration(gateway.clone()));
-    tokio::task::spawn_local(watch::replicas(gateway.clone()));
+    tokio::task::spawn_local(watch::poll_configuration(gateway.clone()));
+    tokio::task::spawn_local(watch::poll_replicas(gateway.clone()));
     tokio::task::spawn_local(health::run(gateway.clone(), ready_listener));
     tokio::task::spawn_local(gateway.desk.clone().run());
     tokio::task::spawn_local(gateway.desk.clone().keep_looking());
     tokio::task::spawn_local(reload(gateway.clone(), file, hangup));
     tokio::task::spawn_local(limits::thaw(gateway.clone()));
-    tokio::task::spawn_local(pace::run(gateway.clone()));
+    tokio::task::spawn_local(slowdown::run(gateway.clone()));
     tokio::task::spawn_local(quarantine::store::run(gateway.clone()));
-    if let Some(own) = gateway.settings.peer_listen {
-        let peers = http::listen(own)?;
-        tokio::task::spawn_local(lead::run(gateway.clone(), peers));
-        tokio::task::spawn_local(follow::run(gateway.clone(), own));
-        tokio::task::spawn_local(members::announce_followers(gateway.clone()));
-        tokio::task::spawn_local(members::keep_announced(gateway.clone(), own));
+    if let Some(own_address) = gateway.settings.peer_listen {
+        let peer_listener = http::listen(own_address)?;
+        tokio::task::spawn_local(leader::run(gateway.clone(), peer_listener));
+        tokio::task::spawn_local(follower::run(gateway.clone(), own_address));
+        tokio::task::spawn_local(membership::announce_followers(gateway.clone()));
+        tokio::task::spawn_local(membership::reannounce(gateway.clone(), own_address));
     }
-    tokio::task::spawn_local(serve::run(gateway.clone(), listener));
+    tokio::task::spawn_local(server::run(gateway.clone(), listener));
 
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
     event!("stop", reason = "signal", in_flight = gateway.in_flight());
-    serve::wind_down(&gateway).await;
+    server::shut_down(&gateway).await;
     event!("stopped", in_flight = gateway.in_flight());
     Ok(())
 }
 
-/// Reads the settings again at each SIGHUP and puts their bounds in force. Names and addresses stay until the
-/// next start; a faulty file changes nothing.
+/// Reloads the settings file at each SIGHUP and applies its bounds. Names and addresses change only at the next start; an
+/// invalid file changes nothing.
 async fn reload(gateway: Rc<Gateway>, file: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match Settings::load(&file) {
             Ok(Settings::Gateway(settings)) => {
-                gateway.put_bounds(settings.bounds);
+                gateway.set_bounds(settings.bounds);
                 event!("reload", outcome = "bounds in force", bounds = ?settings.bounds);
             }
             Ok(_) => warn_event!("reload", outcome = "refused: settings of another role"),
@@ -105,7 +106,7 @@
     }
 }
 
-/// Monotonic time.
+/// Returns the current monotonic time.
 fn now() -> coord::time::Moment {
     util::now()
 }
--- a/sorrelpass/src/gateway/packed.rs
+++ b/sorrelpass/src/gateway/packed.rs
@@ -1,39 +1,40 @@
-//! News of replicas on their way to another entry, compressed.
+//! Compressed replica updates, as entries send them to each other.
 //!
-//! Whoever starts gets all of it, and after a loss of all entries everyone starts at once: what one entry sends then grows
-//! as entries × replicas. Records of one service are much alike, and compressed they take a quarter.
+//! An entry that starts receives the records of all replicas. If all entries restart at the same time, the traffic grows
+//! with the number of entries times the number of replicas. The records of one service are similar to each other, and
+//! compression reduces them to a quarter of their size.
 
 use bytes::Bytes;
 use coord::roster::Sighting;
 use eyre::{Result, WrapErr};
 use serde::{Deserialize, Serialize};
 
-/// How hard the compression tries: what the next level saves costs more time than it is worth on a fast link.
-const LEVEL: i32 = 1;
-/// Most bytes that come out of a message: 100,000 records.
-const MOST_BYTES: usize = 16 << 20;
+/// zstd compression level. On a fast link, the next level takes more time than its smaller output saves.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Bounds the decompressed size of a message, in bytes: enough for 100,000 records.
+const MAX_DECOMPRESSED_BYTES: usize = 16 << 20;
 
-/// News in compressed form; none take no bytes.
+/// Replica updates in compressed form. An empty list takes no bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed(Bytes);
 
 impl Packed {
-    /// Compresses news.
-    pub fn new(sightings: &[Sighting]) -> Result<Self> {
-        if sightings.is_empty() {
+    /// Encodes and compresses replica updates.
+    pub fn new(updates: &[Sighting]) -> Result<Self> {
+        if updates.is_empty() {
             return Ok(Self::default());
         }
-        let plain = postcard::to_stdvec(sightings).wrap_err("step=encode-news")?;
-        let packed = zstd::bulk::compress(&plain, LEVEL).wrap_err("step=compress-news")?;
-        Ok(Self(packed.into()))
+        let encoded = postcard::to_stdvec(updates).wrap_err("step=encode-updates")?;
+        let compressed = zstd::bulk::compress(&encoded, COMPRESSION_LEVEL).wrap_err("step=compress-updates")?;
+        Ok(Self(compressed.into()))
     }
 
-    /// The news.
-    pub fn open(&self) -> Result<Vec<Sighting>> {
+    /// Decompresses and decodes the replica updates.
+    pub fn decompress(&self) -> Result<Vec<Sighting>> {
         if self.0.is_empty() {
             return Ok(Vec::new());
         }
-        let plain = zstd::bulk::decompress(&self.0, MOST_BYTES).wrap_err("step=decompress-news")?;
-        postcard::from_bytes(&plain).wrap_err("step=decode-news")
+        let encoded = zstd::bulk::decompress(&self.0, MAX_DECOMPRESSED_BYTES).wrap_err("step=decompress-updates")?;
+        postcard::from_bytes(&encoded).wrap_err("step=decode-updates")
     }
 }
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -1,8 +1,9 @@
-//! The other entries: the list of all in the store, and reaching one of them.
+//! Discovery of other entries: the list of announced entries in the store, and the search for the leader among them.
 //!
-//! Entries are announced in the store, each under its address, with what they can take on ([`super::members`]). The most
-//! powerful of them plans, and among equals the one whose announcement is the oldest; a restarted entry is announced anew and
-//! so comes last among those like it. Whoever plans reads the list again every few seconds. Two that plan at the same time, in a cut, grant less well and break nothing.
+//! Each entry is announced in the store under its address, with its capacity ([`super::membership`]). The entry with the
+//! greatest capacity leads; among equal ones, the one with the oldest announcement. A restarted entry is announced again
+//! and ranks last among those with the same capacity. The leader reads the list again every few seconds. If a network
+//! partition leads to two leaders, they grant engines less well, but no guarantee is violated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,71 +15,72 @@
 use platform::store::{self, Client};
 use serde::{Deserialize, Serialize};
 
-use super::link::{Link, Order};
+use super::link::{Order, PeerConnection};
 use super::now;
 use crate::{event, metric, util, warn_event};
 
-/// Time for a connection to another entry: a few times the way across a region.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time for an answer of the store.
-pub const PATIENCE: Duration = Duration::from_millis(1_000);
+/// Bounds the time to connect to another entry and to receive its first message: some round trips across a region.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Bounds the time that the store may take to answer.
+pub const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// An entry as it announced itself.
+/// Announced entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where it listens for other entries.
+    /// Address at which the entry listens for other entries.
     pub address: SocketAddr,
-    /// The run of the process that made the announcement.
+    /// Incarnation of the process that announced itself.
     incarnation: String,
-    /// Its place in the order of succession.
-    standing: Standing,
+    /// Rank of the entry in the succession order.
+    rank: Standing,
 }
 
 impl Peer {
-    /// Whether it is this run of this process, which listens at `own`.
-    pub fn is_this(&self, own: SocketAddr) -> bool {
-        self.is_run(own, &util::incarnation().to_string())
+    /// Returns whether this is the announcement of the current process, which listens at `own_address`.
+    pub fn is_this_process(&self, own_address: SocketAddr) -> bool {
+        self.is_incarnation(own_address, &util::incarnation().to_string())
     }
 
-    /// Whether it is that run of the process which listens at `address`.
-    pub fn is_run(&self, address: SocketAddr, incarnation: &str) -> bool {
+    /// Returns whether this is the announcement of the given incarnation of the process that listens at `address`.
+    pub fn is_incarnation(&self, address: SocketAddr, incarnation: &str) -> bool {
         self.address == address && self.incarnation == incarnation
     }
 }
 
-/// An entry that plans, and the way to it.
-pub struct Found {
-    /// Where it listens for other entries.
+/// Connection to an entry that leads.
+pub struct LeaderConnection {
+    /// Address at which the leader listens for other entries.
     pub address: SocketAddr,
-    /// The connection to it.
-    pub link: Link,
+    /// Connection to the leader, after the handshake.
+    pub link: PeerConnection,
 }
 
-/// What an entry says of itself when another connects.
-struct Greeting {
-    found: Found,
-    /// The run of its process.
+/// Result of connecting to an entry: the connection and the content of the first message.
+struct Handshake {
+    connection: LeaderConnection,
+    /// Incarnation of the other entry's process.
     incarnation: String,
-    /// Whom it follows; none if it plans.
+    /// Leader that the other entry follows, or `None` if it leads.
     leader: Option<SocketAddr>,
 }
 
-impl Greeting {
-    /// Whether it comes from the run of the process that made an announcement.
-    fn is_of(&self, peer: &Peer) -> bool {
+impl Handshake {
+    /// Returns whether the other entry is the incarnation that announced itself as `peer`.
+    fn is_from(&self, peer: &Peer) -> bool {
         self.incarnation == peer.incarnation
     }
 }
 
-/// All announced entries, in the order of succession. The rank of the one that listens at `own` is logged.
-pub async fn list(client: &mut Client, own: Option<SocketAddr>) -> Option<Vec<Peer>> {
-    let outcome = client.newest(store::PEERS, PATIENCE).await;
-    metric::store_calls("newest", store::PEERS, outcome.as_ref().map_or(1, |whole| whole.pages));
+/// Reads all announced entries from the store, in the succession order, and logs the rank of the entry that listens at
+/// `own_address`. Returns `None` and logs the error if the store does not answer.
+pub async fn list_announced(client: &mut Client, own_address: Option<SocketAddr>) -> Option<Vec<Peer>> {
+    let outcome = client.newest(store::PEERS, STORE_TIMEOUT).await;
+    metric::store_calls("newest", store::PEERS, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
     match outcome {
-        Ok(whole) => {
-            let mut peers: Vec<Peer> = whole.records.iter().filter_map(peer).collect();
-            peers.sort_by_key(|peer| peer.standing);
-            let rank = peers.iter().position(|peer| Some(peer.address) == own).unwrap_or(peers.len());
+        Ok(snapshot) => {
+            let mut peers: Vec<Peer> = snapshot.records.iter().filter_map(decode_announcement).collect();
+            peers.sort_by_key(|peer| peer.rank);
+            let rank = peers.iter().position(|peer| Some(peer.address) == own_address).unwrap_or(peers.len());
             event!("peers", known = peers.len(), rank);
             Some(peers)
         }
@@ -89,99 +91,108 @@
     }
 }
 
-/// Decodes an announcement; one that cannot be read is nobody's.
-fn peer(record: &store::Keyed) -> Option<Peer> {
+/// Decodes an announcement. Returns `None` if its address cannot be parsed or its record was removed.
+fn decode_announcement(record: &store::Keyed) -> Option<Peer> {
     let value = String::from_utf8_lossy(record.value.as_ref()?).into_owned();
-    let (incarnation, power) = value.split_once(' ').unwrap_or((&value, ""));
-    // An entry that does not tell its power comes last.
-    let power = Power(power.parse().unwrap_or_default());
-    let standing = Standing::new(power, record.offset);
-    Some(Peer { address: record.key.parse().ok()?, incarnation: incarnation.to_owned(), standing })
+    let (incarnation, capacity) = value.split_once(' ').unwrap_or((&value, ""));
+    // An entry whose announcement has no capacity ranks last.
+    let capacity = Power(capacity.parse().unwrap_or_default());
+    let rank = Standing::new(capacity, record.offset);
+    Some(Peer { address: record.key.parse().ok()?, incarnation: incarnation.to_owned(), rank })
 }
 
-/// What came of a round of greetings.
-pub enum Round {
-    /// Here is one that plans.
-    Found(Box<Found>),
-    /// None plans, and this one, which is ahead, follows this entry.
-    Led(SocketAddr),
-    /// None of those that were tried plans, or knows one that does.
-    Vain,
+/// Outcome of one round of the search for a leader.
+pub enum SearchOutcome {
+    /// A leader was found and is connected.
+    Found(Box<LeaderConnection>),
+    /// No candidate leads, and the one at this address, which ranks ahead of this entry, follows this entry.
+    FollowsThisEntry(SocketAddr),
+    /// No candidate that was tried leads or follows a reachable leader.
+    NotFound,
 }
 
-/// Looks for one that plans among the few of `peers` that are tried now, and those whom they follow.
-pub async fn reach(search: &mut Search<SocketAddr>, peers: &[Peer], own: SocketAddr) -> Round {
-    let others = peers.iter().filter(|peer| peer.address != own);
+/// Searches for a leader among `peers`. Tries only the candidates that `search` selects for this round, and the leaders
+/// that these follow.
+pub async fn find_leader(search: &mut Search<SocketAddr>, peers: &[Peer], own_address: SocketAddr) -> SearchOutcome {
+    let others = peers.iter().filter(|peer| peer.address != own_address);
     for address in search.round(others.map(|peer| peer.address), now()) {
         let Some(peer) = peers.iter().find(|peer| peer.address == address) else { continue };
-        match reach_one(peer, own).await {
-            Round::Found(found) => {
+        match try_candidate(peer, own_address).await {
+            SearchOutcome::Found(connection) => {
                 search.reached(&address);
-                return Round::Found(found);
+                return SearchOutcome::Found(connection);
             }
-            Round::Led(heir) => return Round::Led(heir),
-            Round::Vain => {}
+            SearchOutcome::FollowsThisEntry(follower) => return SearchOutcome::FollowsThisEntry(follower),
+            SearchOutcome::NotFound => {}
         }
         search.failed(address, rand::random_range(0.75..1.25), now());
     }
-    Round::Vain
+    SearchOutcome::NotFound
 }
 
-/// Looks whether an entry plans, or the one that it follows.
-async fn reach_one(peer: &Peer, own: SocketAddr) -> Round {
-    let Some(greeting) = greet(peer.address).await else { return Round::Vain };
-    match greeting.leader {
-        None if greeting.is_of(peer) => Round::Found(Box::new(greeting.found)),
-        // It is the youngest now.
+/// Connects to an announced entry, and to the leader that it follows if it does not lead itself.
+async fn try_candidate(peer: &Peer, own_address: SocketAddr) -> SearchOutcome {
+    let Some(handshake) = connect_and_greet(peer.address).await else { return SearchOutcome::NotFound };
+    match handshake.leader {
+        None if handshake.is_from(peer) => SearchOutcome::Found(Box::new(handshake.connection)),
+        // The entry was restarted, so its new announcement ranks last among those with the same capacity.
         None => {
-            event!("peer-unreached", peer = %peer.address, error = "another run of the process");
-            Round::Vain
+            event!("peer-unreached", peer = %peer.address, error = "another incarnation of the process");
+            SearchOutcome::NotFound
         }
-        Some(leader) if leader == own && greeting.is_of(peer) => Round::Led(peer.address),
-        // It was started again, and will be announced anew.
-        Some(leader) if leader == own => Round::Vain,
+        Some(leader) if leader == own_address && handshake.is_from(peer) => {
+            SearchOutcome::FollowsThisEntry(peer.address)
+        }
+        // The entry was restarted, and will be announced with a new rank.
+        Some(leader) if leader == own_address => SearchOutcome::NotFound,
         Some(leader) => {
             event!("peer-redirects", peer = %peer.address, leader = %leader);
-            planner(leader).await.map_or(Round::Vain, |found| Round::Found(Box::new(found)))
+            connect_to_leader(leader)
+                .await
+                .map_or(SearchOutcome::NotFound, |connection| SearchOutcome::Found(Box::new(connection)))
         }
     }
 }
 
-/// The first entry that plans among `seeds` and those whom they follow.
-pub async fn reach_any(seeds: &[SocketAddr], own: SocketAddr) -> Option<Found> {
-    for seed in seeds.iter().filter(|seed| **seed != own) {
-        let Some(greeting) = greet(*seed).await else { continue };
-        let Some(leader) = greeting.leader else { return Some(greeting.found) };
-        // It has yet to notice that this process was started again.
-        if leader == own {
+/// Connects to the first leader found among `seeds` and the entries that they follow.
+pub async fn find_leader_via_seeds(seeds: &[SocketAddr], own_address: SocketAddr) -> Option<LeaderConnection> {
+    for seed in seeds.iter().filter(|seed| **seed != own_address) {
+        let Some(handshake) = connect_and_greet(*seed).await else { continue };
+        let Some(leader) = handshake.leader else { return Some(handshake.connection) };
+        // The seed still follows an earlier incarnation of this process.
+        if leader == own_address {
             continue;
         }
-        if let Some(found) = planner(leader).await {
-            return Some(found);
+        if let Some(connection) = connect_to_leader(leader).await {
+            return Some(connection);
         }
     }
     None
 }
 
-/// The entry at an address, if it plans.
-pub async fn planner(address: SocketAddr) -> Option<Found> {
-    greet(address).await.filter(|greeting| greeting.leader.is_none()).map(|greeting| greeting.found)
+/// Connects to the entry at `address`. Returns `None` if that fails or the entry does not lead.
+pub async fn connect_to_leader(address: SocketAddr) -> Option<LeaderConnection> {
+    connect_and_greet(address)
+        .await
+        .filter(|handshake| handshake.leader.is_none())
+        .map(|handshake| handshake.connection)
 }
 
-/// Connects and waits for the first message; none from an entry that cannot plan, which closes the connection instead.
-async fn greet(address: SocketAddr) -> Option<Greeting> {
-    let greeted = async {
-        let mut link = Link::new(connect(address).await?);
+/// Connects to an entry and waits for its first message. Returns `None` and logs the error if that fails: an entry that can
+/// neither lead nor redirect closes the connection instead of sending a message.
+async fn connect_and_greet(address: SocketAddr) -> Option<Handshake> {
+    let handshake = async {
+        let mut link = PeerConnection::new(connect(address).await?);
         match link.receive::<Order>().await? {
             Order::Welcome { incarnation, leader } => {
-                Ok(Greeting { found: Found { address, link }, incarnation, leader })
+                Ok(Handshake { connection: LeaderConnection { address, link }, incarnation, leader })
             }
-            other => Err(eyre!("step=greet: {other:?}")),
+            other => Err(eyre!("step=greet: unexpected message {other:?}")),
         }
     };
-    let outcome = tokio::time::timeout(CONNECT_TIMEOUT, greeted).await;
-    match outcome.unwrap_or_else(|_| Err(eyre!("no greeting in time"))) {
-        Ok(greeting) => Some(greeting),
+    let outcome = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
+    match outcome.unwrap_or_else(|_| Err(eyre!("no first message within the handshake timeout"))) {
+        Ok(handshake) => Some(handshake),
         Err(error) => {
             event!("peer-unreached", peer = %address, error = %format!("{error:#}"));
             None
--- a/sorrelpass/src/gateway/place.rs
+++ b/sorrelpass/src/gateway/place.rs
@@ -1,7 +1,8 @@
-//! Which replica of a plain service a request goes to.
+//! Selects the replica of a plain service to which a request is sent.
 //!
-//! Replicas are judged by what requests come to, never by health answers. One that fails is left alone for a
-//! while by its breaker, as long as that leaves any; its trials are requests that may run again.
+//! The health of a replica is derived from the outcomes of requests, never from health checks. The circuit breaker of a
+//! failing replica keeps requests away from it while other replicas are available. The trial requests of a breaker are
+//! requests that may be executed more than once.
 
 use std::collections::HashMap;
 
@@ -13,68 +14,75 @@
 use super::now;
 use crate::config;
 
-/// What an error answer weighs as a failure of its replica: services were seen that fail one sound request in
-/// seven, so it takes several within seconds to count.
+/// Weight of an error response as a failure of the replica. Some services fail one valid request in seven, so only several
+/// error responses within seconds open the breaker.
 pub const ERROR_ANSWER: f64 = 0.25;
-/// What a refusal weighs: that the request did not run is no fault, and one that refuses at once would otherwise have the
-/// fewest requests and get all that come.
+/// Weight of a refusal. That a refused request was not executed is no fault of the replica; but a replica that refuses at
+/// once always has the fewest requests and would otherwise get all new ones.
 pub const REFUSAL: f64 = 0.5;
-/// What no answer, or one that is not the request's, weighs.
+/// Weight of a missing response, or of a response that belongs to another request.
 pub const NO_ANSWER: f64 = 1.0;
 
-/// What this entry knows of one replica's load.
+/// Load of one replica as this entry knows it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
-    /// This entry's requests there.
-    ours: u32,
-    /// Requests there from all entries, as the last answer told.
-    told: u32,
+    /// Number of this entry's requests at the replica.
+    own_requests: u32,
+    /// Number of all entries' requests at the replica, as reported in its last response.
+    reported_requests: u32,
 }
 
-/// Chooses replicas and counts what it sent them.
+/// Selects replicas and tracks their load and failures.
 pub struct Placer {
-    home: Name,
-    /// Whether replicas at home are preferred among equals.
-    near: bool,
-    /// Whether replicas that fail are left alone for a while.
-    heeds_failures: bool,
+    local_failure_domain: Name,
+    /// Whether replicas in the local failure domain are preferred among equally loaded ones.
+    prefers_local: bool,
+    /// Whether circuit breakers keep requests away from failing replicas.
+    has_breakers: bool,
     loads: HashMap<Name, Load>,
     breakers: HashMap<Name, Breaker>,
 }
 
 impl Placer {
-    /// A placer in failure domain `home`.
-    pub fn new(home: Name, policy: &config::Policy) -> Self {
+    /// Creates a placer for an entry in the given failure domain.
+    pub fn new(local_failure_domain: Name, policy: &config::Policy) -> Self {
         Self {
-            home,
-            near: policy.near,
-            heeds_failures: policy.plain_breakers,
+            local_failure_domain,
+            prefers_local: policy.near,
+            has_breakers: policy.plain_breakers,
             loads: HashMap::new(),
             breakers: HashMap::new(),
         }
     }
 
-    /// The replica with the fewest requests of ours, then of anyone's, then the nearest, among those that
-    /// `fits` names and that are in the best standing.
-    pub fn pick(&self, roster: &Roster, service: &str, repeat: Repeat, fits: impl Fn(&Name) -> bool) -> Option<Record> {
-        let fits = roster.usable(service).filter(|record| fits(&record.id));
+    /// Selects a replica among those for which `is_eligible` returns true: the one with the best breaker state, then with the
+    /// fewest requests of this entry, then with the fewest reported requests, then in the local failure domain.
+    pub fn pick(
+        &self,
+        roster: &Roster,
+        service: &str,
+        repeat: Repeat,
+        is_eligible: impl Fn(&Name) -> bool,
+    ) -> Option<Record> {
+        let candidates = roster.usable(service).filter(|record| is_eligible(&record.id));
         let key = |record: &&Record| {
             let load = self.loads.get(&record.id).copied().unwrap_or_default();
-            let doubt = self.doubt(&record.id, repeat);
+            let breaker_rank = self.breaker_rank(&record.id, repeat);
             (
-                doubt,
-                load.ours,
-                load.told,
-                self.near && record.failure_domain != self.home,
+                breaker_rank,
+                load.own_requests,
+                load.reported_requests,
+                self.prefers_local && record.failure_domain != self.local_failure_domain,
                 coord::pick::rendezvous(0, &record.id),
             )
         };
-        fits.min_by_key(key).cloned()
+        candidates.min_by_key(key).cloned()
     }
 
-    /// How doubtful a replica is: a trial comes before sound ones for requests that may run again, and after them for
-    /// those that may not; what its breaker does not admit comes last, and still before nothing.
-    fn doubt(&self, replica: &Name, repeat: Repeat) -> u8 {
+    /// Ranks a replica by the state of its breaker; the lowest rank is selected first. A replica on trial ranks before healthy
+    /// ones for requests that may be executed more than once, and after them for other requests. A replica whose breaker is
+    /// open ranks last, but is selected if there is no other.
+    fn breaker_rank(&self, replica: &Name, repeat: Repeat) -> u8 {
         let Some(breaker) = self.breakers.get(replica) else { return 1 };
         let now = now();
         match (breaker.admits(now), breaker.is_on_trial(now), repeat) {
@@ -85,9 +93,9 @@
         }
     }
 
-    /// Notes that a request failed at a replica; `share` tells how far that is the replica's fault.
+    /// Records a failed request at a replica. `share`, from 0 to 1, is the weight of the failure.
     pub fn failed(&mut self, replica: &Name, share: f64) {
-        if !self.heeds_failures {
+        if !self.has_breakers {
             return;
         }
         let breaker = self.breakers.entry(replica.clone()).or_default();
@@ -95,38 +103,38 @@
         crate::event!("doubt", peer = %replica, share, admitted = breaker.admits(now()));
     }
 
-    /// Notes that a request was answered.
+    /// Records a successful request at a replica.
     pub fn succeeded(&mut self, replica: &Name) {
         if let Some(breaker) = self.breakers.get_mut(replica) {
             breaker.succeeded(now());
         }
     }
 
-    /// Forgets what requests have told of a replica, which another run of it has the identity of.
+    /// Discards the failures and the reported load of a replica that was restarted under the same id.
     pub fn forget(&mut self, replica: &Name) {
         self.breakers.remove(replica);
         if let Some(load) = self.loads.get_mut(replica) {
-            load.told = 0;
+            load.reported_requests = 0;
         }
     }
 
-    /// Notes a request sent.
+    /// Records the start of a request at a replica.
     pub fn begin(&mut self, replica: &Name) {
         if let Some(breaker) = self.breakers.get_mut(replica) {
             breaker.begin(now());
         }
-        self.loads.entry(replica.clone()).or_default().ours += 1;
+        self.loads.entry(replica.clone()).or_default().own_requests += 1;
     }
 
-    /// Notes a request's end.
+    /// Records the end of a request at a replica.
     pub fn end(&mut self, replica: &Name) {
         if let Some(load) = self.loads.get_mut(replica) {
-            load.ours = load.ours.saturating_sub(1);
+            load.own_requests = load.own_requests.saturating_sub(1);
         }
     }
 
-    /// Notes what a replica told of its load.
+    /// Records the number of requests that a replica reported as its load.
     pub fn told(&mut self, replica: &Name, load: u32) {
-        self.loads.entry(replica.clone()).or_default().told = load;
+        self.loads.entry(replica.clone()).or_default().reported_requests = load;
     }
 }
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -1,4 +1,4 @@
-//! Calls to the store for one topic: what they show, and how often a failed one is repeated.
+//! Reads one topic of the store, with backoff after failed calls.
 
 use std::time::Duration;
 
@@ -12,70 +12,73 @@
 use super::watch;
 use crate::{event, metric, warn_event};
 
-/// Time for an answer of the store, which takes a few milliseconds and on bad days 60 times that.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-/// Doublings of that time for a whole picture.
-const MOST_DOUBLINGS: u32 = 2;
-/// Pause after a failed call, at first.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Pauses after failed calls: every call has a price, also one that fails, and a second is short beside an outage.
-const PAUSE: Pause = Pause { first: RETRY_PAUSE, longest: Duration::from_millis(1_000) };
-/// The same before the first picture, without which the entry serves nobody: a few answers of the store.
-const FIRST_PAUSE: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
-/// The same for an entry that will hear from another when the store is back.
-const FOLLOWER_PAUSE: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
-/// Calls a second that fail for all such entries together, for each topic: one of them may be the only one that the store
-/// answers, and tells the others. 103 entries make half as many calls in an outage of 8 s as with their own pauses.
-const FOLLOWERS_PER_S: f64 = 16.0;
+/// Bounds the time for a response of the store, which normally takes a few milliseconds, and 60 times as long
+/// while the store is slow.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Bounds how often the response timeout is doubled for the read of a snapshot.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
+/// Delay after the first failed call.
+pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Backoff after failed calls. A failed call costs as much as a successful one, and one second is short compared with an
+/// outage.
+const BACKOFF: Pause = Pause { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
+/// Backoff before the first snapshot, without which the entry cannot serve requests: some response times of the store.
+const INITIAL_BACKOFF: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
+/// Backoff of a follower, which gets the data from its leader once the store has recovered.
+const FOLLOWER_BACKOFF: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
+/// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one follower
+/// may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an outage of 8 s as
+/// with independent backoffs.
+const MAX_FOLLOWER_CALLS_PER_S: f64 = 16.0;
 
-/// Records of a topic.
+/// Records that one read of a topic returned.
 pub struct Page {
-    /// The records, in the order of the log.
+    /// Records in the order of the log.
     pub records: Vec<Keyed>,
-    /// The offset to go on from.
+    /// Offset from which the next read continues.
     pub next: u64,
 }
 
-/// Reads one topic of the store and tells once when it is lost and once when it is back.
+/// Reads one topic of the store, and logs the start and the end of each outage once.
 pub struct Reader {
-    name: &'static str,
+    topic_name: &'static str,
     client: Client,
-    /// The era of the store that its last answer was of.
+    /// Era of the store's last response. A new era begins when the store is restored from an older copy.
     era: u64,
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     failures: u32,
 }
 
 impl Reader {
-    /// A reader of the topic `name` whose first call has yet to come.
-    pub fn new(gateway: &Gateway, name: &'static str) -> Self {
-        Self { name, client: Client::new(gateway.settings.store), era: 0, failures: 0 }
+    /// Creates a reader of the topic `topic_name`. Makes no call.
+    pub fn new(gateway: &Gateway, topic_name: &'static str) -> Self {
+        Self { topic_name, client: Client::new(gateway.settings.store), era: 0, failures: 0 }
     }
 
-    /// Whether the last call failed.
-    pub fn is_lost(&self) -> bool {
+    /// Returns whether the last call failed.
+    pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Notes how a call ended; returns whether the store came back with it.
+    /// Records the outcome of a call. Returns whether the call succeeded after failed ones.
     pub fn note<T>(&mut self, outcome: &Result<T>) -> bool {
-        let was_lost = self.is_lost();
+        let was_failing = self.is_failing();
         let era = self.client.era();
         if era != self.era {
-            event!("store-era", topic = self.name, era, before = self.era);
+            event!("store-era", topic = self.topic_name, era, before = self.era);
             self.era = era;
         }
         match outcome {
             Ok(_) => {
                 self.failures = 0;
-                if was_lost {
-                    event!("store-regained", topic = self.name);
+                if was_failing {
+                    event!("store-regained", topic = self.topic_name);
                 }
-                was_lost
+                was_failing
             }
             Err(error) => {
-                if !was_lost {
-                    warn_event!("store-lost", topic = self.name, error = %format!("{error:#}"));
+                if !was_failing {
+                    warn_event!("store-lost", topic = self.topic_name, error = %format!("{error:#}"));
                 }
                 self.failures += 1;
                 false
@@ -83,54 +86,55 @@
         }
     }
 
-    /// Waits before a failed call for `topic` is repeated. Who will hear from another entry waits longer, who knows
-    /// nothing yet shorter.
+    /// Waits before a failed call for `topic` is retried. A follower waits longer, since it will get the data from its leader;
+    /// an entry without any data waits shorter.
     pub async fn back_off(&self, gateway: &Gateway, topic: &Topic) {
-        let pause = match topic.age() {
-            _ if gateway.desk.has_leader() => FOLLOWER_PAUSE.shared(gateway.entries(), FOLLOWERS_PER_S),
-            None => FIRST_PAUSE,
-            // With each failed call others are asked to read: as often as this entry would.
+        let backoff = match topic.age() {
+            _ if gateway.desk.has_leader() => FOLLOWER_BACKOFF.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S),
+            None => INITIAL_BACKOFF,
+            // Each failed call of a leader delegates a read to followers, at least as often as the leader itself would read.
             Some(_) if !gateway.desk.is_alone() => {
-                Pause { longest: PAUSE.longest.min(watch::read_period(&gateway.bounds())), ..PAUSE }
+                Pause { longest: BACKOFF.longest.min(watch::replicas_read_interval(&gateway.bounds())), ..BACKOFF }
             }
-            Some(_) => PAUSE,
+            Some(_) => BACKOFF,
         };
-        let pause = pause.after(self.failures);
-        // Entries that lost power together do not come back to the store together.
-        gateway.facts.pause(pause.mul_f64(rand::random_range(0.75..1.25))).await;
+        let delay = backoff.after(self.failures);
+        // The jitter keeps entries that restart together after a power loss from calling the store at the same time.
+        gateway.facts.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     }
 
-    /// Reads on from offset `from`; none if the store no longer keeps that, or answers with an older state.
+    /// Reads the records from the offset `from` on. If there are none, the store holds the call for up to `wait`. Returns `None`
+    /// if the store no longer keeps that offset, or answers with an older state.
     pub async fn read_on(&mut self, topic: &Topic, from: u64, wait: Duration) -> Result<Option<Page>> {
-        metric::store_calls("read", self.name, 1);
-        match self.client.read(self.name, from, wait, PATIENCE).await? {
+        metric::store_calls("read", self.topic_name, 1);
+        match self.client.read(self.topic_name, from, wait, RESPONSE_TIMEOUT).await? {
             Read::Trimmed => {
-                event!("store-trimmed", topic = self.name, from = %Text(from));
+                event!("store-trimmed", topic = self.topic_name, from = %Text(from));
                 topic.forget();
                 Ok(None)
             }
             Read::Outdated => {
-                event!("store-outdated", topic = self.name, from = %Text(from));
+                event!("store-outdated", topic = self.topic_name, from = %Text(from));
                 topic.forget();
                 Ok(None)
             }
             Read::Records { end, .. } if end < from => {
-                // An answer from before what was already read proves nothing.
-                warn_event!("store-stale", topic = self.name, from = %Text(from), end = %Text(end));
-                tokio::time::sleep(RETRY_PAUSE).await;
+                // A response older than the records already read does not verify the copy.
+                warn_event!("store-stale", topic = self.topic_name, from = %Text(from), end = %Text(end));
+                tokio::time::sleep(MIN_RETRY_DELAY).await;
                 Ok(None)
             }
             Read::Records { records, next, .. } => Ok(Some(Page { records, next })),
         }
     }
 
-    /// Reads the newest record of each key. A store that is slow since many read all at once is given more time after each
-    /// failure: giving up begins anew, and helps nobody.
+    /// Reads a snapshot: the newest record of each key. The timeout grows with each failure, because a store that is slow while
+    /// many entries read snapshots would only get more load from calls that time out and start over.
     pub async fn read_all(&mut self) -> Result<Page> {
-        let patience = PATIENCE * 2u32.pow(self.failures.min(MOST_DOUBLINGS));
-        let outcome = self.client.newest(self.name, patience).await;
-        metric::store_calls("newest", self.name, outcome.as_ref().map_or(1, |whole| whole.pages));
-        let whole = outcome?;
-        Ok(Page { records: whole.records, next: whole.end })
+        let timeout = RESPONSE_TIMEOUT * 2u32.pow(self.failures.min(MAX_TIMEOUT_DOUBLINGS));
+        let outcome = self.client.newest(self.topic_name, timeout).await;
+        metric::store_calls("newest", self.topic_name, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
+        let snapshot = outcome?;
+        Ok(Page { records: snapshot.records, next: snapshot.end })
     }
 }
--- a/sorrelpass/src/gateway/relay.rs
+++ b/sorrelpass/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on as it comes, and going on at another replica when it breaks off.
+//! Relays an event stream from a replica to the caller, and resumes it at another replica if the connection breaks.
 
 use std::time::Duration;
 
@@ -14,43 +14,51 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::answer::{Answer, Broken};
+use super::answer::{Answer, BodyError};
 use super::call::{Job, Opened, Place};
-use super::stream::Splitter;
+use super::sse::Splitter;
 use super::{now, quarantine};
 use crate::{event, metric};
 
-/// Events that may wait for a caller that reads slowly; then the replica is held up.
-const RING: usize = 16;
+/// Bounds the number of events that wait for a caller that reads slowly. A full channel stops reading from the replica.
+const CALLER_CHANNEL_CAPACITY: usize = 16;
 
-/// A part of an answer that takes no longer than this was there already: some turns of this process.
-const READY: Duration = Duration::from_millis(5);
-/// For how long such parts are passed on once the end of the time was seen: far longer than a whole answer takes.
-const LAST: Duration = Duration::from_millis(100);
+/// Bounds the time to read data that has already been received, after the deadline: some iterations of the event loop.
+const RECEIVED_DATA_TIMEOUT: Duration = Duration::from_millis(5);
+/// Bounds the time for which such data is relayed after the deadline: much longer than a complete response takes.
+const LATE_RELAY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A part of the caller's answer; an error breaks its connection.
-type Piece = Result<Frame<Bytes>, Broken>;
+/// Frame of the response body to the caller. An error closes the caller's connection.
+type BodyFrame = Result<Frame<Bytes>, BodyError>;
 
-/// How one replica's part of a stream ended.
-enum End {
-    /// It was whole.
-    Whole,
-    /// It broke off.
-    Broke(String),
-    /// The caller went away.
+/// Reason why the stream from one replica ended.
+enum StreamEnd {
+    /// The replica completed the stream.
+    Complete,
+    /// The connection to the replica broke, with this error.
+    Interrupted(String),
+    /// The caller closed its connection.
     CallerGone,
-    /// The time allowed is over.
-    Late,
+    /// The deadline of the request passed.
+    DeadlineExceeded,
 }
 
-/// Starts a stream to the caller: the head now, the events as they come.
+/// Starts relaying a stream. Returns the response with the head of the replica's response and a body that carries the events
+/// as they arrive.
 pub fn start(job: Job, opened: Opened) -> Answer {
     let mut headers = dialect::end_to_end(opened.response.headers());
-    // A stream that goes on elsewhere may differ in length; chunks tell its end.
+    // A resumed stream may have another length; the chunked encoding marks its end.
     headers.remove(hyper::header::CONTENT_LENGTH);
     let status = opened.response.status();
-    let (pieces, receiver) = mpsc::channel::<Piece>(RING);
-    let relay = Relay { job, pieces, splitter: Splitter::default(), last: None, events: 0, fresh: true };
+    let (caller, receiver) = mpsc::channel::<BodyFrame>(CALLER_CHANNEL_CAPACITY);
+    let relay = Relay {
+        job,
+        caller,
+        splitter: Splitter::default(),
+        last_event_id: None,
+        event_count: 0,
+        awaits_first_event: true,
+    };
     tokio::task::spawn_local(relay.run(opened));
     let body = stream::unfold(receiver, |mut receiver| async { Some((receiver.recv().await?, receiver)) });
     let mut answer = Response::new(StreamBody::new(body).boxed_unsync());
@@ -59,154 +67,156 @@
     answer
 }
 
-/// A stream on its way from one replica after another to its caller.
+/// Stream that is relayed to a caller from one replica, or from several in turn.
 struct Relay {
     job: Job,
-    /// To the caller.
-    pieces: mpsc::Sender<Piece>,
+    /// Channel of frames for the caller.
+    caller: mpsc::Sender<BodyFrame>,
     splitter: Splitter,
-    /// Number of the last event passed on.
-    last: Option<u64>,
-    /// Events passed on.
-    events: u64,
-    /// Whether the replica at hand has sent no event yet.
-    fresh: bool,
+    /// Id of the last event that was relayed.
+    last_event_id: Option<u64>,
+    /// Number of events that were relayed.
+    event_count: u64,
+    /// Whether the current replica has sent no event yet.
+    awaits_first_event: bool,
 }
 
 impl Relay {
-    /// Passes the stream on to its end, from each replica that goes on with it.
+    /// Relays the stream to its end, from each replica that resumes it.
     async fn run(mut self, mut opened: Opened) {
         loop {
-            let end = self.pass(&mut opened).await;
+            let end = self.relay_from(&mut opened).await;
             let Opened { record, connection, place, sent, .. } = opened;
             connection.close();
-            // The rest of the stream is placed anew: the planner must not count this part beside it.
+            // A resumed stream gets a new place: the planner must not count the current one beside it.
             drop(place);
-            match self.settle(end, &record, sent).await {
+            match self.handle_end(end, &record, sent).await {
                 Some(next) => opened = next,
                 None => break,
             }
         }
     }
 
-    /// Passes on what one replica sends.
-    async fn pass(&mut self, opened: &mut Opened) -> End {
-        self.fresh = true;
+    /// Relays the stream of one replica until it ends.
+    async fn relay_from(&mut self, opened: &mut Opened) -> StreamEnd {
+        self.awaits_first_event = true;
         let deadline = Instant::now() + self.job.left();
         let mut late_since = None;
         loop {
-            if Instant::now() >= deadline && late_since.get_or_insert_with(Instant::now).elapsed() > LAST {
-                return End::Late;
+            if Instant::now() >= deadline && late_since.get_or_insert_with(Instant::now).elapsed() > LATE_RELAY_TIMEOUT
+            {
+                return StreamEnd::DeadlineExceeded;
             }
             let frame = tokio::select! {
                 biased;
                 frame = opened.response.body_mut().frame() => frame,
-                () = self.pieces.closed() => return End::CallerGone,
-                // What has come by then is passed on: behind a freeze it is found together with the end of its time.
+                () = self.caller.closed() => return StreamEnd::CallerGone,
+                // Data received before the deadline is still relayed: after a suspension of the process, the data and the
+                // expired deadline are seen at the same time.
                 () = tokio::time::sleep_until(deadline) => {
-                    match tokio::time::timeout(READY, opened.response.body_mut().frame()).await {
+                    match tokio::time::timeout(RECEIVED_DATA_TIMEOUT, opened.response.body_mut().frame()).await {
                         Ok(frame) => frame,
-                        Err(_) => return End::Late,
+                        Err(_) => return StreamEnd::DeadlineExceeded,
                     }
                 }
             };
             let data = match frame {
-                None => return self.finish().await,
-                Some(Err(error)) => return End::Broke(error.to_string()),
+                None => return self.relay_remainder().await,
+                Some(Err(error)) => return StreamEnd::Interrupted(error.to_string()),
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
             self.splitter.push(&data);
-            if !self.drain(&opened.place).await {
-                return End::CallerGone;
+            if !self.relay_events(&opened.place).await {
+                return StreamEnd::CallerGone;
             }
         }
     }
 
-    /// Passes on the whole events that have come; says whether the caller is still there.
-    async fn drain(&mut self, place: &Place) -> bool {
+    /// Relays the complete events that have arrived. Returns whether the caller is still connected.
+    async fn relay_events(&mut self, place: &Place) -> bool {
         while let Some(event) = self.splitter.next() {
-            if self.events == 0 {
+            if self.event_count == 0 {
                 let after = now().since(self.job.started);
                 event!("first-event", request = %self.job.call.id, after_ms = after.as_millis());
                 metric::first_event(&self.job.route.name, after);
             }
-            if self.fresh {
-                self.fresh = false;
+            if self.awaits_first_event {
+                self.awaits_first_event = false;
                 place.first_event();
             }
-            self.events += 1;
-            self.last = event.id.or(self.last);
-            if self.pieces.send(Ok(Frame::data(event.bytes))).await.is_err() {
+            self.event_count += 1;
+            self.last_event_id = event.id.or(self.last_event_id);
+            if self.caller.send(Ok(Frame::data(event.bytes))).await.is_err() {
                 return false;
             }
         }
         true
     }
 
-    /// Passes on what is left behind the last event of a whole stream.
-    async fn finish(&mut self) -> End {
-        let rest = self.splitter.rest();
-        if !rest.is_empty() && self.pieces.send(Ok(Frame::data(rest))).await.is_err() {
-            return End::CallerGone;
+    /// Relays the bytes after the last event of a completed stream.
+    async fn relay_remainder(&mut self) -> StreamEnd {
+        let remainder = self.splitter.take_remainder();
+        if !remainder.is_empty() && self.caller.send(Ok(Frame::data(remainder))).await.is_err() {
+            return StreamEnd::CallerGone;
         }
-        End::Whole
+        StreamEnd::Complete
     }
 
-    /// Ends the stream, or opens its rest at another replica.
-    async fn settle(&mut self, end: End, record: &Record, sent: Moment) -> Option<Opened> {
+    /// Logs the end of one replica's stream. Returns the stream that resumes it at another replica, if there is one.
+    async fn handle_end(&mut self, end: StreamEnd, record: &Record, sent: Moment) -> Option<Opened> {
         let peer = &*record.id;
         let id = self.job.call.id.clone();
         let after_ms = now().since(self.job.started).as_millis();
         match end {
-            End::Whole => {
-                event!("done", request = %id, peer, events = self.events, after_ms);
+            StreamEnd::Complete => {
+                event!("done", request = %id, peer, events = self.event_count, after_ms);
                 metric::request("ok");
                 quarantine::cleared(&self.job.gateway, self.job.work);
                 None
             }
-            End::CallerGone => {
-                event!("caller-gone", request = %id, peer, events = self.events, after_ms);
+            StreamEnd::CallerGone => {
+                event!("caller-gone", request = %id, peer, events = self.event_count, after_ms);
                 metric::request("caller_gone");
                 None
             }
-            End::Late => {
-                event!("give-up", request = %id, peer, code = "deadline", events = self.events, after_ms);
-                self.break_off("deadline").await
+            StreamEnd::DeadlineExceeded => {
+                event!("give-up", request = %id, peer, code = "deadline", events = self.event_count, after_ms);
+                self.abort("deadline").await
             }
-            End::Broke(error) => {
-                event!("broke", request = %id, work = %self.job.work, peer, events = self.events, silent = self.fresh, after_ms, error = %error);
+            StreamEnd::Interrupted(error) => {
+                event!("broke", request = %id, work = %self.job.work, peer, events = self.event_count, silent = self.awaits_first_event, after_ms, error = %error);
                 self.job.gateway.desk.failed(&self.job.service, peer);
-                let weight = if self.fresh { Weight::Strong } else { Weight::Faint };
+                let weight = if self.awaits_first_event { Weight::Strong } else { Weight::Faint };
                 self.job.connection_lost(record, sent, weight).await;
                 self.resume().await
             }
         }
     }
 
-    /// Opens the rest of a broken stream at another replica, or breaks the stream off.
+    /// Resumes an interrupted stream at another replica. Aborts it if that is not allowed or fails.
     async fn resume(&mut self) -> Option<Opened> {
         self.splitter.clear();
         if !self.job.may_resume() {
-            return self.break_off("broken").await;
+            return self.abort("broken").await;
         }
-        let after = self.last.or(self.job.call.after_event);
-        let left = self.job.left();
+        let after_event = self.last_event_id.or(self.job.call.after_event);
+        let time_left = self.job.left();
         let opened = tokio::select! {
-            opened = tokio::time::timeout(left, self.job.open(after)) => opened,
-            () = self.pieces.closed() => return None,
+            opened = tokio::time::timeout(time_left, self.job.open(after_event)) => opened,
+            () = self.caller.closed() => return None,
         };
         match opened {
             Ok(Ok(opened)) if opened.response.status().is_success() => Some(opened),
-            _ => self.break_off("broken").await,
+            _ => self.abort("broken").await,
         }
     }
 
-    /// Breaks the caller's connection, so that the stream cannot pass for a whole one.
-    async fn break_off(&mut self, code: &'static str) -> Option<Opened> {
-        event!("give-up", request = %self.job.call.id, code, ran = "partial", events = self.events);
+    /// Aborts the stream by closing the caller's connection, so that the caller does not take it for a complete stream.
+    async fn abort(&mut self, code: &'static str) -> Option<Opened> {
+        event!("give-up", request = %self.job.call.id, code, ran = "partial", events = self.event_count);
         metric::request(code);
-        // Fails only if the caller is gone.
-        let _ = self.pieces.send(Err(Broken)).await;
+        // Fails only if the caller has closed its connection.
+        let _ = self.caller.send(Err(BodyError)).await;
         None
     }
 }
--- a/sorrelpass/src/gateway/rests.rs
+++ b/sorrelpass/src/gateway/rests.rs
@@ -1,6 +1,7 @@
-//! Replicas that turned this entry away and asked for rest: nothing of this entry goes there for so long.
+//! Replicas that refused a request of this entry and asked it to back off: the entry sends them nothing for that time.
 //!
-//! Other entries may go on, so nobody else is told but the entry that plans, which then grants such an engine to others only.
+//! A backoff concerns one entry only, so the entry reports it to nobody but the leader, which then grants such an engine only
+//! to prompts of other entries.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -16,62 +17,63 @@
 use super::state::Gateway;
 use crate::metric;
 
-/// What this entry knows of rests.
+/// Backoff times that replicas asked this entry to keep.
 #[derive(Default)]
 pub struct Rests {
     register: RefCell<Register>,
-    /// Told when a replica has asked for rest.
+    /// Notified when a replica asks for backoff.
     asked: Notify,
 }
 
 impl Rests {
-    /// Whether a replica wants nothing from this entry now.
+    /// Returns whether this entry must not send requests to a replica now, because the replica asked for backoff.
     pub fn is_resting(&self, replica: &str) -> bool {
         !self.register.borrow().left(replica, now()).is_zero()
     }
 
-    /// Forgets what a replica said that is gone, or has started again.
+    /// Discards the backoff of a replica that ended or was restarted.
     pub fn forget(&self, replica: &str) {
         self.register.borrow_mut().forget(replica);
     }
 
-    /// Ends once a replica has asked for rest since this call.
+    /// Waits until a replica asks for backoff after this call.
     pub fn asked(&self) -> impl Future<Output = ()> + '_ {
         self.asked.notified()
     }
 }
 
-/// Takes in what an answer of a replica says of rest.
-pub fn said(gateway: &Gateway, record: &Record, answer: &dialect::Answer) {
-    let Some(rest) = answer.rest().filter(|_| answer.speaks_for_itself()) else { return };
+/// Checks the head of a replica's response for a backoff time, and applies it.
+pub fn said(gateway: &Gateway, record: &Record, response: &dialect::Answer) {
+    let Some(backoff) = response.rest().filter(|_| response.speaks_for_itself()) else { return };
     if !gateway.roster.borrow().is_newest_run(record) {
         return;
     }
     metric::rest_asked();
-    gateway.rests.register.borrow_mut().hear(&record.id, rest, now());
-    gateway.desk.rests(&record.service, &record.id, rest);
+    gateway.rests.register.borrow_mut().hear(&record.id, backoff, now());
+    gateway.desk.rests(&record.service, &record.id, backoff);
     gateway.rests.asked.notify_waiters();
 }
 
-/// The time until the first replica of a service that takes work wants something from this entry; none if there is none.
+/// Returns the time until this entry may send a request to at least one replica of a service, or `None` if no replica of
+/// the service accepts new work.
 pub fn soonest(gateway: &Gateway, service: &str) -> Option<Duration> {
     soonest_of(gateway, service, |_| true)
 }
 
-/// The same among the replicas that `fits` names.
-pub fn soonest_of(gateway: &Gateway, service: &str, fits: impl Fn(&Name) -> bool) -> Option<Duration> {
+/// Returns the same as [`soonest`], but considers only the replicas for which `is_eligible` returns true.
+pub fn soonest_of(gateway: &Gateway, service: &str, is_eligible: impl Fn(&Name) -> bool) -> Option<Duration> {
     let roster = gateway.roster.borrow();
-    let usable = roster.usable(service).map(|record| &record.id).filter(|replica| fits(replica));
-    gateway.rests.register.borrow().soonest(usable, now())
+    let candidates = roster.usable(service).map(|record| &record.id).filter(|replica| is_eligible(replica));
+    gateway.rests.register.borrow().soonest(candidates, now())
 }
 
-/// All that an entry which begins to plan for this one should know.
-pub fn reports(gateway: &Gateway) -> Vec<Report> {
+/// Returns the current backoffs of engines as reports to a leader that this entry starts to follow.
+pub fn sync_reports(gateway: &Gateway) -> Vec<Report> {
     let roster = gateway.roster.borrow();
     let register = gateway.rests.register.borrow();
-    let report = |(engine, rest): (&Name, Duration)| {
+    let report = |(engine, backoff): (&Name, Duration)| {
         let service = roster.get(engine)?.record.service.clone();
-        Some(Report::Rests { service, engine: engine.clone(), rest })
+        Some(Report::Rests { service, engine: engine.clone(), rest: backoff })
     };
     register.resting(now()).filter_map(report).collect()
 }
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway share: the routing table with the age of its proof, the replicas, the retry budgets.
+//! State that the tasks of an entry share: the routing table and its verification, the replicas, and the retry budgets.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,50 +15,52 @@
 use coord::time::Moment;
 use tokio::sync::watch;
 
-use super::belief::RETURN_GRACE;
+use super::belief::STORE_RECOVERY_GRACE;
 use super::desk::Desk;
-use super::facts::Facts;
 use super::limits::{self, Limits};
-use super::members::Members;
+use super::membership::Membership;
 use super::now;
 use super::place::Placer;
 use super::quarantine::Quarantine;
 use super::rests::Rests;
+use super::store_view::StoreView;
 use crate::config::{self, Bounds};
 
-/// Part of `revoke` for which a proof is good. The rest covers drift between two steady clocks.
-const PROOF_SHARE: f64 = 0.9;
-/// Part of the time within which a configuration must be in force for which a proof is good enough to say that there
-/// is no such route or key. A younger proof shows all that was in force when the request was sent; the rest covers the
-/// way from the caller and drift.
-const DENIAL_SHARE: f64 = 0.8;
-/// Time after its start in which an entry that knows nothing yet keeps requests waiting for what it will know. Most
-/// learn all within some tens of milliseconds; one that does not by then is cut off, and callers go elsewhere.
-const LEARNING: Duration = Duration::from_secs(2);
-/// Time after its start in which an entry leaves reading the store to the one that it will follow, if it is among those whom
-/// others ask first. Where one leads it is found within some 20 ms; where none does, longer would hold up all of them.
-const FIRST_FROM_OTHERS: Duration = Duration::from_millis(60);
-/// The same for the others: within it the processes that start together have come up, and one has read the store for all.
-/// If all of them read it, pictures of 3,000 replicas for 300 entries take longer than anyone waits for an answer.
-const JOINING: Duration = Duration::from_millis(1_500);
-/// Part of the common retry share that entries use, so that a window's edge never overdraws it.
+/// Share of the `revoke` bound for which a verification of the configuration is valid. The remainder covers the drift
+/// between two monotonic clocks.
+const VERIFICATION_VALID_SHARE: f64 = 0.9;
+/// Share of the `config_apply` bound for which a verification allows the entry to answer that a route or key does not exist.
+/// Such a verification covers every configuration that had to be in force when the request was sent; the remainder covers
+/// the network delay from the caller and the clock drift.
+const NEGATIVE_ANSWER_SHARE: f64 = 0.8;
+/// Time after the start for which requests wait for the first configuration and replica records. Most entries have them
+/// within tens of milliseconds; an entry without them after this time is cut off, and its callers retry at another entry.
+const INITIAL_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after the start for which an entry waits for a leader's data before it reads the store, if the entry is a seed itself
+/// or has no seeds. An existing leader is found within some 20 ms; if there is none, a longer wait would delay all entries.
+const SEED_FIRST_READ_DELAY: Duration = Duration::from_millis(60);
+/// The same time for an entry that joins via its seeds. Within it, the processes that start together accept connections and
+/// one of them has read the store for all. If all of them read it, the snapshots of 3,000 replicas for 300 entries take
+/// longer than the timeout of a store call.
+const JOINING_FIRST_READ_DELAY: Duration = Duration::from_millis(1_500);
+/// Share of the retry share common to all entries that the entries use, so that the boundary between two windows never exceeds it.
 const RETRY_SHARE_USED: f64 = 0.9;
-/// Entries among which the common retry allowance is divided as long as fewer are known.
-const LEAST_ENTRIES: usize = 32;
+/// Minimum number of entries among which the common retry allowance is divided, even if fewer are known.
+const MIN_ENTRY_COUNT: usize = 32;
 
-/// How far the process is on its way to its end.
+/// Phase in the life of the process, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Connections are taken.
+    /// The entry serves requests.
     Serving,
-    /// The process was told to end; requests are still taken.
+    /// The process was told to shut down; requests are still served.
     Stopping,
-    /// Resting connections are closed, and new requests are refused.
+    /// Idle connections are closed, and new requests are refused.
     Closing,
 }
 
 impl Phase {
-    /// The phase's name in log lines.
+    /// Returns the name of the phase in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             Phase::Serving => "serving",
@@ -68,58 +70,59 @@
     }
 }
 
-/// A gateway's shared state.
+/// State of an entry that all of its tasks share.
 pub struct Gateway {
-    /// When the process began.
-    started: Moment,
-    /// The settings at the start.
+    /// Start time of the process.
+    started_at: Moment,
+    /// Settings at the start. A reload changes only [`Gateway::bounds`].
     pub settings: config::Gateway,
     bounds: Cell<Bounds>,
     table: RefCell<Arc<Table>>,
-    /// How far the store is known.
-    pub facts: Facts,
-    /// The other entries.
-    pub members: Members,
-    /// The replicas.
+    /// Copy of the store's topics.
+    pub facts: StoreView,
+    /// Successors and announcements of entries.
+    pub membership: Membership,
+    /// Known replicas of all services.
     pub roster: RefCell<Roster>,
-    /// Failure domains that operators have emptied.
+    /// Failure domains that operators have evacuated.
     pub evacuations: RefCell<evacuation::Register>,
-    /// Where plain requests go.
+    /// Selects replicas of plain services.
     pub placer: RefCell<Placer>,
-    /// Where prompts go.
+    /// Queue of prompts that wait for engines.
     pub desk: Rc<Desk>,
-    /// Work under which replicas end.
+    /// Fingerprints of requests that are suspected or known to terminate replicas.
     pub quarantine: Quarantine,
-    /// Limits that replicas name.
+    /// Rate limits that replicas announced.
     pub limits: Limits,
-    /// Replicas that want nothing from this entry for a while.
+    /// Replicas that asked this entry to back off.
     pub rests: Rests,
-    budgets: RefCell<HashMap<Name, Windowed>>,
-    /// Entries that there may be, at least.
-    entries: Cell<usize>,
-    /// The latest era of the store that is known; none before the first answer.
+    /// Retry budgets by service.
+    retry_budgets: RefCell<HashMap<Name, Windowed>>,
+    /// Largest number of entries that was observed, at least [`MIN_ENTRY_COUNT`].
+    entry_count: Cell<usize>,
+    /// Latest known era of the store, or `None` before the first response.
     era: Cell<Option<u64>>,
-    /// Whether an entry that reads the store for this one is being looked for.
-    seeking: Cell<bool>,
+    /// Whether this entry is searching for another entry that reads the store for it.
+    is_searching_reader: Cell<bool>,
     phase: watch::Sender<Phase>,
     in_flight: Cell<usize>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates the state of an entry that has no configuration and no replicas yet.
     pub fn new(settings: config::Gateway) -> Self {
         let placer = Placer::new(settings.process.failure_domain.clone(), &settings.policy);
         let desk = Desk::new(settings.policy.planner);
         let bounds = Cell::new(settings.bounds);
-        let seeking = settings.peer_listen.is_some();
-        let facts = Facts::new(settings.link_mbps);
+        let is_searching_reader = settings.peer_listen.is_some();
+        let facts = StoreView::new(settings.link_mbps);
         Self {
-            started: now(),
+            started_at: now(),
             settings,
             bounds,
             table: RefCell::default(),
             facts,
-            members: Members::default(),
+            membership: Membership::default(),
             roster: RefCell::default(),
             evacuations: RefCell::default(),
             placer: RefCell::new(placer),
@@ -127,48 +130,48 @@
             quarantine: Quarantine::new(),
             limits: Limits::default(),
             rests: Rests::default(),
-            budgets: RefCell::default(),
-            entries: Cell::new(LEAST_ENTRIES),
+            retry_budgets: RefCell::default(),
+            entry_count: Cell::new(MIN_ENTRY_COUNT),
             era: Cell::default(),
-            seeking: Cell::new(seeking),
+            is_searching_reader: Cell::new(is_searching_reader),
             phase: watch::Sender::new(Phase::Serving),
             in_flight: Cell::new(0),
         }
     }
 
-    /// Waits until this entry knows configuration and replicas, if it has only just begun.
+    /// Waits for the first configuration and replica records, until [`INITIAL_SYNC_TIMEOUT`] after the start.
     pub async fn learn(&self) {
         if self.settings.policy.learning {
-            self.facts.first(self.started + LEARNING).await;
+            self.facts.wait_until_complete(self.started_at + INITIAL_SYNC_TIMEOUT).await;
         }
     }
 
-    /// The deployment's bounds in force.
+    /// Returns the deployment's bounds that are in force.
     pub fn bounds(&self) -> Bounds {
         self.bounds.get()
     }
 
-    /// Puts other bounds in force. Retry budgets keep what they have counted and the share of first tries that they began with.
-    pub fn put_bounds(&self, bounds: Bounds) {
+    /// Puts new bounds in force. Existing retry budgets keep their counts and their retry share.
+    pub fn set_bounds(&self, bounds: Bounds) {
         self.bounds.set(bounds);
-        self.facts.wake();
+        self.facts.wake_readers();
     }
 
-    /// The table in force here.
+    /// Returns the routing table that is in force.
     pub fn table(&self) -> Arc<Table> {
         self.table.borrow().clone()
     }
 
-    /// Puts a newer table in force; an older one than is in force is left out.
-    pub fn put_table(&self, table: Table) -> bool {
-        let newer = table.version() > self.table.borrow().version();
-        if newer {
+    /// Puts a routing table in force if it is newer than the current one. Returns whether it was.
+    pub fn replace_table(&self, table: Table) -> bool {
+        let is_newer = table.version() > self.table.borrow().version();
+        if is_newer {
             *self.table.borrow_mut() = Arc::new(table);
         }
-        newer
+        is_newer
     }
 
-    /// Notes proof that another replica has the address of `id`.
+    /// Removes the replica `id` after a response showed that another replica now has its address.
     pub fn displaced(&self, id: &str) {
         if self.roster.borrow_mut().displaced(id).is_some() {
             crate::event!("replica", peer = id, standing = "displaced");
@@ -176,7 +179,8 @@
         }
     }
 
-    /// Notes that a replica started again under its identity: what was known of its load and its failures was of another run.
+    /// Discards the load, failures, limit and backoff of a replica that was restarted under the same id: they belong to its
+    /// previous run.
     pub fn restarted(&self, id: &Name) {
         self.placer.borrow_mut().forget(id);
         self.limits.restarted(id);
@@ -187,158 +191,161 @@
         }
     }
 
-    /// The record of a replica if something new may be sent there now: it takes work, its failure domain is not emptied, and
-    /// it has not asked this entry for rest.
+    /// Returns the record of a replica if this entry may send it new requests now: the replica accepts work, its failure domain
+    /// is not evacuated, and it has not asked this entry to back off.
     pub fn open_replica(&self, id: &str) -> Option<Record> {
         let roster = self.roster.borrow();
         roster.usable_one(id).filter(|_| !self.rests.is_resting(id)).cloned()
     }
 
-    /// Tells the desk which engines take work.
+    /// Updates the engines of each service in the admission queue, and the rate limits.
     pub fn refresh_engines(&self) {
         let roster = self.roster.borrow();
         for service in self.table().services() {
-            let Some(figures) = &service.engine else { continue };
+            let Some(profile) = &service.engine else { continue };
             let engines = roster.usable(&service.name).map(|record| record.id.clone());
-            self.desk.set_engines(&service.name, figures, engines);
+            self.desk.set_engines(&service.name, profile, engines);
         }
         limits::apply(self);
     }
 
-    /// Age of the proof that the table in force is the newest, in milliseconds, if there is any.
+    /// Returns the age of the read that verified the configuration, in milliseconds, or `None` if it was never verified.
     pub fn proof_age_ms(&self) -> Option<u128> {
         self.facts.configuration.age().map(|age| age.as_millis())
     }
 
-    /// Whether keys may be trusted: the table was the newest a short while ago, or, where the deployment lets keys that
-    /// were taken away outlast an outage, at any time.
+    /// Returns whether API keys may be accepted. That requires a recent verification of the configuration, or any verification
+    /// if the deployment lets revoked keys stay valid during an outage of the store.
     pub fn proof_holds(&self) -> bool {
         if self.bounds().revoke_strict { self.has_recent_proof() } else { self.facts.configuration.age().is_some() }
     }
 
-    /// Whether no key can have been taken away for longer than it may be served.
+    /// Returns whether the configuration was verified so recently that no accepted key can have been revoked for longer than the
+    /// `revoke` bound.
     pub fn has_recent_proof(&self) -> bool {
-        let bound = self.bounds().revoke.mul_f64(PROOF_SHARE);
-        self.facts.configuration.is_proven_within(bound)
+        let max_age = self.bounds().revoke.mul_f64(VERIFICATION_VALID_SHARE);
+        self.facts.configuration.is_verified_within(max_age)
     }
 
-    /// Whether another entry reads the store for this one, or will in a moment.
+    /// Returns whether another entry reads the store for this one, or one that might do so is being searched for.
     pub fn has_reader(&self) -> bool {
-        self.settings.policy.passing_on && (self.desk.has_leader() || self.seeking.get())
+        self.settings.policy.passing_on && (self.desk.has_leader() || self.is_searching_reader.get())
     }
 
-    /// Until when an entry that knows nothing yet waits for another to tell it, rather than read the store.
+    /// Returns the time until which an entry without any data waits for another entry's data before it reads the store.
     pub fn first_from_others_by(&self) -> Moment {
-        self.started + if self.joins() { JOINING } else { FIRST_FROM_OTHERS }
+        self.started_at + if self.joins_via_seeds() { JOINING_FIRST_READ_DELAY } else { SEED_FIRST_READ_DELAY }
     }
 
-    /// Whether this entry looks for others by way of those that its settings name, before it turns to the store.
-    pub fn joins(&self) -> bool {
-        let Some(own) = self.settings.peer_listen else { return false };
+    /// Returns whether this entry searches for a leader via its seeds before it reads the store. A seed itself does not.
+    pub fn joins_via_seeds(&self) -> bool {
+        let Some(own_address) = self.settings.peer_listen else { return false };
         let seeds = &self.settings.seeds;
-        self.settings.policy.passing_on && !seeds.is_empty() && !seeds.contains(&own)
+        self.settings.policy.passing_on && !seeds.is_empty() && !seeds.contains(&own_address)
     }
 
-    /// Until when this entry looks for others before it turns to the store.
-    pub fn joins_by(&self) -> Moment {
-        self.started + JOINING / 2
+    /// Returns the time until which this entry searches for a leader via its seeds before it reads the store.
+    pub fn seed_search_deadline(&self) -> Moment {
+        self.started_at + JOINING_FIRST_READ_DELAY / 2
     }
 
-    /// Entries that there may be, as far as is known.
-    pub fn entries(&self) -> usize {
-        self.entries.get()
+    /// Returns the largest number of entries that was observed.
+    pub fn entry_count(&self) -> usize {
+        self.entry_count.get()
     }
 
-    /// Notes that there are so many entries. Those that ended are counted too, so the number only grows.
-    pub fn note_entries(&self, entries: usize) {
-        self.entries.set(self.entries.get().max(entries));
+    /// Records an observed number of entries. The stored number only grows, because ended entries stay counted.
+    pub fn raise_entry_count(&self, entry_count: usize) {
+        self.entry_count.set(self.entry_count.get().max(entry_count));
     }
 
-    /// Notes up to where the store is known. If that is of a later era than anything before, the store has lost what was written
-    /// last: records of replicas count as lapsed for a while, and this entry's announcement may be gone.
-    pub fn note_era(&self, next: u64) {
-        let era = offset::era(next);
-        let known = self.era.get();
-        if known.is_some_and(|known| era <= known) {
+    /// Records the era of an offset of the store. A later era than the current one means that the store recovered from an older
+    /// copy and lost its newest records: missing replica records are then kept for a grace period, and this entry's
+    /// announcement may be missing.
+    pub fn observe_era(&self, offset: u64) {
+        let era = offset::era(offset);
+        let current = self.era.get();
+        if current.is_some_and(|current| era <= current) {
             return;
         }
         self.era.set(Some(era));
-        let Some(before) = known else { return };
+        let Some(before) = current else { return };
         crate::event!("era", era, before);
-        self.roster.borrow_mut().store_returned(now(), RETURN_GRACE);
-        self.members.doubt_announcements();
+        self.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
+        self.membership.doubt_announcements();
     }
 
-    /// Notes whether an entry that reads the store for this one is being looked for.
-    pub fn set_seeking(&self, seeking: bool) {
-        self.seeking.set(seeking);
-        if !seeking {
-            // It may be on this entry now.
-            self.facts.wake();
+    /// Sets whether this entry is searching for another entry that reads the store for it.
+    pub fn set_searching_reader(&self, is_searching: bool) {
+        self.is_searching_reader.set(is_searching);
+        if !is_searching {
+            // This entry may have to read the store itself now.
+            self.facts.wake_readers();
         }
     }
 
-    /// Whether the table may be believed in what it lacks: it holds all that must be in force by now.
+    /// Returns whether the entry may answer that a route or key does not exist: the routing table is recent enough to contain
+    /// everything that must be in force by now.
     pub fn may_deny(&self) -> bool {
-        let bound = self.bounds().config_apply.mul_f64(DENIAL_SHARE);
-        self.facts.configuration.is_proven_within(bound)
+        let max_age = self.bounds().config_apply.mul_f64(NEGATIVE_ANSWER_SHARE);
+        self.facts.configuration.is_verified_within(max_age)
     }
 
-    /// Whether this entry wants callers.
-    pub fn ready(&self) -> bool {
+    /// Returns whether the load balancer should send callers to this entry.
+    pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving && self.proof_holds()
     }
 
-    /// Notes how far the process is on its way to its end, and tells all who wait for that.
-    pub fn enter(&self, phase: Phase) {
+    /// Enters a phase, and wakes the tasks that wait for it.
+    pub fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
         crate::event!("phase", phase = phase.as_str(), in_flight = self.in_flight());
     }
 
-    /// Waits until the process is so far on its way to its end.
+    /// Waits until the process is in `phase` or a later one.
     pub async fn reached(&self, phase: Phase) {
-        // Fails only if the sender is gone, which lives as long as this.
+        // Fails only if the sender was dropped, and `self` owns the sender.
         let _ = self.phase.subscribe().wait_for(|current| *current >= phase).await;
     }
 
-    /// How far the process is on its way to its end.
+    /// Returns the current phase of the process.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn begin_request(self: &Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight(self.clone())
     }
 
-    /// Notes a first send to a service.
+    /// Records the first send of a request to a service, which adds to the service's retry budget.
     pub fn note_first(&self, service: &Name) {
-        self.with_budget(service, |budget| budget.earn(now()));
+        self.with_retry_budget(service, |budget| budget.earn(now()));
     }
 
-    /// Takes a further send to a service out of its budget.
+    /// Takes a retry out of the service's retry budget. Returns whether the budget allows it.
     pub fn take_retry(&self, service: &Name) -> bool {
-        self.with_budget(service, |budget| budget.spend(now()))
+        self.with_retry_budget(service, |budget| budget.spend(now()))
     }
 
-    fn with_budget<T>(&self, service: &Name, act: impl FnOnce(&mut Windowed) -> T) -> T {
+    fn with_retry_budget<T>(&self, service: &Name, action: impl FnOnce(&mut Windowed) -> T) -> T {
         let bounds = self.bounds();
-        let allowance = budget::part(bounds.retry_allowance, self.entries.get());
-        let fresh = || Windowed::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
-        let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets.entry(service.clone()).or_insert_with(fresh);
+        let allowance = budget::part(bounds.retry_allowance, self.entry_count.get());
+        let new_budget = || Windowed::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
+        let mut budgets = self.retry_budgets.borrow_mut();
+        let budget = budgets.entry(service.clone()).or_insert_with(new_budget);
         budget.set_allowance(allowance);
-        act(budget)
+        action(budget)
     }
 }
 
-/// Counts one request in flight.
+/// Guard that counts one request as in flight until it is dropped.
 pub struct InFlight(Rc<Gateway>);
 
 impl Drop for InFlight {
--- a/sorrelpass/src/gateway/topic.rs
+++ b/sorrelpass/src/gateway/topic.rs
@@ -1,4 +1,6 @@
-//! How far one topic of the store is known, and as of when.
+//! State of this process's copy of one topic of the store: how far the copy reaches, and when it was last verified.
+//!
+//! A copy is verified by a read of the store, here or at another entry, which shows that the copy holds the newest records.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,114 +9,114 @@
 use coord::time::Moment;
 use tokio::sync::watch;
 
-use super::link::Known;
+use super::link::CopyState;
 use super::now;
 
-/// How far one topic is known.
+/// State of this process's copy of one topic.
 #[derive(Default)]
 pub struct Topic {
-    /// The offset to read on from.
+    /// Offset from which the next read continues.
     next: Cell<Option<u64>>,
-    /// The offset from which on every change was seen here; what was removed before that is not known.
-    seen_from: Cell<Option<u64>>,
-    /// When the newest reading was sent that proved it.
-    read: Cell<Option<Moment>>,
-    /// Whether there was ever one.
-    proven: watch::Sender<bool>,
-    /// Whether there is something newer, which must be read here.
-    behind: Cell<bool>,
-    /// Whether another entry, which the store does not answer, wants this one to read.
-    wanted: Cell<bool>,
+    /// Offset from which on this process saw every change. Removals below this offset are not known here.
+    changes_seen_from: Cell<Option<u64>>,
+    /// Send time of the newest read that verified the copy.
+    verified_at: Cell<Option<Moment>>,
+    /// Whether the copy was ever verified.
+    ever_verified: watch::Sender<bool>,
+    /// Whether the store has newer records that this process must read itself.
+    is_behind: Cell<bool>,
+    /// Whether the leader, which the store does not answer, asked this process to read the topic.
+    is_read_requested: Cell<bool>,
 }
 
 impl Topic {
-    /// The offset to read on from; none before the first whole picture.
+    /// Returns the offset from which the next read continues, or `None` if a snapshot must be read first.
     pub fn next(&self) -> Option<u64> {
         self.next.get()
     }
 
-    /// Notes that all records below `next` are taken in.
+    /// Records that all records below the offset `next` were applied.
     pub fn advance(&self, next: u64) {
         if self.next.get().is_none_or(|known| known <= next) {
             self.next.set(Some(next));
-            self.behind.set(false);
+            self.is_behind.set(false);
         }
-        if self.seen_from.get().is_none() {
-            self.seen_from.set(Some(next));
+        if self.changes_seen_from.get().is_none() {
+            self.changes_seen_from.set(Some(next));
         }
     }
 
-    /// Whether every change at offset `from` and later was seen here.
-    pub fn has_seen_all_from(&self, from: u64) -> bool {
-        self.seen_from.get().is_some_and(|seen| seen <= from)
+    /// Returns whether this process saw every change at offset `from` and later.
+    pub fn has_seen_changes_from(&self, from: u64) -> bool {
+        self.changes_seen_from.get().is_some_and(|seen| seen <= from)
     }
 
-    /// Notes that records were lost from view: the whole picture must be read anew.
+    /// Discards the read position because the store no longer has the records behind it: the next read is a snapshot.
     pub fn forget(&self) {
         self.next.set(None);
     }
 
-    /// Notes that a reading sent at `sent` showed what is known to be the newest.
-    pub fn prove(&self, sent: Moment) {
-        invariant!(sent <= now(), "a reading is not from the future");
-        if self.read.get().is_none_or(|read| read < sent) {
-            self.read.set(Some(sent));
-            self.wanted.set(false);
-            self.proven.send_replace(true);
+    /// Records that a read which was sent at `sent` showed the copy to be the newest state.
+    pub fn mark_verified(&self, sent: Moment) {
+        invariant!(sent <= now(), "a read of the store is not from the future");
+        if self.verified_at.get().is_none_or(|verified_at| verified_at < sent) {
+            self.verified_at.set(Some(sent));
+            self.is_read_requested.set(false);
+            self.ever_verified.send_replace(true);
         }
     }
 
-    /// Waits for the first such reading.
-    pub async fn first_proof(&self) {
-        // Fails only if the sender is gone, which lives as long as this.
-        let _ = self.proven.subscribe().wait_for(|proven| *proven).await;
+    /// Waits until the copy has been verified for the first time.
+    pub async fn wait_for_first_verification(&self) {
+        // Fails only if the sender was dropped, and `self` owns the sender.
+        let _ = self.ever_verified.subscribe().wait_for(|ever_verified| *ever_verified).await;
     }
 
-    /// Notes that there is something newer than what is known.
-    pub fn fall_behind(&self) {
-        self.behind.set(true);
+    /// Records that the store has newer records, which this process must read itself.
+    pub fn mark_behind(&self) {
+        self.is_behind.set(true);
     }
 
-    /// Notes whether another entry wants this one to read.
-    pub fn set_wanted(&self, wanted: bool) {
-        self.wanted.set(wanted);
+    /// Sets whether the leader asked this process to read the topic.
+    pub fn set_read_requested(&self, is_requested: bool) {
+        self.is_read_requested.set(is_requested);
     }
 
-    /// Whether another entry wants this one to read.
-    pub fn is_wanted(&self) -> bool {
-        self.wanted.get()
+    /// Returns whether the leader asked this process to read the topic.
+    pub fn is_read_requested(&self) -> bool {
+        self.is_read_requested.get()
     }
 
-    /// Whether a reading that was sent at `since` or later proved it.
-    pub fn is_proven_since(&self, since: Moment) -> bool {
-        self.read.get().is_some_and(|read| read >= since)
+    /// Returns whether a read that was sent at `since` or later verified the copy.
+    pub fn is_verified_since(&self, since: Moment) -> bool {
+        self.verified_at.get().is_some_and(|verified_at| verified_at >= since)
     }
 
-    /// Whether there is something newer, which must be read here.
+    /// Returns whether the store has newer records that this process must read itself.
     pub fn is_behind(&self) -> bool {
-        self.behind.get()
+        self.is_behind.get()
     }
 
-    /// Time since the newest such reading was sent.
+    /// Returns the time since the newest read that verified the copy was sent, or `None` if the copy was never verified.
     pub fn age(&self) -> Option<Duration> {
-        self.read.get().map(|read| now().since(read))
+        self.verified_at.get().map(|verified_at| now().since(verified_at))
     }
 
-    /// Whether the newest such reading was sent less than `bound` ago.
-    pub fn is_proven_within(&self, bound: Duration) -> bool {
-        self.age().is_some_and(|age| age < bound)
+    /// Returns whether the newest read that verified the copy was sent less than `max_age` ago.
+    pub fn is_verified_within(&self, max_age: Duration) -> bool {
+        self.age().is_some_and(|age| age < max_age)
     }
 
-    /// For how long the topic need not be read, if a reading serves for `bound`.
-    pub fn serves_for(&self, bound: Duration) -> Duration {
-        if self.behind.get() || self.wanted.get() {
+    /// Returns the time until this process must read the topic itself, if a verification is valid for `max_age`.
+    pub fn time_until_stale(&self, max_age: Duration) -> Duration {
+        if self.is_behind.get() || self.is_read_requested.get() {
             return Duration::ZERO;
         }
-        self.age().map_or(Duration::ZERO, |age| bound.saturating_sub(age))
+        self.age().map_or(Duration::ZERO, |age| max_age.saturating_sub(age))
     }
 
-    /// That, as another entry is told it; none before the first proof.
-    pub fn known(&self) -> Option<Known> {
-        Some(Known { next: self.next.get()?, age: self.age()? })
+    /// Returns the state of the copy in the form that is sent to other entries, or `None` before the first verification.
+    pub fn copy_state(&self) -> Option<CopyState> {
+        Some(CopyState { next_offset: self.next.get()?, age: self.age()? })
     }
 }
--- a/sorrelpass/src/gateway/watch.rs
+++ b/sorrelpass/src/gateway/watch.rs
@@ -1,7 +1,7 @@
-//! Reading the store: the configuration and the replicas' records.
+//! Reads the configuration and the replicas' records from the store.
 //!
-//! An entry that follows another gets both from there (see [`super::facts`]), and reads for itself only what
-//! has grown too old on that way.
+//! A follower gets both from its leader (see [`super::store_view`]), and reads the store itself only when the leader's data
+//! are too old.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,198 +13,211 @@
 use platform::store::Keyed;
 use platform::{replica, table};
 
-use super::belief::{Applied, RETURN_GRACE, Source};
-use super::reader::{RETRY_PAUSE, Reader};
+use super::belief::{ApplyOutcome, STORE_RECOVERY_GRACE, Source};
+use super::reader::{MIN_RETRY_DELAY, Reader};
 use super::state::Gateway;
-use super::{belief, deputies, now};
+use super::{belief, delegates, now};
 use crate::config::Bounds;
 use crate::warn_event;
 
-/// Part of the bound on taken keys for which the store holds a read of the configuration if nothing changes:
-/// a proof is as old as its read when that is answered, and serves until the next one is.
-const LONG_READ_SHARE: f64 = 0.15;
-/// The same for the bound within which a configuration must be in force. Twice that, with the pause between two questions,
-/// stays below the next share, so that an entry that follows a sound one has no need to read.
-const LONG_READ_APPLY_SHARE: f64 = 0.22;
-/// Part of the bound on taken keys after which an entry that gets the configuration from another reads it itself:
-/// three times that for which a read is held, since a proof is up to two holds old before the next one comes.
-const SERVES_SHARE: f64 = 3.0 * LONG_READ_SHARE;
-/// The same for the bound within which a configuration must be in force: the rest is for the reading, the clock and
-/// the way. An entry that the store does not reach may still be reached by those that follow it, and knows nothing new.
-const SERVES_APPLY_SHARE: f64 = 0.6;
-/// Reads of the replicas' records in the time in which a leaving replica must be left alone.
-const READS_PER_DRAIN: u32 = 4;
-/// Characters of a fault that are logged.
-const FAULT_CHARS: usize = 120;
-/// Part of that time after which an entry that gets the records from another reads them itself.
-const RECORDS_SERVE: f64 = 0.5;
-
-/// For how long the store holds a read of the configuration.
-fn long_read(bounds: &Bounds) -> Duration {
-    bounds.revoke.mul_f64(LONG_READ_SHARE).min(bounds.apply().mul_f64(LONG_READ_APPLY_SHARE))
+/// Share of the `revoke` bound for which the store holds a long poll of the configuration if nothing changes. When the poll
+/// is answered, the verification is as old as the poll, and it must stay valid until the next poll is answered.
+const LONG_POLL_REVOKE_SHARE: f64 = 0.15;
+/// Share of the bound within which a configuration must be in force for which the store holds a long poll. Twice this time
+/// plus the interval between two requests for changes stays below [`MAX_AGE_APPLY_SHARE`], so that the follower of a leader
+/// that reaches the store never reads the configuration itself.
+const LONG_POLL_APPLY_SHARE: f64 = 0.22;
+/// Share of the `revoke` bound after which a follower reads the configuration itself: three times the duration of a long
+/// poll, since a verification is up to two long polls old before the next one arrives.
+const MAX_AGE_REVOKE_SHARE: f64 = 3.0 * LONG_POLL_REVOKE_SHARE;
+/// Share of the bound within which a configuration must be in force, after which a follower reads the configuration itself.
+/// The remainder covers the read, the clock drift and the network delay. This read is needed because a leader that is cut
+/// off from the store may still be connected to its followers.
+const MAX_AGE_APPLY_SHARE: f64 = 0.6;
+/// Number of reads of the replicas' records within the `drain` bound, after which a draining replica must get no requests.
+const REPLICA_READS_PER_DRAIN_BOUND: u32 = 4;
+/// Bounds the length of a logged decoding error, in characters.
+const MAX_LOGGED_ERROR_CHARS: usize = 120;
+/// Share of the `drain` bound after which a follower reads the replicas' records itself.
+const MAX_AGE_DRAIN_SHARE: f64 = 0.5;
+
+/// Returns how long the store holds a long poll of the configuration.
+fn long_poll_timeout(bounds: &Bounds) -> Duration {
+    bounds.revoke.mul_f64(LONG_POLL_REVOKE_SHARE).min(bounds.apply().mul_f64(LONG_POLL_APPLY_SHARE))
 }
 
-/// For how long a configuration that another entry passed on serves before it is read here.
-fn configuration_serves(bounds: &Bounds) -> Duration {
-    bounds.revoke.mul_f64(SERVES_SHARE).min(bounds.apply().mul_f64(SERVES_APPLY_SHARE))
+/// Returns the age at which a leader's configuration is too old, so that its follower reads the store.
+fn max_configuration_age(bounds: &Bounds) -> Duration {
+    bounds.revoke.mul_f64(MAX_AGE_REVOKE_SHARE).min(bounds.apply().mul_f64(MAX_AGE_APPLY_SHARE))
 }
 
-/// For how long what is known of the replicas serves before their records are read here.
-fn records_serve(bounds: &Bounds) -> Duration {
-    bounds.drain.mul_f64(RECORDS_SERVE)
+/// Returns the age at which a leader's replica records are too old, so that its follower reads the store.
+fn max_replicas_age(bounds: &Bounds) -> Duration {
+    bounds.drain.mul_f64(MAX_AGE_DRAIN_SHARE)
 }
 
-/// How often the replicas' records are read.
-pub fn read_period(bounds: &Bounds) -> Duration {
-    bounds.drain / READS_PER_DRAIN
+/// Returns the interval between two reads of the replicas' records.
+pub fn replicas_read_interval(bounds: &Bounds) -> Duration {
+    bounds.drain / REPLICA_READS_PER_DRAIN_BOUND
 }
 
-/// Whether what is known of the store is so old that an entry which follows another would read it itself.
-pub fn is_stale(gateway: &Gateway) -> bool {
-    let serves = configuration_serves(&gateway.bounds());
-    !knows_replicas(gateway) || !gateway.facts.configuration.is_proven_within(serves)
+/// Returns whether this entry's copy of the store is so old that a follower would read the store itself.
+pub fn is_store_view_stale(gateway: &Gateway) -> bool {
+    let max_age = max_configuration_age(&gateway.bounds());
+    !are_replicas_fresh(gateway) || !gateway.facts.configuration.is_verified_within(max_age)
 }
 
-/// Whether the replicas' records were read, here or elsewhere, a short while ago.
-pub fn knows_replicas(gateway: &Gateway) -> bool {
-    gateway.facts.replicas.is_proven_within(records_serve(&gateway.bounds()))
+/// Returns whether the copy of the replicas' records was verified recently, by a read here or at another entry.
+pub fn are_replicas_fresh(gateway: &Gateway) -> bool {
+    gateway.facts.replicas.is_verified_within(max_replicas_age(&gateway.bounds()))
 }
 
-/// Waits until the replicas' records are to be read here: nobody reads them for this entry, or what was passed on is too
-/// old. Before anything is known, it waits until `first_by` at most.
-pub async fn reads_replicas(gateway: &Gateway, first_by: Moment) {
-    let serves = records_serve(&gateway.bounds());
-    gateway.facts.due(&gateway.facts.replicas, serves, first_by, || gateway.has_reader()).await;
+/// Waits until this entry must read the replicas' records itself: no other entry reads them for this one, or the copy is too
+/// old. Before the first copy, waits until `first_read_by` at most.
+pub async fn reads_replicas(gateway: &Gateway, first_read_by: Moment) {
+    let max_age = max_replicas_age(&gateway.bounds());
+    gateway.facts.wait_until_read_due(&gateway.facts.replicas, max_age, first_read_by, || gateway.has_reader()).await;
 }
 
-/// Keeps the routing table the newest.
-pub async fn configuration(gateway: Rc<Gateway>) {
+/// Keeps the routing table up to date until the process ends.
+pub async fn poll_configuration(gateway: Rc<Gateway>) {
     let mut reader = Reader::new(&gateway, table::TOPIC);
     loop {
-        let serves = configuration_serves(&gateway.bounds());
-        let first_by = gateway.first_from_others_by();
-        gateway.facts.due(&gateway.facts.configuration, serves, first_by, || gateway.has_reader()).await;
+        let max_age = max_configuration_age(&gateway.bounds());
+        let first_read_by = gateway.first_from_others_by();
+        gateway
+            .facts
+            .wait_until_read_due(&gateway.facts.configuration, max_age, first_read_by, || gateway.has_reader())
+            .await;
         let outcome = read_configuration(&gateway, &mut reader).await;
         if reader.note(&outcome) {
-            // The replicas' records can be read again too.
-            gateway.facts.wake();
+            // The store has recovered, so the replicas' records can be read again too.
+            gateway.facts.wake_readers();
         }
         if outcome.is_err() {
-            gateway.facts.configuration.set_wanted(false);
-            deputies::ask(&gateway);
+            gateway.facts.configuration.set_read_requested(false);
+            delegates::delegate(&gateway);
             reader.back_off(&gateway, &gateway.facts.configuration).await;
         }
     }
 }
 
-/// Reads what is new in the configuration's topic, and takes it as proof if nothing newer was unsound.
+/// Reads and applies the new records of the configuration's topic. Marks the copy as verified unless the newest configuration
+/// cannot be decoded or is missing.
 async fn read_configuration(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
     let topic = &gateway.facts.configuration;
-    // What is too old to be passed on must be proven at once.
-    let is_old = topic.is_wanted() || topic.serves_for(configuration_serves(&gateway.bounds())).is_zero();
-    let held = if is_old { Duration::ZERO } else { long_read(&gateway.bounds()) };
-    let sent = now();
-    let whole = topic.next().is_none();
+    // A copy that is too old for followers must be verified at once, so this read is no long poll.
+    let is_stale =
+        topic.is_read_requested() || topic.time_until_stale(max_configuration_age(&gateway.bounds())).is_zero();
+    let poll_timeout = if is_stale { Duration::ZERO } else { long_poll_timeout(&gateway.bounds()) };
+    let sent_at = now();
+    let is_snapshot = topic.next().is_none();
     let page = match topic.next() {
         None => reader.read_all().await?,
-        Some(from) => match reader.read_on(topic, from, held).await? {
+        Some(from) => match reader.read_on(topic, from, poll_timeout).await? {
             Some(page) => page,
             None => return Ok(()),
         },
     };
-    gateway.note_era(page.next);
-    belief::hear_operators(gateway, &page, whole);
-    // Only the newest decides: what it replaces need not have been sound. A whole picture without any is older than all.
-    let mut newest = if whole && gateway.table().version() > 0 { Applied::Older } else { Applied::InForce };
+    gateway.observe_era(page.next);
+    belief::apply_evacuation_records(gateway, &page, is_snapshot);
+    // Only the outcome of the newest configuration counts, because it replaces earlier ones that cannot be decoded. A snapshot
+    // without a configuration counts as older than any configuration.
+    let mut newest =
+        if is_snapshot && gateway.table().version() > 0 { ApplyOutcome::Outdated } else { ApplyOutcome::InForce };
     for record in page.records.into_iter().filter(|record| &*record.key == table::KEY) {
         let Some(value) = record.value else { continue };
-        newest = belief::apply(gateway, Version { offset: record.offset, value });
+        newest = belief::apply_configuration(gateway, Version { offset: record.offset, value });
     }
     match newest {
-        // Read again until it is sound: what came after it would prove the older one that is still in force.
-        Applied::Unsound => {
+        // The read position stays before this record, so that it is read again until it can be decoded: a read after it would
+        // verify the older configuration that is still in force.
+        ApplyOutcome::Undecodable => {
             return Err(eyre!("step=decode-configuration peer=store: the newest configuration cannot be decoded"));
         }
-        // The store has lost what it had: it may have lost later ones too, until operators write the newest again.
-        Applied::Older if whole => {
-            return Err(eyre!("step=read-configuration peer=store: the newest is older than the one in force"));
+        // The store lost the configuration in force, and may have lost newer ones, until operators write the newest again.
+        ApplyOutcome::Outdated if is_snapshot => {
+            return Err(eyre!(
+                "step=read-configuration peer=store: the newest configuration in the store is older than the one in force"
+            ));
         }
-        Applied::Older | Applied::InForce => {}
+        ApplyOutcome::Outdated | ApplyOutcome::InForce => {}
     }
     topic.advance(page.next);
     if gateway.table().version() == 0 {
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(MIN_RETRY_DELAY).await;
     } else {
-        topic.prove(sent);
+        topic.mark_verified(sent_at);
     }
     Ok(())
 }
 
-/// Keeps the belief about replicas up to date.
-pub async fn replicas(gateway: Rc<Gateway>) {
+/// Keeps the known replicas up to date until the process ends.
+pub async fn poll_replicas(gateway: Rc<Gateway>) {
     let mut reader = Reader::new(&gateway, replica::TOPIC);
     loop {
-        let period = read_period(&gateway.bounds());
+        let interval = replicas_read_interval(&gateway.bounds());
         reads_replicas(&gateway, gateway.first_from_others_by()).await;
         let outcome = read_replicas(&gateway, &mut reader).await;
         reader.note(&outcome);
-        belief::expire(&gateway, Source::Store);
+        belief::expire_records(&gateway, Source::Store);
         if outcome.is_err() {
-            gateway.facts.replicas.set_wanted(false);
-            deputies::ask(&gateway);
+            gateway.facts.replicas.set_read_requested(false);
+            delegates::delegate(&gateway);
             reader.back_off(&gateway, &gateway.facts.replicas).await;
         } else if gateway.facts.replicas.next().is_some() {
-            gateway.facts.pause(period).await;
+            gateway.facts.sleep_until_woken(interval).await;
         }
     }
 }
 
-/// Reads what is new in the topic of the replicas' records.
+/// Reads and applies the new replica records, or a snapshot if there is no copy yet.
 async fn read_replicas(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
     let topic = &gateway.facts.replicas;
-    let Some(from) = topic.next() else { return read_all_replicas(gateway, reader).await };
-    let sent = now();
+    let Some(from) = topic.next() else { return read_replica_snapshot(gateway, reader).await };
+    let sent_at = now();
     let page = reader.read_on(topic, from, Duration::ZERO).await?;
-    note_return(gateway, reader);
+    start_recovery_grace(gateway, reader);
     let Some(page) = page else { return Ok(()) };
-    gateway.note_era(page.next);
-    belief::hear(gateway, sightings(gateway, &page.records), Source::Store);
+    gateway.observe_era(page.next);
+    belief::apply_updates(gateway, decode_updates(gateway, &page.records), Source::Store);
     topic.advance(page.next);
-    topic.prove(sent);
+    topic.mark_verified(sent_at);
     Ok(())
 }
 
-/// Takes in the whole picture, where the log is not known up to its end.
-async fn read_all_replicas(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
-    let sent = now();
-    let whole = reader.read_all().await?;
-    let newest = sightings(gateway, &whole.records);
-    note_return(gateway, reader);
-    gateway.note_era(whole.next);
-    belief::replace(gateway, whole.next, newest, Source::Store);
-    gateway.facts.replicas.advance(whole.next);
-    gateway.facts.replicas.prove(sent);
+/// Reads and applies a snapshot of all replica records.
+async fn read_replica_snapshot(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
+    let sent_at = now();
+    let snapshot = reader.read_all().await?;
+    let newest = decode_updates(gateway, &snapshot.records);
+    start_recovery_grace(gateway, reader);
+    gateway.observe_era(snapshot.next);
+    belief::apply_snapshot(gateway, snapshot.next, newest, Source::Store);
+    gateway.facts.replicas.advance(snapshot.next);
+    gateway.facts.replicas.mark_verified(sent_at);
     Ok(())
 }
 
-/// What the first answer after an outage says may show records that only lapsed; but not if the store went on
-/// answering others, which told this entry.
-fn note_return(gateway: &Gateway, reader: &Reader) {
-    if reader.is_lost() && !knows_replicas(gateway) {
-        gateway.roster.borrow_mut().store_returned(now(), RETURN_GRACE);
+/// Starts the grace period for missing records at the first response after an outage of the store: records may have expired
+/// only because their replicas could not renew them. There was no outage if the copy is fresh, because the store then still
+/// answered another entry.
+fn start_recovery_grace(gateway: &Gateway, reader: &Reader) {
+    if reader.is_failing() && !are_replicas_fresh(gateway) {
+        gateway.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
     }
 }
 
-/// Decodes records. Why one names no replica is logged where it changes what is believed of that replica.
-fn sightings(gateway: &Gateway, records: &[Keyed]) -> Vec<Sighting> {
-    let mut sightings = Vec::with_capacity(records.len());
+/// Decodes replica records. Logs the error of a record that cannot be decoded only if its replica accepted work until now.
+fn decode_updates(gateway: &Gateway, records: &[Keyed]) -> Vec<Sighting> {
+    let mut updates = Vec::with_capacity(records.len());
     for record in records {
         let replica::Decoded { news, fault } = replica::decode(record);
-        if let Some(fault) = fault.filter(|_| belief::is_usable(gateway, &record.key)) {
-            let fault: String = fault.chars().take(FAULT_CHARS).collect();
+        if let Some(fault) = fault.filter(|_| belief::accepts_work(gateway, &record.key)) {
+            let fault: String = fault.chars().take(MAX_LOGGED_ERROR_CHARS).collect();
             warn_event!("replica-record", peer = %record.key, offset = record.offset, fault = %fault);
         }
-        sightings.push(Sighting { offset: record.offset, news });
+        updates.push(Sighting { offset: record.offset, news });
     }
-    sightings
+    updates
 }
