--- a/sorrelpass/src/gateway/answer.rs
+++ b/sorrelpass/src/gateway/answer.rs
@@ -10,8 +10,8 @@
 
 use crate::failure::Failure;
 
-/// Reports that a response body ended early. hyper then closes the caller's connection, so that the caller does not take
-/// the partial body for a complete one.
+/// Reports that a response body ended early. hyper then closes the caller's connection, so that the caller does not
+/// take the partial body for a complete one.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyError;
 
@@ -34,8 +34,8 @@
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Builds the error response for `failure`. The response carries the caller's request id and, if the failure has one, the
-/// `retry-after` header.
+/// Builds the error response for `failure`. The response carries the caller's request id and, if the failure has one,
+/// the `retry-after` header.
 pub fn failure(failure: Failure, id: &str) -> Answer {
     let retry_after = failure.retry_after;
     let mut response = failure.into_response().map(|body| body.map_err(|_| BodyError).boxed_unsync());
--- a/sorrelpass/src/gateway/attempt.rs
+++ b/sorrelpass/src/gateway/attempt.rs
@@ -1,8 +1,8 @@
 //! Sends a request once to one replica, on a new connection.
 //!
-//! Connections are not reused: bytes that a replica sends after its response, or too late, then cannot be mistaken for the
-//! response to another request. A new connection costs about 1 ms, and all connections of a day together less than 0.002
-//! of the day's revenue (see `docs/design/08-platform.md`).
+//! Connections are not reused: bytes that a replica sends after its response, or too late, then cannot be mistaken
+//! for the response to another request. A new connection costs about 1 ms, and all connections of a day together less
+//! than 0.002 of the day's revenue (see `docs/design/08-platform.md`).
 
 use std::net::SocketAddr;
 
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -13,11 +13,12 @@
 use super::state::Gateway;
 use crate::{debug_event, event, metric, warn_event};
 
-/// `retry-after` of requests to a service all of whose replicas are in evacuated failure domains. Operators need at least
-/// some seconds to end an evacuation.
+/// `retry-after` of requests to a service all of whose replicas are in evacuated failure domains. Operators need at
+/// least some seconds to end an evacuation.
 pub const EMPTIED_RETRY: Duration = Duration::from_secs(2);
 
-/// Time after a recovery of the store within which each live writer that reaches the store has written its record again.
+/// Time after a recovery of the store within which each live writer that reaches the store has written its record
+/// again.
 pub const STORE_RECOVERY_GRACE: Duration = Duration::from_secs(2);
 
 /// Outcome of applying a configuration.
@@ -52,8 +53,8 @@
     }
 }
 
-/// Applies the operators' evacuation records in `page`. `is_snapshot` says that the page holds the newest record of every
-/// key, so that a failure domain without a record is not evacuated.
+/// Applies the operators' evacuation records in `page`. `is_snapshot` says that the page holds the newest record of
+/// every key, so that a failure domain without a record is not evacuated.
 pub fn apply_evacuation_records(gateway: &Gateway, page: &Page, is_snapshot: bool) {
     let mut register = gateway.evacuations.borrow_mut();
     let records = page.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
@@ -125,7 +126,8 @@
     publish_changes(gateway, &changes, source);
 }
 
-/// Removes replicas and evacuations whose records the store lost and that were not written again within the grace period.
+/// Removes replicas and evacuations whose records the store lost and that were not written again within the grace
+/// period.
 pub fn expire_records(gateway: &Gateway, source: Source) {
     if gateway.evacuations.borrow_mut().expire(now()) {
         enforce_evacuations(gateway);
@@ -144,8 +146,9 @@
     new_runs
 }
 
-/// Logs changes of replicas, discards the state of replicas that ended, and refreshes the lists of engines. Changes that
-/// another entry sent share one line: a line for each replica at each entry would be too many to read or to store.
+/// Logs changes of replicas, discards the state of replicas that ended, and refreshes the lists of engines. Changes
+/// that another entry sent share one line: a line for each replica at each entry would be too many to read or to
+/// store.
 fn publish_changes(gateway: &Gateway, changes: &[Change], source: Source) {
     if source == Source::Peer && !changes.is_empty() {
         let ready = changes.iter().filter(|change| change.standing == Standing::Ready).count();
--- a/sorrelpass/src/gateway/delegates.rs
+++ b/sorrelpass/src/gateway/delegates.rs
@@ -41,7 +41,8 @@
         number
     }
 
-    /// Returns when the delegated read `number` was sent, or `None` if it is not among the newest [`MAX_PENDING_READS`].
+    /// Returns when the delegated read `number` was sent, or `None` if it is not among the newest
+    /// [`MAX_PENDING_READS`].
     pub fn sent_at(&self, number: u64) -> Option<Moment> {
         self.pending.borrow().iter().find(|(other, _)| *other == number).map(|(_, at)| *at)
     }
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -1,5 +1,5 @@
-//! Follower side of the connection between entries: finds the leader, follows it, and exchanges messages with it until it
-//! is lost.
+//! Follower side of the connection between entries: finds the leader, follows it, and exchanges messages with it
+//! until it is lost.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -36,8 +36,9 @@
 /// Longest interval between a follower's requests for changes in the store: a new configuration is in force everywhere
 /// within 0.3 s, where the bounds ask for seconds.
 const MAX_SYNC_INTERVAL: Duration = Duration::from_millis(250);
-/// Number of requests for changes within the time in which a configuration must be in force, or in which a leaving replica
-/// must get no more requests. One request may be lost with its connection, and the leader's data have an age of their own.
+/// Number of requests for changes within the time in which a configuration must be in force, or in which a leaving
+/// replica must get no more requests. One request may be lost with its connection, and the leader's data have an age
+/// of their own.
 const MIN_SYNCS_PER_BOUND: u32 = 6;
 /// Rank of the entry that leads next once the leader, which has rank 0, is lost.
 const NEXT_LEADER_RANK: usize = 1;
@@ -59,7 +60,8 @@
     Follower::new(gateway, own_address).run().await;
 }
 
-/// Searches for the leader among the entries that rank ahead of this one, follows it, and searches again once it is lost.
+/// Searches for the leader among the entries that rank ahead of this one, follows it, and searches again once it is
+/// lost.
 struct Follower {
     gateway: Rc<Gateway>,
     own_address: SocketAddr,
@@ -110,9 +112,9 @@
         }
     }
 
-    /// Returns whether the list of entries must be read from the store. The leader reads it regularly, since an entry with a
-    /// greater capacity may have been announced. Others read it only if they found none of the entries that they know, and
-    /// no new leader within the time in which most entries find one.
+    /// Returns whether the list of entries must be read from the store. The leader reads it regularly, since an entry
+    /// with a greater capacity may have been announced. Others read it only if they found none of the entries that
+    /// they know, and no new leader within the time in which most entries find one.
     fn needs_list(&self) -> bool {
         let is_leader = rank(&self.gateway, &self.ranked, self.own_address) == 0;
         let is_verified = self.gateway.has_recent_proof();
@@ -151,12 +153,12 @@
         self.gateway.facts.sleep_until_woken(MIN_SEARCH_DELAY).await;
     }
 
-    /// Handles a search that found no leader. This entry leads if no entry ranks ahead of it; otherwise, it asks the seeds,
-    /// and searches again after a delay.
+    /// Handles a search that found no leader. This entry leads if no entry ranks ahead of it; otherwise, it asks the
+    /// seeds, and searches again after a delay.
     async fn wait_for_next_search(&mut self, rank: usize) {
         let is_leader = rank == 0;
-        // The next leader reads the store, for itself and its future followers. The others read it only once their data are
-        // too old: most of them find the next leader before that.
+        // The next leader reads the store, for itself and its future followers. The others read it only once their
+        // data are too old: most of them find the next leader before that.
         let is_next = rank <= NEXT_LEADER_RANK && rank < self.ranked.len();
         self.gateway.set_searching_reader(!is_next && self.gateway.desk.is_alone());
         self.failed_searches += 1;
@@ -226,8 +228,8 @@
     delay: Duration,
 ) -> Duration {
     if is_leader && gateway.phase() == Phase::Serving {
-        // No entry ranks ahead of the leader, so it has none to search for. When it shuts down, it follows the next one at
-        // once.
+        // No entry ranks ahead of the leader, so it has none to search for. When it shuts down, it follows the next
+        // one at once.
         tokio::select! {
             () = gateway.reached(Phase::Stopping) => {}
             () = gateway.membership.wait_for_ranking_change() => {}
@@ -245,8 +247,8 @@
     if is_recovered { MIN_SEARCH_DELAY } else { (delay * 2).min(MAX_SEARCH_DELAY) }
 }
 
-/// Follows a leader found via the seeds until the store has this entry's announcement. So an entry that restarts during an
-/// outage of the store gets the configuration, the replicas and engines for its prompts from that leader.
+/// Follows a leader found via the seeds until the store has this entry's announcement. So an entry that restarts
+/// during an outage of the store gets the configuration, the replicas and engines for its prompts from that leader.
 async fn follow_seeds_until_announced(
     gateway: &Rc<Gateway>,
     own_address: SocketAddr,
@@ -302,8 +304,8 @@
     }
 }
 
-/// Sends reports to the leader and handles its orders. Returns the address of the leader to follow next, once the leader
-/// names one or this entry must lead itself. Returns an error if the connection ends or the heartbeats stop.
+/// Sends reports to the leader and handles its orders. Returns the address of the leader to follow next, once the
+/// leader names one or this entry must lead itself. Returns an error if the connection ends or the heartbeats stop.
 async fn exchange_messages(
     gateway: &Rc<Gateway>,
     mut link: PeerConnection,
@@ -344,7 +346,8 @@
                         if let Some(successors) = successors {
                             gateway.membership.set_successors(successors);
                         }
-                        // The leader puts this entry first if this one has a greater capacity, and waits for it to lead.
+                        // The leader puts this entry first if this one has a greater capacity, and waits for it to
+                        // lead.
                         if gateway.membership.is_first(own_address) && gateway.phase() == Phase::Serving {
                             return Ok(own_address);
                         }
@@ -376,7 +379,7 @@
                     link.send(Report::Sync(request), &mut queue).await?;
                 }
             }
-            () = tokio::time::sleep_until(last_received + PEER_TIMEOUT) => return Err(eyre!("step=receive: no heartbeat within the peer timeout")),
+            () = tokio::time::sleep_until(last_received + PEER_TIMEOUT) => return Err(eyre!("step=receive: no heartbeat in time")),
         }
     }
 }
--- a/sorrelpass/src/gateway/hold.rs
+++ b/sorrelpass/src/gateway/hold.rs
@@ -1,8 +1,9 @@
 //! Reservations of engine memory for a prompt that does not fit into the memory of one engine.
 //!
 //! A reservation covers all engines or fails: if one engine refuses its part, the other parts are released at once. A
-//! reservation has a short lifetime and is renewed while the prompt needs it, so that it expires if this process dies. An
-//! engine may still execute a request whose response was lost seconds later, so the release is repeated for that long.
+//! reservation has a short lifetime and is renewed while the prompt needs it, so that it expires if this process
+//! dies. An engine may still execute a request that got no response seconds later, so the release is repeated for
+//! that long.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,9 +22,9 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Delay before a failed release is retried.
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time after which an engine no longer executes a request whose response was lost.
+/// Time after which an engine no longer executes a request that got no response.
 const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(13);
-/// Interval between repeated releases after such a request.
+/// Interval between releases that are repeated because the engine may still execute a request.
 const REPEATED_RELEASE_INTERVAL: Duration = Duration::from_secs(2);
 
 thread_local! {
@@ -36,7 +37,7 @@
     engine: Name,
     id: Name,
     tokens: u64,
-    /// Whether the engine may still execute a request whose response was lost.
+    /// Whether a request got no response, so that the engine may still execute it.
     is_uncertain: Cell<bool>,
 }
 
@@ -47,8 +48,8 @@
     renewals: Vec<JoinHandle<()>>,
 }
 
-/// Reserves memory for `request` at engines, given by address and number of tokens, for the time `lifetime`, and renews the
-/// reservation until it is dropped. Returns `None` if an engine refuses or does not answer.
+/// Reserves memory for `request` at engines, given by address and number of tokens, for the time `lifetime`, and
+/// renews the reservation until it is dropped. Returns `None` if an engine refuses or does not answer.
 pub async fn take(request: &Name, demands: Vec<(Name, u64)>, lifetime: Duration) -> Option<Hold> {
     let parts: Vec<Rc<Part>> = demands.into_iter().map(|(engine, tokens)| Rc::new(new_part(engine, tokens))).collect();
     let mut hold = Hold { parts, renewals: Vec::new() };
@@ -63,8 +64,8 @@
     Some(hold)
 }
 
-/// Creates a part with a new id. The id contains the incarnation of this process, so that no other incarnation renews or
-/// releases the part.
+/// Creates a part with a new id. The id contains the incarnation of this process, so that no other incarnation renews
+/// or releases the part.
 fn new_part(engine: Name, tokens: u64) -> Part {
     let number = NEXT_NUMBER.replace(NEXT_NUMBER.get() + 1);
     Part { engine, id: format!("{}-{number}", util::incarnation()).into(), tokens, is_uncertain: Cell::new(false) }
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Renews the reservation until the task is aborted. A failed renewal does not end the reservation before it expires.
+    /// Renews the reservation until the task is aborted. A failed renewal does not end the reservation before it
+    /// expires.
     async fn keep_renewing(self: Rc<Self>, lifetime: Duration) {
         loop {
             tokio::time::sleep(lifetime / RENEWALS_PER_LIFETIME).await;
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Releases the memory. Repeats that for as long as the engine may still execute a request whose response was lost.
+    /// Releases the memory. Repeats that for as long as the engine may still execute a request that got no response.
     async fn release(self: Rc<Self>) {
         let started_at = util::now();
         loop {
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -1,5 +1,5 @@
-//! Leader side of the connection between entries: accepts followers, schedules their prompts, and sends them the changes in
-//! the store.
+//! Leader side of the connection between entries: accepts followers, schedules their prompts, and sends them the
+//! changes in the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,11 +18,12 @@
 use super::{now, watch};
 use crate::{event, util};
 
-/// Accepts connections of other entries until this one is told to shut down; its followers then search for another leader.
+/// Accepts connections of other entries until this one is told to shut down; its followers then search for another
+/// leader.
 ///
-/// An entry without a configuration, or with an old one, accepts followers too: a follower with newer data sends them, and
-/// during an outage of the store no entry has newer data. If such a leader refused them, 100 entries would make 6,000
-/// connection attempts per second in their searches.
+/// An entry without a configuration, or with an old one, accepts followers too: a follower with newer data sends
+/// them, and during an outage of the store no entry has newer data. If such a leader refused them, 100 entries would
+/// make 6,000 connection attempts per second in their searches.
 pub async fn run(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -39,8 +40,8 @@
     }
 }
 
-/// Serves one connected entry: redirects it if this entry follows a leader itself, otherwise leads it until it is lost or
-/// this entry shuts down.
+/// Serves one connected entry: redirects it if this entry follows a leader itself, otherwise leads it until it is
+/// lost or this entry shuts down.
 async fn serve_peer(gateway: Rc<Gateway>, stream: TcpStream, peer: SocketAddr) {
     if gateway.phase() != Phase::Serving {
         event!("peer-refused", peer = %peer, proof_age_ms = gateway.proof_age_ms().unwrap_or(0));
@@ -107,7 +108,8 @@
                 Report::Sync(request) => {
                     let update = store_view::sync_response(gateway, request);
                     link.send(Order::Update { number: request.number, update }, queue).await?;
-                    // A follower reads the store itself once the data from here are too old, and may then have newer ones.
+                    // A follower reads the store itself once the data from here are too old, and may then have newer
+                    // ones.
                     if watch::is_store_view_stale(gateway) && gateway.settings.policy.passing_on && inquiry.may_ask(now()) {
                         let request = store_view::sync_request(gateway, inquiry.ask(now()));
                         link.send(Order::Sync(request), queue).await?;
--- a/sorrelpass/src/gateway/leaving.rs
+++ b/sorrelpass/src/gateway/leaving.rs
@@ -1,7 +1,8 @@
 //! Applies and distributes the information, sent by replicas in their responses, that they are draining.
 //!
-//! The record of a replica may show too late that it is draining, because the store may be down or cut off from the replica. The entry that
-//! received the response therefore distributes the information to all other entries via the leader.
+//! The record of a replica may show too late that it is draining, because the store may be down or cut off from the
+//! replica. The entry that received the response therefore distributes the information to all other entries via the
+//! leader.
 
 use coord::roster::{Leaver, Record};
 use platform::dialect;
@@ -12,7 +13,8 @@
 use super::state::Gateway;
 use crate::{event, metric};
 
-/// Bounds the number of draining runs of replicas in one message. Each takes some 30 bytes, so a message stays below 32 KB.
+/// Bounds the number of draining runs of replicas in one message. Each takes some 30 bytes, so a message stays below
+/// 32 KB.
 const MAX_RUNS_PER_MESSAGE: usize = 512;
 
 /// Applies a replica's report that it is draining, if the head of its response contains one.
--- a/sorrelpass/src/gateway/link.rs
+++ b/sorrelpass/src/gateway/link.rs
@@ -39,13 +39,13 @@
 /// Time after which a peer that sends nothing, or does not read, counts as lost.
 pub const PEER_TIMEOUT: Duration = BEAT.saturating_mul(MAX_MISSED_HEARTBEATS);
 
-/// Requirements of a prompt as they are sent to the leader. The message carries remaining times instead of points in time,
-/// because the clocks of the entries differ.
+/// Requirements of a prompt as they are sent to the leader. The message carries remaining times instead of points in
+/// time, because the clocks of the entries differ.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     prompt_tokens: u64,
     output_tokens: u64,
-    /// Time until the first event is due.
+    /// Time left until the first event should arrive.
     first_event_target_in: Duration,
     gap_ms: f64,
     deadline_in: Duration,
@@ -95,8 +95,8 @@
 pub struct CopyState {
     /// Offset after the newest record in the copy.
     pub next_offset: u64,
-    /// Age of the read that showed the copy to be the newest state: from the sending of that read to the creation of this
-    /// message.
+    /// Age of the read that showed the copy to be the newest state: from the sending of that read to the creation of
+    /// this message.
     pub age: Duration,
 }
 
@@ -116,8 +116,8 @@
 /// Response to a request for changes in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// State of the sender's copy of the configuration, or `None` before its first verification, or if the requester is to
-    /// ask again for the newest configuration.
+    /// State of the sender's copy of the configuration, or `None` before its first verification, or if the requester
+    /// is to ask again for the newest configuration.
     pub configuration: Option<CopyState>,
     /// Newest configuration, if the requester has an older one and the delta is small enough to be sent.
     pub delta: Option<Parcel>,
@@ -134,7 +134,7 @@
     pub is_snapshot: bool,
     /// Remaining grace period after a recovery of the store, during which a missing record may be written again.
     pub grace_time_left: Duration,
-    /// Number of entries that may exist.
+    /// Largest number of entries that the sender has observed.
     pub entry_count: usize,
     /// Next entries in the succession order, if the requester has another list.
     pub successors: Option<Vec<Peer>>,
@@ -224,7 +224,8 @@
     },
     /// Asks the leader to announce the sender in the store.
     Announce(Announcement),
-    /// Reports that the sender's process was suspended for this time: the events that it reports next may be that much older.
+    /// Reports that the sender's process was suspended for this time: the events that it reports next may be that
+    /// much older.
     Absent(Duration),
     /// Runs of replicas that reported that they are draining.
     Leaving(Vec<Leaver>),
@@ -323,8 +324,8 @@
         postcard::from_bytes(&frame).wrap_err("step=decode-message")
     }
 
-    /// Sends a message and those in the queue. Returns an error if the peer does not read within [`PEER_TIMEOUT`], so that a
-    /// slow peer does not block the sender.
+    /// Sends a message and those in the queue. Returns an error if the peer does not read within [`PEER_TIMEOUT`], so
+    /// that a slow peer does not block the sender.
     pub async fn send<T: Serialize>(&mut self, first: T, queue: &mut mpsc::Receiver<T>) -> Result<()> {
         tokio::time::timeout(PEER_TIMEOUT, self.send_all(first, queue))
             .await
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -1,10 +1,10 @@
-//! Membership of the entries: announces entries in the store, and keeps the list of the next entries in the succession
-//! order.
+//! Membership of the entries: announces entries in the store, and keeps the list of the next entries in the
+//! succession order.
 //!
-//! An entry that joins sends its announcement to its leader, which writes the announcements of several followers to the
-//! store in one call. In return the leader sends the list of its successors. So an entry that starts, ends or loses its
-//! leader makes no store call of its own, however many entries do so at the same time. Only an entry that finds no leader
-//! calls the store.
+//! An entry that joins sends its announcement to its leader, which writes the announcements of several followers to
+//! the store in one call. In return the leader sends the list of its successors. So an entry that starts, ends or
+//! loses its leader makes no store call of its own, however many entries do so at the same time. Only an entry that
+//! finds no leader calls the store.
 
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -194,8 +194,8 @@
     }
 }
 
-/// Writes announcements to the store; returns whether the store has all of them. After a recovery of the store, writes only
-/// the missing ones: writing one again would move its entry to the end of the succession order.
+/// Writes announcements to the store; returns whether the store has all of them. After a recovery of the store,
+/// writes only the missing ones: writing one again would move its entry to the end of the succession order.
 async fn append_missing(gateway: &Gateway, client: &mut Client, announcements: &[Announcement]) -> bool {
     if now() >= gateway.membership.lookup_until.get() {
         return append(client, announcements).await;
--- a/sorrelpass/src/gateway/mod.rs
+++ b/sorrelpass/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! Entry that forwards requests to replicas directly, without a sidecar and without a disk.
 //!
-//! The whole process runs on one thread: on a fifth of a core, waking a thread for each activity takes more CPU time than
-//! the activity itself (see `docs/design/08-platform.md`). Each activity is a task of its own; the tasks share
+//! The whole process runs on one thread: on a fifth of a core, waking a thread for each activity takes more CPU time
+//! than the activity itself (see `docs/design/08-platform.md`). Each activity is a task of its own; the tasks share
 //! [`state::Gateway`].
 
 mod answer;
@@ -54,8 +54,8 @@
 }
 
 async fn serve(settings: config::Gateway, file: PathBuf) -> Result<()> {
-    // The handlers are installed before the process accepts connections: from then on SIGTERM shuts it down gracefully, and
-    // SIGHUP does not end it.
+    // The handlers are installed before the process accepts connections: from then on SIGTERM shuts it down
+    // gracefully, and SIGHUP does not end it.
     let mut terminate = signal(SignalKind::terminate()).wrap_err("step=watch-signals")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("step=watch-signals")?;
     let hangup = signal(SignalKind::hangup()).wrap_err("step=watch-signals")?;
@@ -91,8 +91,8 @@
     Ok(())
 }
 
-/// Reloads the settings file at each SIGHUP and applies its bounds. Names and addresses change only at the next start; an
-/// invalid file changes nothing.
+/// Reloads the settings file at each SIGHUP and applies its bounds. Names and addresses change only at the next
+/// start; an invalid file changes nothing.
 async fn reload(gateway: Rc<Gateway>, file: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match Settings::load(&file) {
--- a/sorrelpass/src/gateway/packed.rs
+++ b/sorrelpass/src/gateway/packed.rs
@@ -1,8 +1,8 @@
 //! Compressed replica updates, as entries send them to each other.
 //!
-//! An entry that starts receives the records of all replicas. If all entries restart at the same time, the traffic grows
-//! with the number of entries times the number of replicas. The records of one service are similar to each other, and
-//! compression reduces them to a quarter of their size.
+//! An entry that starts receives the records of all replicas. If all entries restart at the same time, the traffic
+//! grows with the number of entries times the number of replicas. The records of one service are similar to each
+//! other, and compression reduces them to a quarter of their size.
 
 use bytes::Bytes;
 use coord::roster::Sighting;
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -1,9 +1,9 @@
 //! Discovery of other entries: the list of announced entries in the store, and the search for the leader among them.
 //!
-//! Each entry is announced in the store under its address, with its capacity ([`super::membership`]). The entry with the
-//! greatest capacity leads; among equal ones, the one with the oldest announcement. A restarted entry is announced again
-//! and ranks last among those with the same capacity. The leader reads the list again every few seconds. If a network
-//! partition leads to two leaders, they grant engines less well, but no guarantee is violated.
+//! Each entry is announced in the store under its address, with its capacity ([`super::membership`]). The entry with
+//! the greatest capacity leads; among equal ones, the one with the oldest announcement. A restarted entry is
+//! announced again and ranks last among those with the same capacity. The leader reads the list again every few
+//! seconds. If a network partition leads to two leaders, they grant engines less well, but no guarantee is violated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -178,8 +178,8 @@
         .map(|handshake| handshake.connection)
 }
 
-/// Connects to an entry and waits for its first message. Returns `None` and logs the error if that fails: an entry that can
-/// neither lead nor redirect closes the connection instead of sending a message.
+/// Connects to an entry and waits for its first message. Returns `None` and logs the error if that fails: an entry
+/// that can neither lead nor redirect closes the connection instead of sending a message.
 async fn connect_and_greet(address: SocketAddr) -> Option<Handshake> {
     let handshake = async {
         let mut link = PeerConnection::new(connect(address).await?);
--- a/sorrelpass/src/gateway/place.rs
+++ b/sorrelpass/src/gateway/place.rs
@@ -14,11 +14,11 @@
 use super::now;
 use crate::config;
 
-/// Weight of an error response as a failure of the replica. Some services fail one valid request in seven, so only several
-/// error responses within seconds open the breaker.
+/// Weight of an error response as a failure of the replica. Some services fail one valid request in seven, so only
+/// several error responses within seconds open the breaker.
 pub const ERROR_ANSWER: f64 = 0.25;
-/// Weight of a refusal. That a refused request was not executed is no fault of the replica; but a replica that refuses at
-/// once always has the fewest requests and would otherwise get all new ones.
+/// Weight of a refusal. That a refused request was not executed is no fault of the replica; but a replica that
+/// refuses at once always has the fewest requests and would otherwise get all new ones.
 pub const REFUSAL: f64 = 0.5;
 /// Weight of a missing response, or of a response that belongs to another request.
 pub const NO_ANSWER: f64 = 1.0;
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Selects a replica among those for which `is_eligible` returns true: the one with the best breaker state, then with the
-    /// fewest requests of this entry, then with the fewest reported requests, then in the local failure domain.
+    /// Selects a replica among those for which `is_eligible` returns true: the one with the best breaker state, then
+    /// with the fewest requests of this entry, then with the fewest reported requests, then in the local failure
+    /// domain.
     pub fn pick(
         &self,
         roster: &Roster,
@@ -79,9 +80,9 @@
         candidates.min_by_key(key).cloned()
     }
 
-    /// Ranks a replica by the state of its breaker; the lowest rank is selected first. A replica on trial ranks before healthy
-    /// ones for requests that may be executed more than once, and after them for other requests. A replica whose breaker is
-    /// open ranks last, but is selected if there is no other.
+    /// Ranks a replica by the state of its breaker; the lowest rank is selected first. A replica on trial ranks
+    /// before healthy ones for requests that may be executed more than once, and after them for other requests. A
+    /// replica whose breaker is open ranks last, but is selected if there is no other.
     fn breaker_rank(&self, replica: &Name, repeat: Repeat) -> u8 {
         let Some(breaker) = self.breakers.get(replica) else { return 1 };
         let now = now();
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -19,16 +19,16 @@
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 /// Delay after the first failed call.
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Backoff after failed calls. A failed call costs as much as a successful one, and one second is short compared with an
-/// outage.
+/// Backoff after failed calls. A failed call costs as much as a successful one, and one second is short compared with
+/// an outage.
 const BACKOFF: Pause = Pause { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
 /// Backoff before the first snapshot, without which the entry cannot serve requests: some response times of the store.
 const INITIAL_BACKOFF: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
 /// Backoff of a follower, which gets the data from its leader once the store has recovered.
 const FOLLOWER_BACKOFF: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
-/// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one follower
-/// may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an outage of 8 s as
-/// with independent backoffs.
+/// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one
+/// follower may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an
+/// outage of 8 s as with independent backoffs.
 const MAX_FOLLOWER_CALLS_PER_S: f64 = 16.0;
 
 /// Records that one read of a topic returned.
@@ -86,13 +86,14 @@
         }
     }
 
-    /// Waits before a failed call for `topic` is retried. A follower waits longer, since it will get the data from its leader;
-    /// an entry without any data waits shorter.
+    /// Waits before a failed call for `topic` is retried. A follower waits longer, since it will get the data from
+    /// its leader; an entry without any data waits shorter.
     pub async fn back_off(&self, gateway: &Gateway, topic: &Topic) {
         let backoff = match topic.age() {
             _ if gateway.desk.has_leader() => FOLLOWER_BACKOFF.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S),
             None => INITIAL_BACKOFF,
-            // Each failed call of a leader delegates a read to followers, at least as often as the leader itself would read.
+            // Each failed call of a leader delegates a read to followers, at least as often as the leader itself
+            // would read.
             Some(_) if !gateway.desk.is_alone() => {
                 Pause { longest: BACKOFF.longest.min(watch::replicas_read_interval(&gateway.bounds())), ..BACKOFF }
             }
@@ -103,8 +104,8 @@
         gateway.facts.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     }
 
-    /// Reads the records from the offset `from` on. If there are none, the store holds the call for up to `wait`. Returns `None`
-    /// if the store no longer keeps that offset, or answers with an older state.
+    /// Reads the records from the offset `from` on. If there are none, the store holds the call for up to `wait`.
+    /// Returns `None` if the store no longer keeps that offset, or answers with an older state.
     pub async fn read_on(&mut self, topic: &Topic, from: u64, wait: Duration) -> Result<Option<Page>> {
         metric::store_calls("read", self.topic_name, 1);
         match self.client.read(self.topic_name, from, wait, RESPONSE_TIMEOUT).await? {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Reads a snapshot: the newest record of each key. The timeout grows with each failure, because a store that is slow while
-    /// many entries read snapshots would only get more load from calls that time out and start over.
+    /// Reads a snapshot: the newest record of each key. The timeout grows with each failure, because a store that is
+    /// slow while many entries read snapshots would only get more load from calls that time out and start over.
     pub async fn read_all(&mut self) -> Result<Page> {
         let timeout = RESPONSE_TIMEOUT * 2u32.pow(self.failures.min(MAX_TIMEOUT_DOUBLINGS));
         let outcome = self.client.newest(self.topic_name, timeout).await;
--- a/sorrelpass/src/gateway/relay.rs
+++ b/sorrelpass/src/gateway/relay.rs
@@ -25,7 +25,8 @@
 
 /// Bounds the time to read data that has already been received, after the deadline: some iterations of the event loop.
 const RECEIVED_DATA_TIMEOUT: Duration = Duration::from_millis(5);
-/// Bounds the time for which such data is relayed after the deadline: much longer than a complete response takes.
+/// Bounds the time for which data received before the deadline is relayed after it: much longer than a complete
+/// response takes.
 const LATE_RELAY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Frame of the response body to the caller. An error closes the caller's connection.
@@ -43,8 +44,8 @@
     DeadlineExceeded,
 }
 
-/// Starts relaying a stream. Returns the response with the head of the replica's response and a body that carries the events
-/// as they arrive.
+/// Starts relaying a stream. Returns the response with the head of the replica's response and a body that carries the
+/// events as they arrive.
 pub fn start(job: Job, opened: Opened) -> Answer {
     let mut headers = dialect::end_to_end(opened.response.headers());
     // A resumed stream may have another length; the chunked encoding marks its end.
@@ -61,10 +62,10 @@
     };
     tokio::task::spawn_local(relay.run(opened));
     let body = stream::unfold(receiver, |mut receiver| async { Some((receiver.recv().await?, receiver)) });
-    let mut answer = Response::new(StreamBody::new(body).boxed_unsync());
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+    let mut response = Response::new(StreamBody::new(body).boxed_unsync());
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
 
 /// Stream that is relayed to a caller from one replica, or from several in turn.
@@ -111,8 +112,8 @@
                 biased;
                 frame = opened.response.body_mut().frame() => frame,
                 () = self.caller.closed() => return StreamEnd::CallerGone,
-                // Data received before the deadline is still relayed: after a suspension of the process, the data and the
-                // expired deadline are seen at the same time.
+                // Data received before the deadline is still relayed: after a suspension of the process, the data and
+                // the expired deadline are seen at the same time.
                 () = tokio::time::sleep_until(deadline) => {
                     match tokio::time::timeout(RECEIVED_DATA_TIMEOUT, opened.response.body_mut().frame()).await {
                         Ok(frame) => frame,
--- a/sorrelpass/src/gateway/rests.rs
+++ b/sorrelpass/src/gateway/rests.rs
@@ -1,7 +1,8 @@
-//! Replicas that refused a request of this entry and asked it to back off: the entry sends them nothing for that time.
+//! Replicas that refused a request of this entry and asked it to back off: the entry sends them nothing for that
+//! time.
 //!
-//! A backoff concerns one entry only, so the entry reports it to nobody but the leader, which then grants such an engine only
-//! to prompts of other entries.
+//! A backoff concerns one entry only, so the entry reports it to nobody but the leader, which then grants such an
+//! engine only to prompts of other entries.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -54,8 +55,8 @@
     gateway.rests.asked.notify_waiters();
 }
 
-/// Returns the time until this entry may send a request to at least one replica of a service, or `None` if no replica of
-/// the service accepts new work.
+/// Returns the time until this entry may send a request to at least one replica of a service, or `None` if no replica
+/// of the service accepts new work.
 pub fn soonest(gateway: &Gateway, service: &str) -> Option<Duration> {
     soonest_of(gateway, service, |_| true)
 }
--- a/sorrelpass/src/gateway/server.rs
+++ b/sorrelpass/src/gateway/server.rs
@@ -15,23 +15,24 @@
 use super::{call, now};
 use crate::linger::Linger;
 
-/// Default bound on the size of a request head, in bytes. Smaller configured bounds are raised to this one, because hyper
-/// does not accept small buffers.
+/// Default bound on the size of a request head, in bytes. Smaller configured bounds are raised to this one, because
+/// hyper does not accept small buffers.
 const MIN_HEADER_BUFFER_BYTES: usize = 16 * 1_024;
 /// Idle timeout of connections before the first configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Share of the configured idle timeout that is added before a connection is closed, so that a request that the caller sends
-/// just before its own timeout still finds an open connection.
+/// Share of the configured idle timeout that is added before a connection is closed, so that a request that the
+/// caller sends just before its own timeout still finds an open connection.
 const IDLE_TIMEOUT_MARGIN: f64 = 0.25;
-/// Time for which new connections are still served after the start of the shutdown. The load balancer probes readiness once
-/// per second and removes an entry after two failed probes.
+/// Time for which new connections are still served after the start of the shutdown. The load balancer probes
+/// readiness once per second and removes an entry after two failed probes.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(2_500);
 /// Share of the grace period after which the process ends even if requests are in flight.
 const GRACE_SHARE: f64 = 0.93;
-/// Time between the close of idle connections and the end of the process, for requests that callers sent before they saw
-/// the close.
+/// Time between the close of idle connections and the end of the process, for requests that callers sent before they
+/// saw the close.
 const CLOSE_RACE_DELAY: Duration = Duration::from_millis(150);
-/// Interval at which the number of requests in flight and the idle times are checked; also the delay after a failed accept.
+/// Interval at which the number of requests in flight and the idle times are checked; also the delay after a failed
+/// accept.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Accepts callers' connections until the process ends.
@@ -118,8 +119,8 @@
     }
 }
 
-/// Shuts the server down: serves new requests until the load balancer has removed this entry, then closes idle connections,
-/// refuses new requests, and waits for the requests in flight.
+/// Shuts the server down: serves new requests until the load balancer has removed this entry, then closes idle
+/// connections, refuses new requests, and waits for the requests in flight.
 pub async fn shut_down(gateway: &Gateway) {
     let grace = gateway.bounds().grace;
     let deadline = now() + grace.mul_f64(GRACE_SHARE);
--- a/sorrelpass/src/gateway/slowdown.rs
+++ b/sorrelpass/src/gateway/slowdown.rs
@@ -14,8 +14,8 @@
 
 /// Interval at which a leader checks which engines to query: a sixth of the target latency of a short prompt.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval at which a follower checks whether it leads now. Each check wakes the process, and an entry may have only 0.09
-/// of a core.
+/// Interval at which a follower checks whether it leads now. Each check wakes the process, and an entry may have only
+/// 0.09 of a core.
 const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Bounds the number of engines that are queried concurrently.
 const MAX_CONCURRENT_QUERIES: usize = 16;
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -29,26 +29,29 @@
 /// Share of the `revoke` bound for which a verification of the configuration is valid. The remainder covers the drift
 /// between two monotonic clocks.
 const VERIFICATION_VALID_SHARE: f64 = 0.9;
-/// Share of the `config_apply` bound for which a verification allows the entry to answer that a route or key does not exist.
-/// Such a verification covers every configuration that had to be in force when the request was sent; the remainder covers
-/// the network delay from the caller and the clock drift.
+/// Share of the `config_apply` bound for which a verification allows the entry to answer that a route or key does not
+/// exist. Such a verification covers every configuration that had to be in force when the request was sent; the
+/// remainder covers the network delay from the caller and the clock drift.
 const NEGATIVE_ANSWER_SHARE: f64 = 0.8;
-/// Time after the start for which requests wait for the first configuration and replica records. Most entries have them
-/// within tens of milliseconds; an entry without them after this time is cut off, and its callers retry at another entry.
+/// Time after the start for which requests wait for the first configuration and replica records. Most entries have
+/// them within tens of milliseconds; an entry without them after this time is cut off, and its callers retry at
+/// another entry.
 const INITIAL_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the start for which an entry waits for a leader's data before it reads the store, if the entry is a seed itself
-/// or has no seeds. An existing leader is found within some 20 ms; if there is none, a longer wait would delay all entries.
+/// Time after the start for which an entry waits for a leader's data before it reads the store, if the entry is a
+/// seed itself or has no seeds. An existing leader is found within some 20 ms; if there is none, a longer wait would
+/// delay all entries.
 const SEED_FIRST_READ_DELAY: Duration = Duration::from_millis(60);
-/// The same time for an entry that joins via its seeds. Within it, the processes that start together accept connections and
-/// one of them has read the store for all. If all of them read it, the snapshots of 3,000 replicas for 300 entries take
-/// longer than the timeout of a store call.
+/// The same time for an entry that joins via its seeds. Within it, the processes that start together accept
+/// connections and one of them has read the store for all. If all of them read it, the snapshots of 3,000 replicas
+/// for 300 entries take longer than the timeout of a store call.
 const JOINING_FIRST_READ_DELAY: Duration = Duration::from_millis(1_500);
-/// Share of the retry share common to all entries that the entries use, so that the boundary between two windows never exceeds it.
+/// Fraction of the deployment's retry share that the entries use, so that retries around the boundary of two windows
+/// never exceed the share.
 const RETRY_SHARE_USED: f64 = 0.9;
 /// Minimum number of entries among which the common retry allowance is divided, even if fewer are known.
 const MIN_ENTRY_COUNT: usize = 32;
 
-/// Phase in the life of the process, in order.
+/// Phase of the process between its start and its end, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// The entry serves requests.
@@ -74,7 +77,7 @@
 pub struct Gateway {
     /// Start time of the process.
     started_at: Moment,
-    /// Settings at the start. A reload changes only [`Gateway::bounds`].
+    /// Settings at the start. A reload changes only the bounds in force.
     pub settings: config::Gateway,
     bounds: Cell<Bounds>,
     table: RefCell<Arc<Table>>,
@@ -179,8 +182,8 @@
         }
     }
 
-    /// Discards the load, failures, limit and backoff of a replica that was restarted under the same id: they belong to its
-    /// previous run.
+    /// Discards the load, failures, limit and backoff of a replica that was restarted under the same id: they belong
+    /// to its previous run.
     pub fn restarted(&self, id: &Name) {
         self.placer.borrow_mut().forget(id);
         self.limits.restarted(id);
@@ -191,8 +194,8 @@
         }
     }
 
-    /// Returns the record of a replica if this entry may send it new requests now: the replica accepts work, its failure domain
-    /// is not evacuated, and it has not asked this entry to back off.
+    /// Returns the record of a replica if this entry may send it new requests now: the replica accepts work, its
+    /// failure domain is not evacuated, and it has not asked this entry to back off.
     pub fn open_replica(&self, id: &str) -> Option<Record> {
         let roster = self.roster.borrow();
         roster.usable_one(id).filter(|_| !self.rests.is_resting(id)).cloned()
@@ -209,19 +212,20 @@
         limits::apply(self);
     }
 
-    /// Returns the age of the read that verified the configuration, in milliseconds, or `None` if it was never verified.
+    /// Returns the age of the read that verified the configuration, in milliseconds, or `None` if it was never
+    /// verified.
     pub fn proof_age_ms(&self) -> Option<u128> {
         self.facts.configuration.age().map(|age| age.as_millis())
     }
 
-    /// Returns whether API keys may be accepted. That requires a recent verification of the configuration, or any verification
-    /// if the deployment lets revoked keys stay valid during an outage of the store.
+    /// Returns whether API keys may be accepted. That requires a recent verification of the configuration, or any
+    /// verification if the deployment lets revoked keys stay valid during an outage of the store.
     pub fn proof_holds(&self) -> bool {
         if self.bounds().revoke_strict { self.has_recent_proof() } else { self.facts.configuration.age().is_some() }
     }
 
-    /// Returns whether the configuration was verified so recently that no accepted key can have been revoked for longer than the
-    /// `revoke` bound.
+    /// Returns whether the configuration was verified so recently that no accepted key can have been revoked for
+    /// longer than the `revoke` bound.
     pub fn has_recent_proof(&self) -> bool {
         let max_age = self.bounds().revoke.mul_f64(VERIFICATION_VALID_SHARE);
         self.facts.configuration.is_verified_within(max_age)
@@ -237,7 +241,8 @@
         self.started_at + if self.joins_via_seeds() { JOINING_FIRST_READ_DELAY } else { SEED_FIRST_READ_DELAY }
     }
 
-    /// Returns whether this entry searches for a leader via its seeds before it reads the store. A seed itself does not.
+    /// Returns whether this entry searches for a leader via its seeds before it reads the store. A seed itself does
+    /// not.
     pub fn joins_via_seeds(&self) -> bool {
         let Some(own_address) = self.settings.peer_listen else { return false };
         let seeds = &self.settings.seeds;
@@ -259,9 +264,9 @@
         self.entry_count.set(self.entry_count.get().max(entry_count));
     }
 
-    /// Records the era of an offset of the store. A later era than the current one means that the store recovered from an older
-    /// copy and lost its newest records: missing replica records are then kept for a grace period, and this entry's
-    /// announcement may be missing.
+    /// Records the era of an offset of the store. A later era than the current one means that the store recovered
+    /// from an older copy and lost its newest records: missing replica records are then kept for a grace period, and
+    /// this entry's announcement may be missing.
     pub fn observe_era(&self, offset: u64) {
         let era = offset::era(offset);
         let current = self.era.get();
@@ -284,8 +289,8 @@
         }
     }
 
-    /// Returns whether the entry may answer that a route or key does not exist: the routing table is recent enough to contain
-    /// everything that must be in force by now.
+    /// Returns whether the entry may answer that a route or key does not exist: the routing table is recent enough to
+    /// contain everything that must be in force by now.
     pub fn may_deny(&self) -> bool {
         let max_age = self.bounds().config_apply.mul_f64(NEGATIVE_ANSWER_SHARE);
         self.facts.configuration.is_verified_within(max_age)
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -1,9 +1,9 @@
 //! This entry's copy of the store's topics, and its exchange with other entries.
 //!
 //! Each call to the store costs money, so most entries do not read it. The leader does, and its followers ask it for
-//! changes. Each response states the age of the data at the time of the response. The requester counts that age from the
-//! moment of its *request*, so that no delay on the network and no suspended process at either end makes data look newer
-//! than they are.
+//! changes. Each response states the age of the data at the time of the response. The requester counts that age from
+//! the moment of its *request*, so that no delay on the network and no suspended process at either end makes data
+//! look newer than they are.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 use super::{belief, now, watch};
 use crate::warn_event;
 
-/// Largest delta with a configuration that is sent to another entry, in bytes: a quarter of the largest message. An entry
-/// that needs a larger one reads the configuration from the store.
+/// Largest delta with a configuration that is sent to another entry, in bytes: a quarter of the largest message. An
+/// entry that needs a larger one reads the configuration from the store.
 const MAX_DELTA_BYTES: usize = 128 * 1_024;
-/// Share of this entry's link that configurations may take; configurations beyond it are deferred to the next request. On a
-/// link of 20 Mbit/s, the slowest in use, 625 KB may be sent at once and delay heartbeats by 250 ms; followers time out
-/// after 450 ms.
+/// Share of this entry's link that configurations may take; configurations beyond it are deferred to the next
+/// request. On a link of 20 Mbit/s, the slowest in use, 625 KB may be sent at once and delay heartbeats by 250 ms;
+/// followers time out after 450 ms.
 const CONFIGURATION_LINK_SHARE: f64 = 0.25;
 /// Bytes per second in 1 Mbit/s.
 const BYTES_PER_S_PER_MBPS: f64 = 125_000.0;
@@ -150,8 +150,9 @@
         }
     }
 
-    /// Waits until this process must read `topic` itself: because no other entry reads it for this one, or because the copy
-    /// from the other entry is older than `max_age`. Before the first copy, waits until `first_read_by` at most.
+    /// Waits until this process must read `topic` itself: because no other entry reads it for this one, or because
+    /// the copy from the other entry is older than `max_age`. Before the first copy, waits until `first_read_by` at
+    /// most.
     pub async fn wait_until_read_due(
         &self,
         topic: &Topic,
@@ -205,7 +206,8 @@
         Delivery::Deferred => (None, None, false),
         Delivery::TooLarge => (view.configuration.copy_state(), None, true),
     };
-    // This entry does not know of removals before its own first snapshot: a requester whose copy is older needs a snapshot.
+    // This entry does not know of removals before its own first snapshot: a requester whose copy is older needs a
+    // snapshot.
     let is_snapshot = replicas_offset.is_some_and(|from| !view.replicas.has_seen_changes_from(from));
     let replica_updates = pack_replica_updates(gateway, replicas_offset.filter(|_| !is_snapshot));
     Update {
@@ -223,8 +225,8 @@
     }
 }
 
-/// Returns the compressed replica records that changed at the offset `from` or later, or those of all replicas if `from` is
-/// `None`. Returns `None` if the compression fails.
+/// Returns the compressed replica records that changed at the offset `from` or later, or those of all replicas if
+/// `from` is `None`. Returns `None` if the compression fails.
 fn pack_replica_updates(gateway: &Gateway, from: Option<u64>) -> Option<Packed> {
     let roster = gateway.roster.borrow();
     let view = &gateway.facts;
@@ -281,8 +283,8 @@
         }
     };
     if let Some(copy_state) = update.replicas {
-        // An entry with a fresh copy sees a missing record as removed, even if the other entry was cut off from the store
-        // for long. Only an entry with a stale copy takes over the other one's grace period.
+        // An entry with a fresh copy sees a missing record as removed, even if the other entry was cut off from the
+        // store for long. Only an entry with a stale copy takes over the other one's grace period.
         if !watch::are_replicas_fresh(gateway) {
             gateway.roster.borrow_mut().store_returned(now(), update.grace_time_left);
         }
--- a/sorrelpass/src/gateway/topic.rs
+++ b/sorrelpass/src/gateway/topic.rs
@@ -1,6 +1,7 @@
 //! State of this process's copy of one topic of the store: how far the copy reaches, and when it was last verified.
 //!
-//! A copy is verified by a read of the store, here or at another entry, which shows that the copy holds the newest records.
+//! A copy is verified by a read of the store, here or at another entry, which shows that the copy holds the newest
+//! records.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -97,7 +98,8 @@
         self.is_behind.get()
     }
 
-    /// Returns the time since the newest read that verified the copy was sent, or `None` if the copy was never verified.
+    /// Returns the time since the newest read that verified the copy was sent, or `None` if the copy was never
+    /// verified.
     pub fn age(&self) -> Option<Duration> {
         self.verified_at.get().map(|verified_at| now().since(verified_at))
     }
@@ -115,7 +117,8 @@
         self.age().map_or(Duration::ZERO, |age| max_age.saturating_sub(age))
     }
 
-    /// Returns the state of the copy in the form that is sent to other entries, or `None` before the first verification.
+    /// Returns the state of the copy in the form that is sent to other entries, or `None` before the first
+    /// verification.
     pub fn copy_state(&self) -> Option<CopyState> {
         Some(CopyState { next_offset: self.next.get()?, age: self.age()? })
     }
--- a/sorrelpass/src/gateway/watch.rs
+++ b/sorrelpass/src/gateway/watch.rs
@@ -1,7 +1,7 @@
 //! Reads the configuration and the replicas' records from the store.
 //!
-//! A follower gets both from its leader (see [`super::store_view`]), and reads the store itself only when the leader's data
-//! are too old.
+//! A follower gets both from its leader (see [`super::store_view`]), and reads the store itself only when the
+//! leader's data are too old.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,21 +20,23 @@
 use crate::config::Bounds;
 use crate::warn_event;
 
-/// Share of the `revoke` bound for which the store holds a long poll of the configuration if nothing changes. When the poll
-/// is answered, the verification is as old as the poll, and it must stay valid until the next poll is answered.
+/// Share of the `revoke` bound for which the store holds a long poll of the configuration if nothing changes. When
+/// the poll is answered, the verification is as old as the poll, and it must stay valid until the next poll is
+/// answered.
 const LONG_POLL_REVOKE_SHARE: f64 = 0.15;
-/// Share of the bound within which a configuration must be in force for which the store holds a long poll. Twice this time
-/// plus the interval between two requests for changes stays below [`MAX_AGE_APPLY_SHARE`], so that the follower of a leader
-/// that reaches the store never reads the configuration itself.
+/// Share of the bound within which a configuration must be in force for which the store holds a long poll. Twice this
+/// time plus the interval between two requests for changes stays below [`MAX_AGE_APPLY_SHARE`], so that the follower
+/// of a leader that reaches the store never reads the configuration itself.
 const LONG_POLL_APPLY_SHARE: f64 = 0.22;
-/// Share of the `revoke` bound after which a follower reads the configuration itself: three times the duration of a long
-/// poll, since a verification is up to two long polls old before the next one arrives.
+/// Share of the `revoke` bound after which a follower reads the configuration itself: three times the duration of a
+/// long poll, since a verification is up to two long polls old before the next one arrives.
 const MAX_AGE_REVOKE_SHARE: f64 = 3.0 * LONG_POLL_REVOKE_SHARE;
-/// Share of the bound within which a configuration must be in force, after which a follower reads the configuration itself.
-/// The remainder covers the read, the clock drift and the network delay. This read is needed because a leader that is cut
-/// off from the store may still be connected to its followers.
+/// Share of the bound within which a configuration must be in force, after which a follower reads the configuration
+/// itself. The remainder covers the read, the clock drift and the network delay. This read is needed because a leader
+/// that is cut off from the store may still be connected to its followers.
 const MAX_AGE_APPLY_SHARE: f64 = 0.6;
-/// Number of reads of the replicas' records within the `drain` bound, after which a draining replica must get no requests.
+/// Number of reads of the replicas' records within the `drain` bound, after which a draining replica must get no
+/// requests.
 const REPLICA_READS_PER_DRAIN_BOUND: u32 = 4;
 /// Bounds the length of a logged decoding error, in characters.
 const MAX_LOGGED_ERROR_CHARS: usize = 120;
@@ -72,8 +74,8 @@
     gateway.facts.replicas.is_verified_within(max_replicas_age(&gateway.bounds()))
 }
 
-/// Waits until this entry must read the replicas' records itself: no other entry reads them for this one, or the copy is too
-/// old. Before the first copy, waits until `first_read_by` at most.
+/// Waits until this entry must read the replicas' records itself: no other entry reads them for this one, or the copy
+/// is too old. Before the first copy, waits until `first_read_by` at most.
 pub async fn reads_replicas(gateway: &Gateway, first_read_by: Moment) {
     let max_age = max_replicas_age(&gateway.bounds());
     gateway.facts.wait_until_read_due(&gateway.facts.replicas, max_age, first_read_by, || gateway.has_reader()).await;
@@ -102,8 +104,8 @@
     }
 }
 
-/// Reads and applies the new records of the configuration's topic. Marks the copy as verified unless the newest configuration
-/// cannot be decoded or is missing.
+/// Reads and applies the new records of the configuration's topic. Marks the copy as verified unless the newest
+/// configuration cannot be decoded or is missing.
 async fn read_configuration(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
     let topic = &gateway.facts.configuration;
     // A copy that is too old for followers must be verified at once, so this read is no long poll.
@@ -121,8 +123,8 @@
     };
     gateway.observe_era(page.next);
     belief::apply_evacuation_records(gateway, &page, is_snapshot);
-    // Only the outcome of the newest configuration counts, because it replaces earlier ones that cannot be decoded. A snapshot
-    // without a configuration counts as older than any configuration.
+    // Only the outcome of the newest configuration counts, because it replaces earlier ones that cannot be decoded. A
+    // snapshot without a configuration counts as older than any configuration.
     let mut newest =
         if is_snapshot && gateway.table().version() > 0 { ApplyOutcome::Outdated } else { ApplyOutcome::InForce };
     for record in page.records.into_iter().filter(|record| &*record.key == table::KEY) {
@@ -130,12 +132,13 @@
         newest = belief::apply_configuration(gateway, Version { offset: record.offset, value });
     }
     match newest {
-        // The read position stays before this record, so that it is read again until it can be decoded: a read after it would
-        // verify the older configuration that is still in force.
+        // The read position stays before this record, so that it is read again until it can be decoded: a read after
+        // it would verify the older configuration that is still in force.
         ApplyOutcome::Undecodable => {
             return Err(eyre!("step=decode-configuration peer=store: the newest configuration cannot be decoded"));
         }
-        // The store lost the configuration in force, and may have lost newer ones, until operators write the newest again.
+        // The store lost the configuration in force, and may have lost newer ones, until operators write the newest
+        // again.
         ApplyOutcome::Outdated if is_snapshot => {
             return Err(eyre!(
                 "step=read-configuration peer=store: the newest configuration in the store is older than the one in force"
@@ -199,16 +202,17 @@
     Ok(())
 }
 
-/// Starts the grace period for missing records at the first response after an outage of the store: records may have expired
-/// only because their replicas could not renew them. There was no outage if the copy is fresh, because the store then still
-/// answered another entry.
+/// Starts the grace period for missing records at the first response after an outage of the store: records may have
+/// expired only because their replicas could not renew them. There was no outage if the copy is fresh, because the
+/// store then still answered another entry.
 fn start_recovery_grace(gateway: &Gateway, reader: &Reader) {
     if reader.is_failing() && !are_replicas_fresh(gateway) {
         gateway.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
     }
 }
 
-/// Decodes replica records. Logs the error of a record that cannot be decoded only if its replica accepted work until now.
+/// Decodes replica records. Logs the error of a record that cannot be decoded only if its replica accepted work until
+/// now.
 fn decode_updates(gateway: &Gateway, records: &[Keyed]) -> Vec<Sighting> {
     let mut updates = Vec::with_capacity(records.len());
     for record in records {
--- a/sorrelpass/src/gateway/work.rs
+++ b/sorrelpass/src/gateway/work.rs
@@ -7,8 +7,8 @@
 
 /// Computes the fingerprint of a request from its host, method, path with query, body and workspace.
 ///
-/// The fingerprint excludes what differs between two attempts at the same work: the caller's request id, the deadline, and
-/// the id of the event after which a stream is resumed.
+/// The fingerprint excludes what differs between two attempts at the same work: the caller's request id, the
+/// deadline, and the id of the event after which a stream is resumed.
 pub fn fingerprint(host: &str, outgoing: &Outgoing, workspace: Option<&Name>) -> Work {
     let path = outgoing.uri.path_and_query().map_or("", |path| path.as_str());
     let parts = [host.as_bytes(), outgoing.method.as_str().as_bytes(), path.as_bytes(), &outgoing.body];
