--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one topic of the store, with backoff after failed calls.
+//! Reads one topic of the store, with growing delays after failed calls.
 
 use std::time::Duration;
 
@@ -19,16 +19,17 @@
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 /// Delay after the first failed call.
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Backoff after failed calls. A failed call costs as much as a successful one, and one second is short compared with
-/// an outage.
-const BACKOFF: Pause = Pause { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
-/// Backoff before the first snapshot, without which the entry cannot serve requests: some response times of the store.
-const INITIAL_BACKOFF: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
-/// Backoff of a follower, which gets the data from its leader once the store has recovered.
-const FOLLOWER_BACKOFF: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
+/// Retry delay after failed calls. A failed call costs as much as a successful one, and one second is short
+/// compared with an outage.
+const RETRY_DELAY: Pause = Pause { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
+/// Retry delay before the first snapshot, without which the entry cannot serve requests: some response times of the
+/// store.
+const INITIAL_RETRY_DELAY: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
+/// Retry delay of a follower, which gets the data from its leader once the store has recovered.
+const FOLLOWER_RETRY_DELAY: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
 /// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one
 /// follower may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an
-/// outage of 8 s as with independent backoffs.
+/// outage of 8 s as with independent retry delays.
 const MAX_FOLLOWER_CALLS_PER_S: f64 = 16.0;
 
 /// Records that one read of a topic returned.
@@ -43,7 +44,7 @@
 pub struct Reader {
     topic_name: &'static str,
     client: Client,
-    /// Era of the store's last response. A new era begins when the store is restored from an older copy.
+    /// Era of the store's last response. A new era begins when the store recovers from an older copy.
     era: u64,
     /// Number of consecutive failed calls.
     failures: u32,
@@ -89,17 +90,20 @@
     /// Waits before a failed call for `topic` is retried. A follower waits longer, since it will get the data from
     /// its leader; an entry without any data waits shorter.
     pub async fn back_off(&self, gateway: &Gateway, topic: &Topic) {
-        let backoff = match topic.age() {
-            _ if gateway.desk.has_leader() => FOLLOWER_BACKOFF.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S),
-            None => INITIAL_BACKOFF,
+        let retry_delay = match topic.age() {
+            _ if gateway.desk.has_leader() => {
+                FOLLOWER_RETRY_DELAY.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S)
+            }
+            None => INITIAL_RETRY_DELAY,
             // Each failed call of a leader delegates a read to followers, at least as often as the leader itself
             // would read.
-            Some(_) if !gateway.desk.is_alone() => {
-                Pause { longest: BACKOFF.longest.min(watch::replicas_read_interval(&gateway.bounds())), ..BACKOFF }
-            }
-            Some(_) => BACKOFF,
+            Some(_) if !gateway.desk.is_alone() => Pause {
+                longest: RETRY_DELAY.longest.min(watch::replicas_read_interval(&gateway.bounds())),
+                ..RETRY_DELAY
+            },
+            Some(_) => RETRY_DELAY,
         };
-        let delay = backoff.after(self.failures);
+        let delay = retry_delay.after(self.failures);
         // The jitter keeps entries that restart together after a power loss from calling the store at the same time.
         gateway.facts.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     }
