--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -1,4 +1,4 @@
-//! Taking a request in: its head, its body, its route and the workspace that it is from.
+//! Reads a request and admits it: decodes the head, reads the body, and finds the route and the workspace.
 
 use std::any::Any;
 use std::rc::Rc;
@@ -23,26 +23,26 @@
 use crate::unread::Watched;
 use crate::{event, metric};
 
-/// Time for which a request may be held where neither caller nor route names one.
+/// Timeout of a request whose caller sends no deadline. The timeout of the route is a further bound.
 const DEFAULT_ALLOWED: Duration = Duration::from_secs(30);
-/// Largest body where the configuration names none, in bytes.
+/// Maximum body size if the configuration sets none, in bytes.
 const DEFAULT_BODY_BYTES: usize = 4 << 20;
-/// When a caller should come back to an entry that has no proof of its configuration.
+/// Retry delay for callers of an entry whose copy of the configuration has not been confirmed recently.
 const UNPROVEN_RETRY: Duration = Duration::from_millis(500);
-/// When a caller should come back to another entry, this one being about to end.
+/// Retry delay for callers of an entry that is about to stop; they retry at another entry.
 const STOPPING_RETRY: Duration = Duration::from_millis(20);
 
-/// A request as it came.
+/// A request whose head has been received and whose body has not been read.
 struct Arrival {
     call: dialect::Call,
     request: Request<Watched<Incoming>>,
-    /// When its head had come.
+    /// Time at which the head was received.
     at: Moment,
-    /// Counts it at its caller's connection until it is over.
+    /// Guard that counts the request on the caller's connection until the request is complete.
     busy: Box<dyn Any>,
 }
 
-/// Takes a request to its answer. `busy` is dropped once the request is over.
+/// Handles a request and returns the response. `busy` is dropped when the request is complete.
 pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, busy: Box<dyn Any>) -> Answer {
     let started = now();
     let request = request.map(Watched::new);
@@ -61,7 +61,7 @@
     answer
 }
 
-/// Notes a failure and turns it into the caller's answer.
+/// Logs and counts a failure, and converts it into the response to the caller.
 fn give_up(failure: Failure, id: &str, started: Moment) -> Answer {
     event!("give-up", request = %id, code = failure.code, status = failure.status.as_u16(),
         ran = failure.ran.as_str(), reason = %failure.message, after_ms = now().since(started).as_millis());
@@ -71,7 +71,7 @@
 
 async fn serve(gateway: &Rc<Gateway>, arrival: Arrival) -> Result<Answer, Failure> {
     if gateway.phase() == Phase::Closing {
-        // It could not be finished before the process must end.
+        // The request could not complete before the process stops.
         return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY));
     }
     let mut job = job(gateway, arrival).await?;
@@ -79,7 +79,7 @@
     job.pass_on(opened).await
 }
 
-/// Reads and admits a request.
+/// Reads the body of a request and admits it.
 async fn job(gateway: &Rc<Gateway>, arrival: Arrival) -> Result<Job, Failure> {
     let Arrival { call, request, at: started, busy } = arrival;
     let in_flight = gateway.begin_request();
@@ -117,7 +117,7 @@
     })
 }
 
-/// Reads the whole body, so that it can be sent again and a broken one reaches no replica.
+/// Reads the whole body, so that the request can be sent again and a truncated body never reaches a replica.
 async fn read_body(gateway: &Gateway, body: Watched<Incoming>, allowed: Duration) -> Result<Bytes, Failure> {
     let most = gateway.table().limits().map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
     match tokio::time::timeout(allowed, Limited::new(body, most).collect()).await {
@@ -130,8 +130,8 @@
     }
 }
 
-/// Finds the route and the workspace. Without a recent proof of the configuration no key is trusted, and nothing is
-/// said not to be there.
+/// Finds the route and the workspace of a request. While the configuration has not been confirmed recently, API keys
+/// are not trusted, and a missing route or key is not reported as missing.
 fn admit(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
@@ -152,12 +152,13 @@
     }
 }
 
-/// Says that something is not there; a table that may lack what is in force by now cannot say so.
+/// Returns the failure for a missing route or key, or [`unproven`] if the routing table may lack changes that are
+/// already in force.
 fn denied(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
     if gateway.may_deny() { Failure::new(status, code, message) } else { unproven() }
 }
 
-/// The table is too old to decide.
+/// Returns the failure of a request that the routing table is too old to decide.
 fn unproven() -> Failure {
     Failure::busy("unproven", "the configuration may have changed", UNPROVEN_RETRY)
 }
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -1,7 +1,8 @@
-//! One request from its head to its answer: whom it is from, where it goes, and what may be tried again.
+//! Handling of one request from its head to its response.
 //!
-//! [`intake`] reads the request and admits it, [`target`] chooses where it goes, [`send`] sends it
-//! once and judges the answer. This module repeats the last two until an answer is worth passing on.
+//! [`intake`] reads and admits the request, [`target`] chooses a replica, and [`send`] makes one attempt and classifies
+//! the response. This module repeats the last two steps until a response can be forwarded to the caller or no further
+//! attempt is allowed.
 
 mod intake;
 mod send;
@@ -34,75 +35,75 @@
 use crate::failure::Failure;
 use crate::{event, metric};
 
-/// Largest whole answer of a replica that is held here, in bytes: a sixteenth of the least memory seen.
+/// Maximum size of a response that is buffered as a whole, in bytes: one sixteenth of the memory of the smallest VM.
 const MOST_ANSWER_BYTES: usize = 16 << 20;
-/// Connections to replicas that may fail to come up before a request is given up.
+/// Number of failed connections to replicas after which a request fails.
 const MOST_UNREACHED: u32 = 4;
-/// When a caller should come back if no replica takes its request.
+/// Retry delay for callers whose request no replica accepts.
 const BUSY_RETRY: Duration = Duration::from_millis(250);
 
-/// A request on its way.
+/// A request that is being handled.
 pub struct Job {
-    /// The process's shared state.
+    /// Shared state of the process.
     pub gateway: Rc<Gateway>,
-    /// What the head says.
+    /// Decoded head of the request.
     pub call: dialect::Call,
-    /// Its route.
+    /// Route that the host and the path select.
     pub route: Route,
-    /// The workspace that its key stands for.
+    /// Workspace of the request's API key, or `None` if the route is public.
     pub workspace: Option<Workspace>,
-    /// The service it goes to.
+    /// Service that the route selects.
     pub service: Name,
-    /// What replicas get.
+    /// Request that is sent to replicas.
     pub outgoing: Outgoing,
-    /// What it asks for, the same for each repeat.
+    /// Fingerprint of the request, which is the same for every retry.
     pub work: Work,
-    /// When its head had come.
+    /// Time at which the head of the request was received.
     pub started: Moment,
-    /// Time that its caller gave it.
+    /// Timeout that the caller allows.
     pub allowed: Duration,
-    /// When its final answer is due.
+    /// Time by which the final response is due.
     pub deadline: Moment,
-    /// Replicas that were tried.
+    /// Replicas to which the request was sent or is being sent.
     tried: Vec<Name>,
-    /// Sends so far.
+    /// Number of attempts so far.
     sends: u32,
-    /// Sends after which the request may have run.
+    /// Number of attempts that may have executed the request.
     runs: u32,
-    /// Connections that did not come up.
+    /// Number of connections that could not be established.
     unreached: u32,
-    /// Counts it in the process until it is over.
+    /// Guard that counts the request in the process until the request is complete.
     _in_flight: InFlight,
-    /// Counts it at its caller's connection until it is over.
+    /// Guard that counts the request on the caller's connection until the request is complete.
     _busy: Box<dyn Any>,
 }
 
-/// An answer head of a replica that runs, or ran, the request.
+/// A response whose head has been received and whose body has not.
 pub struct Opened {
-    /// The replica.
+    /// Replica that sent the response.
     pub record: Record,
-    /// Its answer so far.
+    /// Response head, and the body as a stream.
     pub response: Response<Incoming>,
-    /// The connection that carries the rest.
+    /// Connection that carries the body.
     pub connection: Connection,
-    /// Its place there.
+    /// Guard of the request's slot at the replica.
     pub place: Place,
-    /// When the request was sent there.
+    /// Time at which the request was sent to the replica.
     pub sent: Moment,
 }
 
 impl Job {
-    /// Time left until the final answer is due.
+    /// Returns the time left until the final response is due.
     pub fn left(&self) -> Duration {
         self.deadline.since(now())
     }
 
-    /// Whether a broken stream may go on at another replica.
+    /// Returns whether a broken stream may resume at another replica.
     pub fn may_resume(&self) -> bool {
         self.route.resumable && self.has_attempts()
     }
 
-    /// Whether the request may be sent again although it may have run.
+    /// Returns whether the request may be sent again although a replica may have executed it.
     fn may_repeat(&self) -> bool {
         self.route.repeatable() && self.has_attempts()
     }
@@ -111,11 +112,12 @@
         self.runs < self.route.max_attempts
     }
 
-    /// Sends the request until a replica opens an answer worth passing on. With `after_event`, a stream goes on behind it.
+    /// Sends the request until a replica opens a response that can be forwarded. With `after_event`, the stream resumes
+    /// after that event.
     pub async fn open(&mut self, after_event: Option<u64>) -> Result<Opened, Failure> {
         let mut retry_after = None;
         let mut next = None;
-        // Whether a further send was taken out of the retry budget and not made.
+        // Whether the retry budget has been charged for an attempt that was not made.
         let mut is_paid = false;
         loop {
             if self.is_condemned() {
@@ -141,40 +143,43 @@
         }
     }
 
-    /// Whether replicas end under what the request asks for.
+    /// Returns whether the request is condemned because it crashes replicas.
     fn is_condemned(&self) -> bool {
         self.gateway.quarantine.is_condemned(self.work)
     }
 
-    /// Why a request under whose like replicas end is not sent. Not a status that promises that it did not run: it may have
-    /// been sent before; nor one that asks to come back, or a delay: there is none after which it would help.
+    /// Returns the failure of a condemned request. The status does not promise that the request was not executed, since
+    /// it may have been sent before. It does not ask the caller to retry either, since a later retry would fail as
+    /// well.
     fn condemned(&self) -> Failure {
         metric::refused_condemned();
         let ran = if self.runs == 0 { Ran::No } else { Ran::Unknown };
         Failure::new(StatusCode::BAD_GATEWAY, "condemned", "replicas end under this request").ran(ran)
     }
 
-    /// Notes that the connection to a replica ended, and waits a little for word whether the replica did.
+    /// Reports that the connection to a replica was lost, and briefly waits for the probe of whether the replica
+    /// crashed.
     pub async fn connection_lost(&self, record: &Record, sent: Moment, weight: Weight) {
         let (request, work) = (self.call.id.clone(), self.work);
         Lost { request, work, record: record.clone(), sent, weight }.look(&self.gateway).await;
     }
 
-    /// Where the request goes next, if it may go anywhere; `is_paid` if a further send is out of the retry budget already.
+    /// Returns the target of the next attempt, or the failure if no attempt is possible. `is_paid` tells that the retry
+    /// budget has been charged already.
     async fn next_target(&self, retry_after: Option<Duration>, is_paid: bool) -> Result<Target, Failure> {
         let target = match self.target().await {
             Ok(target) => target,
-            // When something may be had is known better than what one replica said of itself.
+            // The delay from placement is more accurate than the delay that a single replica asked for.
             Err(unplaced) => return Err(self.exhausted(unplaced.retry_after().or(retry_after))),
         };
         if self.sends > 0 && !is_paid && !self.take_retry() {
-            // There is one that its caller may have at the next try.
+            // A replica is available, but the retry budget is used up: the caller gets the default delay.
             return Err(self.exhausted(None));
         }
         Ok(target)
     }
 
-    /// Takes one more send out of the service's retry budget, if that allows it.
+    /// Charges one retry to the budget of the service. Returns whether the budget allows it.
     fn take_retry(&self) -> bool {
         let allowed = self.gateway.take_retry(&self.service);
         if !allowed {
@@ -183,7 +188,7 @@
         allowed
     }
 
-    /// As [`Job::open`] from a stream's beginning, and no longer than the final answer is due.
+    /// Calls [`Job::open`] from the start of the stream, with the deadline of the request as its timeout.
     async fn open_in_time(&mut self) -> Result<Opened, Failure> {
         match tokio::time::timeout(self.left(), self.open(None)).await {
             Ok(outcome) => outcome,
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Passes an answer on: a stream as it comes, anything else once it is whole.
+    /// Forwards a response to the caller: a stream event by event, any other response once it is complete.
     async fn pass_on(mut self, mut opened: Opened) -> Result<Answer, Failure> {
         loop {
             if self.route.streaming && opened.response.status().is_success() {
@@ -221,7 +226,7 @@
         }
     }
 
-    /// No further try may be made.
+    /// Returns the failure of a request for which no further attempt is allowed.
     fn exhausted(&self, retry_after: Option<Duration>) -> Failure {
         if self.is_condemned() {
             return self.condemned();
@@ -233,20 +238,21 @@
         Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").ran(Ran::Unknown)
     }
 
-    /// The time is over.
+    /// Returns the failure of a request whose deadline has passed.
     fn timed_out(&self) -> Failure {
         if self.sends == 0 {
             return Failure::busy("waited_out", "no replica became free in time", BUSY_RETRY);
         }
         if let (Some(silent), false) = (self.tried.last(), self.has_engines()) {
-            // An engine may be busy with others for long; a plain replica that says nothing for so long is not.
+            // An engine may be busy with other prompts for a long time. A plain replica that does not respond before
+            // the deadline has failed.
             self.blame(silent, NO_ANSWER);
         }
         Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(Ran::Unknown)
     }
 }
 
-/// Reads the rest of an answer and ends its connection.
+/// Reads the response body and closes the connection.
 async fn whole(opened: Opened) -> eyre::Result<Answer> {
     let (head, body) = opened.response.into_parts();
     let body = Limited::new(body, MOST_ANSWER_BYTES).collect().await;
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one replica once, and judging what came back.
+//! One attempt to send a request to a replica, and the classification of its response.
 
 use std::time::Duration;
 
@@ -16,34 +16,35 @@
 use super::{Job, Opened};
 use crate::{event, metric, util};
 
-/// What one send came to.
+/// Outcome of an attempt.
 pub(super) enum Sent {
-    /// An answer that is worth passing on.
+    /// The replica opened a response that can be forwarded.
     Opened(Box<Opened>),
-    /// The replica proved that it did not run the request; it may say when to come back.
+    /// The replica proved that it did not execute the request. Contains the retry delay that the replica asked for.
     NotRun(Option<Duration>),
-    /// The replica may have run it, and nothing usable came back.
+    /// The replica may have executed the request, and no usable response arrived.
     Lost,
-    /// The replica never saw it.
+    /// The connection failed, so the replica never received the request.
     Unsent,
-    /// It was not sent: its time is over.
+    /// The request was not sent because its deadline has passed.
     Late,
-    /// It was not sent: nothing new may go to that replica any more.
+    /// The request was not sent because the replica no longer accepts new requests.
     Barred,
-    /// It was not sent: replicas end under what it asks for.
+    /// The request was not sent, or was aborted, because it is condemned.
     Condemned,
-    /// Nothing came for longer than can be explained, and it goes here next; the retry is counted already.
+    /// The engines were unresponsive for longer than expected. Contains the next target, whose retry has been charged
+    /// to the budget.
     Silent(Box<Target>),
 }
 
 impl Job {
-    /// One send to one replica.
+    /// Makes one attempt at one replica.
     pub(super) async fn send(&mut self, target: Target, after_event: Option<u64>) -> Sent {
-        // The one place that every send passes, behind all waits.
+        // Every attempt passes this check, after all waits.
         if self.is_condemned() {
             return Sent::Condemned;
         }
-        // Timers do not run while a VM is suspended; what is due by then is late all the same.
+        // Timers do not run while a VM is suspended, so the deadline is checked again here.
         if self.left().is_zero() {
             return Sent::Late;
         }
@@ -61,15 +62,16 @@
         let may_run = self.runs == 0 || self.route.repeatable();
         invariant!(may_run, "a request that may run once is not sent again after it may have run");
         let first = self.sends == 0;
-        // Counted before the send: if the time runs out during it, the replica may have run the request.
+        // Counted before the send, since the replica may have executed the request if the deadline passes during the
+        // send.
         self.sends += 1;
         self.runs += 1;
         let sent = tokio::select! {
-            // An answer that has come counts, also if it was given up by now.
+            // A response that has arrived counts, even if the attempt is given up at the same time.
             biased;
             sent = attempt::send(&record, &self.outgoing, &head) => sent,
             next = self.elsewhere(&place) => return Sent::Silent(Box::new(next)),
-            // Called back before the replica begins with it, that one does not end.
+            // If the attempt is aborted before the replica starts the request, the replica does not crash.
             () = self.gateway.quarantine.condemned(self.work) => return Sent::Condemned,
         };
         if first && !matches!(sent, Err(Failed::Unsent(_))) {
@@ -80,7 +82,8 @@
             Err(Failed::Lost(error)) => {
                 self.blame(&record.id, NO_ANSWER);
                 event!("lost", request = %self.call.id, work = %self.work, peer = %record.id, error = %error);
-                // An engine opens its answer when it begins; a plain replica may run for long before it does.
+                // An engine opens its response when it starts the prompt, so before that the prompt may only have been
+                // queued. A plain replica may run a request for a long time before it responds.
                 let weight = if self.has_engines() { Weight::Faint } else { Weight::Strong };
                 self.connection_lost(&record, begun, weight).await;
                 Sent::Lost
@@ -96,9 +99,10 @@
         }
     }
 
-    /// Where the request goes if nothing comes from the engines that have it: once they are silent, the common retry
-    /// budget allows it, and others are free. Pends for ever where it may not be sent again. What comes from the first
-    /// engines meanwhile is taken, so that a false alarm costs nothing while others are busy.
+    /// Returns another target if the current engines are unresponsive, the retry budget of the service allows another
+    /// attempt, and other engines are free. Otherwise, and if the request may not be sent again, the future never
+    /// completes. Meanwhile a response of the current engines is still accepted, so that a false alarm costs nothing
+    /// while other engines are busy.
     async fn elsewhere(&self, place: &Place) -> Target {
         let silent_after = match place.silent_after() {
             Some(silent_after) if self.may_repeat() => silent_after,
@@ -116,7 +120,7 @@
         }
     }
 
-    /// What this send adds to the caller's head.
+    /// Returns the values that this attempt adds to the caller's headers.
     fn head(&self, record: &Record, helpers: Vec<dialect::Helper>, after_event: Option<u64>) -> dialect::Send {
         dialect::Send {
             replica: record.id.clone(),
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Whether an answer head is one to pass on.
+    /// Classifies a response head, and applies what it reports about the replica.
     fn judge(&mut self, opened: Opened) -> Sent {
         let answer = dialect::answer(opened.response.status(), opened.response.headers(), &self.call.id);
         let record = &opened.record;
@@ -154,7 +158,8 @@
         Sent::Opened(Box::new(opened))
     }
 
-    /// Notes that a replica failed the request; for a plain service `share` tells how far that is its fault.
+    /// Records that a replica failed the request. For a plain replica, `share` is the part of the failure that is
+    /// attributed to it.
     pub(super) fn blame(&self, replica: &Name, share: f64) {
         if self.has_engines() {
             self.gateway.desk.failed(&self.service, replica);
@@ -163,7 +168,8 @@
         }
     }
 
-    /// Notes that a replica proved that it did not run the request, and who is to blame.
+    /// Handles a replica's proof that it did not execute the request, and records the failure of the responsible
+    /// replica.
     fn refused(&mut self, record: &Record, answer: &dialect::Answer) -> Sent {
         let rest = answer.rest().unwrap_or_default();
         event!("not-run", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), at_fault = answer.at_fault.as_deref().unwrap_or(""),
@@ -177,7 +183,8 @@
         Sent::NotRun(answer.retry_after)
     }
 
-    /// The replica to blame for a refusal: the one that the answer names, else the one that answered.
+    /// Returns the replica that is responsible for a refusal: the replica that the response names, or else the one that
+    /// responded.
     fn at_fault(&self, record: &Record, answer: &dialect::Answer) -> Name {
         let roster = self.gateway.roster.borrow();
         let named = answer.at_fault.as_ref().and_then(|address| {
@@ -188,13 +195,15 @@
     }
 }
 
-/// Whether an answer is to this request, is vouched for if it says that all went well, and promises nothing unproven.
+/// Returns whether a response can be forwarded: it belongs to this request, it has a seal if it reports success, and
+/// its status does not promise without proof that the request was not executed.
 fn is_usable(answer: &dialect::Answer) -> bool {
     let vouched = answer.sealed || !answer.status.is_success();
     answer.ours && vouched && !promises_not_run(answer.status)
 }
 
-/// Statuses that promise callers that the request did not run; only proof lets them through.
+/// Returns whether callers understand the status as a promise that the request was not executed. Such a status is
+/// forwarded only with proof.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -1,4 +1,4 @@
-//! Choosing where a request goes next: a plain replica, or for a prompt a team of engines.
+//! Chooses the target of the next attempt: a plain replica, or a team of engines for a prompt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,53 +17,55 @@
 use super::Job;
 use crate::{event, metric};
 
-/// Part of the time in which its caller wants an answer that a call may wait for its turn at a replica that names a limit;
-/// the rest is for the replica: plain ones were seen to take a third of it.
+/// Fraction of the route's target latency that a request may wait for a permit of a rate-limited replica. The rest is
+/// left for the replica; plain replicas take about a third of the target latency.
 const WAIT_SHARE: f64 = 0.5;
-/// Pause before a prompt is planned anew whose memory could not be had, or whose engines are gone.
+/// Delay before a prompt is planned again because its memory could not be reserved or one of its engines is gone.
 const REPLAN_PAUSE: Duration = Duration::from_millis(50);
-/// Least time that a prompt has to find an engine, however long it was held up before: an engine that is free is
-/// granted within a few milliseconds.
+/// Minimum time that a prompt may wait for engines, however late it is. A free engine is granted within a few
+/// milliseconds.
 const LEAST_WAIT: Duration = Duration::from_millis(100);
 
-/// Part of a rest by which callers that were refused for it come back later than its end, at most: not all at once.
+/// Maximum fraction of a backoff that is added to the retry delay of refused callers, so that they do not all retry at
+/// the same time.
 const REST_SPREAD: f64 = 0.25;
-/// Least pause before replicas are looked at again.
+/// Minimum delay before the replicas are checked again.
 const LEAST_PAUSE: Duration = Duration::from_millis(1);
 
-/// When one of the callers that were refused for a rest should come back.
+/// Returns the retry delay of a caller that is refused because of a backoff, with random jitter.
 fn spread(rest: Duration) -> Duration {
     rest.mul_f64(1.0 + rand::random_range(0.0..REST_SPREAD))
 }
 
-/// Where a request goes next.
+/// Destination of an attempt.
 pub(super) struct Target {
-    /// The replica that gets it.
+    /// Replica that receives the request.
     pub record: Record,
-    /// Engines that read parts of the prompt.
+    /// Engines that prefill parts of the prompt.
     pub helpers: Vec<dialect::Helper>,
-    /// Its place there.
+    /// Guard of the request's slot at the replica.
     pub place: Place,
 }
 
-/// A request's place at a replica until it is over.
+/// A request's slot at a replica, which is released on drop.
 pub enum Place {
-    /// Counted at a plain replica.
+    /// Slot at a plain replica.
     Plain {
-        /// Counts it.
+        /// Guard of the replica's count of outstanding requests.
         _count: Outstanding,
     },
-    /// Granted an engine.
+    /// Slot at an engine.
     Engine {
-        /// The grant.
+        /// Lease of the granted engines.
         lease: Lease,
-        /// Memory at other engines, if the prompt exceeds one.
+        /// Memory reservation at other engines, if the prompt exceeds the memory of one engine.
         _hold: Option<Hold>,
     },
 }
 
 impl Place {
-    /// How long nothing may come before something must be wrong, if that is known.
+    /// Returns the time without a response after which the engines count as unresponsive, or `None` if it cannot be
+    /// predicted.
     pub(super) fn silent_after(&self) -> Option<Duration> {
         match self {
             Place::Engine { lease, .. } => lease.placement.silent_after,
@@ -71,14 +73,14 @@
         }
     }
 
-    /// Notes that nothing came for so long.
+    /// Reports that the engines are unresponsive.
     pub(super) fn silent(&self) {
         if let Place::Engine { lease, .. } = self {
             lease.silent();
         }
     }
 
-    /// Notes that a stream's first event came.
+    /// Reports that the first event of the stream has arrived.
     pub fn first_event(&self) {
         if let Place::Engine { lease, .. } = self {
             lease.first_event();
@@ -86,7 +88,7 @@
     }
 }
 
-/// Counts one request at one plain replica until it is over.
+/// Counts one outstanding request at a plain replica until it is dropped.
 pub struct Outstanding {
     gateway: Rc<Gateway>,
     replica: Name,
@@ -105,14 +107,15 @@
     }
 }
 
-/// A helper that was found, with the tokens that it holds until the answer is over; 0 if it only reads.
+/// A helper of a team, with the number of tokens for which it holds memory until the response is complete. The number
+/// is 0 if the helper only prefills.
 struct Found {
     helper: dialect::Helper,
     holds: u64,
 }
 
 impl Job {
-    /// Chooses where the request goes next; a prompt waits here until it may start.
+    /// Chooses the target of the next attempt. A prompt waits here until engines are granted.
     pub(super) async fn target(&self) -> Result<Target, Unplaced> {
         match self.call.prompt_tokens {
             Some(tokens) if self.has_engines() => self.engine(tokens).await,
@@ -124,10 +127,10 @@
         self.gateway.table().service(&self.service).is_some_and(|service| service.engine.is_some())
     }
 
-    /// The best replica. One that names a limit gets the call if it has a turn for it at once; where all name one, the
-    /// call waits for the first turn that is still in time, or is refused.
+    /// Chooses the best plain replica. A rate-limited replica is used if it has a permit at once. If all replicas are
+    /// rate-limited, the request waits for the first permit that is available in time, or is refused.
     async fn plain(&self) -> Result<Target, Unplaced> {
-        // Replicas that have no turn now.
+        // Rate-limited replicas that have no permit now.
         let mut full: Vec<Name> = Vec::new();
         loop {
             let Some(record) = self.pick(&full) else {
@@ -148,25 +151,25 @@
         }
     }
 
-    /// The best replica that was not tried, is not among `full`, and has not asked this entry for rest.
+    /// Returns the best replica that has not been tried, is not in `full` and is not in backoff for this entry.
     fn pick(&self, full: &[Name]) -> Option<Record> {
         let roster = self.gateway.roster.borrow();
         let is_left_out = |id: &Name| self.tried.contains(id) || full.contains(id) || self.gateway.rests.is_resting(id);
         self.gateway.placer.borrow().pick(&roster, &self.service, self.route.repeat, |id| !is_left_out(id))
     }
 
-    /// Its place at a plain replica.
+    /// Opens a slot at a plain replica.
     fn at(&self, record: Record) -> Target {
         let place = Place::Plain { _count: Outstanding::begin(&self.gateway, &record.id) };
         Target { record, helpers: Vec::new(), place }
     }
 
-    /// How long a call may still wait for a plain replica.
+    /// Returns how much longer a request may wait for a plain replica.
     fn most_wait(&self) -> Duration {
         (self.started + self.route.aim.mul_f64(WAIT_SHARE)).since(now())
     }
 
-    /// Waits until the first replica at rest that was not tried wants something again, if that is in time.
+    /// Waits for the end of the first backoff of an untried replica. Returns an error if it ends too late.
     async fn rest_over(&self) -> Result<(), Unplaced> {
         let untried = |replica: &Name| !self.tried.contains(replica);
         let Some(left) = rests::soonest_of(&self.gateway, &self.service, untried) else {
@@ -180,7 +183,8 @@
         Ok(())
     }
 
-    /// Waits for a turn at one of `full`, all of which name limits, if there is one in time.
+    /// Waits for a permit of one of `full`, all of which are rate-limited. Returns an error if no permit is available
+    /// in time.
     async fn rationed(&self, full: Vec<Name>) -> Result<Target, Unplaced> {
         let most_wait = self.most_wait();
         match limits::take(&self.gateway, full, most_wait).await {
@@ -195,13 +199,14 @@
                 let (limited, of) = self.in_need();
                 event!("limit-refused", request = %self.call.id, service = %self.service, next_ms = after.as_millis(), limited, of);
                 metric::limit_refusal();
-                // Not all at the same moment: there is one turn then.
+                // The jitter prevents all refused callers from retrying at the same time, when only one permit is
+                // available.
                 Err(Unplaced::Refused(after.mul_f64(rand::random_range(1.0..2.0))))
             }
         }
     }
 
-    /// Waits for engines, for as long as the caller may be kept waiting.
+    /// Waits until engines are granted, for at most the time that the caller's deadline and the policy allow.
     async fn engine(&self, tokens: u64) -> Result<Target, Unplaced> {
         let prompt = self.prompt(tokens);
         let patience = self.route.patience().min(self.allowed).mul_f64(self.gateway.settings.policy.patience_share);
@@ -212,18 +217,19 @@
             }
             let left = until.since(now());
             let lease = tokio::select! {
-                // Engines that were granted are used, also if the wait is over by now.
+                // Granted engines are used even if the wait has ended at the same time.
                 biased;
                 placed = self.gateway.desk.place(&self.service, prompt) => placed,
                 () = tokio::time::sleep(left) => return Err(Unplaced::Exhausted),
                 () = self.gateway.quarantine.condemned(self.work) => return Err(Unplaced::Exhausted),
                 rest = self.all_rest_beyond(until) => return Err(Unplaced::Refused(spread(rest))),
-                // Refused while its caller can still go elsewhere; a broken stream waits on, it has no other way.
+                // The caller of a new request can still retry at another entry. A broken stream continues to wait,
+                // since only this entry can resume it.
                 () = self.gateway.reached(Phase::Closing), if self.sends == 0 => return Err(Unplaced::Exhausted),
             };
             let lease = match lease {
                 Ok(lease) => lease,
-                // A broken stream has no other way.
+                // Only this entry can resume a broken stream, so it plans again.
                 Err(Unplaced::Refused(_)) if self.sends > 0 => {
                     tokio::time::sleep(REPLAN_PAUSE).await;
                     continue;
@@ -236,7 +242,7 @@
             };
             let held = match self.locate(&lease.placement.team) {
                 Some((record, found)) => self.hold(found).await.map(|held| (record, held)),
-                // The entry that plans does not know yet that an engine is gone.
+                // The leader has not learned yet that an engine is gone.
                 None => None,
             };
             let Some((record, (helpers, _hold))) = held else {
@@ -248,7 +254,7 @@
         }
     }
 
-    /// No replica of the service takes this request now.
+    /// Returns the error of a request that no replica of the service accepts now.
     fn without_replicas(&self) -> Unplaced {
         if self.gateway.roster.borrow().is_emptied(&self.service) {
             return Unplaced::Refused(EMPTIED_RETRY);
@@ -259,7 +265,8 @@
         }
     }
 
-    /// Waits until no engine wants anything from this entry before `until`; returns the time until the first one does.
+    /// Waits until every engine of the service is in backoff for this entry beyond `until`. Returns the time until the
+    /// first backoff ends.
     async fn all_rest_beyond(&self, until: Moment) -> Duration {
         loop {
             let asked = self.gateway.rests.asked();
@@ -270,14 +277,14 @@
         }
     }
 
-    /// How many replicas of the service name a limit, of how many that take work.
+    /// Returns the number of rate-limited replicas of the service, and the number of its usable replicas.
     fn in_need(&self) -> (usize, usize) {
         let roster = self.gateway.roster.borrow();
         let limited = roster.usable(&self.service).filter(|record| self.gateway.limits.is_limited(&record.id)).count();
         (limited, roster.usable(&self.service).count())
     }
 
-    /// What the planner gets to know of the prompt.
+    /// Returns the planner's description of the prompt.
     fn prompt(&self, tokens: u64) -> planner::Job {
         let own_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         planner::Job {
@@ -291,7 +298,8 @@
         }
     }
 
-    /// The replicas of a team: its writer and its helpers; none if its writer or a holder takes nothing any more.
+    /// Returns the writer and the helpers of a team. Returns `None` if the writer, or a helper that must hold memory,
+    /// no longer accepts requests.
     fn locate(&self, team: &Team) -> Option<(Record, Vec<Found>)> {
         let open = |id: &Name| self.gateway.open_replica(id);
         let mut found = Vec::new();
@@ -311,7 +319,8 @@
         Some((open(&team.writer)?, found))
     }
 
-    /// Has the helpers hold what they are to hold, all of it or none; the hold is absent if there is nothing to hold.
+    /// Reserves the memory of a prompt at its helpers, either all of it or none. The reservation is absent if no helper
+    /// needs to hold memory.
     async fn hold(&self, found: Vec<Found>) -> Option<(Vec<dialect::Helper>, Option<Hold>)> {
         let holders = found.iter().filter(|found| found.holds > 0);
         let wants: Vec<(Name, u64)> = holders.map(|found| (found.helper.address.clone(), found.holds)).collect();
@@ -323,7 +332,7 @@
         for helper in &mut helpers {
             helper.memory = hold.id(&helper.address);
         }
-        // Memory that has a name is filled in the order of the list.
+        // Reserved memory is filled in the order of the list, so the helpers that hold memory come first.
         helpers.sort_by_key(|helper| helper.memory.is_none());
         Some((helpers, Some(hold)))
     }
--- a/sorrelpass/src/gateway/desk/following.rs
+++ b/sorrelpass/src/gateway/desk/following.rs
@@ -1,4 +1,6 @@
-//! The desk of an entry for which another plans: what goes there, and what comes back.
+//! Admission at an entry that follows a leader: reports to the leader, and its grants and refusals.
+//!
+//! A leader is the entry that plans the prompts of all entries.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,30 +12,30 @@
 use super::super::now;
 use super::{Desk, Unplaced, own};
 
-/// The entry that plans for this one.
+/// Connection to the leader.
 pub(super) struct Leader {
     address: SocketAddr,
     reports: mpsc::Sender<Report>,
 }
 
 impl Desk {
-    /// The entry that plans granted one of our prompts.
+    /// Handles a grant by the leader for a prompt of this entry.
     pub fn granted(self: &Rc<Self>, number: u64, placement: Placement) {
         if self.start(number, placement, true) {
             return;
         }
-        // It was withdrawn, or granted here, while the grant was on its way.
+        // The prompt was withdrawn, or granted by this entry, while the leader's grant was in transit.
         crate::event!("grant-unwanted", number);
     }
 
-    /// One of our prompts gets no engines.
+    /// Refuses a waiting prompt of this entry.
     pub fn refused(&self, number: u64, retry_after: Duration) {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return };
-        // Its caller may have gone meanwhile.
+        // The caller may have disconnected.
         let _ = waiter.answer.send(Err(Unplaced::Refused(retry_after)));
     }
 
-    /// Another entry plans from now on: it gets to know what runs and what waits here.
+    /// Starts to follow a leader, and reports all running and waiting prompts of this entry to it.
     pub fn link_up(&self, address: SocketAddr, reports: mpsc::Sender<Report>) {
         *self.leader.borrow_mut() = Some(Leader { address, reports });
         let now = now();
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Nobody else plans for this entry any more.
+    /// Stops following a leader, so that this entry plans its waiting prompts itself.
     pub fn link_down(&self) {
         *self.leader.borrow_mut() = None;
         self.unsettle();
@@ -63,22 +65,23 @@
         self.wake();
     }
 
-    /// The entry that plans for this one, if another does.
+    /// Returns the address of the leader, or `None` if this entry plans for itself.
     pub fn leader(&self) -> Option<SocketAddr> {
         self.leader.borrow().as_ref().map(|leader| leader.address)
     }
 
-    /// Whether another entry plans for this one.
+    /// Returns whether this entry follows a leader.
     pub fn has_leader(&self) -> bool {
         self.leader.borrow().is_some()
     }
 
-    /// Tells the entry that plans; says whether there is one.
+    /// Sends a report to the leader. Returns whether a leader accepted it.
     pub fn report(&self, report: Report) -> bool {
         let mut leader = self.leader.borrow_mut();
         let Some(known) = &*leader else { return false };
         if known.reports.try_send(report).is_err() {
-            // Too far behind: dropping the sender ends the link, which hands over what waits.
+            // The leader reads too slowly. Dropping the sender closes the connection, after which this entry plans the
+            // waiting prompts itself.
             *leader = None;
             return false;
         }
--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/desk/mod.rs
@@ -1,9 +1,9 @@
-//! Where prompts get their engines.
+//! Admission queue: prompts wait here until engines are granted to them.
 //!
-//! Each entry has a planner for every service with engines. While another entry plans for all,
-//! prompts are submitted there, and the own planner only follows what was granted, so that it can
-//! take over at once when that entry is lost. [`following`] is the way to the entry that plans, [`planning`] the one
-//! to those that this entry plans for; this module has the entry's own prompts.
+//! Each entry has a planner for every service with engines. While another entry is the leader, which plans for all
+//! entries, prompts are submitted to it. The local planner then only follows the grants, so that it can take over at
+//! once when the leader is lost. [`following`] has the connection to the leader, [`planning`] the connections to
+//! followers, and this module has the prompts of this entry.
 
 mod following;
 mod planning;
@@ -26,40 +26,42 @@
 use super::now;
 use crate::util;
 
-/// How often waiting prompts are looked at when nothing else happens: engines free up by the
-/// model's reckoning, which is good to some milliseconds.
+/// Interval at which waiting prompts are checked without a triggering event. Engines become free at times that the
+/// planner's model predicts, which is accurate to a few milliseconds.
 const TICK: Duration = Duration::from_millis(10);
-/// Prompts that wait for so long without a break wait for a reason worth a line: longer than a pass of a full engine.
+/// Time for which waiting prompts find no engines, without interruption, after which the log explains why. It is longer
+/// than one pass of a full engine.
 const HELD: Duration = Duration::from_millis(200);
-/// Time between two such lines.
+/// Minimum interval between two such log lines.
 const EXPLAINED: Duration = Duration::from_millis(500);
-/// How often a process looks whether it runs.
+/// Interval at which the process checks whether it was suspended.
 const LOOK: Duration = Duration::from_millis(100);
-/// One that did not look for so long did not run. Those that it plans for give it up after a beat more.
+/// Interval between two checks from which the process counts as suspended. Followers give up a silent leader one
+/// heartbeat later.
 const ABSENT: Duration = BEAT.saturating_mul(2);
-/// This process's own jobs carry this number in place of a connection's.
+/// Number of this process in prompt ids, where followers have the number of their connection.
 const OWN: u64 = 0;
 
-/// A prompt that waits for its grant.
+/// A prompt that waits for a grant.
 struct Waiter {
     service: Name,
     job: Job,
     answer: oneshot::Sender<Result<Lease, Unplaced>>,
 }
 
-/// Why a prompt got no engines.
+/// Reason why a prompt got no engines.
 #[derive(Clone, Copy, Debug)]
 pub enum Unplaced {
-    /// It is no longer among those that wait.
+    /// The prompt was withdrawn from the queue.
     Withdrawn,
-    /// It has waited for as long as may be, or nothing takes work.
+    /// The prompt waited for the maximum time, or no replica accepts requests.
     Exhausted,
-    /// It would get none in time to be of use; its caller should come back after this time.
+    /// The prompt could not be placed before its deadline. Contains the retry delay for the caller.
     Refused(Duration),
 }
 
 impl Unplaced {
-    /// When the caller should come back, if that is known.
+    /// Returns the retry delay for the caller, if it is known.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Unplaced::Refused(after) => Some(after),
@@ -68,63 +70,64 @@
     }
 }
 
-/// A prompt that was granted.
+/// A prompt that engines are granted to.
 struct Running {
     service: Name,
     job: Job,
     team: Team,
-    /// Whether its first event has yet to come.
+    /// Whether the first event of the stream has not arrived yet.
     reading: bool,
 }
 
-/// Hands prompts to engines.
+/// Admission queue of an entry, with its planners.
 pub struct Desk {
-    /// The policy of its planners.
+    /// Policy of the planners.
     policy: Policy,
-    /// By service.
+    /// Planners by service.
     planners: RefCell<HashMap<Name, Planner>>,
-    /// Work that is suspected of ending engines.
+    /// Fingerprints of requests that are suspected of crashing engines.
     suspects: RefCell<Vec<Work>>,
-    /// This process's prompts that wait, by number.
+    /// Waiting prompts of this entry, by number.
     waiting: RefCell<HashMap<u64, Waiter>>,
-    /// This process's prompts that were granted, by number.
+    /// Granted prompts of this entry, by number.
     running: RefCell<HashMap<u64, Running>>,
-    /// The way to the entry that plans; none while this one plans for itself.
+    /// Connection to the leader, or `None` while this entry plans for itself.
     leader: RefCell<Option<Leader>>,
-    /// Entries that this one plans for, by their number here.
+    /// Followers of this entry, by their local number.
     followers: RefCell<HashMap<u64, mpsc::Sender<Order>>>,
     next_number: Cell<u64>,
     next_entry: Cell<u64>,
-    /// When it was last said why prompts wait.
+    /// Time of the last log line that explains why prompts wait.
     explained: Cell<Moment>,
-    /// When this process last looked whether it runs; none while nothing is expected of engines.
+    /// Time of the last check for a suspension, or `None` while no first events are expected.
     looked: Cell<Option<Moment>>,
-    /// Told when something is expected of engines.
+    /// Notified when a first event becomes expected.
     expecting: Notify,
-    /// Told when something happened that prompts may start after.
+    /// Notified when an event may allow a prompt to start.
     woken: Notify,
 }
 
-/// A granted prompt; dropping it tells the planner that the prompt is over.
+/// Lease of the engines that a prompt was granted. Dropping it tells the planner that the prompt is complete.
 ///
-/// It is made where the prompt is granted and not where that is heard: whoever waited may be gone by then, or give up at
-/// the same moment, and the engines would count as taken for as long as the process lives.
+/// The lease is created at the time of the grant, not when the waiting task receives it. The waiting task may be gone
+/// or give up at the same time, and without a lease the engines would then count as taken for the rest of the process's
+/// life.
 pub struct Lease {
     desk: Weak<Desk>,
     number: u64,
-    /// Its engines, and how long they may be silent.
+    /// Granted engines, and the time after which they count as unresponsive.
     pub placement: Placement,
 }
 
 impl Lease {
-    /// Notes that nothing has come for longer than can be explained.
+    /// Reports that the engines are unresponsive.
     pub fn silent(&self) {
         if let Some(desk) = self.desk.upgrade() {
             desk.silent(self.number);
         }
     }
 
-    /// Notes that the first event came: the prompt is read.
+    /// Reports that the first event has arrived, so that prefill is complete.
     pub fn first_event(&self) {
         if let Some(desk) = self.desk.upgrade() {
             desk.first_event(self.number);
@@ -140,7 +143,7 @@
     }
 }
 
-/// Withdraws a prompt that nobody waits for any more.
+/// Withdraws a waiting prompt on drop, when its caller no longer waits.
 struct Withdraw<'a>(&'a Desk, u64);
 
 impl Drop for Withdraw<'_> {
@@ -151,7 +154,7 @@
 }
 
 impl Desk {
-    /// A desk that knows no engines.
+    /// Creates an admission queue without engines.
     pub fn new(policy: Policy) -> Rc<Self> {
         Rc::new(Self {
             policy,
@@ -184,26 +187,27 @@
         planner
     }
 
-    /// Notes that an engine started again under its name.
+    /// Records that an engine restarted under the same name.
     pub fn restarted(&self, service: &Name, engine: &Name) {
         self.planner(service, |planner| planner.restarted(engine));
         self.wake();
     }
 
-    /// Sets the limit that an engine names, in requests a second, and the part of it that is granted here.
+    /// Sets the rate limit of an engine, in requests per second, and the fraction of it that this entry may grant.
     pub fn set_limit(&self, engine: &Name, rate: Option<f64>, share: f64) {
         let now = now();
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.set_limit(engine, rate, share, now));
         self.wake();
     }
 
-    /// Notes that this entry grants in place of another, whose grants of late it does not know.
+    /// Restarts the accounting of rate limits, because this entry takes over from another one whose recent grants it
+    /// does not know.
     pub fn restart_limits(&self) {
         let now = now();
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.restart_limits(now));
     }
 
-    /// Sets which work is suspected of ending engines.
+    /// Sets the fingerprints of requests that are suspected of crashing engines.
     pub fn set_suspects(&self, suspects: Vec<Work>) {
         let mut planners = self.planners.borrow_mut();
         planners.values_mut().for_each(|planner| planner.set_suspects(suspects.iter().copied()));
@@ -211,7 +215,7 @@
         self.wake();
     }
 
-    /// Waits until a prompt may start. Dropping the future withdraws it.
+    /// Waits until engines are granted to a prompt. Dropping the future withdraws the prompt.
     pub async fn place(self: &Rc<Self>, service: &Name, job: Job) -> Result<Lease, Unplaced> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -228,7 +232,7 @@
         answer
     }
 
-    /// Refuses all of this entry's prompts that wait for engines of a service.
+    /// Refuses all prompts of this entry that wait for engines of a service.
     pub fn refuse_all(&self, service: &Name, retry_after: Duration) {
         let of_service = |waiter: &Waiter| waiter.service == *service;
         let waiting = self.waiting.borrow();
@@ -241,7 +245,8 @@
         }
     }
 
-    /// Engines that should be asked for their pace, with their services. Only an entry that plans asks.
+    /// Returns the engines to poll for their slowdown factor, with their services. The list is empty at a follower,
+    /// since only an entry that plans polls.
     pub fn to_ask(&self) -> Vec<(Name, Name)> {
         if self.has_leader() {
             return Vec::new();
@@ -251,7 +256,7 @@
         due.flat_map(|(service, engines)| engines.into_iter().map(|engine| (service.clone(), engine))).collect()
     }
 
-    /// Notes the pace that an engine tells.
+    /// Sets the slowdown factor that an engine reports.
     pub fn note_pace(&self, service: &Name, engine: &Name, pace: f64) {
         self.planner(service, |planner| {
             if planner.set_pace(engine, pace) {
@@ -260,7 +265,8 @@
         });
     }
 
-    /// Notes that an engine failed a prompt. Services without engines have no planner, here or elsewhere.
+    /// Records that an engine failed a prompt. Services without engines have no planner at any entry, so their failures
+    /// are ignored.
     pub fn failed(&self, service: &Name, engine: &str) {
         if !self.planners.borrow().contains_key(service) {
             return;
@@ -270,8 +276,8 @@
         self.report(Report::Failed { service: service.clone(), engine });
     }
 
-    /// Notes that an engine wants nothing from this entry for so long. Services without engines have no planner, here or
-    /// elsewhere.
+    /// Records that an engine asked this entry for a backoff. Services without engines have no planner at any entry, so
+    /// their backoffs are ignored.
     pub fn rests(&self, service: &Name, engine: &Name, rest: Duration) {
         if !self.planners.borrow().contains_key(service) {
             return;
@@ -280,11 +286,11 @@
         self.report(Report::Rests { service: service.clone(), engine: engine.clone(), rest });
     }
 
-    /// Grants what may start, after whatever happens and every now and then while prompts wait.
+    /// Grants engines to waiting prompts after each event, and periodically while prompts wait.
     ///
-    /// What happens at the same time is looked at together: this task has its turn behind all those that took a
-    /// message when it was woken. A look after each of the 1,100 messages a second that 103 entries send took all of the
-    /// half core of the entry that plans.
+    /// Simultaneous events are handled together: this task runs after all tasks that have received a message by the
+    /// time of its wake-up. One planning pass for each of the 1,100 messages per second from 103 entries took the whole
+    /// half core of the leader.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.woken.notified().await;
@@ -297,8 +303,8 @@
         }
     }
 
-    /// Looks whether this process runs, while first events are expected. The rest of the time nothing is to be told late,
-    /// and an entry may have little of a core.
+    /// Checks whether this process was suspended, while first events are expected. Otherwise no report can be late, and
+    /// the checks would use CPU time of which an entry may have little.
     pub async fn keep_looking(self: Rc<Self>) {
         loop {
             self.expecting.notified().await;
@@ -311,12 +317,13 @@
         }
     }
 
-    /// Whether first events are expected, of engines or by way of those that this entry plans for.
+    /// Returns whether first events are expected, either at this entry or at its followers.
     fn expects(&self) -> bool {
         !self.followers.borrow().is_empty() || self.running.borrow().values().any(|running| running.reading)
     }
 
-    /// Notes that this process runs. Behind a freeze all that came meanwhile is found at once, and all of it late.
+    /// Checks whether this process was suspended since the last check. After a suspension, all events that arrived in
+    /// the meantime are read at once and appear late.
     fn look(&self) {
         let Some(looked) = self.looked.get() else { return };
         let now = now();
@@ -330,12 +337,12 @@
         self.report(Report::Absent(absent));
     }
 
-    /// Has what may start be granted soon.
+    /// Wakes the task that grants engines.
     fn wake(&self) {
         self.woken.notify_one();
     }
 
-    /// One of our granted prompts is read.
+    /// Records that the first event of a granted prompt arrived.
     fn first_event(&self, number: u64) {
         let service = match self.running.borrow_mut().get_mut(&number) {
             Some(running) => {
@@ -349,27 +356,27 @@
         self.wake();
     }
 
-    /// One of our granted prompts is silent.
+    /// Records that the engines of a granted prompt are unresponsive.
     fn silent(&self, number: u64) {
         let Some(service) = self.running.borrow().get(&number).map(|running| running.service.clone()) else { return };
         self.planner(&service, |planner| planner.silent(own(number), now()));
         self.report(Report::Silent { number, service });
     }
 
-    /// One of our granted prompts is over.
+    /// Records that a granted prompt is complete.
     fn over(&self, number: u64) {
         let Some(running) = self.running.borrow_mut().remove(&number) else { return };
         self.end(&running.service, number);
     }
 
-    /// One of our prompts is over or withdrawn.
+    /// Records that a prompt of this entry is complete or withdrawn.
     fn end(&self, service: &Name, number: u64) {
         self.planner(service, |planner| planner.end(own(number), now()));
         self.report(Report::End { number, service: service.clone() });
         self.wake();
     }
 
-    /// Lets the planner of a service act, if the service has engines.
+    /// Calls `act` with the planner of a service, if the service has engines.
     fn planner(&self, service: &Name, act: impl FnOnce(&mut Planner)) {
         self.look();
         if let Some(planner) = self.planners.borrow_mut().get_mut(service) {
@@ -377,8 +384,8 @@
         }
     }
 
-    /// Hands one of our prompts its engines; says whether it was still waiting. One that was granted
-    /// `elsewhere` is not known to the planner here.
+    /// Starts a waiting prompt of this entry. Returns whether the prompt was still waiting. `elsewhere` tells that the
+    /// leader granted it, so that the local planner does not know it yet.
     fn start(self: &Rc<Self>, number: u64, placement: Placement, elsewhere: bool) -> bool {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return false };
         let Waiter { service, job, answer } = waiter;
@@ -389,12 +396,12 @@
         self.running.borrow_mut().insert(number, Running { service, job, team, reading: true });
         self.expecting.notify_one();
         let lease = Lease { desk: Rc::downgrade(self), number, placement };
-        // One that nobody takes any more ends here.
+        // If the waiting task is gone, the lease is dropped here and releases the engines.
         drop(answer.send(Ok(lease)));
         true
     }
 
-    /// Grants what may start; says whether prompts are left waiting.
+    /// Grants engines to waiting prompts. Returns whether prompts still wait.
     fn pump(self: &Rc<Self>) -> bool {
         self.look();
         let mut grants = Vec::new();
@@ -417,7 +424,7 @@
         more
     }
 
-    /// Says every now and then why prompts wait, while they do.
+    /// Logs periodically why prompts wait.
     fn explain(&self) {
         let now = now();
         if now.since(self.explained.get()) < EXPLAINED {
--- a/sorrelpass/src/gateway/desk/planning.rs
+++ b/sorrelpass/src/gateway/desk/planning.rs
@@ -1,4 +1,4 @@
-//! The desk of an entry that plans for others: what they report, and what they are granted.
+//! Admission at a leader: reports of the followers, and grants and orders to them.
 
 use std::rc::Rc;
 
@@ -11,11 +11,12 @@
 use super::super::quarantine::Source;
 use super::{Desk, OWN};
 
-/// Entries that read the store at once for one that it does not answer: one of them may be turned away too.
+/// Number of followers that read the store for a leader whose reads it does not answer. The store may refuse one of
+/// them as well.
 const DEPUTIES: usize = 2;
 
 impl Desk {
-    /// Takes in an entry to plan for; returns its number here.
+    /// Adds a follower. Returns its local number.
     pub fn join(&self, orders: mpsc::Sender<Order>) -> u64 {
         let entry = self.next_entry.get();
         self.next_entry.set(entry + 1);
@@ -27,12 +28,12 @@
         entry
     }
 
-    /// Notes that this entry plans for others from now on, whose prompts it does not know yet.
+    /// Tells the planners that this entry starts to plan for others, whose prompts it does not know yet.
     pub(super) fn unsettle(&self) {
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.unsettle(now()));
     }
 
-    /// Forgets an entry and its prompts.
+    /// Removes a follower and its prompts.
     pub fn leave(&self, entry: u64) {
         self.followers.borrow_mut().remove(&entry);
         for planner in self.planners.borrow_mut().values_mut() {
@@ -41,7 +42,7 @@
         self.wake();
     }
 
-    /// Takes a report from an entry.
+    /// Handles a report of a follower.
     pub fn hear(&self, entry: u64, report: Report) {
         let now = now();
         let id = |number| Id { entry, number };
@@ -64,67 +65,70 @@
             Report::Rests { service, engine, rest } => {
                 self.planner(&service, |planner| planner.rests(entry, &engine, rest, now));
             }
-            // What is new in the store, under quarantine or at plain replicas is no matter of planning.
+            // Reports about the store, quarantine and plain replicas do not affect planning.
             Report::Sync(_) | Report::Update { .. } | Report::Quarantine(_) | Report::Leaving(_) => return,
             Report::Limits(_) | Report::Turn { .. } | Report::Announce(_) | Report::Read { .. } => return,
         }
         self.wake();
     }
 
-    /// Passes on what is new here: what this entry found itself goes to the one that plans for it, if another does; all else
-    /// but that one's own word goes to those that this entry plans for.
+    /// Distributes an update. An update of this entry goes to its leader if there is one, and otherwise to the
+    /// followers. An update of a follower goes to all followers. An update of the leader goes no further.
     pub fn pass_on<T>(&self, news: T, source: Source, report: fn(T) -> Report, order: fn(T) -> Order) {
         match source {
-            // Whoever is followed next hears all of it then.
+            // If the leader is lost meanwhile, the next leader receives the complete state.
             Source::Own if self.has_leader() => drop(self.report(report(news))),
             Source::Own | Source::Follower => self.tell_all(&order(news)),
             Source::Leader => {}
         }
     }
 
-    /// Tells all entries that this one plans for.
+    /// Sends an order to all followers.
     pub fn tell_all(&self, order: &Order) {
         for orders in self.followers.borrow().values() {
-            // An entry that is too far behind loses its connection, and hears all of it when it joins again.
+            // A follower that reads too slowly loses its connection, and receives the complete state when it joins
+            // again.
             let _ = orders.try_send(order.clone());
         }
     }
 
-    /// Tells one entry that this one plans for.
+    /// Sends an order to one follower.
     pub fn tell(&self, entry: u64, order: Order) {
         if let Some(orders) = self.followers.borrow().get(&entry) {
-            // As above.
+            // A follower that reads too slowly loses its connection, and receives the complete state when it joins
+            // again.
             let _ = orders.try_send(order);
         }
     }
 
-    /// Has some of those that this entry plans for read the store, which did not answer this one. If all of them did so once what
-    /// they know is too old, that would be as many calls at the same moment as there are entries.
+    /// Asks some followers to read the store, which did not answer this entry. If all followers read it once their
+    /// state is stale, the store would receive as many simultaneous calls as there are entries.
     pub fn ask_deputies(&self, question: Question) {
         let followers = self.followers.borrow();
         let chosen = followers.values().sample(&mut rand::rng(), DEPUTIES);
         for orders in chosen {
-            // As above.
+            // A follower that reads too slowly loses its connection, and receives the complete state when it joins
+            // again.
             let _ = orders.try_send(Order::Read(question));
         }
     }
 
-    /// Whether this entry plans for another.
+    /// Returns whether an entry follows this one.
     pub fn leads(&self, entry: u64) -> bool {
         self.followers.borrow().contains_key(&entry)
     }
 
-    /// Entries that this one plans for, itself among them.
+    /// Returns the number of entries that this one plans for, including itself.
     pub fn entries(&self) -> usize {
         self.followers.borrow().len() + 1
     }
 
-    /// Whether this entry plans for itself only.
+    /// Returns whether this entry has neither a leader nor followers.
     pub fn is_alone(&self) -> bool {
         !self.has_leader() && self.followers.borrow().is_empty()
     }
 
-    /// Tells the entry that has a prompt that it gets no engines.
+    /// Sends a refusal to the entry that owns the prompt.
     pub(super) fn turn_away(&self, refusal: Refusal) {
         let Refusal { id, retry_after } = refusal;
         if id.entry == OWN {
@@ -133,11 +137,11 @@
         }
         let followers = self.followers.borrow();
         let Some(orders) = followers.get(&id.entry) else { return };
-        // An entry that is too far behind loses its connection, and looks for another that plans.
+        // A follower that reads too slowly loses its connection, and looks for another leader.
         let _ = orders.try_send(Order::Refuse { number: id.number, retry_after });
     }
 
-    /// Takes a grant to the entry that has the prompt.
+    /// Sends a grant to the entry that owns the prompt.
     pub(super) fn deliver(self: &Rc<Self>, grant: Grant) {
         let Grant { id, team, silent_after } = grant;
         let placement = Placement { team, silent_after };
@@ -147,7 +151,7 @@
         }
         let followers = self.followers.borrow();
         let Some(orders) = followers.get(&id.entry) else { return };
-        // An entry that is too far behind loses its connection, and with it what was granted.
+        // A follower that reads too slowly loses its connection, and with it its granted prompts.
         let _ = orders.try_send(Order::Grant { number: id.number, placement });
     }
 }
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -1,6 +1,6 @@
-//! Replicas that are cold: for a while they take fewer requests than they will, from all entries together.
+//! Cold replicas, which accept fewer requests from all entries together for a while after their start.
 //!
-//! Such a replica counts as one that names a limit, until the moment at which it is cold no more.
+//! A cold replica is rate-limited until the time at which it is no longer cold.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use super::super::now;
 use super::super::state::Gateway;
 
-/// Notes which replicas are cold now; returns those that were and are not any more.
+/// Updates the set of cold replicas. Returns the replicas that are no longer cold.
 pub(super) fn refresh(gateway: &Gateway) -> Vec<Name> {
     let mut cold = BTreeMap::new();
     let roster = gateway.roster.borrow();
@@ -29,7 +29,7 @@
     before.into_keys().filter(|replica| !cold.contains_key(replica)).collect()
 }
 
-/// Lifts the limits of replicas that are cold no more, for as long as the process lives.
+/// Removes the rate limits of replicas that are no longer cold, until the process ends.
 pub async fn thaw(gateway: Rc<Gateway>) {
     loop {
         match next_warm(&gateway) {
@@ -40,7 +40,7 @@
     }
 }
 
-/// When the next replica will be cold no more.
+/// Returns the time at which the next replica is no longer cold, or `None` if no replica is cold.
 fn next_warm(gateway: &Gateway) -> Option<Moment> {
     let roster = gateway.roster.borrow();
     let table = gateway.table();
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -1,9 +1,10 @@
-//! Limits that replicas name: what this entry knows of them, passing that on, and keeping to them.
+//! Rate limits that replicas set: the register of this entry, its synchronization with other entries, and its
+//! enforcement.
 //!
-//! Every entry has a register of what replicas say, and hears from the others by way of the one that plans for all. A limit
-//! holds for all entries together, so one entry keeps count: for engines the one that plans, with each grant
-//! ([`coord::planner`]); for replicas of plain services the same one, which gives out turns ([`turn`]). Calls to
-//! replicas that name no limit ask nobody.
+//! Every entry keeps a register of the limits in replicas' responses, and receives the limits that other entries see
+//! through the leader. A limit applies to all entries together, so the leader does the accounting: for engines with
+//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`turn`]). Requests to replicas
+//! without a limit need no permit.
 
 mod cold;
 mod turn;
@@ -28,79 +29,80 @@
 use super::state::Gateway;
 use crate::{event, metric, warn_event};
 
-/// News in one message: some 30 bytes each, so a message stays below 32 KB.
+/// Maximum number of updates in a message. An update has about 30 bytes, so that a message stays below 32 KB.
 const NEWS_A_MESSAGE: usize = 512;
 
-/// What this entry knows of limits.
+/// Rate limits as this entry knows them.
 #[derive(Default)]
 pub struct Limits {
     register: RefCell<Register>,
-    /// Replicas that are cold, with the requests a second that they take until they are not.
+    /// Cold replicas, with their rate limit while they are cold, in requests per second.
     cold: RefCell<BTreeMap<Name, f64>>,
-    /// Told when replicas may have turned cold.
+    /// Notified when the set of cold replicas may have changed.
     chilled: Notify,
-    /// What may still be sent to plain replicas, while this entry gives out the turns.
+    /// Remaining allowances of plain replicas, from which this entry grants permits while it is the leader or has no
+    /// leader.
     allowances: RefCell<HashMap<Name, Allowance>>,
-    /// Replicas that have no turn for this entry until then.
+    /// Replicas that have no permit for this entry before the given time.
     held: RefCell<HashMap<Name, Moment>>,
-    /// Replicas whose word could not be read.
+    /// Replicas whose limit could not be parsed.
     unreadable: RefCell<HashSet<Name>>,
-    /// Turns that this entry has asked for.
+    /// Permit requests of this entry that the leader has not answered.
     wishes: Wishes,
-    /// The entries that were together of late.
+    /// Recent numbers of entries that share one leader.
     group: Cell<Group>,
-    /// Entries that the store knows, as of the last reading.
+    /// Number of entries in the store at the last read.
     known: Cell<usize>,
 }
 
 impl Limits {
-    /// Whether a replica takes a limited number of requests now.
+    /// Returns whether a rate limit applies to a replica now.
     pub fn is_limited(&self, replica: &str) -> bool {
         self.rate(replica).is_some()
     }
 
-    /// The requests a second that a replica takes from all entries together: what it names, and what it takes while it is
-    /// cold, whichever is less.
+    /// Returns the rate limit of a replica over all entries, in requests per second: the lower of the limit that the
+    /// replica sets and the limit while it is cold.
     fn rate(&self, replica: &str) -> Option<f64> {
         let named = self.register.borrow().rate(replica);
         let cold = self.cold.borrow().get(replica).copied();
         named.into_iter().chain(cold).reduce(f64::min)
     }
 
-    /// Notes that so many entries are together.
+    /// Records the number of entries that share one leader.
     pub fn note_group(&self, entries: usize) {
         let mut group = self.group.get();
         group.note(entries, now());
         self.group.set(group);
     }
 
-    /// Notes how many entries the store knows.
+    /// Records the number of entries in the store.
     pub fn note_known(&self, entries: usize) {
         self.known.set(entries);
     }
 
-    /// Forgets what a replica said that has started again.
+    /// Removes the limit that a replica set before it restarted.
     pub fn restarted(&self, replica: &Name) {
         if self.register.borrow_mut().restarted(replica, now()) {
             event!("limit", peer = %replica, rate = ?None::<f64>, reason = "restarted");
         }
     }
 
-    /// Forgets a replica that is gone. One that is not known yet is another matter: an entry that starts hears of limits
-    /// before it has read which replicas there are.
+    /// Removes a replica that is gone. Limits of replicas that are not known yet are kept, since a starting entry
+    /// receives limits before it has read the replicas' records.
     pub fn forget(&self, replica: &Name) {
         self.unreadable.borrow_mut().remove(replica);
         self.held.borrow_mut().remove(replica);
         self.register.borrow_mut().forget(replica);
     }
 
-    /// All that another entry should know, in messages.
+    /// Returns the complete register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<News>> {
         self.register.borrow().all(now()).chunks(NEWS_A_MESSAGE).map(<[News]>::to_vec).collect()
     }
 
-    /// A turn at the first of `replicas` that has one within `most_wait`, or the time until there is one. One that names no
-    /// limit as far as this entry knows takes any request.
+    /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `most_wait`.
+    /// Otherwise returns the time until it is due. A replica without a limit always has a permit.
     pub fn turn(&self, replicas: &[Name], most_wait: Duration) -> Result<Turn, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
@@ -116,13 +118,13 @@
         Ok(Turn { replica: replica.clone(), after })
     }
 
-    /// The answer to one of our wishes has come.
+    /// Handles the leader's answer to a permit request.
     pub fn answered(&self, number: u64, turn: Result<Turn, Duration>) {
         self.wishes.answer(number, turn);
     }
 }
 
-/// Takes in what an answer of a replica says, to a request that was sent at `asked`.
+/// Applies the rate limit in a replica's response to a request that was sent at `asked`.
 pub fn said(gateway: &Gateway, record: &Record, answer: &dialect::Answer, asked: Moment) {
     if !answer.speaks_for_itself() {
         return;
@@ -134,7 +136,7 @@
             let word = Word { rate, asked, heard: now() };
             hear(gateway, vec![News::of(replica, &word, now())], Source::Own);
         }
-        // It says something, who knows what: what it said before stands. Logged once, not for each answer.
+        // The previous limit stays in force. The error is logged once, not for each response.
         Err(error) if gateway.limits.unreadable.borrow_mut().insert(replica.clone()) => {
             warn_event!("limit", peer = %replica, error = %error.0);
         }
@@ -142,7 +144,7 @@
     }
 }
 
-/// Takes words of replicas in, and passes on what is new.
+/// Applies updates of rate limits, and distributes the ones that change a limit.
 pub fn hear(gateway: &Gateway, news: Vec<News>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
@@ -168,7 +170,7 @@
     gateway.desk.pass_on(changed, source, Report::Limits, Order::Limits);
 }
 
-/// Puts in force all that is known: which replicas take how much, and which share of it may be used here.
+/// Applies all known rate limits, and the share of them that this entry may use.
 pub fn apply(gateway: &Gateway) {
     let limits = &gateway.limits;
     let share = share(gateway);
@@ -181,7 +183,7 @@
     }
 }
 
-/// Puts the limit of one replica in force.
+/// Applies the rate limit of one replica.
 fn set(gateway: &Gateway, replica: &Name, rate: Option<f64>, share: f64) {
     gateway.desk.set_limit(replica, rate, share);
     let mut allowances = gateway.limits.allowances.borrow_mut();
@@ -194,19 +196,20 @@
     allowances.entry(replica.clone()).or_insert_with(fresh).set(rate, share, now);
 }
 
-/// The share of each limit that may be used here: that of the entries for which this one decides.
+/// Returns the share of each limit that this entry may use: the share of the entries that it plans for.
 fn share(gateway: &Gateway) -> f64 {
     let limits = &gateway.limits;
     let entries = gateway.desk.entries();
     if !gateway.desk.has_leader() {
         limits.note_group(entries);
     }
-    // One that decides for others knows of the rest from them; one that is alone from the store only.
+    // A leader knows the size of its group from its followers. An entry without followers knows the number of entries
+    // only from the store.
     let known = if entries == 1 { limits.known.get() } else { 0 };
     limits.group.get().share(entries, known, now())
 }
 
-/// Notes that this entry decides in place of another, whose grants of late it does not know.
+/// Takes over from a leader whose recent grants this entry does not know.
 pub fn alone(gateway: &Gateway) {
     let limits = &gateway.limits;
     limits.wishes.clear();
--- a/sorrelpass/src/gateway/limits/turn.rs
+++ b/sorrelpass/src/gateway/limits/turn.rs
@@ -1,8 +1,9 @@
-//! Turns at plain replicas that name a limit: asked of the entry that plans for all, which counts them.
+//! Permits for plain replicas that set a rate limit. The leader grants and counts them for all entries.
 //!
-//! A limit of one request a second shared out over five entries is one in five seconds for each, whatever comes to them;
-//! over 770 it is nothing at all. One entry that counts for all gives it to whoever asks, for 2 ms of waiting, and
-//! nothing has to be shared out, taken back or kept for entries that are gone.
+//! If a limit of one request per second were divided among five entries, each could send one request in five seconds,
+//! regardless of its load. Among 770 entries no request would be possible. A leader that counts for all entries can
+//! give the whole limit to any of them, at the cost of 2 ms of waiting, and no shares have to be assigned, revoked or
+//! reserved for entries that are gone.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,13 +16,14 @@
 use super::super::now;
 use super::super::state::Gateway;
 
-/// Time for the answer of the entry that plans: some ways across a region. One that is silent for longer is frozen or cut
-/// off; the call goes to another replica, or waits for what this entry may use of the limit by itself.
+/// Timeout for the leader's answer, which takes a few one-way latencies within a region. A leader that is silent for longer
+/// is suspended or partitioned. The request then goes to another replica, or waits for the share of the limit that this
+/// entry may use by itself.
 const ANSWERED: Duration = Duration::from_millis(100);
 
 type Answer = Result<Turn, Duration>;
 
-/// Turns that were asked for and not answered yet.
+/// Permit requests that have not been answered.
 #[derive(Default)]
 pub struct Wishes {
     next: Cell<u64>,
@@ -29,7 +31,7 @@
 }
 
 impl Wishes {
-    /// One more wish: its number, and where its answer comes.
+    /// Adds a permit request. Returns its number and the receiver of its answer.
     fn add(&self) -> (u64, oneshot::Receiver<Answer>) {
         let number = self.next.get();
         self.next.set(number + 1);
@@ -38,21 +40,22 @@
         (number, answered)
     }
 
-    /// Answers a wish, if it still waits.
+    /// Completes a permit request, if it still waits for an answer.
     pub fn answer(&self, number: u64, turn: Answer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
-            // Its caller may have gone meanwhile.
+            // The caller may have disconnected.
             let _ = waiting.send(turn);
         }
     }
 
-    /// Gives up all that wait: whoever was asked answers no more.
+    /// Drops all permit requests, because the leader that they were sent to no longer answers.
     pub fn clear(&self) {
         self.waiting.borrow_mut().clear();
     }
 }
 
-/// A turn at one of `replicas`, the best first, within `most_wait`, or the time until there is one.
+/// Takes a permit of one of `replicas`, which are in order of preference, that is due within `most_wait`. Otherwise
+/// returns the time until the first permit is due.
 pub async fn take(gateway: &Gateway, replicas: Vec<Name>, most_wait: Duration) -> Answer {
     let limits = &gateway.limits;
     let now = now();
@@ -67,7 +70,7 @@
     answer
 }
 
-/// Asks whoever counts.
+/// Requests a permit from the leader, or grants it locally if this entry has no leader.
 async fn ask(gateway: &Gateway, replicas: &[Name], most_wait: Duration) -> Answer {
     let limits = &gateway.limits;
     if gateway.desk.has_leader() {
@@ -87,7 +90,7 @@
     limits.turn(replicas, most_wait)
 }
 
-/// Time until the first of replicas that were asked before has a turn.
+/// Returns the time until the first of the replicas has a permit, according to earlier answers.
 fn soonest(gateway: &Gateway, replicas: &[Name]) -> Duration {
     let held = gateway.limits.held.borrow();
     let until = replicas.iter().filter_map(|name| held.get(name)).min();
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence: whether a replica ended under a request, or only a connection.
+//! Evidence collection: whether a replica crashed during a request, or only lost the connection.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,39 +17,39 @@
 use super::{Source, hear};
 use crate::{event, metric};
 
-/// Time for which a request whose connection ended waits to learn whether its replica did, before it is sent again: some
-/// ways across a region. Behind a cut that is not learned in time, and nothing is known against the request.
+/// Time that a request waits for the probe of its replica before it is sent again: a few one-way latencies within a region.
+/// Behind a network partition the probe does not complete in time, and yields no evidence.
 const LOOK: Duration = Duration::from_millis(25);
-/// Pauses before a replica that still listens is looked at again. A process that ends closes its connections and its
+/// Delays before a replica that still listens is probed again. A process that ends closes its connections and its
 /// listener one after the other, on a busy VM some milliseconds apart.
 const AGAIN: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(40)];
-/// Replicas whose ends are remembered before those that are no longer in the store are forgotten.
+/// Number of replicas with known crashes above which replicas without a record in the store are forgotten.
 const MANY_ENDS: usize = 1_024;
 
-/// A request whose connection to a replica ended.
+/// A request whose connection to a replica was lost.
 #[derive(Clone, Debug)]
 pub struct Lost {
-    /// Its caller's id.
+    /// Request id that the caller sent.
     pub request: Name,
-    /// What it asks for.
+    /// Fingerprint of the request.
     pub work: Work,
-    /// The replica.
+    /// Replica that the request was sent to.
     pub record: Record,
-    /// When it was sent there.
+    /// Time at which the request was sent.
     pub sent: Moment,
-    /// What the replica's end would say against it.
+    /// Weight of the evidence against the request if the replica crashed.
     pub weight: Weight,
 }
 
 impl Lost {
-    /// Looks whether the replica ended, and notes it if so. What takes longer than a look, and further looks, go on beside
-    /// the request.
+    /// Probes whether the replica crashed, and records the evidence if it did. The function returns after the first
+    /// probe or a timeout, and further probes continue in the background.
     pub async fn look(self, gateway: &Rc<Gateway>) {
         let gateway = gateway.clone();
         let (looked, first) = oneshot::channel();
         tokio::task::spawn_local(async move {
             let mut liveness = self.probe(&gateway).await;
-            // Nobody waits any more if that took long.
+            // If the probe took too long, the receiver has timed out.
             let _ = looked.send(());
             for pause in AGAIN {
                 if liveness != Liveness::Listening {
@@ -59,11 +59,11 @@
                 liveness = self.probe(&gateway).await;
             }
         });
-        // Late or not: what it finds is noted.
+        // The background task also records a crash that it finds after the timeout.
         let _ = tokio::time::timeout(LOOK, first).await;
     }
 
-    /// Looks once.
+    /// Probes the replica once.
     async fn probe(&self, gateway: &Gateway) -> Liveness {
         let liveness = attempt::liveness(&self.record).await;
         event!("probe", request = %self.request, work = %self.work, peer = %self.record.id, liveness = liveness.as_str());
@@ -73,7 +73,7 @@
         liveness
     }
 
-    /// Notes that the replica ended under the request. A planned end is no evidence.
+    /// Records a crash of the replica during the request. A planned shutdown is no evidence.
     fn note(&self, gateway: &Gateway) {
         let known = gateway.roster.borrow().get(&self.record.id).map(|replica| replica.record.leaving);
         if known.unwrap_or(self.record.leaving) {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Keeps the ends that are remembered bounded.
+/// Bounds the number of remembered crashes.
 pub(super) fn forget_unknown(gateway: &Gateway) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
     if ends.replicas() > MANY_ENDS {
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! What this entry knows of work under which replicas end, and passing that on.
+//! Quarantine of requests that crash replicas: the register of this entry, and its synchronization with other entries.
 //!
-//! Evidence is gathered where a connection to a replica ends ([`evidence`]). Every entry has a register of its own, and
-//! hears from the others by way of the one that plans for all. What must outlast a loss of all entries stands in the
-//! store ([`record`], [`store`]).
+//! Evidence is collected when a connection to a replica is lost ([`evidence`]). Every entry keeps a register, and
+//! receives the evidence of other entries through the leader. Evidence and verdicts that must survive the loss of all
+//! entries are written to the store ([`record`], [`store`]).
 
 mod evidence;
 pub mod record;
@@ -24,37 +24,37 @@
 use super::topic::Topic;
 use crate::{event, metric, util, warn_event};
 
-/// News in one message: some 75 bytes each, so a message stays below 32 KB.
+/// Maximum number of updates in a message. An update has about 75 bytes, so that a message stays below 32 KB.
 const NEWS_A_MESSAGE: usize = 400;
 
-/// Who told this entry.
+/// Origin of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Nobody: it saw it itself, or read it in the store.
+    /// This entry observed it or read it in the store.
     Own,
-    /// The entry that plans for this one.
+    /// The leader sent it.
     Leader,
-    /// An entry that this one plans for.
+    /// A follower sent it.
     Follower,
 }
 
-/// The quarantine as this entry knows it.
+/// Quarantine as this entry knows it.
 pub struct Quarantine {
     register: RefCell<Register>,
-    /// How far its topic of the store is known.
+    /// Read position in the quarantine topic of the store.
     topic: Topic,
-    /// What stands in the store, as far as is known.
+    /// Contents of the store, as far as this entry has read or written them.
     stored: RefCell<HashMap<Work, Entry>>,
-    /// Ends of replicas that this entry has seen or heard of.
+    /// Crashes of replicas that this entry has observed or received.
     ends: RefCell<Ends>,
-    /// Told when something may have to be written.
+    /// Notified when a record may have to be written to the store.
     unwritten: Notify,
-    /// Changes with each verdict.
+    /// Counter that increases with each verdict.
     verdicts: watch::Sender<u64>,
 }
 
 impl Quarantine {
-    /// Nothing known.
+    /// Creates an empty quarantine.
     pub fn new() -> Self {
         Self {
             register: RefCell::default(),
@@ -66,12 +66,13 @@
         }
     }
 
-    /// Whether work is sent no more.
+    /// Returns whether requests with the fingerprint are no longer sent.
     pub fn is_condemned(&self, work: Work) -> bool {
         self.register.borrow().standing(work) == Standing::Condemned
     }
 
-    /// Has prompts placed by what is known now. All suspects are told: a verdict also clears others, without news of them.
+    /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
+    /// update of its own, so the list is always complete.
     fn report(&self, gateway: &Gateway) {
         let register = self.register.borrow();
         let suspects: Vec<Work> = register.suspects().map(|(work, _)| work).collect();
@@ -79,36 +80,36 @@
         gateway.desk.set_suspects(suspects);
     }
 
-    /// Whether anything is known against work.
+    /// Returns whether there is any evidence or verdict against a fingerprint.
     fn knows(&self, work: Work) -> bool {
         let register = self.register.borrow();
         register.standing(work) != Standing::Clear || register.evidence(work).next().is_some()
     }
 
-    /// Waits until work is condemned.
+    /// Waits until a fingerprint is condemned.
     pub async fn condemned(&self, work: Work) {
-        // Fails only if the sender is gone, which lives as long as this.
+        // Waiting fails only when the sender is dropped, which has the lifetime of `self`.
         let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(work)).await;
     }
 
-    /// Has what must last be looked at: who writes it may have changed.
+    /// Wakes the task that writes to the store. It is called when the entry that has to write may have changed.
     pub fn wake(&self) {
         self.unwritten.notify_one();
     }
 
-    /// All that another entry should know, in messages.
+    /// Returns the complete register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<Told>> {
         self.register.borrow().all().chunks(NEWS_A_MESSAGE).map(|news| self.tell(news)).collect()
     }
 
-    /// News as they are passed on now.
+    /// Returns the wire form of updates, with ages relative to the current time.
     fn tell(&self, news: &[News]) -> Vec<Told> {
         let ends = self.ends.borrow();
         news.iter().map(|news| Told::of(news.clone(), &ends)).collect()
     }
 }
 
-/// Takes in what another entry tells.
+/// Applies updates of another entry.
 pub fn receive(gateway: &Gateway, told: Vec<Told>, source: Source) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
     let news = told.into_iter().map(|told| told.news(&mut ends)).collect();
@@ -117,7 +118,7 @@
     hear(gateway, news, source);
 }
 
-/// Takes news in, and passes on what others should hear.
+/// Applies updates, and distributes the ones that change the register.
 fn hear(gateway: &Gateway, news: Vec<News>, source: Source) {
     let quarantine = &gateway.quarantine;
     if source == Source::Own && gateway.desk.has_leader() {
@@ -138,14 +139,14 @@
     quarantine.wake();
 }
 
-/// Notes that work came to a whole answer of success.
+/// Records that a request with the fingerprint completed successfully.
 pub fn cleared(gateway: &Gateway, work: Work) {
     if gateway.quarantine.knows(work) {
         hear(gateway, vec![News::Cleared(work)], Source::Own);
     }
 }
 
-/// Logs one change.
+/// Logs a change of the register, and announces a verdict to the tasks that wait for one.
 fn note(gateway: &Gateway, news: &News) {
     let work = news.work();
     let quarantine = &gateway.quarantine;
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! The form in which the quarantine stands in the store: one record for each piece of work, under its fingerprint.
+//! Stored form of the quarantine: one record for each request fingerprint.
 
 use coord::end::{Ends, Span};
 use coord::name::Name;
@@ -8,47 +8,48 @@
 use platform::store::Keyed;
 use serde::{Deserialize, Serialize};
 
-/// Longest record that is read, in bytes: the names of some dozens of replicas.
+/// Maximum length of a record that is decoded, in bytes. It is enough for the names of some dozens of replicas.
 const MOST_BYTES: usize = 16 * 1_024;
 
-/// What is known against one piece of work.
+/// Evidence and verdict for one request fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Whether it is sent no more.
+    /// Whether requests with the fingerprint are no longer sent.
     pub condemned: bool,
-    /// Replicas that ended under it.
+    /// Crashes of replicas during requests with the fingerprint.
     pub ends: Vec<End>,
 }
 
-/// One end of a replica.
+/// A crash of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// The run of the replica.
+    /// Name of the replica's run that crashed.
     pub run: Name,
-    /// What that says against the work.
+    /// Weight of the evidence.
     pub weight: Weight,
 }
 
 impl Entry {
-    /// What a register has against work.
+    /// Returns the evidence and verdict of a register for a fingerprint.
     pub fn of(register: &Register, work: Work) -> Self {
         let ends =
             register.evidence(work).chain(register.ends(work)).map(|(run, weight)| End { run: run.clone(), weight });
         Self { condemned: register.standing(work) == Standing::Condemned, ends: ends.collect() }
     }
 
-    /// The same with the names that its runs have here, as it was read at `now`. When they ended it does not tell.
+    /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
+    /// does not tell when the runs ended.
     pub fn renamed(self, ends: &mut Ends, now: Moment) -> Self {
         let renamed = |end: End| End { run: ends.heard(&end.run, Span::before(now)), ..end };
         Self { ends: self.ends.into_iter().map(renamed).collect(), ..self }
     }
 
-    /// Its form in the store.
+    /// Encodes the record for the store.
     pub fn encode(&self) -> Result<Vec<u8>> {
         serde_json::to_vec(self).wrap_err("step=encode-quarantine")
     }
 
-    /// What it tells a register.
+    /// Returns the record as updates for a register.
     pub fn news(&self, work: Work) -> Vec<News> {
         if self.condemned {
             return vec![News::Condemned(work)];
@@ -58,7 +59,8 @@
     }
 }
 
-/// Decodes one record of the topic: the work, and what is known against it; none if that was taken back.
+/// Decodes a record of the quarantine topic into the fingerprint and its entry. The entry is `None` if the record was
+/// removed.
 pub fn decode(record: &Keyed) -> Result<(Work, Option<Entry>)> {
     let work = record.key.parse().wrap_err("step=decode-quarantine")?;
     let Some(value) = &record.value else { return Ok((work, None)) };
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -1,8 +1,10 @@
-//! What outlasts a loss of all entries: reading the quarantine from the store, and writing there what is new.
+//! Persistence of the quarantine, so that it survives the loss of all entries: reads the quarantine topic of the store,
+//! and writes changes to it.
 //!
-//! Whoever reads the replicas' records for itself reads this too; whoever follows another entry hears of it there. Only an
-//! entry that follows nobody writes: verdicts at once, evidence when it comes close to one, or when no other entry hears
-//! of it. On days without such work nothing is written, and a reader makes one call in two seconds.
+//! An entry that reads the replicas' records reads the quarantine topic as well, and a follower receives its contents
+//! from the leader. Only an entry without a leader writes: verdicts at once, and evidence when it is close to a verdict
+//! or when no other entry receives it. Without new evidence nothing is written, and each reader makes one call in two
+//! seconds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,21 +22,21 @@
 use super::{Source, hear};
 use crate::{event, metric, warn_event};
 
-/// For how long the store holds a read if nothing changes. An entry that hears nothing from others knows of a verdict
-/// within this time also after a connection went silent: with the time for an answer, less than the 3 s in which sends
-/// must end.
+/// Time for which the store holds a read if nothing changes. An entry that is isolated from other entries must learn of
+/// a verdict within 3 s, the time within which it must stop sending. This holds even after its connection to the store
+/// goes silent: the hold time and the response timeout together are below 3 s.
 const HELD: Duration = Duration::from_millis(1_800);
-/// Time for an answer of the store.
+/// Timeout for a response of the store.
 const PATIENCE: Duration = Duration::from_millis(1_000);
 
-/// One record to be written.
+/// A record to write.
 struct Change {
     work: Work,
-    /// None takes back what stands there.
+    /// New value of the record, or `None` to remove it.
     entry: Option<Entry>,
 }
 
-/// Keeps this entry and the store in step, for as long as the process lives.
+/// Synchronizes this entry with the store, until the process ends.
 pub async fn run(gateway: Rc<Gateway>) {
     let mut reader = Reader::new(&gateway, QUARANTINE);
     let mut writer = Client::new(gateway.settings.store);
@@ -48,20 +50,20 @@
             }
             () = gateway.quarantine.unwritten.notified() => true,
         };
-        // A write that fails has its line in the log.
+        // `write` has logged its error.
         if !read || write(&gateway, &mut writer).await.is_err() {
             reader.back_off(&gateway, &gateway.facts.replicas).await;
         }
     }
 }
 
-/// Reads what is new.
+/// Reads and applies new records.
 async fn read(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
     let topic = &gateway.quarantine.topic;
     let page = match topic.next() {
         None => {
             let whole = reader.read_all().await?;
-            // What it leaves out, the store has lost: it is written again.
+            // Records that the complete read does not contain were lost by the store, and are written again.
             gateway.quarantine.stored.borrow_mut().clear();
             Some(whole)
         }
@@ -73,7 +75,7 @@
     Ok(())
 }
 
-/// Takes one record in; one that cannot be decoded says nothing.
+/// Applies one record. A record that cannot be decoded is logged and skipped.
 fn take_in(gateway: &Gateway, record: &Keyed) {
     let (work, entry) = match record::decode(record) {
         Ok(decoded) => decoded,
@@ -85,14 +87,14 @@
     let mut stored = gateway.quarantine.stored.borrow_mut();
     let news = match entry {
         Some(entry) => {
-            // Under the names that its runs have here: else entries that hear of each other by the store only would each
-            // find something new in what the other wrote, for ever.
+            // The runs get the names that they have in this process. Otherwise two entries that exchange crashes only
+            // through the store would each see the other's record as new and write it again forever.
             let entry = entry.renamed(&mut gateway.quarantine.ends.borrow_mut(), now());
             let news = entry.news(work);
             stored.insert(work, entry);
             news
         }
-        // Nothing was stored that this entry could take back: what it knows may be newer.
+        // This entry has not seen a stored record that the removal could refer to, so its own evidence may be newer.
         None if stored.remove(&work).is_none() => return,
         None => vec![News::Lifted(work)],
     };
@@ -100,7 +102,7 @@
     hear(gateway, news, Source::Own);
 }
 
-/// Writes what is new here, if that is on this entry.
+/// Writes all new records, if this entry is the one that writes.
 async fn write(gateway: &Gateway, client: &mut Client) -> Result<()> {
     while let Some(change) = next_change(gateway) {
         let value = change.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
@@ -120,7 +122,7 @@
     Ok(())
 }
 
-/// The next record to be written by this entry. Before it has read what stands there, it writes nothing.
+/// Returns the next record to write. An entry that follows a leader, or has not read the topic yet, writes nothing.
 fn next_change(gateway: &Gateway) -> Option<Change> {
     let quarantine = &gateway.quarantine;
     if gateway.desk.has_leader() || quarantine.topic.next().is_none() {
@@ -138,7 +140,7 @@
     stored.keys().find(is_clear).map(|work| Change { work: *work, entry: None })
 }
 
-/// Whether a register has more against work than stands in the store.
+/// Returns whether a register has more evidence against a fingerprint than the store.
 fn adds(register: &Register, work: Work, known: &Entry) -> bool {
     let own = Entry::of(register, work);
     !known.condemned && (own.condemned || own.ends.iter().any(|end| !known.ends.contains(end)))
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -1,4 +1,4 @@
-//! News of work under which replicas end as entries pass them on.
+//! Wire form of quarantine updates between entries.
 
 use coord::end::{Age, Ends, Span};
 use coord::quarantine::News;
@@ -6,16 +6,16 @@
 
 use super::super::now;
 
-/// News, with the age of the end that they are of.
+/// A quarantine update, with the age of the crash that it reports. Ages are sent since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     news: News,
-    /// None where the news are of no end, or when it came about is not known.
+    /// Age of the crash, or `None` if the update reports no crash or the time of the crash is unknown.
     ended: Option<Age>,
 }
 
 impl Told {
-    /// The form in which news are sent now.
+    /// Returns the wire form of an update that is sent now.
     pub(super) fn of(news: News, ends: &Ends) -> Self {
         let span = match &news {
             News::Ended { run, .. } => ends.span(run),
@@ -24,7 +24,7 @@
         Self { news, ended: span.map(|span| Age::of(&span, now())) }
     }
 
-    /// The news that were received now, with the name that the run has here.
+    /// Returns the update as received now, with the name that the run has in this process.
     pub(super) fn news(self, ends: &mut Ends) -> News {
         let now = now();
         let span = self.ended.map_or(Span::before(now), |age| age.span(now));
