--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -18,85 +18,88 @@
 use super::super::now;
 use super::super::state::{Gateway, Phase};
 use super::super::work;
-use super::{BUSY_RETRY, Job};
+use super::{BUSY_RETRY_DELAY, Job};
 use crate::failure::Failure;
 use crate::unread::Watched;
 use crate::{event, metric};
 
 /// Timeout of a request whose caller sends no deadline. The timeout of the route is a further bound.
-const DEFAULT_ALLOWED: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum body size if the configuration sets none, in bytes.
-const DEFAULT_BODY_BYTES: usize = 4 << 20;
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 /// Retry delay for callers of an entry whose copy of the configuration has not been confirmed recently.
-const UNPROVEN_RETRY: Duration = Duration::from_millis(500);
+const UNPROVEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Retry delay for callers of an entry that is about to stop; they retry at another entry.
-const STOPPING_RETRY: Duration = Duration::from_millis(20);
+const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A request whose head has been received and whose body has not been read.
-struct Arrival {
+struct ReceivedRequest {
     call: dialect::Call,
     request: Request<Watched<Incoming>>,
     /// Time at which the head was received.
-    at: Moment,
+    received_at: Moment,
     /// Guard that counts the request on the caller's connection until the request is complete.
-    busy: Box<dyn Any>,
+    caller_guard: Box<dyn Any>,
 }
 
-/// Handles a request and returns the response. `busy` is dropped when the request is complete.
-pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, busy: Box<dyn Any>) -> Answer {
+/// Handles a request and returns the response. `caller_guard` is dropped when the request is complete.
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, caller_guard: Box<dyn Any>) -> Answer {
     let started = now();
     let request = request.map(Watched::new);
-    let unread = request.body().unread();
+    let is_unread = request.body().unread();
     let (id, outcome) = match dialect::decode(request.headers()) {
         Err(malformed) => (Name::default(), Err(Failure::bad_request("malformed", malformed.0))),
-        Ok(call) => (call.id.clone(), serve(&gateway, Arrival { call, request, at: started, busy }).await),
+        Ok(call) => (
+            call.id.clone(),
+            serve(&gateway, ReceivedRequest { call, request, received_at: started, caller_guard }).await,
+        ),
     };
     let mut answer = match outcome {
         Ok(answer) => answer,
-        Err(failure) => give_up(failure, &id, started),
+        Err(failure) => fail(failure, &id, started),
     };
-    if gateway.phase() != Phase::Serving || unread.get() {
+    if gateway.phase() != Phase::Serving || is_unread.get() {
         answer::close_after(&mut answer);
     }
     answer
 }
 
 /// Logs and counts a failure, and converts it into the response to the caller.
-fn give_up(failure: Failure, id: &str, started: Moment) -> Answer {
+fn fail(failure: Failure, id: &str, started: Moment) -> Answer {
     event!("give-up", request = %id, code = failure.code, status = failure.status.as_u16(),
         ran = failure.ran.as_str(), reason = %failure.message, after_ms = now().since(started).as_millis());
     metric::request(failure.code);
     answer::failure(failure, id)
 }
 
-async fn serve(gateway: &Rc<Gateway>, arrival: Arrival) -> Result<Answer, Failure> {
+async fn serve(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Answer, Failure> {
     if gateway.phase() == Phase::Closing {
         // The request could not complete before the process stops.
-        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY));
+        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY_DELAY));
     }
-    let mut job = job(gateway, arrival).await?;
-    let opened = job.open_in_time().await?;
-    job.pass_on(opened).await
+    let mut job = admit(gateway, received).await?;
+    let response = job.open_before_deadline().await?;
+    job.forward_response(response).await
 }
 
 /// Reads the body of a request and admits it.
-async fn job(gateway: &Rc<Gateway>, arrival: Arrival) -> Result<Job, Failure> {
-    let Arrival { call, request, at: started, busy } = arrival;
+async fn admit(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Job, Failure> {
+    let ReceivedRequest { call, request, received_at: started, caller_guard } = received;
     let in_flight = gateway.begin_request();
     let (head, body) = request.into_parts();
-    let allowed = call.allowed.unwrap_or(DEFAULT_ALLOWED);
-    let body = read_body(gateway, body, allowed).await?;
+    let timeout = call.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let body = read_body(gateway, body, timeout).await?;
     gateway.learn().await;
-    let (route, workspace) = admit(gateway, &call, head.uri.path())?;
+    let (route, workspace) = find_route(gateway, &call, head.uri.path())?;
     if workspace.is_some() && !gateway.has_recent_proof() {
         metric::old_proof();
     }
     let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
-    let deadline = started + allowed.min(route.timeout);
+    let deadline = started + timeout.min(route.timeout);
     let outgoing = Outgoing { method: head.method, uri: head.uri, headers: head.headers, body };
     let work = work::fingerprint(&call.host, &outgoing, workspace.as_ref().map(|workspace| &workspace.name));
     event!("request", request = %call.id, work = %work, route = %route.name, service = %service, prompt_tokens = call.prompt_tokens.unwrap_or(0),
-        version = gateway.table().version(), proof_age_ms = gateway.proof_age_ms().unwrap_or(0), allowed_ms = allowed.as_millis());
+        version = gateway.table().version(), proof_age_ms = gateway.proof_age_ms().unwrap_or(0), allowed_ms = timeout.as_millis());
     Ok(Job {
         gateway: gateway.clone(),
         call,
@@ -106,24 +109,24 @@
         outgoing,
         work,
         started,
-        allowed,
+        timeout,
         deadline,
-        tried: Vec::new(),
-        sends: 0,
-        runs: 0,
-        unreached: 0,
+        tried_replicas: Vec::new(),
+        attempts: 0,
+        possible_executions: 0,
+        failed_connections: 0,
         _in_flight: in_flight,
-        _busy: busy,
+        _caller_guard: caller_guard,
     })
 }
 
 /// Reads the whole body, so that the request can be sent again and a truncated body never reaches a replica.
-async fn read_body(gateway: &Gateway, body: Watched<Incoming>, allowed: Duration) -> Result<Bytes, Failure> {
-    let most = gateway.table().limits().map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
-    match tokio::time::timeout(allowed, Limited::new(body, most).collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+async fn read_body(gateway: &Gateway, body: Watched<Incoming>, timeout: Duration) -> Result<Bytes, Failure> {
+    let max_bytes = gateway.table().limits().map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
+    match tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err(Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", format!("a body may have {most} bytes")))
+            Err(Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", format!("a body may have {max_bytes} bytes")))
         }
         Ok(Err(error)) => Err(Failure::bad_request("broken_body", error.to_string())),
         Err(_) => Err(Failure::new(StatusCode::REQUEST_TIMEOUT, "slow_body", "the body did not come in time")),
@@ -132,13 +135,13 @@
 
 /// Finds the route and the workspace of a request. While the configuration has not been confirmed recently, API keys
 /// are not trusted, and a missing route or key is not reported as missing.
-fn admit(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
+fn find_route(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
-        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNPROVEN_RETRY));
+        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNPROVEN_RETRY_DELAY));
     }
     let Ok(route) = table.route(&call.host, path) else {
-        return Err(denied(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
+        return Err(rejection(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
     };
     if !table.needs_key(route) {
         return Ok((route.clone(), None));
@@ -146,23 +149,23 @@
     if !gateway.proof_holds() {
         return Err(unproven());
     }
-    match table.workspace(call.key.as_deref()) {
+    match table.workspace(call.api_key.as_deref()) {
         Ok(workspace) => Ok((route.clone(), Some(workspace.clone()))),
-        Err(_) => Err(denied(gateway, StatusCode::UNAUTHORIZED, "unknown_key", "the key stands for nobody")),
+        Err(_) => Err(rejection(gateway, StatusCode::UNAUTHORIZED, "unknown_key", "the key stands for nobody")),
     }
 }
 
 /// Returns the failure for a missing route or key, or [`unproven`] if the routing table may lack changes that are
 /// already in force.
-fn denied(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
+fn rejection(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
     if gateway.may_deny() { Failure::new(status, code, message) } else { unproven() }
 }
 
 /// Returns the failure of a request that the routing table is too old to decide.
 fn unproven() -> Failure {
-    Failure::busy("unproven", "the configuration may have changed", UNPROVEN_RETRY)
+    Failure::busy("unproven", "the configuration may have changed", UNPROVEN_RETRY_DELAY)
 }
 
 fn no_service() -> Failure {
-    Failure::busy("no_replica", "the route has no service", BUSY_RETRY)
+    Failure::busy("no_replica", "the route has no service", BUSY_RETRY_DELAY)
 }
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -23,24 +23,24 @@
 use platform::dialect;
 
 pub use self::intake::handle;
-use self::send::Sent;
+use self::send::Outcome;
 pub use self::target::Place;
 use self::target::Target;
 use super::answer::{self, Answer};
 use super::attempt::{Connection, Outgoing};
 use super::place::NO_ANSWER;
-use super::quarantine::{self, Lost};
+use super::quarantine::{self, LostConnection};
 use super::state::{Gateway, InFlight};
 use super::{now, relay};
 use crate::failure::Failure;
 use crate::{event, metric};
 
 /// Maximum size of a response that is buffered as a whole, in bytes: one sixteenth of the memory of the smallest VM.
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Number of failed connections to replicas after which a request fails.
-const MOST_UNREACHED: u32 = 4;
+const MAX_FAILED_CONNECTIONS: u32 = 4;
 /// Retry delay for callers whose request no replica accepts.
-const BUSY_RETRY: Duration = Duration::from_millis(250);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// A request that is being handled.
 pub struct Job {
@@ -61,21 +61,21 @@
     /// Time at which the head of the request was received.
     pub started: Moment,
     /// Timeout that the caller allows.
-    pub allowed: Duration,
+    pub timeout: Duration,
     /// Time by which the final response is due.
     pub deadline: Moment,
     /// Replicas to which the request was sent or is being sent.
-    tried: Vec<Name>,
+    tried_replicas: Vec<Name>,
     /// Number of attempts so far.
-    sends: u32,
+    attempts: u32,
     /// Number of attempts that may have executed the request.
-    runs: u32,
+    possible_executions: u32,
     /// Number of connections that could not be established.
-    unreached: u32,
+    failed_connections: u32,
     /// Guard that counts the request in the process until the request is complete.
     _in_flight: InFlight,
     /// Guard that counts the request on the caller's connection until the request is complete.
-    _busy: Box<dyn Any>,
+    _caller_guard: Box<dyn Any>,
 }
 
 /// A response whose head has been received and whose body has not.
@@ -100,16 +100,16 @@
 
     /// Returns whether a broken stream may resume at another replica.
     pub fn may_resume(&self) -> bool {
-        self.route.resumable && self.has_attempts()
+        self.route.resumable && self.has_attempts_left()
     }
 
     /// Returns whether the request may be sent again although a replica may have executed it.
-    fn may_repeat(&self) -> bool {
-        self.route.repeatable() && self.has_attempts()
+    fn can_repeat(&self) -> bool {
+        self.route.repeatable() && self.has_attempts_left()
     }
 
-    fn has_attempts(&self) -> bool {
-        self.runs < self.route.max_attempts
+    fn has_attempts_left(&self) -> bool {
+        self.possible_executions < self.route.max_attempts
     }
 
     /// Sends the request until a replica opens a response that can be forwarded. With `after_event`, the stream resumes
@@ -118,27 +118,27 @@
         let mut retry_after = None;
         let mut next = None;
         // Whether the retry budget has been charged for an attempt that was not made.
-        let mut is_paid = false;
+        let mut is_retry_charged = false;
         loop {
             if self.is_condemned() {
-                return Err(self.condemned());
+                return Err(self.condemned_failure());
             }
             let target = match next.take() {
                 Some(target) => target,
-                None => self.next_target(retry_after, is_paid).await?,
+                None => self.next_target(retry_after, is_retry_charged).await?,
             };
-            is_paid = false;
+            is_retry_charged = false;
             match self.send(target, after_event).await {
-                Sent::Opened(opened) => return Ok(*opened),
-                Sent::Condemned => return Err(self.condemned()),
-                Sent::Late => return Err(self.timed_out()),
-                Sent::Barred => is_paid = true,
-                Sent::Silent(target) => next = Some(*target),
-                Sent::NotRun(after) => retry_after = retry_after.max(after),
-                Sent::Lost if self.may_repeat() => {}
-                Sent::Lost => return Err(self.exhausted(retry_after)),
-                Sent::Unsent if self.unreached < MOST_UNREACHED => {}
-                Sent::Unsent => return Err(self.exhausted(retry_after)),
+                Outcome::Opened(opened) => return Ok(*opened),
+                Outcome::Condemned => return Err(self.condemned_failure()),
+                Outcome::DeadlinePassed => return Err(self.deadline_failure()),
+                Outcome::ReplicaClosed => is_retry_charged = true,
+                Outcome::Unresponsive(target) => next = Some(*target),
+                Outcome::NotExecuted(delay) => retry_after = retry_after.max(delay),
+                Outcome::Lost if self.can_repeat() => {}
+                Outcome::Lost => return Err(self.exhausted_failure(retry_after)),
+                Outcome::NotSent if self.failed_connections < MAX_FAILED_CONNECTIONS => {}
+                Outcome::NotSent => return Err(self.exhausted_failure(retry_after)),
             }
         }
     }
@@ -151,60 +151,60 @@
     /// Returns the failure of a condemned request. The status does not promise that the request was not executed, since
     /// it may have been sent before. It does not ask the caller to retry either, since a later retry would fail as
     /// well.
-    fn condemned(&self) -> Failure {
+    fn condemned_failure(&self) -> Failure {
         metric::refused_condemned();
-        let ran = if self.runs == 0 { Ran::No } else { Ran::Unknown };
+        let ran = if self.possible_executions == 0 { Ran::No } else { Ran::Unknown };
         Failure::new(StatusCode::BAD_GATEWAY, "condemned", "replicas end under this request").ran(ran)
     }
 
     /// Reports that the connection to a replica was lost, and briefly waits for the probe of whether the replica
     /// crashed.
-    pub async fn connection_lost(&self, record: &Record, sent: Moment, weight: Weight) {
+    pub async fn connection_lost(&self, record: &Record, sent_at: Moment, weight: Weight) {
         let (request, work) = (self.call.id.clone(), self.work);
-        Lost { request, work, record: record.clone(), sent, weight }.look(&self.gateway).await;
+        LostConnection { request, work, record: record.clone(), sent_at, weight }.probe(&self.gateway).await;
     }
 
-    /// Returns the target of the next attempt, or the failure if no attempt is possible. `is_paid` tells that the retry
+    /// Returns the target of the next attempt, or the failure if no attempt is possible. `is_retry_charged` tells that the retry
     /// budget has been charged already.
-    async fn next_target(&self, retry_after: Option<Duration>, is_paid: bool) -> Result<Target, Failure> {
-        let target = match self.target().await {
+    async fn next_target(&self, retry_after: Option<Duration>, is_retry_charged: bool) -> Result<Target, Failure> {
+        let target = match self.choose_target().await {
             Ok(target) => target,
             // The delay from placement is more accurate than the delay that a single replica asked for.
-            Err(unplaced) => return Err(self.exhausted(unplaced.retry_after().or(retry_after))),
+            Err(error) => return Err(self.exhausted_failure(error.retry_after().or(retry_after))),
         };
-        if self.sends > 0 && !is_paid && !self.take_retry() {
+        if self.attempts > 0 && !is_retry_charged && !self.charge_retry() {
             // A replica is available, but the retry budget is used up: the caller gets the default delay.
-            return Err(self.exhausted(None));
+            return Err(self.exhausted_failure(None));
         }
         Ok(target)
     }
 
     /// Charges one retry to the budget of the service. Returns whether the budget allows it.
-    fn take_retry(&self) -> bool {
-        let allowed = self.gateway.take_retry(&self.service);
-        if !allowed {
+    fn charge_retry(&self) -> bool {
+        let is_allowed = self.gateway.take_retry(&self.service);
+        if !is_allowed {
             event!("retry-refused", request = %self.call.id, service = %self.service, reason = "budget");
         }
-        allowed
+        is_allowed
     }
 
     /// Calls [`Job::open`] from the start of the stream, with the deadline of the request as its timeout.
-    async fn open_in_time(&mut self) -> Result<Opened, Failure> {
+    async fn open_before_deadline(&mut self) -> Result<Opened, Failure> {
         match tokio::time::timeout(self.left(), self.open(None)).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(self.timed_out()),
+            Err(_) => Err(self.deadline_failure()),
         }
     }
 
     /// Forwards a response to the caller: a stream event by event, any other response once it is complete.
-    async fn pass_on(mut self, mut opened: Opened) -> Result<Answer, Failure> {
+    async fn forward_response(mut self, mut opened: Opened) -> Result<Answer, Failure> {
         loop {
             if self.route.streaming && opened.response.status().is_success() {
                 return Ok(relay::start(self, opened));
             }
             let (record, sent) = (opened.record.clone(), opened.sent);
-            match tokio::time::timeout(self.left(), whole(opened)).await {
-                Err(_) => return Err(self.timed_out()),
+            match tokio::time::timeout(self.left(), read_response(opened)).await {
+                Err(_) => return Err(self.deadline_failure()),
                 Ok(Ok(answer)) => {
                     let (status, after_ms) = (answer.status().as_u16(), now().since(self.started).as_millis());
                     event!("done", request = %self.call.id, peer = %record.id, status, after_ms);
@@ -219,43 +219,43 @@
                     self.connection_lost(&record, sent, Weight::Strong).await;
                 }
             }
-            if !self.may_repeat() {
-                return Err(self.exhausted(None));
+            if !self.can_repeat() {
+                return Err(self.exhausted_failure(None));
             }
-            opened = self.open_in_time().await?;
+            opened = self.open_before_deadline().await?;
         }
     }
 
     /// Returns the failure of a request for which no further attempt is allowed.
-    fn exhausted(&self, retry_after: Option<Duration>) -> Failure {
+    fn exhausted_failure(&self, retry_after: Option<Duration>) -> Failure {
         if self.is_condemned() {
-            return self.condemned();
+            return self.condemned_failure();
         }
-        if self.runs == 0 {
-            let wait = retry_after.unwrap_or(BUSY_RETRY);
-            return Failure::busy("overloaded", "no replica takes this now", wait);
+        if self.possible_executions == 0 {
+            let delay = retry_after.unwrap_or(BUSY_RETRY_DELAY);
+            return Failure::busy("overloaded", "no replica takes this now", delay);
         }
         Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").ran(Ran::Unknown)
     }
 
     /// Returns the failure of a request whose deadline has passed.
-    fn timed_out(&self) -> Failure {
-        if self.sends == 0 {
-            return Failure::busy("waited_out", "no replica became free in time", BUSY_RETRY);
+    fn deadline_failure(&self) -> Failure {
+        if self.attempts == 0 {
+            return Failure::busy("waited_out", "no replica became free in time", BUSY_RETRY_DELAY);
         }
-        if let (Some(silent), false) = (self.tried.last(), self.has_engines()) {
+        if let (Some(replica), false) = (self.tried_replicas.last(), self.has_engines()) {
             // An engine may be busy with other prompts for a long time. A plain replica that does not respond before
             // the deadline has failed.
-            self.blame(silent, NO_ANSWER);
+            self.record_failure(replica, NO_ANSWER);
         }
         Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(Ran::Unknown)
     }
 }
 
 /// Reads the response body and closes the connection.
-async fn whole(opened: Opened) -> eyre::Result<Answer> {
+async fn read_response(opened: Opened) -> eyre::Result<Answer> {
     let (head, body) = opened.response.into_parts();
-    let body = Limited::new(body, MOST_ANSWER_BYTES).collect().await;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     opened.connection.close();
     let body = body.map_err(|error| eyre::eyre!("step=read-answer peer={}: {error}", opened.record.id))?.to_bytes();
     let mut answer = Response::new(answer::full(body));
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -17,84 +17,84 @@
 use crate::{event, metric, util};
 
 /// Outcome of an attempt.
-pub(super) enum Sent {
+pub(super) enum Outcome {
     /// The replica opened a response that can be forwarded.
     Opened(Box<Opened>),
     /// The replica proved that it did not execute the request. Contains the retry delay that the replica asked for.
-    NotRun(Option<Duration>),
+    NotExecuted(Option<Duration>),
     /// The replica may have executed the request, and no usable response arrived.
     Lost,
     /// The connection failed, so the replica never received the request.
-    Unsent,
+    NotSent,
     /// The request was not sent because its deadline has passed.
-    Late,
+    DeadlinePassed,
     /// The request was not sent because the replica no longer accepts new requests.
-    Barred,
+    ReplicaClosed,
     /// The request was not sent, or was aborted, because it is condemned.
     Condemned,
     /// The engines were unresponsive for longer than expected. Contains the next target, whose retry has been charged
     /// to the budget.
-    Silent(Box<Target>),
+    Unresponsive(Box<Target>),
 }
 
 impl Job {
     /// Makes one attempt at one replica.
-    pub(super) async fn send(&mut self, target: Target, after_event: Option<u64>) -> Sent {
+    pub(super) async fn send(&mut self, target: Target, after_event: Option<u64>) -> Outcome {
         // Every attempt passes this check, after all waits.
         if self.is_condemned() {
-            return Sent::Condemned;
+            return Outcome::Condemned;
         }
         // Timers do not run while a VM is suspended, so the deadline is checked again here.
         if self.left().is_zero() {
-            return Sent::Late;
+            return Outcome::DeadlinePassed;
         }
         if self.gateway.open_replica(&target.record.id).is_none() {
             event!("not-sent", request = %self.call.id, peer = %target.record.id);
-            return Sent::Barred;
+            return Outcome::ReplicaClosed;
         }
         let Target { record, helpers, place } = target;
         metric::sent(&record.failure_domain, util::wall());
-        let begun = now();
-        self.tried.push(record.id.clone());
-        let head = self.head(&record, helpers, after_event);
-        event!("send", request = %self.call.id, peer = %record.id, helpers = head.helpers.len(), number = self.sends + 1, left_ms = head.left.as_millis(),
+        let sent_at = now();
+        self.tried_replicas.push(record.id.clone());
+        let head = self.upstream_head(&record, helpers, after_event);
+        event!("send", request = %self.call.id, peer = %record.id, helpers = head.helpers.len(), number = self.attempts + 1, left_ms = head.time_left.as_millis(),
             after_event = after_event.map_or(-1, |event| event as i64));
-        let may_run = self.runs == 0 || self.route.repeatable();
-        invariant!(may_run, "a request that may run once is not sent again after it may have run");
-        let first = self.sends == 0;
+        let can_run = self.possible_executions == 0 || self.route.repeatable();
+        invariant!(can_run, "a request that may run once is not sent again after it may have run");
+        let is_first = self.attempts == 0;
         // Counted before the send, since the replica may have executed the request if the deadline passes during the
         // send.
-        self.sends += 1;
-        self.runs += 1;
-        let sent = tokio::select! {
+        self.attempts += 1;
+        self.possible_executions += 1;
+        let result = tokio::select! {
             // A response that has arrived counts, even if the attempt is given up at the same time.
             biased;
-            sent = attempt::send(&record, &self.outgoing, &head) => sent,
-            next = self.elsewhere(&place) => return Sent::Silent(Box::new(next)),
+            result = attempt::send(&record, &self.outgoing, &head) => result,
+            next = self.fallback_target(&place) => return Outcome::Unresponsive(Box::new(next)),
             // If the attempt is aborted before the replica starts the request, the replica does not crash.
-            () = self.gateway.quarantine.condemned(self.work) => return Sent::Condemned,
+            () = self.gateway.quarantine.wait_until_condemned(self.work) => return Outcome::Condemned,
         };
-        if first && !matches!(sent, Err(Failed::Unsent(_))) {
+        if is_first && !matches!(result, Err(Failed::Unsent(_))) {
             self.gateway.note_first(&self.service);
         }
-        match sent {
-            Ok((response, connection)) => self.judge(Opened { record, response, connection, place, sent: begun }),
+        match result {
+            Ok((response, connection)) => self.classify(Opened { record, response, connection, place, sent: sent_at }),
             Err(Failed::Lost(error)) => {
-                self.blame(&record.id, NO_ANSWER);
+                self.record_failure(&record.id, NO_ANSWER);
                 event!("lost", request = %self.call.id, work = %self.work, peer = %record.id, error = %error);
                 // An engine opens its response when it starts the prompt, so before that the prompt may only have been
                 // queued. A plain replica may run a request for a long time before it responds.
                 let weight = if self.has_engines() { Weight::Faint } else { Weight::Strong };
-                self.connection_lost(&record, begun, weight).await;
-                Sent::Lost
+                self.connection_lost(&record, sent_at, weight).await;
+                Outcome::Lost
             }
             Err(Failed::Unsent(error)) => {
-                self.sends -= 1;
-                self.runs -= 1;
-                self.unreached += 1;
-                self.blame(&record.id, NO_ANSWER);
-                event!("unreached", request = %self.call.id, peer = %record.id, error = %error);
-                Sent::Unsent
+                self.attempts -= 1;
+                self.possible_executions -= 1;
+                self.failed_connections += 1;
+                self.record_failure(&record.id, NO_ANSWER);
+                event!("connect-failed", request = %self.call.id, peer = %record.id, error = %error);
+                Outcome::NotSent
             }
         }
     }
@@ -103,28 +103,28 @@
     /// attempt, and other engines are free. Otherwise, and if the request may not be sent again, the future never
     /// completes. Meanwhile a response of the current engines is still accepted, so that a false alarm costs nothing
     /// while other engines are busy.
-    async fn elsewhere(&self, place: &Place) -> Target {
-        let silent_after = match place.silent_after() {
-            Some(silent_after) if self.may_repeat() => silent_after,
+    async fn fallback_target(&self, place: &Place) -> Target {
+        let timeout = match place.unresponsive_after() {
+            Some(timeout) if self.can_repeat() => timeout,
             _ => return std::future::pending().await,
         };
-        tokio::time::sleep(silent_after).await;
-        if !self.take_retry() {
+        tokio::time::sleep(timeout).await;
+        if !self.charge_retry() {
             return std::future::pending().await;
         }
-        event!("silent", request = %self.call.id, peer = self.tried.last().map_or("", |id| id), after_ms = silent_after.as_millis());
-        place.silent();
-        match self.target().await {
+        event!("engines-unresponsive", request = %self.call.id, peer = self.tried_replicas.last().map_or("", |id| id), after_ms = timeout.as_millis());
+        place.report_unresponsive();
+        match self.choose_target().await {
             Ok(target) => target,
             Err(_) => std::future::pending().await,
         }
     }
 
     /// Returns the values that this attempt adds to the caller's headers.
-    fn head(&self, record: &Record, helpers: Vec<dialect::Helper>, after_event: Option<u64>) -> dialect::Send {
+    fn upstream_head(&self, record: &Record, helpers: Vec<dialect::Helper>, after_event: Option<u64>) -> dialect::Send {
         dialect::Send {
             replica: record.id.clone(),
-            left: self.left(),
+            time_left: self.left(),
             workspace: self.workspace.as_ref().map(|workspace| workspace.name.clone()),
             helpers,
             after_event,
@@ -133,63 +133,63 @@
     }
 
     /// Classifies a response head, and applies what it reports about the replica.
-    fn judge(&mut self, opened: Opened) -> Sent {
+    fn classify(&mut self, opened: Opened) -> Outcome {
         let answer = dialect::answer(opened.response.status(), opened.response.headers(), &self.call.id);
         let record = &opened.record;
-        limits::said(&self.gateway, record, &answer, opened.sent);
+        limits::handle_response(&self.gateway, record, &answer, opened.sent);
         leaving::said(&self.gateway, record, &answer);
         rests::said(&self.gateway, record, &answer);
         if let Some(load) = answer.load {
             self.gateway.placer.borrow_mut().told(&record.id, load);
         }
-        if answer.not_run {
-            return self.refused(record, &answer);
+        if answer.is_not_executed {
+            return self.handle_refusal(record, &answer);
         }
-        let (usable, error) = (is_usable(&answer), answer.status.is_server_error());
-        match (usable, error) {
-            (false, _) => self.blame(&record.id, NO_ANSWER),
-            (true, true) => self.blame(&record.id, ERROR_ANSWER),
+        let (is_usable, is_error) = (is_usable(&answer), answer.status.is_server_error());
+        match (is_usable, is_error) {
+            (false, _) => self.record_failure(&record.id, NO_ANSWER),
+            (true, true) => self.record_failure(&record.id, ERROR_ANSWER),
             (true, false) => self.gateway.placer.borrow_mut().succeeded(&record.id),
         }
-        if !usable || (error && self.may_repeat()) {
-            event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), ours = answer.ours, sealed = answer.sealed);
-            return Sent::Lost;
+        if !is_usable || (is_error && self.can_repeat()) {
+            event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
+            return Outcome::Lost;
         }
-        Sent::Opened(Box::new(opened))
+        Outcome::Opened(Box::new(opened))
     }
 
-    /// Records that a replica failed the request. For a plain replica, `share` is the part of the failure that is
+    /// Records that a replica failed the request. For a plain replica, `fault_share` is the part of the failure that is
     /// attributed to it.
-    pub(super) fn blame(&self, replica: &Name, share: f64) {
+    pub(super) fn record_failure(&self, replica: &Name, fault_share: f64) {
         if self.has_engines() {
             self.gateway.desk.failed(&self.service, replica);
         } else {
-            self.gateway.placer.borrow_mut().failed(replica, share);
+            self.gateway.placer.borrow_mut().failed(replica, fault_share);
         }
     }
 
     /// Handles a replica's proof that it did not execute the request, and records the failure of the responsible
     /// replica.
-    fn refused(&mut self, record: &Record, answer: &dialect::Answer) -> Sent {
-        let rest = answer.rest().unwrap_or_default();
-        event!("not-run", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), at_fault = answer.at_fault.as_deref().unwrap_or(""),
-            rest_ms = rest.as_millis());
-        self.runs -= 1;
-        let at_fault = self.at_fault(record, answer);
-        self.blame(&at_fault, REFUSAL);
-        if answer.displaced && at_fault == record.id {
+    fn handle_refusal(&mut self, record: &Record, answer: &dialect::Answer) -> Outcome {
+        let backoff = answer.rest().unwrap_or_default();
+        event!("not-executed", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), responsible = answer.responsible_address.as_deref().unwrap_or(""),
+            backoff_ms = backoff.as_millis());
+        self.possible_executions -= 1;
+        let responsible = self.responsible_replica(record, answer);
+        self.record_failure(&responsible, REFUSAL);
+        if answer.is_misdirected && responsible == record.id {
             self.gateway.displaced(&record.id);
         }
-        Sent::NotRun(answer.retry_after)
+        Outcome::NotExecuted(answer.retry_after)
     }
 
     /// Returns the replica that is responsible for a refusal: the replica that the response names, or else the one that
     /// responded.
-    fn at_fault(&self, record: &Record, answer: &dialect::Answer) -> Name {
+    fn responsible_replica(&self, record: &Record, answer: &dialect::Answer) -> Name {
         let roster = self.gateway.roster.borrow();
-        let named = answer.at_fault.as_ref().and_then(|address| {
-            let of_address = |record: &&Record| record.address == *address || record.id == *address;
-            roster.living(&self.service).map(|replica| &replica.record).find(of_address)
+        let named = answer.responsible_address.as_ref().and_then(|address| {
+            let has_address = |record: &&Record| record.address == *address || record.id == *address;
+            roster.living(&self.service).map(|replica| &replica.record).find(has_address)
         });
         named.unwrap_or(record).id.clone()
     }
@@ -198,13 +198,13 @@
 /// Returns whether a response can be forwarded: it belongs to this request, it has a seal if it reports success, and
 /// its status does not promise without proof that the request was not executed.
 fn is_usable(answer: &dialect::Answer) -> bool {
-    let vouched = answer.sealed || !answer.status.is_success();
-    answer.ours && vouched && !promises_not_run(answer.status)
+    let is_vouched = answer.is_sealed || !answer.status.is_success();
+    answer.matches_request && is_vouched && !promises_not_executed(answer.status)
 }
 
 /// Returns whether callers understand the status as a promise that the request was not executed. Such a status is
 /// forwarded only with proof.
-fn promises_not_run(status: StatusCode) -> bool {
+fn promises_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
--- a/sorrelpass/src/gateway/desk/following.rs
+++ b/sorrelpass/src/gateway/desk/follower.rs
@@ -10,10 +10,10 @@
 
 use super::super::link::{Ask, Placement, Report};
 use super::super::now;
-use super::{Desk, Unplaced, own};
+use super::{Desk, PlacementError, own_id};
 
 /// Connection to the leader.
-pub(super) struct Leader {
+pub(super) struct LeaderLink {
     address: SocketAddr,
     reports: mpsc::Sender<Report>,
 }
@@ -21,23 +21,23 @@
 impl Desk {
     /// Handles a grant by the leader for a prompt of this entry.
     pub fn granted(self: &Rc<Self>, number: u64, placement: Placement) {
-        if self.start(number, placement, true) {
+        if self.start_prompt(number, placement, true) {
             return;
         }
         // The prompt was withdrawn, or granted by this entry, while the leader's grant was in transit.
-        crate::event!("grant-unwanted", number);
+        crate::event!("grant-discarded", number);
     }
 
     /// Refuses a waiting prompt of this entry.
     pub fn refused(&self, number: u64, retry_after: Duration) {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return };
         // The caller may have disconnected.
-        let _ = waiter.answer.send(Err(Unplaced::Refused(retry_after)));
+        let _ = waiter.answer.send(Err(PlacementError::Refused(retry_after)));
     }
 
     /// Starts to follow a leader, and reports all running and waiting prompts of this entry to it.
     pub fn link_up(&self, address: SocketAddr, reports: mpsc::Sender<Report>) {
-        *self.leader.borrow_mut() = Some(Leader { address, reports });
+        *self.leader.borrow_mut() = Some(LeaderLink { address, reports });
         let now = now();
         for (number, running) in &*self.running.borrow() {
             self.report(Report::Adopt {
@@ -45,11 +45,11 @@
                 service: running.service.clone(),
                 ask: Ask::of(&running.job, now),
                 team: running.team.clone(),
-                reading: running.reading,
+                reading: running.is_prefilling,
             });
         }
         for (number, waiter) in &*self.waiting.borrow() {
-            self.planner(&waiter.service, |planner| planner.end(own(*number), now));
+            self.with_planner(&waiter.service, |planner| planner.end(own_id(*number), now));
             let ask = Ask::of(&waiter.job, now);
             self.report(Report::Submit { number: *number, service: waiter.service.clone(), ask });
         }
@@ -58,11 +58,11 @@
     /// Stops following a leader, so that this entry plans its waiting prompts itself.
     pub fn link_down(&self) {
         *self.leader.borrow_mut() = None;
-        self.unsettle();
+        self.expect_reports();
         for (number, waiter) in &*self.waiting.borrow() {
-            self.planner(&waiter.service, |planner| planner.submit(own(*number), waiter.job));
+            self.with_planner(&waiter.service, |planner| planner.submit(own_id(*number), waiter.job));
         }
-        self.wake();
+        self.request_planning();
     }
 
     /// Returns the address of the leader, or `None` if this entry plans for itself.
@@ -78,8 +78,8 @@
     /// Sends a report to the leader. Returns whether a leader accepted it.
     pub fn report(&self, report: Report) -> bool {
         let mut leader = self.leader.borrow_mut();
-        let Some(known) = &*leader else { return false };
-        if known.reports.try_send(report).is_err() {
+        let Some(link) = &*leader else { return false };
+        if link.reports.try_send(report).is_err() {
             // The leader reads too slowly. Dropping the sender closes the connection, after which this entry plans the
             // waiting prompts itself.
             *leader = None;
--- a/sorrelpass/src/gateway/desk/planning.rs
+++ b/sorrelpass/src/gateway/desk/leader.rs
@@ -9,27 +9,27 @@
 use super::super::link::{Order, Placement, Question, Report};
 use super::super::now;
 use super::super::quarantine::Source;
-use super::{Desk, OWN};
+use super::{Desk, OWN_ENTRY};
 
 /// Number of followers that read the store for a leader whose reads it does not answer. The store may refuse one of
 /// them as well.
-const DEPUTIES: usize = 2;
+const MAX_DELEGATES: usize = 2;
 
 impl Desk {
     /// Adds a follower. Returns its local number.
     pub fn join(&self, orders: mpsc::Sender<Order>) -> u64 {
-        let entry = self.next_entry.get();
-        self.next_entry.set(entry + 1);
+        let entry = self.next_follower.get();
+        self.next_follower.set(entry + 1);
         if self.followers.borrow().is_empty() {
-            self.unsettle();
+            self.expect_reports();
         }
         self.followers.borrow_mut().insert(entry, orders);
-        self.expecting.notify_one();
+        self.prefill_started.notify_one();
         entry
     }
 
     /// Tells the planners that this entry starts to plan for others, whose prompts it does not know yet.
-    pub(super) fn unsettle(&self) {
+    pub(super) fn expect_reports(&self) {
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.unsettle(now()));
     }
 
@@ -39,7 +39,7 @@
         for planner in self.planners.borrow_mut().values_mut() {
             planner.end_entry(entry, now());
         }
-        self.wake();
+        self.request_planning();
     }
 
     /// Handles a report of a follower.
@@ -48,43 +48,47 @@
         let id = |number| Id { entry, number };
         match report {
             Report::Submit { number, service, ask } => {
-                self.planner(&service, |planner| planner.submit(id(number), ask.job(now)));
+                self.with_planner(&service, |planner| planner.submit(id(number), ask.job(now)));
             }
             Report::Adopt { number, service, ask, team, reading } => {
-                self.planner(&service, |planner| planner.adopt(id(number), &ask.job(now), team, reading, now));
+                self.with_planner(&service, |planner| planner.adopt(id(number), &ask.job(now), team, reading, now));
             }
             Report::FirstEvent { number, service } => {
-                self.planner(&service, |planner| planner.first_event(id(number), now));
+                self.with_planner(&service, |planner| planner.first_event(id(number), now));
             }
-            Report::Silent { number, service } => self.planner(&service, |planner| planner.silent(id(number), now)),
-            Report::End { number, service } => self.planner(&service, |planner| planner.end(id(number), now)),
-            Report::Absent(by) => {
-                self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(Some(entry), by));
+            Report::Silent { number, service } => {
+                self.with_planner(&service, |planner| planner.silent(id(number), now))
+            }
+            Report::End { number, service } => self.with_planner(&service, |planner| planner.end(id(number), now)),
+            Report::Absent(duration) => {
+                self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(Some(entry), duration));
+            }
+            Report::Failed { service, engine } => {
+                self.with_planner(&service, |planner| planner.failed(entry, &engine, now))
             }
-            Report::Failed { service, engine } => self.planner(&service, |planner| planner.failed(entry, &engine, now)),
             Report::Rests { service, engine, rest } => {
-                self.planner(&service, |planner| planner.rests(entry, &engine, rest, now));
+                self.with_planner(&service, |planner| planner.rests(entry, &engine, rest, now));
             }
             // Reports about the store, quarantine and plain replicas do not affect planning.
             Report::Sync(_) | Report::Update { .. } | Report::Quarantine(_) | Report::Leaving(_) => return,
             Report::Limits(_) | Report::Turn { .. } | Report::Announce(_) | Report::Read { .. } => return,
         }
-        self.wake();
+        self.request_planning();
     }
 
     /// Distributes an update. An update of this entry goes to its leader if there is one, and otherwise to the
     /// followers. An update of a follower goes to all followers. An update of the leader goes no further.
-    pub fn pass_on<T>(&self, news: T, source: Source, report: fn(T) -> Report, order: fn(T) -> Order) {
+    pub fn pass_on<T>(&self, update: T, source: Source, report: fn(T) -> Report, order: fn(T) -> Order) {
         match source {
             // If the leader is lost meanwhile, the next leader receives the complete state.
-            Source::Own if self.has_leader() => drop(self.report(report(news))),
-            Source::Own | Source::Follower => self.tell_all(&order(news)),
+            Source::Own if self.has_leader() => drop(self.report(report(update))),
+            Source::Own | Source::Follower => self.broadcast(&order(update)),
             Source::Leader => {}
         }
     }
 
     /// Sends an order to all followers.
-    pub fn tell_all(&self, order: &Order) {
+    pub fn broadcast(&self, order: &Order) {
         for orders in self.followers.borrow().values() {
             // A follower that reads too slowly loses its connection, and receives the complete state when it joins
             // again.
@@ -105,7 +109,7 @@
     /// state is stale, the store would receive as many simultaneous calls as there are entries.
     pub fn ask_deputies(&self, question: Question) {
         let followers = self.followers.borrow();
-        let chosen = followers.values().sample(&mut rand::rng(), DEPUTIES);
+        let chosen = followers.values().sample(&mut rand::rng(), MAX_DELEGATES);
         for orders in chosen {
             // A follower that reads too slowly loses its connection, and receives the complete state when it joins
             // again.
@@ -129,9 +133,9 @@
     }
 
     /// Sends a refusal to the entry that owns the prompt.
-    pub(super) fn turn_away(&self, refusal: Refusal) {
+    pub(super) fn deliver_refusal(&self, refusal: Refusal) {
         let Refusal { id, retry_after } = refusal;
-        if id.entry == OWN {
+        if id.entry == OWN_ENTRY {
             self.refused(id.number, retry_after);
             return;
         }
@@ -142,11 +146,11 @@
     }
 
     /// Sends a grant to the entry that owns the prompt.
-    pub(super) fn deliver(self: &Rc<Self>, grant: Grant) {
+    pub(super) fn deliver_grant(self: &Rc<Self>, grant: Grant) {
         let Grant { id, team, silent_after } = grant;
         let placement = Placement { team, silent_after };
-        if id.entry == OWN {
-            self.start(id.number, placement, false);
+        if id.entry == OWN_ENTRY {
+            self.start_prompt(id.number, placement, false);
             return;
         }
         let followers = self.followers.borrow();
--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/desk/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! Each entry has a planner for every service with engines. While another entry is the leader, which plans for all
 //! entries, prompts are submitted to it. The local planner then only follows the grants, so that it can take over at
-//! once when the leader is lost. [`following`] has the connection to the leader, [`planning`] the connections to
+//! once when the leader is lost. [`follower`] has the connection to the leader, [`leader`] the connections to
 //! followers, and this module has the prompts of this entry.
 
-mod following;
-mod planning;
+mod follower;
+mod leader;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,37 +21,37 @@
 use coord::time::Moment;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-use self::following::Leader;
+use self::follower::LeaderLink;
 use super::link::{Ask, BEAT, Order, Placement, Report};
 use super::now;
 use crate::util;
 
 /// Interval at which waiting prompts are checked without a triggering event. Engines become free at times that the
 /// planner's model predicts, which is accurate to a few milliseconds.
-const TICK: Duration = Duration::from_millis(10);
+const PLAN_INTERVAL: Duration = Duration::from_millis(10);
 /// Time for which waiting prompts find no engines, without interruption, after which the log explains why. It is longer
 /// than one pass of a full engine.
-const HELD: Duration = Duration::from_millis(200);
+const EXPLAIN_AFTER: Duration = Duration::from_millis(200);
 /// Minimum interval between two such log lines.
-const EXPLAINED: Duration = Duration::from_millis(500);
+const EXPLAIN_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which the process checks whether it was suspended.
-const LOOK: Duration = Duration::from_millis(100);
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between two checks from which the process counts as suspended. Followers give up a silent leader one
 /// heartbeat later.
-const ABSENT: Duration = BEAT.saturating_mul(2);
+const MIN_SUSPENSION: Duration = BEAT.saturating_mul(2);
 /// Number of this process in prompt ids, where followers have the number of their connection.
-const OWN: u64 = 0;
+const OWN_ENTRY: u64 = 0;
 
 /// A prompt that waits for a grant.
-struct Waiter {
+struct WaitingPrompt {
     service: Name,
     job: Job,
-    answer: oneshot::Sender<Result<Lease, Unplaced>>,
+    answer: oneshot::Sender<Result<Lease, PlacementError>>,
 }
 
 /// Reason why a prompt got no engines.
 #[derive(Clone, Copy, Debug)]
-pub enum Unplaced {
+pub enum PlacementError {
     /// The prompt was withdrawn from the queue.
     Withdrawn,
     /// The prompt waited for the maximum time, or no replica accepts requests.
@@ -60,23 +60,23 @@
     Refused(Duration),
 }
 
-impl Unplaced {
+impl PlacementError {
     /// Returns the retry delay for the caller, if it is known.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            Unplaced::Refused(after) => Some(after),
-            Unplaced::Withdrawn | Unplaced::Exhausted => None,
+            PlacementError::Refused(after) => Some(after),
+            PlacementError::Withdrawn | PlacementError::Exhausted => None,
         }
     }
 }
 
 /// A prompt that engines are granted to.
-struct Running {
+struct GrantedPrompt {
     service: Name,
     job: Job,
     team: Team,
     /// Whether the first event of the stream has not arrived yet.
-    reading: bool,
+    is_prefilling: bool,
 }
 
 /// Admission queue of an entry, with its planners.
@@ -88,23 +88,23 @@
     /// Fingerprints of requests that are suspected of crashing engines.
     suspects: RefCell<Vec<Work>>,
     /// Waiting prompts of this entry, by number.
-    waiting: RefCell<HashMap<u64, Waiter>>,
+    waiting: RefCell<HashMap<u64, WaitingPrompt>>,
     /// Granted prompts of this entry, by number.
-    running: RefCell<HashMap<u64, Running>>,
+    running: RefCell<HashMap<u64, GrantedPrompt>>,
     /// Connection to the leader, or `None` while this entry plans for itself.
-    leader: RefCell<Option<Leader>>,
+    leader: RefCell<Option<LeaderLink>>,
     /// Followers of this entry, by their local number.
     followers: RefCell<HashMap<u64, mpsc::Sender<Order>>>,
     next_number: Cell<u64>,
-    next_entry: Cell<u64>,
+    next_follower: Cell<u64>,
     /// Time of the last log line that explains why prompts wait.
-    explained: Cell<Moment>,
+    last_explained: Cell<Moment>,
     /// Time of the last check for a suspension, or `None` while no first events are expected.
-    looked: Cell<Option<Moment>>,
+    last_check: Cell<Option<Moment>>,
     /// Notified when a first event becomes expected.
-    expecting: Notify,
+    prefill_started: Notify,
     /// Notified when an event may allow a prompt to start.
-    woken: Notify,
+    plan_requested: Notify,
 }
 
 /// Lease of the engines that a prompt was granted. Dropping it tells the planner that the prompt is complete.
@@ -121,16 +121,16 @@
 
 impl Lease {
     /// Reports that the engines are unresponsive.
-    pub fn silent(&self) {
+    pub fn report_unresponsive(&self) {
         if let Some(desk) = self.desk.upgrade() {
-            desk.silent(self.number);
+            desk.record_unresponsive(self.number);
         }
     }
 
     /// Reports that the first event has arrived, so that prefill is complete.
-    pub fn first_event(&self) {
+    pub fn report_first_event(&self) {
         if let Some(desk) = self.desk.upgrade() {
-            desk.first_event(self.number);
+            desk.record_first_event(self.number);
         }
     }
 }
@@ -138,18 +138,18 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         if let Some(desk) = self.desk.upgrade() {
-            desk.over(self.number);
+            desk.finish_prompt(self.number);
         }
     }
 }
 
 /// Withdraws a waiting prompt on drop, when its caller no longer waits.
-struct Withdraw<'a>(&'a Desk, u64);
+struct WithdrawGuard<'a>(&'a Desk, u64);
 
-impl Drop for Withdraw<'_> {
+impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         let Some(waiter) = self.0.waiting.borrow_mut().remove(&self.1) else { return };
-        self.0.end(&waiter.service, self.1);
+        self.0.end_prompt(&waiter.service, self.1);
     }
 }
 
@@ -165,11 +165,11 @@
             leader: RefCell::default(),
             followers: RefCell::default(),
             next_number: Cell::new(0),
-            next_entry: Cell::new(OWN + 1),
-            explained: Cell::default(),
-            looked: Cell::default(),
-            expecting: Notify::new(),
-            woken: Notify::new(),
+            next_follower: Cell::new(OWN_ENTRY + 1),
+            last_explained: Cell::default(),
+            last_check: Cell::default(),
+            prefill_started: Notify::new(),
+            plan_requested: Notify::new(),
         })
     }
 
@@ -189,20 +189,20 @@
 
     /// Records that an engine restarted under the same name.
     pub fn restarted(&self, service: &Name, engine: &Name) {
-        self.planner(service, |planner| planner.restarted(engine));
-        self.wake();
+        self.with_planner(service, |planner| planner.restarted(engine));
+        self.request_planning();
     }
 
     /// Sets the rate limit of an engine, in requests per second, and the fraction of it that this entry may grant.
-    pub fn set_limit(&self, engine: &Name, rate: Option<f64>, share: f64) {
+    pub fn set_rate_limit(&self, engine: &Name, rate: Option<f64>, share: f64) {
         let now = now();
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.set_limit(engine, rate, share, now));
-        self.wake();
+        self.request_planning();
     }
 
     /// Restarts the accounting of rate limits, because this entry takes over from another one whose recent grants it
     /// does not know.
-    pub fn restart_limits(&self) {
+    pub fn reset_limit_accounting(&self) {
         let now = now();
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.restart_limits(now));
     }
@@ -212,36 +212,36 @@
         let mut planners = self.planners.borrow_mut();
         planners.values_mut().for_each(|planner| planner.set_suspects(suspects.iter().copied()));
         *self.suspects.borrow_mut() = suspects;
-        self.wake();
+        self.request_planning();
     }
 
     /// Waits until engines are granted to a prompt. Dropping the future withdraws the prompt.
-    pub async fn place(self: &Rc<Self>, service: &Name, job: Job) -> Result<Lease, Unplaced> {
+    pub async fn request_engines(self: &Rc<Self>, service: &Name, job: Job) -> Result<Lease, PlacementError> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let (answer, answered) = oneshot::channel();
-        let withdraw = Withdraw(self, number);
-        self.waiting.borrow_mut().insert(number, Waiter { service: service.clone(), job, answer });
+        let withdraw_guard = WithdrawGuard(self, number);
+        self.waiting.borrow_mut().insert(number, WaitingPrompt { service: service.clone(), job, answer });
         let ask = Ask::of(&job, now());
         if !self.report(Report::Submit { number, service: service.clone(), ask }) {
-            self.planner(service, |planner| planner.submit(own(number), job));
-            self.wake();
+            self.with_planner(service, |planner| planner.submit(own_id(number), job));
+            self.request_planning();
         }
-        let answer = answered.await.map_err(|_| Unplaced::Withdrawn)?;
-        drop(withdraw);
+        let answer = answered.await.map_err(|_| PlacementError::Withdrawn)?;
+        drop(withdraw_guard);
         answer
     }
 
     /// Refuses all prompts of this entry that wait for engines of a service.
     pub fn refuse_all(&self, service: &Name, retry_after: Duration) {
-        let of_service = |waiter: &Waiter| waiter.service == *service;
+        let is_of_service = |waiter: &WaitingPrompt| waiter.service == *service;
         let waiting = self.waiting.borrow();
         let numbers: Vec<u64> =
-            waiting.iter().filter(|(_, waiter)| of_service(waiter)).map(|(number, _)| *number).collect();
+            waiting.iter().filter(|(_, waiter)| is_of_service(waiter)).map(|(number, _)| *number).collect();
         drop(waiting);
         for number in numbers {
             self.refused(number, retry_after);
-            self.end(service, number);
+            self.end_prompt(service, number);
         }
     }
 
@@ -252,13 +252,13 @@
             return Vec::new();
         }
         let mut planners = self.planners.borrow_mut();
-        let due = planners.iter_mut().map(|(service, planner)| (service, planner.to_ask(now())));
-        due.flat_map(|(service, engines)| engines.into_iter().map(|engine| (service.clone(), engine))).collect()
+        let by_service = planners.iter_mut().map(|(service, planner)| (service, planner.to_ask(now())));
+        by_service.flat_map(|(service, engines)| engines.into_iter().map(|engine| (service.clone(), engine))).collect()
     }
 
     /// Sets the slowdown factor that an engine reports.
     pub fn note_pace(&self, service: &Name, engine: &Name, pace: f64) {
-        self.planner(service, |planner| {
+        self.with_planner(service, |planner| {
             if planner.set_pace(engine, pace) {
                 crate::event!("pace", peer = &**engine, pace);
             }
@@ -272,7 +272,7 @@
             return;
         }
         let engine = Name::from(engine);
-        self.planner(service, |planner| planner.failed(OWN, &engine, now()));
+        self.with_planner(service, |planner| planner.failed(OWN_ENTRY, &engine, now()));
         self.report(Report::Failed { service: service.clone(), engine });
     }
 
@@ -282,7 +282,7 @@
         if !self.planners.borrow().contains_key(service) {
             return;
         }
-        self.planner(service, |planner| planner.rests(OWN, engine, rest, now()));
+        self.with_planner(service, |planner| planner.rests(OWN_ENTRY, engine, rest, now()));
         self.report(Report::Rests { service: service.clone(), engine: engine.clone(), rest });
     }
 
@@ -293,11 +293,11 @@
     /// half core of the leader.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.woken.notified().await;
-            while self.pump() {
+            self.plan_requested.notified().await;
+            while self.grant_waiting() {
                 tokio::select! {
-                    () = self.woken.notified() => {}
-                    () = tokio::time::sleep(TICK) => {}
+                    () = self.plan_requested.notified() => {}
+                    () = tokio::time::sleep(PLAN_INTERVAL) => {}
                 }
             }
         }
@@ -307,94 +307,94 @@
     /// the checks would use CPU time of which an entry may have little.
     pub async fn keep_looking(self: Rc<Self>) {
         loop {
-            self.expecting.notified().await;
-            self.looked.set(Some(now()));
-            while self.expects() {
-                tokio::time::sleep(LOOK).await;
-                self.look();
+            self.prefill_started.notified().await;
+            self.last_check.set(Some(now()));
+            while self.expects_first_events() {
+                tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
+                self.check_suspension();
             }
-            self.looked.set(None);
+            self.last_check.set(None);
         }
     }
 
     /// Returns whether first events are expected, either at this entry or at its followers.
-    fn expects(&self) -> bool {
-        !self.followers.borrow().is_empty() || self.running.borrow().values().any(|running| running.reading)
+    fn expects_first_events(&self) -> bool {
+        !self.followers.borrow().is_empty() || self.running.borrow().values().any(|running| running.is_prefilling)
     }
 
     /// Checks whether this process was suspended since the last check. After a suspension, all events that arrived in
     /// the meantime are read at once and appear late.
-    fn look(&self) {
-        let Some(looked) = self.looked.get() else { return };
+    fn check_suspension(&self) {
+        let Some(last_check) = self.last_check.get() else { return };
         let now = now();
-        self.looked.set(Some(now));
-        let absent = now.since(looked);
-        if absent < ABSENT {
+        self.last_check.set(Some(now));
+        let suspension = now.since(last_check);
+        if suspension < MIN_SUSPENSION {
             return;
         }
-        crate::event!("absent", for_ms = absent.as_millis());
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(None, absent));
-        self.report(Report::Absent(absent));
+        crate::event!("suspended", for_ms = suspension.as_millis());
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(None, suspension));
+        self.report(Report::Absent(suspension));
     }
 
     /// Wakes the task that grants engines.
-    fn wake(&self) {
-        self.woken.notify_one();
+    fn request_planning(&self) {
+        self.plan_requested.notify_one();
     }
 
     /// Records that the first event of a granted prompt arrived.
-    fn first_event(&self, number: u64) {
+    fn record_first_event(&self, number: u64) {
         let service = match self.running.borrow_mut().get_mut(&number) {
             Some(running) => {
-                running.reading = false;
+                running.is_prefilling = false;
                 running.service.clone()
             }
             None => return,
         };
-        self.planner(&service, |planner| planner.first_event(own(number), now()));
+        self.with_planner(&service, |planner| planner.first_event(own_id(number), now()));
         self.report(Report::FirstEvent { number, service });
-        self.wake();
+        self.request_planning();
     }
 
     /// Records that the engines of a granted prompt are unresponsive.
-    fn silent(&self, number: u64) {
+    fn record_unresponsive(&self, number: u64) {
         let Some(service) = self.running.borrow().get(&number).map(|running| running.service.clone()) else { return };
-        self.planner(&service, |planner| planner.silent(own(number), now()));
+        self.with_planner(&service, |planner| planner.silent(own_id(number), now()));
         self.report(Report::Silent { number, service });
     }
 
     /// Records that a granted prompt is complete.
-    fn over(&self, number: u64) {
+    fn finish_prompt(&self, number: u64) {
         let Some(running) = self.running.borrow_mut().remove(&number) else { return };
-        self.end(&running.service, number);
+        self.end_prompt(&running.service, number);
     }
 
     /// Records that a prompt of this entry is complete or withdrawn.
-    fn end(&self, service: &Name, number: u64) {
-        self.planner(service, |planner| planner.end(own(number), now()));
+    fn end_prompt(&self, service: &Name, number: u64) {
+        self.with_planner(service, |planner| planner.end(own_id(number), now()));
         self.report(Report::End { number, service: service.clone() });
-        self.wake();
+        self.request_planning();
     }
 
     /// Calls `act` with the planner of a service, if the service has engines.
-    fn planner(&self, service: &Name, act: impl FnOnce(&mut Planner)) {
-        self.look();
+    fn with_planner(&self, service: &Name, act: impl FnOnce(&mut Planner)) {
+        self.check_suspension();
         if let Some(planner) = self.planners.borrow_mut().get_mut(service) {
             act(planner);
         }
     }
 
-    /// Starts a waiting prompt of this entry. Returns whether the prompt was still waiting. `elsewhere` tells that the
+    /// Starts a waiting prompt of this entry. Returns whether the prompt was still waiting. `by_leader` tells that the
     /// leader granted it, so that the local planner does not know it yet.
-    fn start(self: &Rc<Self>, number: u64, placement: Placement, elsewhere: bool) -> bool {
+    fn start_prompt(self: &Rc<Self>, number: u64, placement: Placement, by_leader: bool) -> bool {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return false };
-        let Waiter { service, job, answer } = waiter;
+        let WaitingPrompt { service, job, answer } = waiter;
         let team = placement.team.clone();
-        if elsewhere {
-            self.planner(&service, |planner| planner.adopt(own(number), &job, team.clone(), true, now()));
+        if by_leader {
+            self.with_planner(&service, |planner| planner.adopt(own_id(number), &job, team.clone(), true, now()));
         }
-        self.running.borrow_mut().insert(number, Running { service, job, team, reading: true });
-        self.expecting.notify_one();
+        self.running.borrow_mut().insert(number, GrantedPrompt { service, job, team, is_prefilling: true });
+        self.prefill_started.notify_one();
         let lease = Lease { desk: Rc::downgrade(self), number, placement };
         // If the waiting task is gone, the lease is dropped here and releases the engines.
         drop(answer.send(Ok(lease)));
@@ -402,46 +402,46 @@
     }
 
     /// Grants engines to waiting prompts. Returns whether prompts still wait.
-    fn pump(self: &Rc<Self>) -> bool {
-        self.look();
+    fn grant_waiting(self: &Rc<Self>) -> bool {
+        self.check_suspension();
         let mut grants = Vec::new();
         let mut refusals = Vec::new();
-        let mut more = false;
+        let mut has_waiting = false;
         for planner in self.planners.borrow_mut().values_mut() {
             if planner.has_waiting() {
                 grants.extend(planner.pump(now()));
                 refusals.extend(planner.refuse(now()));
-                more |= planner.has_waiting();
+                has_waiting |= planner.has_waiting();
             }
         }
-        self.explain();
+        self.log_waiting_reasons();
         for grant in grants {
-            self.deliver(grant);
+            self.deliver_grant(grant);
         }
         for refusal in refusals {
-            self.turn_away(refusal);
+            self.deliver_refusal(refusal);
         }
-        more
+        has_waiting
     }
 
     /// Logs periodically why prompts wait.
-    fn explain(&self) {
+    fn log_waiting_reasons(&self) {
         let now = now();
-        if now.since(self.explained.get()) < EXPLAINED {
+        if now.since(self.last_explained.get()) < EXPLAIN_INTERVAL {
             return;
         }
         for (service, planner) in &*self.planners.borrow() {
-            let (held, waiting, tally) = planner.held(now);
-            if held >= HELD {
-                self.explained.set(now);
-                let bars: Vec<String> =
-                    planner.bars().iter().map(|(engine, bar)| format!("{engine}:{}", bar.as_str())).collect();
-                crate::event!("held", service = %service, held_ms = held.as_millis(), waiting, tally = ?tally, bars = bars.join(" "));
+            let (held_time, waiting, tally) = planner.held(now);
+            if held_time >= EXPLAIN_AFTER {
+                self.last_explained.set(now);
+                let exclusions: Vec<String> =
+                    planner.bars().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
+                crate::event!("prompts-waiting", service = %service, for_ms = held_time.as_millis(), waiting, tally = ?tally, exclusions = exclusions.join(" "));
             }
         }
     }
 }
 
-fn own(number: u64) -> Id {
-    Id { entry: OWN, number }
+fn own_id(number: u64) -> Id {
+    Id { entry: OWN_ENTRY, number }
 }
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -12,7 +12,7 @@
 use super::super::state::Gateway;
 
 /// Updates the set of cold replicas. Returns the replicas that are no longer cold.
-pub(super) fn refresh(gateway: &Gateway) -> Vec<Name> {
+pub(super) fn update_cold(gateway: &Gateway) -> Vec<Name> {
     let mut cold = BTreeMap::new();
     let roster = gateway.roster.borrow();
     for service in gateway.table().services() {
@@ -22,26 +22,26 @@
     }
     drop(roster);
     if !cold.is_empty() {
-        gateway.limits.chilled.notify_one();
+        gateway.limits.cold_changed.notify_one();
     }
-    let before = gateway.limits.cold.replace(cold);
+    let previous = gateway.limits.cold.replace(cold);
     let cold = gateway.limits.cold.borrow();
-    before.into_keys().filter(|replica| !cold.contains_key(replica)).collect()
+    previous.into_keys().filter(|replica| !cold.contains_key(replica)).collect()
 }
 
 /// Removes the rate limits of replicas that are no longer cold, until the process ends.
 pub async fn thaw(gateway: Rc<Gateway>) {
     loop {
-        match next_warm(&gateway) {
+        match next_cold_end(&gateway) {
             Some(at) => tokio::time::sleep(at.since(now())).await,
-            None => gateway.limits.chilled.notified().await,
+            None => gateway.limits.cold_changed.notified().await,
         }
         super::apply(&gateway);
     }
 }
 
 /// Returns the time at which the next replica is no longer cold, or `None` if no replica is cold.
-fn next_warm(gateway: &Gateway) -> Option<Moment> {
+fn next_cold_end(gateway: &Gateway) -> Option<Moment> {
     let roster = gateway.roster.borrow();
     let table = gateway.table();
     let services = table.services().filter_map(|service| Some((service, service.cold?)));
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -3,11 +3,11 @@
 //!
 //! Every entry keeps a register of the limits in replicas' responses, and receives the limits that other entries see
 //! through the leader. A limit applies to all entries together, so the leader does the accounting: for engines with
-//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`turn`]). Requests to replicas
+//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`permit`]). Requests to replicas
 //! without a limit need no permit.
 
 mod cold;
-mod turn;
+mod permit;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -21,8 +21,8 @@
 use tokio::sync::Notify;
 
 pub use self::cold::thaw;
-use self::turn::Wishes;
-pub use self::turn::take;
+use self::permit::PermitRequests;
+pub use self::permit::take_permit;
 use super::link::{Order, Report, Turn};
 use super::now;
 use super::quarantine::Source;
@@ -30,7 +30,7 @@
 use crate::{event, metric, warn_event};
 
 /// Maximum number of updates in a message. An update has about 30 bytes, so that a message stays below 32 KB.
-const NEWS_A_MESSAGE: usize = 512;
+const MAX_UPDATES_PER_MESSAGE: usize = 512;
 
 /// Rate limits as this entry knows them.
 #[derive(Default)]
@@ -39,31 +39,31 @@
     /// Cold replicas, with their rate limit while they are cold, in requests per second.
     cold: RefCell<BTreeMap<Name, f64>>,
     /// Notified when the set of cold replicas may have changed.
-    chilled: Notify,
+    cold_changed: Notify,
     /// Remaining allowances of plain replicas, from which this entry grants permits while it is the leader or has no
     /// leader.
     allowances: RefCell<HashMap<Name, Allowance>>,
     /// Replicas that have no permit for this entry before the given time.
-    held: RefCell<HashMap<Name, Moment>>,
+    no_permit_until: RefCell<HashMap<Name, Moment>>,
     /// Replicas whose limit could not be parsed.
-    unreadable: RefCell<HashSet<Name>>,
+    unparsable: RefCell<HashSet<Name>>,
     /// Permit requests of this entry that the leader has not answered.
-    wishes: Wishes,
+    permit_requests: PermitRequests,
     /// Recent numbers of entries that share one leader.
     group: Cell<Group>,
     /// Number of entries in the store at the last read.
-    known: Cell<usize>,
+    stored_entries: Cell<usize>,
 }
 
 impl Limits {
     /// Returns whether a rate limit applies to a replica now.
     pub fn is_limited(&self, replica: &str) -> bool {
-        self.rate(replica).is_some()
+        self.rate_limit(replica).is_some()
     }
 
     /// Returns the rate limit of a replica over all entries, in requests per second: the lower of the limit that the
     /// replica sets and the limit while it is cold.
-    fn rate(&self, replica: &str) -> Option<f64> {
+    fn rate_limit(&self, replica: &str) -> Option<f64> {
         let named = self.register.borrow().rate(replica);
         let cold = self.cold.borrow().get(replica).copied();
         named.into_iter().chain(cold).reduce(f64::min)
@@ -78,7 +78,7 @@
 
     /// Records the number of entries in the store.
     pub fn note_known(&self, entries: usize) {
-        self.known.set(entries);
+        self.stored_entries.set(entries);
     }
 
     /// Removes the limit that a replica set before it restarted.
@@ -91,53 +91,53 @@
     /// Removes a replica that is gone. Limits of replicas that are not known yet are kept, since a starting entry
     /// receives limits before it has read the replicas' records.
     pub fn forget(&self, replica: &Name) {
-        self.unreadable.borrow_mut().remove(replica);
-        self.held.borrow_mut().remove(replica);
+        self.unparsable.borrow_mut().remove(replica);
+        self.no_permit_until.borrow_mut().remove(replica);
         self.register.borrow_mut().forget(replica);
     }
 
     /// Returns the complete register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<News>> {
-        self.register.borrow().all(now()).chunks(NEWS_A_MESSAGE).map(<[News]>::to_vec).collect()
+        self.register.borrow().all(now()).chunks(MAX_UPDATES_PER_MESSAGE).map(<[News]>::to_vec).collect()
     }
 
-    /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `most_wait`.
+    /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
     /// Otherwise returns the time until it is due. A replica without a limit always has a permit.
-    pub fn turn(&self, replicas: &[Name], most_wait: Duration) -> Result<Turn, Duration> {
+    pub fn turn(&self, replicas: &[Name], max_wait: Duration) -> Result<Turn, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
         let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.wait(now));
         let soonest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
-        let Some((after, replica)) = soonest else { return Err(Duration::ZERO) };
-        if after > most_wait {
-            return Err(after);
+        let Some((delay, replica)) = soonest else { return Err(Duration::ZERO) };
+        if delay > max_wait {
+            return Err(delay);
         }
         if let Some(allowance) = allowances.get_mut(replica) {
             allowance.take(now);
         }
-        Ok(Turn { replica: replica.clone(), after })
+        Ok(Turn { replica: replica.clone(), after: delay })
     }
 
     /// Handles the leader's answer to a permit request.
     pub fn answered(&self, number: u64, turn: Result<Turn, Duration>) {
-        self.wishes.answer(number, turn);
+        self.permit_requests.complete(number, turn);
     }
 }
 
-/// Applies the rate limit in a replica's response to a request that was sent at `asked`.
-pub fn said(gateway: &Gateway, record: &Record, answer: &dialect::Answer, asked: Moment) {
+/// Applies the rate limit in a replica's response to a request that was sent at `sent_at`.
+pub fn handle_response(gateway: &Gateway, record: &Record, answer: &dialect::Answer, sent_at: Moment) {
     if !answer.speaks_for_itself() {
         return;
     }
     let replica = &record.id;
-    match answer.limit {
+    match answer.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
-            let word = Word { rate, asked, heard: now() };
-            hear(gateway, vec![News::of(replica, &word, now())], Source::Own);
+            let notice = Word { rate, asked: sent_at, heard: now() };
+            hear(gateway, vec![News::of(replica, &notice, now())], Source::Own);
         }
         // The previous limit stays in force. The error is logged once, not for each response.
-        Err(error) if gateway.limits.unreadable.borrow_mut().insert(replica.clone()) => {
+        Err(error) if gateway.limits.unparsable.borrow_mut().insert(replica.clone()) => {
             warn_event!("limit", peer = %replica, error = %error.0);
         }
         Err(_) => {}
@@ -145,27 +145,27 @@
 }
 
 /// Applies updates of rate limits, and distributes the ones that change a limit.
-pub fn hear(gateway: &Gateway, news: Vec<News>, source: Source) {
+pub fn hear(gateway: &Gateway, updates: Vec<News>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
     let mut changed = Vec::new();
-    for item in news {
+    for update in updates {
         let mut register = limits.register.borrow_mut();
-        let before = register.rate(&item.replica);
-        if register.hear(&item.replica, item.word(now)) {
-            let age_ms = item.heard_ago.as_millis();
-            event!("limit", peer = %item.replica, rate = ?item.rate, before = ?before, source = ?source, age_ms);
-            changed.push(item);
+        let previous_rate = register.rate(&update.replica);
+        if register.hear(&update.replica, update.word(now)) {
+            let age_ms = update.heard_ago.as_millis();
+            event!("limit", peer = %update.replica, rate = ?update.rate, before = ?previous_rate, source = ?source, age_ms);
+            changed.push(update);
         }
     }
     if changed.is_empty() {
         return;
     }
     metric::limited(limits.register.borrow().limited().count());
-    let share = share(gateway);
-    for news in &changed {
-        limits.held.borrow_mut().remove(&news.replica);
-        set(gateway, &news.replica, limits.rate(&news.replica), share);
+    let share = usable_share(gateway);
+    for update in &changed {
+        limits.no_permit_until.borrow_mut().remove(&update.replica);
+        apply_limit(gateway, &update.replica, limits.rate_limit(&update.replica), share);
     }
     gateway.desk.pass_on(changed, source, Report::Limits, Order::Limits);
 }
@@ -173,31 +173,31 @@
 /// Applies all known rate limits, and the share of them that this entry may use.
 pub fn apply(gateway: &Gateway) {
     let limits = &gateway.limits;
-    let share = share(gateway);
-    let warm = cold::refresh(gateway);
+    let share = usable_share(gateway);
+    let no_longer_cold = cold::update_cold(gateway);
     limits.allowances.borrow_mut().retain(|replica, _| limits.is_limited(replica));
     let named: Vec<Name> = limits.register.borrow().limited().map(|(replica, _)| replica.clone()).collect();
     let cold: Vec<Name> = limits.cold.borrow().keys().cloned().collect();
-    for replica in warm.iter().chain(&named).chain(&cold) {
-        set(gateway, replica, limits.rate(replica), share);
+    for replica in no_longer_cold.iter().chain(&named).chain(&cold) {
+        apply_limit(gateway, replica, limits.rate_limit(replica), share);
     }
 }
 
 /// Applies the rate limit of one replica.
-fn set(gateway: &Gateway, replica: &Name, rate: Option<f64>, share: f64) {
-    gateway.desk.set_limit(replica, rate, share);
+fn apply_limit(gateway: &Gateway, replica: &Name, rate: Option<f64>, share: f64) {
+    gateway.desk.set_rate_limit(replica, rate, share);
     let mut allowances = gateway.limits.allowances.borrow_mut();
     let Some(rate) = rate else {
         allowances.remove(replica);
         return;
     };
     let now = now();
-    let fresh = || Allowance::new(rate, share, rand::random_range(0.0..1.0), now);
-    allowances.entry(replica.clone()).or_insert_with(fresh).set(rate, share, now);
+    let new_allowance = || Allowance::new(rate, share, rand::random_range(0.0..1.0), now);
+    allowances.entry(replica.clone()).or_insert_with(new_allowance).set(rate, share, now);
 }
 
 /// Returns the share of each limit that this entry may use: the share of the entries that it plans for.
-fn share(gateway: &Gateway) -> f64 {
+fn usable_share(gateway: &Gateway) -> f64 {
     let limits = &gateway.limits;
     let entries = gateway.desk.entries();
     if !gateway.desk.has_leader() {
@@ -205,16 +205,16 @@
     }
     // A leader knows the size of its group from its followers. An entry without followers knows the number of entries
     // only from the store.
-    let known = if entries == 1 { limits.known.get() } else { 0 };
-    limits.group.get().share(entries, known, now())
+    let known_entries = if entries == 1 { limits.stored_entries.get() } else { 0 };
+    limits.group.get().share(entries, known_entries, now())
 }
 
 /// Takes over from a leader whose recent grants this entry does not know.
 pub fn alone(gateway: &Gateway) {
     let limits = &gateway.limits;
-    limits.wishes.clear();
-    limits.held.borrow_mut().clear();
-    gateway.desk.restart_limits();
+    limits.permit_requests.clear();
+    limits.no_permit_until.borrow_mut().clear();
+    gateway.desk.reset_limit_accounting();
     let now = now();
     let mut allowances = limits.allowances.borrow_mut();
     allowances.values_mut().for_each(|allowance| allowance.restart(rand::random_range(0.0..1.0), now));
--- a/sorrelpass/src/gateway/limits/turn.rs
+++ b/sorrelpass/src/gateway/limits/permit.rs
@@ -19,32 +19,32 @@
 /// Timeout for the leader's answer, which takes a few one-way latencies within a region. A leader that is silent for longer
 /// is suspended or partitioned. The request then goes to another replica, or waits for the share of the limit that this
 /// entry may use by itself.
-const ANSWERED: Duration = Duration::from_millis(100);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-type Answer = Result<Turn, Duration>;
+type PermitAnswer = Result<Turn, Duration>;
 
 /// Permit requests that have not been answered.
 #[derive(Default)]
-pub struct Wishes {
-    next: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+pub struct PermitRequests {
+    next_number: Cell<u64>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
 }
 
-impl Wishes {
+impl PermitRequests {
     /// Adds a permit request. Returns its number and the receiver of its answer.
-    fn add(&self) -> (u64, oneshot::Receiver<Answer>) {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    fn add(&self) -> (u64, oneshot::Receiver<PermitAnswer>) {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let (answer, answered) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, answer);
         (number, answered)
     }
 
     /// Completes a permit request, if it still waits for an answer.
-    pub fn answer(&self, number: u64, turn: Answer) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
+    pub fn complete(&self, number: u64, permit: PermitAnswer) {
+        if let Some(sender) = self.waiting.borrow_mut().remove(&number) {
             // The caller may have disconnected.
-            let _ = waiting.send(turn);
+            let _ = sender.send(permit);
         }
     }
 
@@ -54,45 +54,49 @@
     }
 }
 
-/// Takes a permit of one of `replicas`, which are in order of preference, that is due within `most_wait`. Otherwise
+/// Takes a permit of one of `replicas`, which are in order of preference, that is due within `max_wait`. Otherwise
 /// returns the time until the first permit is due.
-pub async fn take(gateway: &Gateway, replicas: Vec<Name>, most_wait: Duration) -> Answer {
+pub async fn take_permit(gateway: &Gateway, replicas: Vec<Name>, max_wait: Duration) -> PermitAnswer {
     let limits = &gateway.limits;
     let now = now();
-    let is_held = |name: &Name| limits.held.borrow().get(name).is_some_and(|until| *until > now + most_wait);
-    let asked: Vec<Name> = replicas.iter().filter(|name| !is_held(name)).cloned().collect();
-    let answer =
-        if asked.is_empty() { Err(soonest(gateway, &replicas)) } else { ask(gateway, &asked, most_wait).await };
-    if let (Err(after), false) = (&answer, asked.is_empty()) {
-        let mut held = limits.held.borrow_mut();
-        held.extend(asked.into_iter().map(|name| (name, now + *after)));
+    let has_no_permit =
+        |name: &Name| limits.no_permit_until.borrow().get(name).is_some_and(|until| *until > now + max_wait);
+    let candidates: Vec<Name> = replicas.iter().filter(|name| !has_no_permit(name)).cloned().collect();
+    let answer = if candidates.is_empty() {
+        Err(next_known_permit(gateway, &replicas))
+    } else {
+        request_permit(gateway, &candidates, max_wait).await
+    };
+    if let (Err(delay), false) = (&answer, candidates.is_empty()) {
+        let mut no_permit_until = limits.no_permit_until.borrow_mut();
+        no_permit_until.extend(candidates.into_iter().map(|name| (name, now + *delay)));
     }
     answer
 }
 
 /// Requests a permit from the leader, or grants it locally if this entry has no leader.
-async fn ask(gateway: &Gateway, replicas: &[Name], most_wait: Duration) -> Answer {
+async fn request_permit(gateway: &Gateway, replicas: &[Name], max_wait: Duration) -> PermitAnswer {
     let limits = &gateway.limits;
     if gateway.desk.has_leader() {
-        let (number, answered) = limits.wishes.add();
-        let wish = Report::Turn { number, replicas: replicas.to_vec(), most_wait };
-        if gateway.desk.report(wish) {
-            let outcome = tokio::time::timeout(ANSWERED, answered).await;
-            limits.wishes.waiting.borrow_mut().remove(&number);
+        let (number, answered) = limits.permit_requests.add();
+        let request = Report::Turn { number, replicas: replicas.to_vec(), most_wait: max_wait };
+        if gateway.desk.report(request) {
+            let outcome = tokio::time::timeout(PERMIT_TIMEOUT, answered).await;
+            limits.permit_requests.waiting.borrow_mut().remove(&number);
             if let Ok(Ok(answer)) = outcome {
                 return answer;
             }
         }
         if gateway.desk.has_leader() {
-            return Err(ANSWERED);
+            return Err(PERMIT_TIMEOUT);
         }
     }
-    limits.turn(replicas, most_wait)
+    limits.turn(replicas, max_wait)
 }
 
 /// Returns the time until the first of the replicas has a permit, according to earlier answers.
-fn soonest(gateway: &Gateway, replicas: &[Name]) -> Duration {
-    let held = gateway.limits.held.borrow();
-    let until = replicas.iter().filter_map(|name| held.get(name)).min();
+fn next_known_permit(gateway: &Gateway, replicas: &[Name]) -> Duration {
+    let no_permit_until = gateway.limits.no_permit_until.borrow();
+    let until = replicas.iter().filter_map(|name| no_permit_until.get(name)).min();
     until.map_or(Duration::ZERO, |until| until.since(now()))
 }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -14,21 +14,21 @@
 use super::super::attempt;
 use super::super::now;
 use super::super::state::Gateway;
-use super::{Source, hear};
+use super::{Source, apply_updates};
 use crate::{event, metric};
 
 /// Time that a request waits for the probe of its replica before it is sent again: a few one-way latencies within a region.
 /// Behind a network partition the probe does not complete in time, and yields no evidence.
-const LOOK: Duration = Duration::from_millis(25);
+const PROBE_WAIT: Duration = Duration::from_millis(25);
 /// Delays before a replica that still listens is probed again. A process that ends closes its connections and its
 /// listener one after the other, on a busy VM some milliseconds apart.
-const AGAIN: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(40)];
+const REPROBE_DELAYS: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(40)];
 /// Number of replicas with known crashes above which replicas without a record in the store are forgotten.
-const MANY_ENDS: usize = 1_024;
+const MAX_REPLICAS_WITH_CRASHES: usize = 1_024;
 
 /// A request whose connection to a replica was lost.
 #[derive(Clone, Debug)]
-pub struct Lost {
+pub struct LostConnection {
     /// Request id that the caller sent.
     pub request: Name,
     /// Fingerprint of the request.
@@ -36,63 +36,63 @@
     /// Replica that the request was sent to.
     pub record: Record,
     /// Time at which the request was sent.
-    pub sent: Moment,
+    pub sent_at: Moment,
     /// Weight of the evidence against the request if the replica crashed.
     pub weight: Weight,
 }
 
-impl Lost {
+impl LostConnection {
     /// Probes whether the replica crashed, and records the evidence if it did. The function returns after the first
     /// probe or a timeout, and further probes continue in the background.
-    pub async fn look(self, gateway: &Rc<Gateway>) {
+    pub async fn probe(self, gateway: &Rc<Gateway>) {
         let gateway = gateway.clone();
-        let (looked, first) = oneshot::channel();
+        let (first_probe_done, first_probe) = oneshot::channel();
         tokio::task::spawn_local(async move {
-            let mut liveness = self.probe(&gateway).await;
+            let mut liveness = self.probe_once(&gateway).await;
             // If the probe took too long, the receiver has timed out.
-            let _ = looked.send(());
-            for pause in AGAIN {
+            let _ = first_probe_done.send(());
+            for delay in REPROBE_DELAYS {
                 if liveness != Liveness::Listening {
                     return;
                 }
-                tokio::time::sleep(pause).await;
-                liveness = self.probe(&gateway).await;
+                tokio::time::sleep(delay).await;
+                liveness = self.probe_once(&gateway).await;
             }
         });
         // The background task also records a crash that it finds after the timeout.
-        let _ = tokio::time::timeout(LOOK, first).await;
+        let _ = tokio::time::timeout(PROBE_WAIT, first_probe).await;
     }
 
     /// Probes the replica once.
-    async fn probe(&self, gateway: &Gateway) -> Liveness {
+    async fn probe_once(&self, gateway: &Gateway) -> Liveness {
         let liveness = attempt::liveness(&self.record).await;
         event!("probe", request = %self.request, work = %self.work, peer = %self.record.id, liveness = liveness.as_str());
         if liveness == Liveness::Ended {
-            self.note(gateway);
+            self.record_crash(gateway);
         }
         liveness
     }
 
     /// Records a crash of the replica during the request. A planned shutdown is no evidence.
-    fn note(&self, gateway: &Gateway) {
-        let known = gateway.roster.borrow().get(&self.record.id).map(|replica| replica.record.leaving);
-        if known.unwrap_or(self.record.leaving) {
+    fn record_crash(&self, gateway: &Gateway) {
+        let known_draining = gateway.roster.borrow().get(&self.record.id).map(|replica| replica.record.leaving);
+        if known_draining.unwrap_or(self.record.leaving) {
             return;
         }
-        let span = Span { after: self.sent, by: now() };
+        let span = Span { after: self.sent_at, by: now() };
         let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.born, span);
         if is_new {
             metric::replica_ended();
         }
-        forget_unknown(gateway);
-        hear(gateway, vec![News::Ended { work: self.work, run, weight: self.weight }], Source::Own);
+        forget_removed_replicas(gateway);
+        apply_updates(gateway, vec![News::Ended { work: self.work, run, weight: self.weight }], Source::Own);
     }
 }
 
 /// Bounds the number of remembered crashes.
-pub(super) fn forget_unknown(gateway: &Gateway) {
+pub(super) fn forget_removed_replicas(gateway: &Gateway) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    if ends.replicas() > MANY_ENDS {
+    if ends.replicas() > MAX_REPLICAS_WITH_CRASHES {
         let roster = gateway.roster.borrow();
         ends.keep(|replica| roster.get(replica).is_some());
     }
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -16,7 +16,7 @@
 use coord::quarantine::{News, Register, Standing, Work};
 use tokio::sync::{Notify, watch};
 
-pub use self::evidence::Lost;
+pub use self::evidence::LostConnection;
 use self::record::Entry;
 pub use self::told::Told;
 use super::link::{Order, Report};
@@ -25,7 +25,7 @@
 use crate::{event, metric, util, warn_event};
 
 /// Maximum number of updates in a message. An update has about 75 bytes, so that a message stays below 32 KB.
-const NEWS_A_MESSAGE: usize = 400;
+const MAX_UPDATES_PER_MESSAGE: usize = 400;
 
 /// Origin of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// Crashes of replicas that this entry has observed or received.
     ends: RefCell<Ends>,
     /// Notified when a record may have to be written to the store.
-    unwritten: Notify,
+    write_needed: Notify,
     /// Counter that increases with each verdict.
     verdicts: watch::Sender<u64>,
 }
@@ -61,7 +61,7 @@
             topic: Topic::default(),
             stored: RefCell::default(),
             ends: RefCell::new(Ends::new(util::incarnation())),
-            unwritten: Notify::new(),
+            write_needed: Notify::new(),
             verdicts: watch::Sender::default(),
         }
     }
@@ -73,7 +73,7 @@
 
     /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
     /// update of its own, so the list is always complete.
-    fn report(&self, gateway: &Gateway) {
+    fn update_planners(&self, gateway: &Gateway) {
         let register = self.register.borrow();
         let suspects: Vec<Work> = register.suspects().map(|(work, _)| work).collect();
         metric::quarantine(suspects.len(), register.condemned().count());
@@ -81,76 +81,76 @@
     }
 
     /// Returns whether there is any evidence or verdict against a fingerprint.
-    fn knows(&self, work: Work) -> bool {
+    fn has_evidence(&self, work: Work) -> bool {
         let register = self.register.borrow();
         register.standing(work) != Standing::Clear || register.evidence(work).next().is_some()
     }
 
     /// Waits until a fingerprint is condemned.
-    pub async fn condemned(&self, work: Work) {
+    pub async fn wait_until_condemned(&self, work: Work) {
         // Waiting fails only when the sender is dropped, which has the lifetime of `self`.
         let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(work)).await;
     }
 
     /// Wakes the task that writes to the store. It is called when the entry that has to write may have changed.
     pub fn wake(&self) {
-        self.unwritten.notify_one();
+        self.write_needed.notify_one();
     }
 
     /// Returns the complete register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<Told>> {
-        self.register.borrow().all().chunks(NEWS_A_MESSAGE).map(|news| self.tell(news)).collect()
+        self.register.borrow().all().chunks(MAX_UPDATES_PER_MESSAGE).map(|updates| self.to_wire(updates)).collect()
     }
 
     /// Returns the wire form of updates, with ages relative to the current time.
-    fn tell(&self, news: &[News]) -> Vec<Told> {
+    fn to_wire(&self, updates: &[News]) -> Vec<Told> {
         let ends = self.ends.borrow();
-        news.iter().map(|news| Told::of(news.clone(), &ends)).collect()
+        updates.iter().map(|update| Told::from_update(update.clone(), &ends)).collect()
     }
 }
 
 /// Applies updates of another entry.
-pub fn receive(gateway: &Gateway, told: Vec<Told>, source: Source) {
+pub fn receive(gateway: &Gateway, received: Vec<Told>, source: Source) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    let news = told.into_iter().map(|told| told.news(&mut ends)).collect();
+    let updates = received.into_iter().map(|update| update.into_update(&mut ends)).collect();
     drop(ends);
-    evidence::forget_unknown(gateway);
-    hear(gateway, news, source);
+    evidence::forget_removed_replicas(gateway);
+    apply_updates(gateway, updates, source);
 }
 
 /// Applies updates, and distributes the ones that change the register.
-fn hear(gateway: &Gateway, news: Vec<News>, source: Source) {
+fn apply_updates(gateway: &Gateway, updates: Vec<News>, source: Source) {
     let quarantine = &gateway.quarantine;
     if source == Source::Own && gateway.desk.has_leader() {
-        gateway.desk.report(Report::Quarantine(quarantine.tell(&news)));
+        gateway.desk.report(Report::Quarantine(quarantine.to_wire(&updates)));
     }
-    let mut told = Vec::new();
-    for item in news {
-        told.extend(quarantine.register.borrow_mut().hear(item));
+    let mut changes = Vec::new();
+    for update in updates {
+        changes.extend(quarantine.register.borrow_mut().hear(update));
     }
-    if told.is_empty() {
+    if changes.is_empty() {
         return;
     }
-    told.iter().for_each(|news| note(gateway, news));
-    quarantine.report(gateway);
+    changes.iter().for_each(|update| log_change(gateway, update));
+    quarantine.update_planners(gateway);
     if source != Source::Leader {
-        gateway.desk.tell_all(&Order::Quarantine(quarantine.tell(&told)));
+        gateway.desk.broadcast(&Order::Quarantine(quarantine.to_wire(&changes)));
     }
     quarantine.wake();
 }
 
 /// Records that a request with the fingerprint completed successfully.
 pub fn cleared(gateway: &Gateway, work: Work) {
-    if gateway.quarantine.knows(work) {
-        hear(gateway, vec![News::Cleared(work)], Source::Own);
+    if gateway.quarantine.has_evidence(work) {
+        apply_updates(gateway, vec![News::Cleared(work)], Source::Own);
     }
 }
 
 /// Logs a change of the register, and announces a verdict to the tasks that wait for one.
-fn note(gateway: &Gateway, news: &News) {
-    let work = news.work();
+fn log_change(gateway: &Gateway, update: &News) {
+    let work = update.work();
     let quarantine = &gateway.quarantine;
-    match news {
+    match update {
         News::Ended { run, weight, .. } => {
             let ends = quarantine.register.borrow().evidence(work).count();
             event!("suspect", work = %work, run = %run, weight = ?weight, ends);
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of a record that is decoded, in bytes. It is enough for the names of some dozens of replicas.
-const MOST_BYTES: usize = 16 * 1_024;
+const MAX_RECORD_BYTES: usize = 16 * 1_024;
 
 /// Evidence and verdict for one request fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,9 +39,9 @@
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
     /// does not tell when the runs ended.
-    pub fn renamed(self, ends: &mut Ends, now: Moment) -> Self {
-        let renamed = |end: End| End { run: ends.heard(&end.run, Span::before(now)), ..end };
-        Self { ends: self.ends.into_iter().map(renamed).collect(), ..self }
+    pub fn with_local_run_names(self, ends: &mut Ends, now: Moment) -> Self {
+        let rename = |end: End| End { run: ends.heard(&end.run, Span::before(now)), ..end };
+        Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
     }
 
     /// Encodes the record for the store.
@@ -54,8 +54,8 @@
         if self.condemned {
             return vec![News::Condemned(work)];
         }
-        let ended = |end: &End| News::Ended { work, run: end.run.clone(), weight: end.weight };
-        self.ends.iter().map(ended).collect()
+        let to_update = |end: &End| News::Ended { work, run: end.run.clone(), weight: end.weight };
+        self.ends.iter().map(to_update).collect()
     }
 }
 
@@ -64,7 +64,11 @@
 pub fn decode(record: &Keyed) -> Result<(Work, Option<Entry>)> {
     let work = record.key.parse().wrap_err("step=decode-quarantine")?;
     let Some(value) = &record.value else { return Ok((work, None)) };
-    eyre::ensure!(value.len() <= MOST_BYTES, "step=decode-quarantine work={work}: {} bytes", value.len());
+    eyre::ensure!(
+        value.len() <= MAX_RECORD_BYTES,
+        "step=decode-quarantine work={work}: the record has {} bytes, more than {MAX_RECORD_BYTES}",
+        value.len()
+    );
     let entry = serde_json::from_slice(value).wrap_err_with(|| format!("step=decode-quarantine work={work}"))?;
     Ok((work, Some(entry)))
 }
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -19,18 +19,18 @@
 use super::super::state::Gateway;
 use super::super::watch;
 use super::record::{self, Entry};
-use super::{Source, hear};
+use super::{Source, apply_updates};
 use crate::{event, metric, warn_event};
 
 /// Time for which the store holds a read if nothing changes. An entry that is isolated from other entries must learn of
 /// a verdict within 3 s, the time within which it must stop sending. This holds even after its connection to the store
 /// goes silent: the hold time and the response timeout together are below 3 s.
-const HELD: Duration = Duration::from_millis(1_800);
+const READ_HOLD_TIME: Duration = Duration::from_millis(1_800);
 /// Timeout for a response of the store.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A record to write.
-struct Change {
+struct PendingWrite {
     work: Work,
     /// New value of the record, or `None` to remove it.
     entry: Option<Entry>,
@@ -43,40 +43,40 @@
     loop {
         let first_by = gateway.first_from_others_by();
         watch::reads_replicas(&gateway, first_by).await;
-        let read = tokio::select! {
-            outcome = read(&gateway, &mut reader) => {
+        let is_read = tokio::select! {
+            outcome = read_changes(&gateway, &mut reader) => {
                 reader.note(&outcome);
                 outcome.is_ok()
             }
-            () = gateway.quarantine.unwritten.notified() => true,
+            () = gateway.quarantine.write_needed.notified() => true,
         };
-        // `write` has logged its error.
-        if !read || write(&gateway, &mut writer).await.is_err() {
+        // `write_changes` has logged its error.
+        if !is_read || write_changes(&gateway, &mut writer).await.is_err() {
             reader.back_off(&gateway, &gateway.facts.replicas).await;
         }
     }
 }
 
 /// Reads and applies new records.
-async fn read(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
+async fn read_changes(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
     let topic = &gateway.quarantine.topic;
     let page = match topic.next() {
         None => {
-            let whole = reader.read_all().await?;
+            let complete = reader.read_all().await?;
             // Records that the complete read does not contain were lost by the store, and are written again.
             gateway.quarantine.stored.borrow_mut().clear();
-            Some(whole)
+            Some(complete)
         }
-        Some(from) => reader.read_on(topic, from, HELD).await?,
+        Some(from) => reader.read_on(topic, from, READ_HOLD_TIME).await?,
     };
     let Some(Page { records, next }) = page else { return Ok(()) };
-    records.iter().for_each(|record| take_in(gateway, record));
+    records.iter().for_each(|record| apply_record(gateway, record));
     topic.advance(next);
     Ok(())
 }
 
 /// Applies one record. A record that cannot be decoded is logged and skipped.
-fn take_in(gateway: &Gateway, record: &Keyed) {
+fn apply_record(gateway: &Gateway, record: &Keyed) {
     let (work, entry) = match record::decode(record) {
         Ok(decoded) => decoded,
         Err(error) => {
@@ -85,36 +85,36 @@
         }
     };
     let mut stored = gateway.quarantine.stored.borrow_mut();
-    let news = match entry {
+    let updates = match entry {
         Some(entry) => {
             // The runs get the names that they have in this process. Otherwise two entries that exchange crashes only
             // through the store would each see the other's record as new and write it again forever.
-            let entry = entry.renamed(&mut gateway.quarantine.ends.borrow_mut(), now());
-            let news = entry.news(work);
+            let entry = entry.with_local_run_names(&mut gateway.quarantine.ends.borrow_mut(), now());
+            let updates = entry.news(work);
             stored.insert(work, entry);
-            news
+            updates
         }
         // This entry has not seen a stored record that the removal could refer to, so its own evidence may be newer.
         None if stored.remove(&work).is_none() => return,
         None => vec![News::Lifted(work)],
     };
     drop(stored);
-    hear(gateway, news, Source::Own);
+    apply_updates(gateway, updates, Source::Own);
 }
 
 /// Writes all new records, if this entry is the one that writes.
-async fn write(gateway: &Gateway, client: &mut Client) -> Result<()> {
-    while let Some(change) = next_change(gateway) {
-        let value = change.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
-        let work = change.work;
+async fn write_changes(gateway: &Gateway, client: &mut Client) -> Result<()> {
+    while let Some(pending) = next_write(gateway) {
+        let value = pending.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
+        let work = pending.work;
         metric::store_calls("append", QUARANTINE, 1);
-        if let Err(error) = client.put(QUARANTINE, &work.to_string(), &value, PATIENCE).await {
+        if let Err(error) = client.put(QUARANTINE, &work.to_string(), &value, RESPONSE_TIMEOUT).await {
             warn_event!("quarantine-write", work = %work, error = %format!("{error:#}"));
             return Err(error);
         }
-        event!("quarantine-written", work = %work, condemned = change.entry.as_ref().is_some_and(|entry| entry.condemned));
+        event!("quarantine-written", work = %work, condemned = pending.entry.as_ref().is_some_and(|entry| entry.condemned));
         let mut stored = gateway.quarantine.stored.borrow_mut();
-        match change.entry {
+        match pending.entry {
             Some(entry) => drop(stored.insert(work, entry)),
             None => drop(stored.remove(&work)),
         }
@@ -123,25 +123,26 @@
 }
 
 /// Returns the next record to write. An entry that follows a leader, or has not read the topic yet, writes nothing.
-fn next_change(gateway: &Gateway) -> Option<Change> {
+fn next_write(gateway: &Gateway) -> Option<PendingWrite> {
     let quarantine = &gateway.quarantine;
     if gateway.desk.has_leader() || quarantine.topic.next().is_none() {
         return None;
     }
     let register = quarantine.register.borrow();
     let stored = quarantine.stored.borrow();
-    let is_news = |work: &Work| stored.get(work).is_none_or(|known| adds(&register, *work, known));
-    let news = register.lasting(gateway.desk.is_alone()).find(is_news);
-    if let Some(work) = news {
-        return Some(Change { work, entry: Some(Entry::of(&register, work)) });
+    let is_new =
+        |work: &Work| stored.get(work).is_none_or(|stored_entry| has_new_evidence(&register, *work, stored_entry));
+    let unwritten = register.lasting(gateway.desk.is_alone()).find(is_new);
+    if let Some(work) = unwritten {
+        return Some(PendingWrite { work, entry: Some(Entry::of(&register, work)) });
     }
     let is_clear =
         |work: &&Work| register.standing(**work) == Standing::Clear && register.evidence(**work).next().is_none();
-    stored.keys().find(is_clear).map(|work| Change { work: *work, entry: None })
+    stored.keys().find(is_clear).map(|work| PendingWrite { work: *work, entry: None })
 }
 
 /// Returns whether a register has more evidence against a fingerprint than the store.
-fn adds(register: &Register, work: Work, known: &Entry) -> bool {
-    let own = Entry::of(register, work);
-    !known.condemned && (own.condemned || own.ends.iter().any(|end| !known.ends.contains(end)))
+fn has_new_evidence(register: &Register, work: Work, stored_entry: &Entry) -> bool {
+    let local = Entry::of(register, work);
+    !stored_entry.condemned && (local.condemned || local.ends.iter().any(|end| !stored_entry.ends.contains(end)))
 }
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -9,26 +9,26 @@
 /// A quarantine update, with the age of the crash that it reports. Ages are sent since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    news: News,
+    update: News,
     /// Age of the crash, or `None` if the update reports no crash or the time of the crash is unknown.
-    ended: Option<Age>,
+    crash_age: Option<Age>,
 }
 
 impl Told {
     /// Returns the wire form of an update that is sent now.
-    pub(super) fn of(news: News, ends: &Ends) -> Self {
-        let span = match &news {
+    pub(super) fn from_update(update: News, ends: &Ends) -> Self {
+        let span = match &update {
             News::Ended { run, .. } => ends.span(run),
             News::Cleared(_) | News::Condemned(_) | News::Lifted(_) => None,
         };
-        Self { news, ended: span.map(|span| Age::of(&span, now())) }
+        Self { update, crash_age: span.map(|span| Age::of(&span, now())) }
     }
 
     /// Returns the update as received now, with the name that the run has in this process.
-    pub(super) fn news(self, ends: &mut Ends) -> News {
+    pub(super) fn into_update(self, ends: &mut Ends) -> News {
         let now = now();
-        let span = self.ended.map_or(Span::before(now), |age| age.span(now));
-        match self.news {
+        let span = self.crash_age.map_or(Span::before(now), |age| age.span(now));
+        match self.update {
             News::Ended { work, run, weight } => News::Ended { work, run: ends.heard(&run, span), weight },
             other => other,
         }
