--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -18,7 +18,7 @@
 use super::super::now;
 use super::super::state::{Gateway, Phase};
 use super::super::work;
-use super::{BUSY_RETRY_DELAY, Job};
+use super::{BUSY_RETRY_AFTER, Job};
 use crate::failure::Failure;
 use crate::unread::Watched;
 use crate::{event, metric};
@@ -27,10 +27,10 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum body size if the configuration sets none, in bytes.
 const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
-/// Retry delay for callers of an entry whose copy of the configuration has not been confirmed recently.
-const UNPROVEN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Retry delay for callers of an entry whose copy of the configuration has not been verified recently.
+const UNVERIFIED_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Retry delay for callers of an entry that is about to stop; they retry at another entry.
-const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(20);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// A request whose head has been received and whose body has not been read.
 struct ReceivedRequest {
@@ -75,7 +75,7 @@
 async fn serve(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Answer, Failure> {
     if gateway.phase() == Phase::Closing {
         // The request could not complete before the process stops.
-        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY_DELAY));
+        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY_AFTER));
     }
     let mut job = admit(gateway, received).await?;
     let response = job.open_before_deadline().await?;
@@ -138,7 +138,7 @@
 fn find_route(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
-        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNPROVEN_RETRY_DELAY));
+        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNVERIFIED_RETRY_AFTER));
     }
     let Ok(route) = table.route(&call.host, path) else {
         return Err(rejection(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
@@ -147,7 +147,7 @@
         return Ok((route.clone(), None));
     }
     if !gateway.proof_holds() {
-        return Err(unproven());
+        return Err(unverified());
     }
     match table.workspace(call.api_key.as_deref()) {
         Ok(workspace) => Ok((route.clone(), Some(workspace.clone()))),
@@ -155,17 +155,17 @@
     }
 }
 
-/// Returns the failure for a missing route or key, or [`unproven`] if the routing table may lack changes that are
+/// Returns the failure for a missing route or key, or [`unverified`] if the routing table may lack changes that are
 /// already in force.
 fn rejection(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
-    if gateway.may_deny() { Failure::new(status, code, message) } else { unproven() }
+    if gateway.may_deny() { Failure::new(status, code, message) } else { unverified() }
 }
 
 /// Returns the failure of a request that the routing table is too old to decide.
-fn unproven() -> Failure {
-    Failure::busy("unproven", "the configuration may have changed", UNPROVEN_RETRY_DELAY)
+fn unverified() -> Failure {
+    Failure::busy("unproven", "the configuration may have changed", UNVERIFIED_RETRY_AFTER)
 }
 
 fn no_service() -> Failure {
-    Failure::busy("no_replica", "the route has no service", BUSY_RETRY_DELAY)
+    Failure::busy("no_replica", "the route has no service", BUSY_RETRY_AFTER)
 }
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -40,7 +40,7 @@
 /// Number of failed connections to replicas after which a request fails.
 const MAX_FAILED_CONNECTIONS: u32 = 4;
 /// Retry delay for callers whose request no replica accepts.
-const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// A request that is being handled.
 pub struct Job {
@@ -104,7 +104,7 @@
     }
 
     /// Returns whether the request may be sent again although a replica may have executed it.
-    fn can_repeat(&self) -> bool {
+    fn can_retry(&self) -> bool {
         self.route.repeatable() && self.has_attempts_left()
     }
 
@@ -135,7 +135,7 @@
                 Outcome::ReplicaClosed => is_retry_charged = true,
                 Outcome::Unresponsive(target) => next = Some(*target),
                 Outcome::NotExecuted(delay) => retry_after = retry_after.max(delay),
-                Outcome::Lost if self.can_repeat() => {}
+                Outcome::Lost if self.can_retry() => {}
                 Outcome::Lost => return Err(self.exhausted_failure(retry_after)),
                 Outcome::NotSent if self.failed_connections < MAX_FAILED_CONNECTIONS => {}
                 Outcome::NotSent => return Err(self.exhausted_failure(retry_after)),
@@ -160,8 +160,8 @@
     /// Reports that the connection to a replica was lost, and briefly waits for the probe of whether the replica
     /// crashed.
     pub async fn connection_lost(&self, record: &Record, sent_at: Moment, weight: Weight) {
-        let (request, work) = (self.call.id.clone(), self.work);
-        LostConnection { request, work, record: record.clone(), sent_at, weight }.probe(&self.gateway).await;
+        let (request, fingerprint) = (self.call.id.clone(), self.work);
+        LostConnection { request, fingerprint, record: record.clone(), sent_at, weight }.probe(&self.gateway).await;
     }
 
     /// Returns the target of the next attempt, or the failure if no attempt is possible. `is_retry_charged` tells that the retry
@@ -172,7 +172,7 @@
             // The delay from placement is more accurate than the delay that a single replica asked for.
             Err(error) => return Err(self.exhausted_failure(error.retry_after().or(retry_after))),
         };
-        if self.attempts > 0 && !is_retry_charged && !self.charge_retry() {
+        if self.attempts > 0 && !is_retry_charged && !self.try_retry() {
             // A replica is available, but the retry budget is used up: the caller gets the default delay.
             return Err(self.exhausted_failure(None));
         }
@@ -180,7 +180,7 @@
     }
 
     /// Charges one retry to the budget of the service. Returns whether the budget allows it.
-    fn charge_retry(&self) -> bool {
+    fn try_retry(&self) -> bool {
         let is_allowed = self.gateway.take_retry(&self.service);
         if !is_allowed {
             event!("retry-refused", request = %self.call.id, service = %self.service, reason = "budget");
@@ -219,7 +219,7 @@
                     self.connection_lost(&record, sent, Weight::Strong).await;
                 }
             }
-            if !self.can_repeat() {
+            if !self.can_retry() {
                 return Err(self.exhausted_failure(None));
             }
             opened = self.open_before_deadline().await?;
@@ -232,7 +232,7 @@
             return self.condemned_failure();
         }
         if self.possible_executions == 0 {
-            let delay = retry_after.unwrap_or(BUSY_RETRY_DELAY);
+            let delay = retry_after.unwrap_or(BUSY_RETRY_AFTER);
             return Failure::busy("overloaded", "no replica takes this now", delay);
         }
         Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").ran(Ran::Unknown)
@@ -241,7 +241,7 @@
     /// Returns the failure of a request whose deadline has passed.
     fn deadline_failure(&self) -> Failure {
         if self.attempts == 0 {
-            return Failure::busy("waited_out", "no replica became free in time", BUSY_RETRY_DELAY);
+            return Failure::busy("waited_out", "no replica became free in time", BUSY_RETRY_AFTER);
         }
         if let (Some(replica), false) = (self.tried_replicas.last(), self.has_engines()) {
             // An engine may be busy with other prompts for a long time. A plain replica that does not respond before
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -105,11 +105,11 @@
     /// while other engines are busy.
     async fn fallback_target(&self, place: &Place) -> Target {
         let timeout = match place.unresponsive_after() {
-            Some(timeout) if self.can_repeat() => timeout,
+            Some(timeout) if self.can_retry() => timeout,
             _ => return std::future::pending().await,
         };
         tokio::time::sleep(timeout).await;
-        if !self.charge_retry() {
+        if !self.try_retry() {
             return std::future::pending().await;
         }
         event!("engines-unresponsive", request = %self.call.id, peer = self.tried_replicas.last().map_or("", |id| id), after_ms = timeout.as_millis());
@@ -136,7 +136,7 @@
     fn classify(&mut self, opened: Opened) -> Outcome {
         let answer = dialect::answer(opened.response.status(), opened.response.headers(), &self.call.id);
         let record = &opened.record;
-        limits::handle_response(&self.gateway, record, &answer, opened.sent);
+        limits::observe_response(&self.gateway, record, &answer, opened.sent);
         leaving::said(&self.gateway, record, &answer);
         rests::said(&self.gateway, record, &answer);
         if let Some(load) = answer.load {
@@ -151,7 +151,7 @@
             (true, true) => self.record_failure(&record.id, ERROR_ANSWER),
             (true, false) => self.gateway.placer.borrow_mut().succeeded(&record.id),
         }
-        if !is_usable || (is_error && self.can_repeat()) {
+        if !is_usable || (is_error && self.can_retry()) {
             event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
             return Outcome::Lost;
         }
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -59,7 +59,7 @@
         /// Lease of the granted engines.
         lease: Lease,
         /// Memory reservation at other engines, if the prompt exceeds the memory of one engine.
-        _hold: Option<Hold>,
+        _reservation: Option<Hold>,
     },
 }
 
@@ -247,12 +247,12 @@
                 // The leader has not learned yet that an engine is gone.
                 None => None,
             };
-            let Some((record, (helpers, _hold))) = reserved else {
+            let Some((record, (helpers, _reservation))) = reserved else {
                 drop(lease);
                 tokio::time::sleep(REPLAN_DELAY).await;
                 continue;
             };
-            return Ok(Target { record, helpers, place: Place::Engine { lease, _hold } });
+            return Ok(Target { record, helpers, place: Place::Engine { lease, _reservation } });
         }
     }
 
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Returns the writer and the helpers of a team. Returns `None` if the writer, or a helper that must hold memory,
+    /// Returns the decoding engine and the helpers of a team. Returns `None` if the decoding engine, or a helper that must hold memory,
     /// no longer accepts requests.
     fn locate_team(&self, team: &Team) -> Option<(Record, Vec<LocatedHelper>)> {
         let find_open = |id: &Name| self.gateway.open_replica(id);
@@ -331,12 +331,12 @@
         if demands.is_empty() {
             return Some((helpers, None));
         }
-        let hold = hold::take(&self.call.id, demands, self.gateway.bounds().hold()).await?;
+        let reservation = hold::take(&self.call.id, demands, self.gateway.bounds().hold()).await?;
         for helper in &mut helpers {
-            helper.reservation = hold.id(&helper.address);
+            helper.reservation = reservation.id(&helper.address);
         }
         // Reserved memory is filled in the order of the list, so the helpers that hold memory come first.
         helpers.sort_by_key(|helper| helper.reservation.is_none());
-        Some((helpers, Some(hold)))
+        Some((helpers, Some(reservation)))
     }
 }
--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/desk/mod.rs
@@ -431,12 +431,12 @@
             return;
         }
         for (service, planner) in &*self.planners.borrow() {
-            let (held_time, waiting, tally) = planner.held(now);
+            let (held_time, waiting, counts) = planner.held(now);
             if held_time >= EXPLAIN_AFTER {
                 self.last_explained.set(now);
                 let exclusions: Vec<String> =
                     planner.bars().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
-                crate::event!("prompts-waiting", service = %service, for_ms = held_time.as_millis(), waiting, tally = ?tally, exclusions = exclusions.join(" "));
+                crate::event!("prompts-waiting", service = %service, for_ms = held_time.as_millis(), waiting, counts = ?counts, exclusions = exclusions.join(" "));
             }
         }
     }
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -29,8 +29,8 @@
 use super::state::Gateway;
 use crate::{event, metric, warn_event};
 
-/// Maximum number of updates in a message. An update has about 30 bytes, so that a message stays below 32 KB.
-const MAX_UPDATES_PER_MESSAGE: usize = 512;
+/// Maximum number of reports in a message. A report has about 30 bytes, so that a message stays below 32 KB.
+const MAX_REPORTS_PER_MESSAGE: usize = 512;
 
 /// Rate limits as this entry knows them.
 #[derive(Default)]
@@ -98,7 +98,7 @@
 
     /// Returns the complete register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<News>> {
-        self.register.borrow().all(now()).chunks(MAX_UPDATES_PER_MESSAGE).map(<[News]>::to_vec).collect()
+        self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[News]>::to_vec).collect()
     }
 
     /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
@@ -125,7 +125,7 @@
 }
 
 /// Applies the rate limit in a replica's response to a request that was sent at `sent_at`.
-pub fn handle_response(gateway: &Gateway, record: &Record, answer: &dialect::Answer, sent_at: Moment) {
+pub fn observe_response(gateway: &Gateway, record: &Record, answer: &dialect::Answer, sent_at: Moment) {
     if !answer.speaks_for_itself() {
         return;
     }
@@ -133,8 +133,8 @@
     match answer.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
-            let notice = Word { rate, asked: sent_at, heard: now() };
-            hear(gateway, vec![News::of(replica, &notice, now())], Source::Own);
+            let report = Word { rate, asked: sent_at, heard: now() };
+            hear(gateway, vec![News::of(replica, &report, now())], Source::Own);
         }
         // The previous limit stays in force. The error is logged once, not for each response.
         Err(error) if gateway.limits.unparsable.borrow_mut().insert(replica.clone()) => {
@@ -144,18 +144,18 @@
     }
 }
 
-/// Applies updates of rate limits, and distributes the ones that change a limit.
-pub fn hear(gateway: &Gateway, updates: Vec<News>, source: Source) {
+/// Applies reports of rate limits, and relays the ones that change a limit.
+pub fn hear(gateway: &Gateway, reports: Vec<News>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
     let mut changed = Vec::new();
-    for update in updates {
+    for report in reports {
         let mut register = limits.register.borrow_mut();
-        let previous_rate = register.rate(&update.replica);
-        if register.hear(&update.replica, update.word(now)) {
-            let age_ms = update.heard_ago.as_millis();
-            event!("limit", peer = %update.replica, rate = ?update.rate, before = ?previous_rate, source = ?source, age_ms);
-            changed.push(update);
+        let previous_rate = register.rate(&report.replica);
+        if register.hear(&report.replica, report.word(now)) {
+            let age_ms = report.heard_ago.as_millis();
+            event!("limit", peer = %report.replica, rate = ?report.rate, before = ?previous_rate, source = ?source, age_ms);
+            changed.push(report);
         }
     }
     if changed.is_empty() {
@@ -163,9 +163,9 @@
     }
     metric::limited(limits.register.borrow().limited().count());
     let share = usable_share(gateway);
-    for update in &changed {
-        limits.no_permit_until.borrow_mut().remove(&update.replica);
-        apply_limit(gateway, &update.replica, limits.rate_limit(&update.replica), share);
+    for report in &changed {
+        limits.no_permit_until.borrow_mut().remove(&report.replica);
+        apply_limit(gateway, &report.replica, limits.rate_limit(&report.replica), share);
     }
     gateway.desk.pass_on(changed, source, Report::Limits, Order::Limits);
 }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence collection: whether a replica crashed during a request, or only lost the connection.
+//! Evidence collection: whether the run of a replica terminated during a request, or only the connection was lost.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::super::attempt;
 use super::super::now;
 use super::super::state::Gateway;
-use super::{Source, apply_updates};
+use super::{Source, apply_events};
 use crate::{event, metric};
 
 /// Time that a request waits for the probe of its replica before it is sent again: a few one-way latencies within a region.
@@ -23,8 +23,8 @@
 /// Delays before a replica that still listens is probed again. A process that ends closes its connections and its
 /// listener one after the other, on a busy VM some milliseconds apart.
 const REPROBE_DELAYS: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(40)];
-/// Number of replicas with known crashes above which replicas without a record in the store are forgotten.
-const MAX_REPLICAS_WITH_CRASHES: usize = 1_024;
+/// Number of replicas with known terminations above which replicas without a record in the store are forgotten.
+const MAX_REPLICAS_WITH_TERMINATIONS: usize = 1_024;
 
 /// A request whose connection to a replica was lost.
 #[derive(Clone, Debug)]
@@ -32,49 +32,49 @@
     /// Request id that the caller sent.
     pub request: Name,
     /// Fingerprint of the request.
-    pub work: Work,
+    pub fingerprint: Work,
     /// Replica that the request was sent to.
     pub record: Record,
     /// Time at which the request was sent.
     pub sent_at: Moment,
-    /// Weight of the evidence against the request if the replica crashed.
+    /// Weight of the evidence against the request if the replica terminated.
     pub weight: Weight,
 }
 
 impl LostConnection {
-    /// Probes whether the replica crashed, and records the evidence if it did. The function returns after the first
+    /// Probes whether the replica terminated, and records the evidence if it did. The function returns after the first
     /// probe or a timeout, and further probes continue in the background.
     pub async fn probe(self, gateway: &Rc<Gateway>) {
         let gateway = gateway.clone();
         let (first_probe_done, first_probe) = oneshot::channel();
         tokio::task::spawn_local(async move {
-            let mut liveness = self.probe_once(&gateway).await;
+            let mut result = self.probe_once(&gateway).await;
             // If the probe took too long, the receiver has timed out.
             let _ = first_probe_done.send(());
             for delay in REPROBE_DELAYS {
-                if liveness != Liveness::Listening {
+                if result != Liveness::Listening {
                     return;
                 }
                 tokio::time::sleep(delay).await;
-                liveness = self.probe_once(&gateway).await;
+                result = self.probe_once(&gateway).await;
             }
         });
-        // The background task also records a crash that it finds after the timeout.
+        // The background task also records a termination that it finds after the timeout.
         let _ = tokio::time::timeout(PROBE_WAIT, first_probe).await;
     }
 
     /// Probes the replica once.
     async fn probe_once(&self, gateway: &Gateway) -> Liveness {
-        let liveness = attempt::liveness(&self.record).await;
-        event!("probe", request = %self.request, work = %self.work, peer = %self.record.id, liveness = liveness.as_str());
-        if liveness == Liveness::Ended {
-            self.record_crash(gateway);
+        let result = attempt::liveness(&self.record).await;
+        event!("probe", request = %self.request, work = %self.fingerprint, peer = %self.record.id, liveness = result.as_str());
+        if result == Liveness::Ended {
+            self.record_termination(gateway);
         }
-        liveness
+        result
     }
 
-    /// Records a crash of the replica during the request. A planned shutdown is no evidence.
-    fn record_crash(&self, gateway: &Gateway) {
+    /// Records the termination of the replica during the request. A planned shutdown is no evidence.
+    fn record_termination(&self, gateway: &Gateway) {
         let known_draining = gateway.roster.borrow().get(&self.record.id).map(|replica| replica.record.leaving);
         if known_draining.unwrap_or(self.record.leaving) {
             return;
@@ -85,14 +85,14 @@
             metric::replica_ended();
         }
         forget_removed_replicas(gateway);
-        apply_updates(gateway, vec![News::Ended { work: self.work, run, weight: self.weight }], Source::Own);
+        apply_events(gateway, vec![News::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
     }
 }
 
-/// Bounds the number of remembered crashes.
+/// Bounds the number of remembered terminations.
 pub(super) fn forget_removed_replicas(gateway: &Gateway) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    if ends.replicas() > MAX_REPLICAS_WITH_CRASHES {
+    if ends.replicas() > MAX_REPLICAS_WITH_TERMINATIONS {
         let roster = gateway.roster.borrow();
         ends.keep(|replica| roster.get(replica).is_some());
     }
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -24,10 +24,10 @@
 use super::topic::Topic;
 use crate::{event, metric, util, warn_event};
 
-/// Maximum number of updates in a message. An update has about 75 bytes, so that a message stays below 32 KB.
-const MAX_UPDATES_PER_MESSAGE: usize = 400;
+/// Maximum number of events in a message. An event has about 75 bytes, so that a message stays below 32 KB.
+const MAX_EVENTS_PER_MESSAGE: usize = 400;
 
-/// Origin of an update.
+/// Origin of an event or another update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// This entry observed it or read it in the store.
@@ -45,7 +45,7 @@
     topic: Topic,
     /// Contents of the store, as far as this entry has read or written them.
     stored: RefCell<HashMap<Work, Entry>>,
-    /// Crashes of replicas that this entry has observed or received.
+    /// Terminations of replicas that this entry has observed or received.
     ends: RefCell<Ends>,
     /// Notified when a record may have to be written to the store.
     write_needed: Notify,
@@ -67,29 +67,29 @@
     }
 
     /// Returns whether requests with the fingerprint are no longer sent.
-    pub fn is_condemned(&self, work: Work) -> bool {
-        self.register.borrow().standing(work) == Standing::Condemned
+    pub fn is_condemned(&self, fingerprint: Work) -> bool {
+        self.register.borrow().standing(fingerprint) == Standing::Condemned
     }
 
     /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
-    /// update of its own, so the list is always complete.
+    /// event of its own, so the list is always complete.
     fn update_planners(&self, gateway: &Gateway) {
         let register = self.register.borrow();
-        let suspects: Vec<Work> = register.suspects().map(|(work, _)| work).collect();
+        let suspects: Vec<Work> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
         metric::quarantine(suspects.len(), register.condemned().count());
         gateway.desk.set_suspects(suspects);
     }
 
     /// Returns whether there is any evidence or verdict against a fingerprint.
-    fn has_evidence(&self, work: Work) -> bool {
+    fn has_evidence(&self, fingerprint: Work) -> bool {
         let register = self.register.borrow();
-        register.standing(work) != Standing::Clear || register.evidence(work).next().is_some()
+        register.standing(fingerprint) != Standing::Clear || register.evidence(fingerprint).next().is_some()
     }
 
     /// Waits until a fingerprint is condemned.
-    pub async fn wait_until_condemned(&self, work: Work) {
+    pub async fn wait_until_condemned(&self, fingerprint: Work) {
         // Waiting fails only when the sender is dropped, which has the lifetime of `self`.
-        let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(work)).await;
+        let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(fingerprint)).await;
     }
 
     /// Wakes the task that writes to the store. It is called when the entry that has to write may have changed.
@@ -99,39 +99,39 @@
 
     /// Returns the complete register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<Told>> {
-        self.register.borrow().all().chunks(MAX_UPDATES_PER_MESSAGE).map(|updates| self.to_wire(updates)).collect()
+        self.register.borrow().all().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
     }
 
-    /// Returns the wire form of updates, with ages relative to the current time.
-    fn to_wire(&self, updates: &[News]) -> Vec<Told> {
+    /// Returns the wire form of events, with ages relative to the current time.
+    fn to_wire(&self, events: &[News]) -> Vec<Told> {
         let ends = self.ends.borrow();
-        updates.iter().map(|update| Told::from_update(update.clone(), &ends)).collect()
+        events.iter().map(|event| Told::from_event(event.clone(), &ends)).collect()
     }
 }
 
-/// Applies updates of another entry.
+/// Applies events that another entry relays.
 pub fn receive(gateway: &Gateway, received: Vec<Told>, source: Source) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    let updates = received.into_iter().map(|update| update.into_update(&mut ends)).collect();
+    let events = received.into_iter().map(|event| event.into_event(&mut ends)).collect();
     drop(ends);
     evidence::forget_removed_replicas(gateway);
-    apply_updates(gateway, updates, source);
+    apply_events(gateway, events, source);
 }
 
-/// Applies updates, and distributes the ones that change the register.
-fn apply_updates(gateway: &Gateway, updates: Vec<News>, source: Source) {
+/// Applies events, and relays the ones that change the register.
+fn apply_events(gateway: &Gateway, events: Vec<News>, source: Source) {
     let quarantine = &gateway.quarantine;
     if source == Source::Own && gateway.desk.has_leader() {
-        gateway.desk.report(Report::Quarantine(quarantine.to_wire(&updates)));
+        gateway.desk.report(Report::Quarantine(quarantine.to_wire(&events)));
     }
     let mut changes = Vec::new();
-    for update in updates {
-        changes.extend(quarantine.register.borrow_mut().hear(update));
+    for event in events {
+        changes.extend(quarantine.register.borrow_mut().hear(event));
     }
     if changes.is_empty() {
         return;
     }
-    changes.iter().for_each(|update| log_change(gateway, update));
+    changes.iter().for_each(|event| log_change(gateway, event));
     quarantine.update_planners(gateway);
     if source != Source::Leader {
         gateway.desk.broadcast(&Order::Quarantine(quarantine.to_wire(&changes)));
@@ -140,27 +140,27 @@
 }
 
 /// Records that a request with the fingerprint completed successfully.
-pub fn cleared(gateway: &Gateway, work: Work) {
-    if gateway.quarantine.has_evidence(work) {
-        apply_updates(gateway, vec![News::Cleared(work)], Source::Own);
+pub fn cleared(gateway: &Gateway, fingerprint: Work) {
+    if gateway.quarantine.has_evidence(fingerprint) {
+        apply_events(gateway, vec![News::Cleared(fingerprint)], Source::Own);
     }
 }
 
 /// Logs a change of the register, and announces a verdict to the tasks that wait for one.
-fn log_change(gateway: &Gateway, update: &News) {
-    let work = update.work();
+fn log_change(gateway: &Gateway, event: &News) {
+    let fingerprint = event.work();
     let quarantine = &gateway.quarantine;
-    match update {
+    match event {
         News::Ended { run, weight, .. } => {
-            let ends = quarantine.register.borrow().evidence(work).count();
-            event!("suspect", work = %work, run = %run, weight = ?weight, ends);
+            let ends = quarantine.register.borrow().evidence(fingerprint).count();
+            event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends);
         }
-        News::Cleared(_) => event!("suspect-cleared", work = %work),
+        News::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
         News::Condemned(_) => {
-            warn_event!("condemned", work = %work);
+            warn_event!("condemned", work = %fingerprint);
             metric::condemned();
             quarantine.verdicts.send_modify(|verdicts| *verdicts += 1);
         }
-        News::Lifted(_) => event!("quarantine-lifted", work = %work),
+        News::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
     }
 }
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -16,14 +16,14 @@
 pub struct Entry {
     /// Whether requests with the fingerprint are no longer sent.
     pub condemned: bool,
-    /// Crashes of replicas during requests with the fingerprint.
+    /// Terminations of replicas during requests with the fingerprint.
     pub ends: Vec<End>,
 }
 
-/// A crash of a replica.
+/// A termination of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Name of the replica's run that crashed.
+    /// Name of the run that terminated.
     pub run: Name,
     /// Weight of the evidence.
     pub weight: Weight,
@@ -31,14 +31,16 @@
 
 impl Entry {
     /// Returns the evidence and verdict of a register for a fingerprint.
-    pub fn of(register: &Register, work: Work) -> Self {
-        let ends =
-            register.evidence(work).chain(register.ends(work)).map(|(run, weight)| End { run: run.clone(), weight });
-        Self { condemned: register.standing(work) == Standing::Condemned, ends: ends.collect() }
+    pub fn of(register: &Register, fingerprint: Work) -> Self {
+        let ends = register
+            .evidence(fingerprint)
+            .chain(register.ends(fingerprint))
+            .map(|(run, weight)| End { run: run.clone(), weight });
+        Self { condemned: register.standing(fingerprint) == Standing::Condemned, ends: ends.collect() }
     }
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
-    /// does not tell when the runs ended.
+    /// does not contain the times of the terminations.
     pub fn with_local_run_names(self, ends: &mut Ends, now: Moment) -> Self {
         let rename = |end: End| End { run: ends.heard(&end.run, Span::before(now)), ..end };
         Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
@@ -49,13 +51,13 @@
         serde_json::to_vec(self).wrap_err("step=encode-quarantine")
     }
 
-    /// Returns the record as updates for a register.
+    /// Returns the record as events for a register.
     pub fn news(&self, work: Work) -> Vec<News> {
         if self.condemned {
             return vec![News::Condemned(work)];
         }
-        let to_update = |end: &End| News::Ended { work, run: end.run.clone(), weight: end.weight };
-        self.ends.iter().map(to_update).collect()
+        let to_event = |end: &End| News::Ended { work, run: end.run.clone(), weight: end.weight };
+        self.ends.iter().map(to_event).collect()
     }
 }
 
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -19,19 +19,19 @@
 use super::super::state::Gateway;
 use super::super::watch;
 use super::record::{self, Entry};
-use super::{Source, apply_updates};
+use super::{Source, apply_events};
 use crate::{event, metric, warn_event};
 
-/// Time for which the store holds a read if nothing changes. An entry that is isolated from other entries must learn of
-/// a verdict within 3 s, the time within which it must stop sending. This holds even after its connection to the store
-/// goes silent: the hold time and the response timeout together are below 3 s.
-const READ_HOLD_TIME: Duration = Duration::from_millis(1_800);
+/// Time for which the store holds a read if nothing changes. An entry that is isolated from other entries must stop
+/// sending a condemned request within 3 s of the verdict. Even if the connection to the store becomes unresponsive, this
+/// time and the response timeout together take less.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Timeout for a response of the store.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A record to write.
 struct PendingWrite {
-    work: Work,
+    fingerprint: Work,
     /// New value of the record, or `None` to remove it.
     entry: Option<Entry>,
 }
@@ -62,12 +62,12 @@
     let topic = &gateway.quarantine.topic;
     let page = match topic.next() {
         None => {
-            let complete = reader.read_all().await?;
-            // Records that the complete read does not contain were lost by the store, and are written again.
+            let snapshot = reader.read_all().await?;
+            // Records that the snapshot does not contain were lost by the store, and are written again.
             gateway.quarantine.stored.borrow_mut().clear();
-            Some(complete)
+            Some(snapshot)
         }
-        Some(from) => reader.read_on(topic, from, READ_HOLD_TIME).await?,
+        Some(from) => reader.read_on(topic, from, LONG_POLL_TIMEOUT).await?,
     };
     let Some(Page { records, next }) = page else { return Ok(()) };
     records.iter().for_each(|record| apply_record(gateway, record));
@@ -77,7 +77,7 @@
 
 /// Applies one record. A record that cannot be decoded is logged and skipped.
 fn apply_record(gateway: &Gateway, record: &Keyed) {
-    let (work, entry) = match record::decode(record) {
+    let (fingerprint, entry) = match record::decode(record) {
         Ok(decoded) => decoded,
         Err(error) => {
             warn_event!("quarantine-record", offset = %Text(record.offset), error = %format!("{error:#}"));
@@ -85,38 +85,38 @@
         }
     };
     let mut stored = gateway.quarantine.stored.borrow_mut();
-    let updates = match entry {
+    let events = match entry {
         Some(entry) => {
-            // The runs get the names that they have in this process. Otherwise two entries that exchange crashes only
+            // The runs get the names that they have in this process. Otherwise two entries that exchange terminations only
             // through the store would each see the other's record as new and write it again forever.
             let entry = entry.with_local_run_names(&mut gateway.quarantine.ends.borrow_mut(), now());
-            let updates = entry.news(work);
-            stored.insert(work, entry);
-            updates
+            let events = entry.news(fingerprint);
+            stored.insert(fingerprint, entry);
+            events
         }
         // This entry has not seen a stored record that the removal could refer to, so its own evidence may be newer.
-        None if stored.remove(&work).is_none() => return,
-        None => vec![News::Lifted(work)],
+        None if stored.remove(&fingerprint).is_none() => return,
+        None => vec![News::Lifted(fingerprint)],
     };
     drop(stored);
-    apply_updates(gateway, updates, Source::Own);
+    apply_events(gateway, events, Source::Own);
 }
 
 /// Writes all new records, if this entry is the one that writes.
 async fn write_changes(gateway: &Gateway, client: &mut Client) -> Result<()> {
     while let Some(pending) = next_write(gateway) {
         let value = pending.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
-        let work = pending.work;
+        let fingerprint = pending.fingerprint;
         metric::store_calls("append", QUARANTINE, 1);
-        if let Err(error) = client.put(QUARANTINE, &work.to_string(), &value, RESPONSE_TIMEOUT).await {
-            warn_event!("quarantine-write", work = %work, error = %format!("{error:#}"));
+        if let Err(error) = client.put(QUARANTINE, &fingerprint.to_string(), &value, RESPONSE_TIMEOUT).await {
+            warn_event!("quarantine-write", work = %fingerprint, error = %format!("{error:#}"));
             return Err(error);
         }
-        event!("quarantine-written", work = %work, condemned = pending.entry.as_ref().is_some_and(|entry| entry.condemned));
+        event!("quarantine-written", work = %fingerprint, condemned = pending.entry.as_ref().is_some_and(|entry| entry.condemned));
         let mut stored = gateway.quarantine.stored.borrow_mut();
         match pending.entry {
-            Some(entry) => drop(stored.insert(work, entry)),
-            None => drop(stored.remove(&work)),
+            Some(entry) => drop(stored.insert(fingerprint, entry)),
+            None => drop(stored.remove(&fingerprint)),
         }
     }
     Ok(())
@@ -130,19 +130,21 @@
     }
     let register = quarantine.register.borrow();
     let stored = quarantine.stored.borrow();
-    let is_new =
-        |work: &Work| stored.get(work).is_none_or(|stored_entry| has_new_evidence(&register, *work, stored_entry));
+    let is_new = |fingerprint: &Work| {
+        stored.get(fingerprint).is_none_or(|stored_entry| has_new_evidence(&register, *fingerprint, stored_entry))
+    };
     let unwritten = register.lasting(gateway.desk.is_alone()).find(is_new);
-    if let Some(work) = unwritten {
-        return Some(PendingWrite { work, entry: Some(Entry::of(&register, work)) });
+    if let Some(fingerprint) = unwritten {
+        return Some(PendingWrite { fingerprint, entry: Some(Entry::of(&register, fingerprint)) });
     }
-    let is_clear =
-        |work: &&Work| register.standing(**work) == Standing::Clear && register.evidence(**work).next().is_none();
-    stored.keys().find(is_clear).map(|work| PendingWrite { work: *work, entry: None })
+    let is_clear = |fingerprint: &&Work| {
+        register.standing(**fingerprint) == Standing::Clear && register.evidence(**fingerprint).next().is_none()
+    };
+    stored.keys().find(is_clear).map(|fingerprint| PendingWrite { fingerprint: *fingerprint, entry: None })
 }
 
 /// Returns whether a register has more evidence against a fingerprint than the store.
-fn has_new_evidence(register: &Register, work: Work, stored_entry: &Entry) -> bool {
-    let local = Entry::of(register, work);
+fn has_new_evidence(register: &Register, fingerprint: Work, stored_entry: &Entry) -> bool {
+    let local = Entry::of(register, fingerprint);
     !stored_entry.condemned && (local.condemned || local.ends.iter().any(|end| !stored_entry.ends.contains(end)))
 }
