--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -3,11 +3,11 @@
 //!
 //! Every entry keeps a register of the limits in replicas' responses, and receives the limits that other entries see
 //! through the leader. A limit applies to all entries together, so the leader does the accounting: for engines with
-//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`permit`]). Requests to replicas
+//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`turn`]). Requests to replicas
 //! without a limit need no permit.
 
 mod cold;
-mod permit;
+mod turn;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -21,8 +21,8 @@
 use tokio::sync::Notify;
 
 pub use self::cold::thaw;
-use self::permit::PermitRequests;
-pub use self::permit::take_permit;
+use self::turn::PermitRequests;
+pub use self::turn::take_permit;
 use super::link::{Order, Report, Turn};
 use super::now;
 use super::quarantine::Source;
