--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -46,7 +46,7 @@
 pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, caller_guard: Box<dyn Any>) -> Answer {
     let started = now();
     let request = request.map(Watched::new);
-    let is_unread = request.body().unread();
+    let has_unread_body = request.body().unread();
     let (id, outcome) = match dialect::decode(request.headers()) {
         Err(malformed) => (Name::default(), Err(Failure::bad_request("malformed", malformed.0))),
         Ok(call) => (
@@ -56,16 +56,16 @@
     };
     let mut answer = match outcome {
         Ok(answer) => answer,
-        Err(failure) => fail(failure, &id, started),
+        Err(failure) => failure_response(failure, &id, started),
     };
-    if gateway.phase() != Phase::Serving || is_unread.get() {
+    if gateway.phase() != Phase::Serving || has_unread_body.get() {
         answer::close_after(&mut answer);
     }
     answer
 }
 
 /// Logs and counts a failure, and converts it into the response to the caller.
-fn fail(failure: Failure, id: &str, started: Moment) -> Answer {
+fn failure_response(failure: Failure, id: &str, started: Moment) -> Answer {
     event!("give-up", request = %id, code = failure.code, status = failure.status.as_u16(),
         ran = failure.ran.as_str(), reason = %failure.message, after_ms = now().since(started).as_millis());
     metric::request(failure.code);
@@ -120,7 +120,7 @@
     })
 }
 
-/// Reads the whole body, so that the request can be sent again and a truncated body never reaches a replica.
+/// Reads the complete body, so that the request can be sent again and a truncated body never reaches a replica.
 async fn read_body(gateway: &Gateway, body: Watched<Incoming>, timeout: Duration) -> Result<Bytes, Failure> {
     let max_bytes = gateway.table().limits().map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
     match tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await {
@@ -133,8 +133,8 @@
     }
 }
 
-/// Finds the route and the workspace of a request. While the configuration has not been confirmed recently, API keys
-/// are not trusted, and a missing route or key is not reported as missing.
+/// Finds the route and the workspace of a request. While the configuration has not been verified recently, API keys
+/// are not trusted, and a missing route or an unknown key is not reported.
 fn find_route(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
@@ -155,8 +155,8 @@
     }
 }
 
-/// Returns the failure for a missing route or key, or [`unverified`] if the routing table may lack changes that are
-/// already in force.
+/// Returns the failure for a missing route or an unknown key, or [`unverified`] if the routing table may lack changes
+/// that are already in force.
 fn rejection(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
     if gateway.may_deny() { Failure::new(status, code, message) } else { unverified() }
 }
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -35,7 +35,7 @@
 use crate::failure::Failure;
 use crate::{event, metric};
 
-/// Maximum size of a response that is buffered as a whole, in bytes: one sixteenth of the memory of the smallest VM.
+/// Maximum size of a response that is buffered completely, in bytes: one sixteenth of the memory of the smallest VM.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Number of failed connections to replicas after which a request fails.
 const MAX_FAILED_CONNECTIONS: u32 = 4;
@@ -62,7 +62,7 @@
     pub started: Moment,
     /// Timeout that the caller allows.
     pub timeout: Duration,
-    /// Time by which the final response is due.
+    /// Deadline of the final response.
     pub deadline: Moment,
     /// Replicas to which the request was sent or is being sent.
     tried_replicas: Vec<Name>,
@@ -135,8 +135,8 @@
                 Outcome::ReplicaClosed => is_retry_charged = true,
                 Outcome::Unresponsive(target) => next = Some(*target),
                 Outcome::NotExecuted(delay) => retry_after = retry_after.max(delay),
-                Outcome::Lost if self.can_retry() => {}
-                Outcome::Lost => return Err(self.exhausted_failure(retry_after)),
+                Outcome::ResponseLost if self.can_retry() => {}
+                Outcome::ResponseLost => return Err(self.exhausted_failure(retry_after)),
                 Outcome::NotSent if self.failed_connections < MAX_FAILED_CONNECTIONS => {}
                 Outcome::NotSent => return Err(self.exhausted_failure(retry_after)),
             }
@@ -158,14 +158,14 @@
     }
 
     /// Reports that the connection to a replica was lost, and briefly waits for the probe of whether the replica
-    /// crashed.
+    /// terminated.
     pub async fn connection_lost(&self, record: &Record, sent_at: Moment, weight: Weight) {
         let (request, fingerprint) = (self.call.id.clone(), self.work);
         LostConnection { request, fingerprint, record: record.clone(), sent_at, weight }.probe(&self.gateway).await;
     }
 
-    /// Returns the target of the next attempt, or the failure if no attempt is possible. `is_retry_charged` tells that the retry
-    /// budget has been charged already.
+    /// Returns the target of the next attempt, or the failure if no attempt is possible. `is_retry_charged` tells that
+    /// the retry budget has been charged already.
     async fn next_target(&self, retry_after: Option<Duration>, is_retry_charged: bool) -> Result<Target, Failure> {
         let target = match self.choose_target().await {
             Ok(target) => target,
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -23,7 +23,7 @@
     /// The replica proved that it did not execute the request. Contains the retry delay that the replica asked for.
     NotExecuted(Option<Duration>),
     /// The replica may have executed the request, and no usable response arrived.
-    Lost,
+    ResponseLost,
     /// The connection failed, so the replica never received the request.
     NotSent,
     /// The request was not sent because its deadline has passed.
@@ -67,7 +67,7 @@
         self.attempts += 1;
         self.possible_executions += 1;
         let result = tokio::select! {
-            // A response that has arrived counts, even if the attempt is given up at the same time.
+            // A response that has arrived takes precedence over the reasons to give up the attempt.
             biased;
             result = attempt::send(&record, &self.outgoing, &head) => result,
             next = self.fallback_target(&place) => return Outcome::Unresponsive(Box::new(next)),
@@ -86,7 +86,7 @@
                 // queued. A plain replica may run a request for a long time before it responds.
                 let weight = if self.has_engines() { Weight::Faint } else { Weight::Strong };
                 self.connection_lost(&record, sent_at, weight).await;
-                Outcome::Lost
+                Outcome::ResponseLost
             }
             Err(Failed::Unsent(error)) => {
                 self.attempts -= 1;
@@ -153,7 +153,7 @@
         }
         if !is_usable || (is_error && self.can_retry()) {
             event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
-            return Outcome::Lost;
+            return Outcome::ResponseLost;
         }
         Outcome::Opened(Box::new(opened))
     }
@@ -187,19 +187,19 @@
     /// responded.
     fn responsible_replica(&self, record: &Record, answer: &dialect::Answer) -> Name {
         let roster = self.gateway.roster.borrow();
-        let named = answer.responsible_address.as_ref().and_then(|address| {
+        let named_replica = answer.responsible_address.as_ref().and_then(|address| {
             let has_address = |record: &&Record| record.address == *address || record.id == *address;
             roster.living(&self.service).map(|replica| &replica.record).find(has_address)
         });
-        named.unwrap_or(record).id.clone()
+        named_replica.unwrap_or(record).id.clone()
     }
 }
 
 /// Returns whether a response can be forwarded: it belongs to this request, it has a seal if it reports success, and
 /// its status does not promise without proof that the request was not executed.
 fn is_usable(answer: &dialect::Answer) -> bool {
-    let is_vouched = answer.is_sealed || !answer.status.is_success();
-    answer.matches_request && is_vouched && !promises_not_executed(answer.status)
+    let has_required_seal = answer.is_sealed || !answer.status.is_success();
+    answer.matches_request && has_required_seal && !promises_not_executed(answer.status)
 }
 
 /// Returns whether callers understand the status as a promise that the request was not executed. Such a status is
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -17,13 +17,13 @@
 use super::Job;
 use crate::{event, metric};
 
-/// Fraction of the route's target latency that a request may wait for a permit of a rate-limited replica. The rest is
-/// left for the replica; plain replicas take about a third of the target latency.
+/// Fraction of the route's latency target that a request may wait for a permit of a rate-limited replica. The rest is
+/// left for the replica; plain replicas take about a third of the latency target.
 const MAX_PERMIT_WAIT_SHARE: f64 = 0.5;
 /// Delay before a prompt is planned again because its memory could not be reserved or one of its engines is gone.
 const REPLAN_DELAY: Duration = Duration::from_millis(50);
-/// Minimum time that a prompt may wait for engines, however late it is. A free engine is granted within a few
-/// milliseconds.
+/// Minimum time that a prompt may wait for engines, even if an earlier attempt has used up its wait time. A free engine
+/// is granted within a few milliseconds.
 const MIN_GRANT_WAIT: Duration = Duration::from_millis(100);
 
 /// Maximum fraction of a backoff that is added to the retry delay of refused callers, so that they do not all retry at
@@ -107,19 +107,19 @@
     }
 }
 
-/// A helper of a team, with the number of tokens for which it holds memory until the response is complete. The number
-/// is 0 if the helper only prefills.
+/// A helper of a team, with the number of tokens for which it reserves memory until the response is complete. The
+/// number is 0 if the helper only prefills.
 struct LocatedHelper {
     helper: dialect::Helper,
-    held_tokens: u64,
+    reserved_tokens: u64,
 }
 
 impl Job {
     /// Chooses the target of the next attempt. A prompt waits here until engines are granted.
     pub(super) async fn choose_target(&self) -> Result<Target, PlacementError> {
         match self.call.prompt_tokens {
-            Some(tokens) if self.has_engines() => self.engine_target(tokens).await,
-            _ => self.plain_target().await,
+            Some(tokens) if self.has_engines() => self.choose_engine_target(tokens).await,
+            _ => self.choose_plain_target().await,
         }
     }
 
@@ -129,7 +129,7 @@
 
     /// Chooses the best plain replica. A rate-limited replica is used if it has a permit at once. If all replicas are
     /// rate-limited, the request waits for the first permit that is available in time, or is refused.
-    async fn plain_target(&self) -> Result<Target, PlacementError> {
+    async fn choose_plain_target(&self) -> Result<Target, PlacementError> {
         // Rate-limited replicas that have no permit now.
         let mut without_permit: Vec<Name> = Vec::new();
         loop {
@@ -141,17 +141,18 @@
                 continue;
             };
             if !self.gateway.limits.is_limited(&record.id) {
-                return Ok(self.plain_slot(record));
+                return Ok(self.open_plain_slot(record));
             }
             let replica = record.id.clone();
             match limits::take_permit(&self.gateway, vec![replica.clone()], Duration::ZERO).await {
-                Ok(_) => return Ok(self.plain_slot(record)),
+                Ok(_) => return Ok(self.open_plain_slot(record)),
                 Err(_) => without_permit.push(replica),
             }
         }
     }
 
-    /// Returns the best replica that has not been tried, is not in `without_permit` and is not in backoff for this entry.
+    /// Returns the best replica that has not been tried, is not in `without_permit` and is not in backoff for this
+    /// entry.
     fn pick_replica(&self, without_permit: &[Name]) -> Option<Record> {
         let roster = self.gateway.roster.borrow();
         let is_excluded = |id: &Name| {
@@ -161,13 +162,13 @@
     }
 
     /// Opens a slot at a plain replica.
-    fn plain_slot(&self, record: Record) -> Target {
+    fn open_plain_slot(&self, record: Record) -> Target {
         let place = Place::Plain { _guard: OutstandingGuard::begin(&self.gateway, &record.id) };
         Target { record, helpers: Vec::new(), place }
     }
 
     /// Returns how much longer a request may wait for a plain replica.
-    fn max_wait(&self) -> Duration {
+    fn max_plain_wait(&self) -> Duration {
         (self.started + self.route.aim.mul_f64(MAX_PERMIT_WAIT_SHARE)).since(now())
     }
 
@@ -177,7 +178,7 @@
         let Some(backoff) = rests::soonest_of(&self.gateway, &self.service, is_untried) else {
             return Err(self.no_replica_error());
         };
-        if backoff > self.max_wait() {
+        if backoff > self.max_plain_wait() {
             return Err(self.no_replica_error());
         }
         event!("backoff-wait", request = %self.call.id, wait_ms = backoff.as_millis());
@@ -185,20 +186,20 @@
         Ok(())
     }
 
-    /// Waits for a permit of one of `without_permit`, all of which are rate-limited. Returns an error if no permit is available
-    /// in time.
+    /// Waits for a permit of one of `without_permit`, all of which are rate-limited. Returns an error if no permit is
+    /// available in time.
     async fn wait_for_permit(&self, without_permit: Vec<Name>) -> Result<Target, PlacementError> {
-        let max_wait = self.max_wait();
+        let max_wait = self.max_plain_wait();
         match limits::take_permit(&self.gateway, without_permit, max_wait).await {
             Ok(permit) => {
                 event!("limit-wait", request = %self.call.id, peer = %permit.replica, wait_ms = permit.after.as_millis());
                 metric::limit_wait();
                 tokio::time::sleep(permit.after).await;
                 let record = self.gateway.open_replica(&permit.replica);
-                record.map(|record| self.plain_slot(record)).ok_or(PlacementError::Exhausted)
+                record.map(|record| self.open_plain_slot(record)).ok_or(PlacementError::Exhausted)
             }
             Err(delay) => {
-                let (limited, usable) = self.limited_and_usable();
+                let (limited, usable) = self.count_limited_and_usable();
                 event!("limit-refused", request = %self.call.id, service = %self.service, next_ms = delay.as_millis(), limited, usable);
                 metric::limit_refusal();
                 // The jitter prevents all refused callers from retrying at the same time, when only one permit is
@@ -209,7 +210,7 @@
     }
 
     /// Waits until engines are granted, for at most the time that the caller's deadline and the policy allow.
-    async fn engine_target(&self, tokens: u64) -> Result<Target, PlacementError> {
+    async fn choose_engine_target(&self, tokens: u64) -> Result<Target, PlacementError> {
         let job = self.planner_job(tokens);
         let max_wait = self.route.patience().min(self.timeout).mul_f64(self.gateway.settings.policy.patience_share);
         let until = (self.started + max_wait).max(now() + MIN_GRANT_WAIT);
@@ -237,7 +238,7 @@
                     continue;
                 }
                 Err(error) => {
-                    let (limited, usable) = self.limited_and_usable();
+                    let (limited, usable) = self.count_limited_and_usable();
                     event!("placement-failed", request = %self.call.id, reason = ?error, waited_ms = now().since(self.started).as_millis(), limited, usable);
                     return Err(error);
                 }
@@ -280,7 +281,7 @@
     }
 
     /// Returns the number of rate-limited replicas of the service, and the number of its usable replicas.
-    fn limited_and_usable(&self) -> (usize, usize) {
+    fn count_limited_and_usable(&self) -> (usize, usize) {
         let roster = self.gateway.roster.borrow();
         let limited = roster.usable(&self.service).filter(|record| self.gateway.limits.is_limited(&record.id)).count();
         (limited, roster.usable(&self.service).count())
@@ -288,20 +289,20 @@
 
     /// Returns the planner's description of the prompt.
     fn planner_job(&self, tokens: u64) -> planner::Job {
-        let own_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
+        let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         planner::Job {
             prompt: tokens,
             output: self.call.output_tokens,
             aim: self.started + self.route.aim,
             gap_ms: self.route.gap_aim.as_secs_f64() * 1e3,
             deadline: self.deadline.min(self.started + self.route.patience()),
-            priority: own_priority.unwrap_or(self.route.priority),
+            priority: workspace_priority.unwrap_or(self.route.priority),
             work: Some(self.work),
         }
     }
 
-    /// Returns the decoding engine and the helpers of a team. Returns `None` if the decoding engine, or a helper that must hold memory,
-    /// no longer accepts requests.
+    /// Returns the decoding engine and the helpers of a team. Returns `None` if the decoding engine, or a helper that
+    /// must reserve memory, no longer accepts requests.
     fn locate_team(&self, team: &Team) -> Option<(Record, Vec<LocatedHelper>)> {
         let find_open = |id: &Name| self.gateway.open_replica(id);
         let mut located = Vec::new();
@@ -310,7 +311,7 @@
                 Some(record) => {
                     let helper = LocatedHelper {
                         helper: dialect::Helper { address: record.address, reservation: None },
-                        held_tokens: helper.holds,
+                        reserved_tokens: helper.holds,
                     };
                     located.push(helper);
                 }
@@ -322,11 +323,11 @@
     }
 
     /// Reserves the memory of a prompt at its helpers, either all of it or none. The reservation is absent if no helper
-    /// needs to hold memory.
+    /// needs to reserve memory.
     async fn reserve_memory(&self, located: Vec<LocatedHelper>) -> Option<(Vec<dialect::Helper>, Option<Hold>)> {
-        let holders = located.iter().filter(|located| located.held_tokens > 0);
+        let reserving = located.iter().filter(|located| located.reserved_tokens > 0);
         let demands: Vec<(Name, u64)> =
-            holders.map(|located| (located.helper.address.clone(), located.held_tokens)).collect();
+            reserving.map(|located| (located.helper.address.clone(), located.reserved_tokens)).collect();
         let mut helpers: Vec<dialect::Helper> = located.into_iter().map(|located| located.helper).collect();
         if demands.is_empty() {
             return Some((helpers, None));
@@ -335,7 +336,7 @@
         for helper in &mut helpers {
             helper.reservation = reservation.id(&helper.address);
         }
-        // Reserved memory is filled in the order of the list, so the helpers that hold memory come first.
+        // Reserved memory is filled in the order of the list, so the helpers with a reservation come first.
         helpers.sort_by_key(|helper| helper.reservation.is_none());
         Some((helpers, Some(reservation)))
     }
--- a/sorrelpass/src/gateway/desk/follower.rs
+++ b/sorrelpass/src/gateway/desk/follower.rs
@@ -32,7 +32,7 @@
     pub fn refused(&self, number: u64, retry_after: Duration) {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return };
         // The caller may have disconnected.
-        let _ = waiter.answer.send(Err(PlacementError::Refused(retry_after)));
+        let _ = waiter.sender.send(Err(PlacementError::Refused(retry_after)));
     }
 
     /// Starts to follow a leader, and reports all running and waiting prompts of this entry to it.
--- a/sorrelpass/src/gateway/desk/leader.rs
+++ b/sorrelpass/src/gateway/desk/leader.rs
@@ -28,7 +28,7 @@
         entry
     }
 
-    /// Tells the planners that this entry starts to plan for others, whose prompts it does not know yet.
+    /// Notifies the planners that this entry starts to plan for other entries, whose prompts it does not know yet.
     pub(super) fn expect_reports(&self) {
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.unsettle(now()));
     }
@@ -80,7 +80,7 @@
     /// followers. An update of a follower goes to all followers. An update of the leader goes no further.
     pub fn pass_on<T>(&self, update: T, source: Source, report: fn(T) -> Report, order: fn(T) -> Order) {
         match source {
-            // If the leader is lost meanwhile, the next leader receives the complete state.
+            // If the leader is lost meanwhile, the next leader receives the full state.
             Source::Own if self.has_leader() => drop(self.report(report(update))),
             Source::Own | Source::Follower => self.broadcast(&order(update)),
             Source::Leader => {}
@@ -90,7 +90,7 @@
     /// Sends an order to all followers.
     pub fn broadcast(&self, order: &Order) {
         for orders in self.followers.borrow().values() {
-            // A follower that reads too slowly loses its connection, and receives the complete state when it joins
+            // A follower that reads too slowly loses its connection, and receives the full state when it joins
             // again.
             let _ = orders.try_send(order.clone());
         }
@@ -99,7 +99,7 @@
     /// Sends an order to one follower.
     pub fn tell(&self, entry: u64, order: Order) {
         if let Some(orders) = self.followers.borrow().get(&entry) {
-            // A follower that reads too slowly loses its connection, and receives the complete state when it joins
+            // A follower that reads too slowly loses its connection, and receives the full state when it joins
             // again.
             let _ = orders.try_send(order);
         }
@@ -111,7 +111,7 @@
         let followers = self.followers.borrow();
         let chosen = followers.values().sample(&mut rand::rng(), MAX_DELEGATES);
         for orders in chosen {
-            // A follower that reads too slowly loses its connection, and receives the complete state when it joins
+            // A follower that reads too slowly loses its connection, and receives the full state when it joins
             // again.
             let _ = orders.try_send(Order::Read(question));
         }
--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/desk/mod.rs
@@ -36,17 +36,17 @@
 const EXPLAIN_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which the process checks whether it was suspended.
 const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between two checks from which the process counts as suspended. Followers give up a silent leader one
-/// heartbeat later.
+/// Minimum time between two checks for which the process counts as suspended. Followers give up an unresponsive leader
+/// one heartbeat later.
 const MIN_SUSPENSION: Duration = BEAT.saturating_mul(2);
-/// Number of this process in prompt ids, where followers have the number of their connection.
+/// Entry number of this process in prompt ids. Followers have the number of their connection.
 const OWN_ENTRY: u64 = 0;
 
 /// A prompt that waits for a grant.
 struct WaitingPrompt {
     service: Name,
     job: Job,
-    answer: oneshot::Sender<Result<Lease, PlacementError>>,
+    sender: oneshot::Sender<Result<Lease, PlacementError>>,
 }
 
 /// Reason why a prompt got no engines.
@@ -64,13 +64,13 @@
     /// Returns the retry delay for the caller, if it is known.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            PlacementError::Refused(after) => Some(after),
+            PlacementError::Refused(delay) => Some(delay),
             PlacementError::Withdrawn | PlacementError::Exhausted => None,
         }
     }
 }
 
-/// A prompt that engines are granted to.
+/// A prompt whose engines have been granted.
 struct GrantedPrompt {
     service: Name,
     job: Job,
@@ -101,7 +101,7 @@
     last_explained: Cell<Moment>,
     /// Time of the last check for a suspension, or `None` while no first events are expected.
     last_check: Cell<Option<Moment>>,
-    /// Notified when a first event becomes expected.
+    /// Notified when a prefill starts, after which its first event is expected.
     prefill_started: Notify,
     /// Notified when an event may allow a prompt to start.
     plan_requested: Notify,
@@ -219,17 +219,17 @@
     pub async fn request_engines(self: &Rc<Self>, service: &Name, job: Job) -> Result<Lease, PlacementError> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let (answer, answered) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let withdraw_guard = WithdrawGuard(self, number);
-        self.waiting.borrow_mut().insert(number, WaitingPrompt { service: service.clone(), job, answer });
+        self.waiting.borrow_mut().insert(number, WaitingPrompt { service: service.clone(), job, sender });
         let ask = Ask::of(&job, now());
         if !self.report(Report::Submit { number, service: service.clone(), ask }) {
             self.with_planner(service, |planner| planner.submit(own_id(number), job));
             self.request_planning();
         }
-        let answer = answered.await.map_err(|_| PlacementError::Withdrawn)?;
+        let result = receiver.await.map_err(|_| PlacementError::Withdrawn)?;
         drop(withdraw_guard);
-        answer
+        result
     }
 
     /// Refuses all prompts of this entry that wait for engines of a service.
@@ -388,7 +388,7 @@
     /// leader granted it, so that the local planner does not know it yet.
     fn start_prompt(self: &Rc<Self>, number: u64, placement: Placement, by_leader: bool) -> bool {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return false };
-        let WaitingPrompt { service, job, answer } = waiter;
+        let WaitingPrompt { service, job, sender } = waiter;
         let team = placement.team.clone();
         if by_leader {
             self.with_planner(&service, |planner| planner.adopt(own_id(number), &job, team.clone(), true, now()));
@@ -397,7 +397,7 @@
         self.prefill_started.notify_one();
         let lease = Lease { desk: Rc::downgrade(self), number, placement };
         // If the waiting task is gone, the lease is dropped here and releases the engines.
-        drop(answer.send(Ok(lease)));
+        drop(sender.send(Ok(lease)));
         true
     }
 
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -33,7 +33,7 @@
 pub async fn thaw(gateway: Rc<Gateway>) {
     loop {
         match next_cold_end(&gateway) {
-            Some(at) => tokio::time::sleep(at.since(now())).await,
+            Some(cold_end) => tokio::time::sleep(cold_end.since(now())).await,
             None => gateway.limits.cold_changed.notified().await,
         }
         super::apply(&gateway);
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -49,7 +49,7 @@
     unparsable: RefCell<HashSet<Name>>,
     /// Permit requests of this entry that the leader has not answered.
     permit_requests: PermitRequests,
-    /// Recent numbers of entries that share one leader.
+    /// Recent sizes of the group of entries with the same leader.
     group: Cell<Group>,
     /// Number of entries in the store at the last read.
     stored_entries: Cell<usize>,
@@ -64,12 +64,12 @@
     /// Returns the rate limit of a replica over all entries, in requests per second: the lower of the limit that the
     /// replica sets and the limit while it is cold.
     fn rate_limit(&self, replica: &str) -> Option<f64> {
-        let named = self.register.borrow().rate(replica);
+        let reported = self.register.borrow().rate(replica);
         let cold = self.cold.borrow().get(replica).copied();
-        named.into_iter().chain(cold).reduce(f64::min)
+        reported.into_iter().chain(cold).reduce(f64::min)
     }
 
-    /// Records the number of entries that share one leader.
+    /// Records the size of the group of entries with the same leader.
     pub fn note_group(&self, entries: usize) {
         let mut group = self.group.get();
         group.note(entries, now());
@@ -96,7 +96,7 @@
         self.register.borrow_mut().forget(replica);
     }
 
-    /// Returns the complete register for another entry, split into messages.
+    /// Returns the full register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<News>> {
         self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[News]>::to_vec).collect()
     }
@@ -107,8 +107,8 @@
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
         let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.wait(now));
-        let soonest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
-        let Some((delay, replica)) = soonest else { return Err(Duration::ZERO) };
+        let earliest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
+        let Some((delay, replica)) = earliest else { return Err(Duration::ZERO) };
         if delay > max_wait {
             return Err(delay);
         }
@@ -176,9 +176,9 @@
     let share = usable_share(gateway);
     let no_longer_cold = cold::update_cold(gateway);
     limits.allowances.borrow_mut().retain(|replica, _| limits.is_limited(replica));
-    let named: Vec<Name> = limits.register.borrow().limited().map(|(replica, _)| replica.clone()).collect();
+    let reported: Vec<Name> = limits.register.borrow().limited().map(|(replica, _)| replica.clone()).collect();
     let cold: Vec<Name> = limits.cold.borrow().keys().cloned().collect();
-    for replica in no_longer_cold.iter().chain(&named).chain(&cold) {
+    for replica in no_longer_cold.iter().chain(&reported).chain(&cold) {
         apply_limit(gateway, replica, limits.rate_limit(replica), share);
     }
 }
--- a/sorrelpass/src/gateway/limits/turn.rs
+++ b/sorrelpass/src/gateway/limits/turn.rs
@@ -16,9 +16,9 @@
 use super::super::now;
 use super::super::state::Gateway;
 
-/// Timeout for the leader's answer, which takes a few one-way latencies within a region. A leader that is silent for longer
-/// is suspended or partitioned. The request then goes to another replica, or waits for the share of the limit that this
-/// entry may use by itself.
+/// Timeout for the leader's answer, which takes a few one-way latencies within a region. A leader that does not answer
+/// for longer is suspended or partitioned. The request then goes to another replica, or waits for the share of the
+/// limit that this entry may use by itself.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
 type PermitAnswer = Result<Turn, Duration>;
@@ -35,9 +35,9 @@
     fn add(&self) -> (u64, oneshot::Receiver<PermitAnswer>) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let (answer, answered) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, answer);
-        (number, answered)
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(number, sender);
+        (number, receiver)
     }
 
     /// Completes a permit request, if it still waits for an answer.
@@ -78,10 +78,10 @@
 async fn request_permit(gateway: &Gateway, replicas: &[Name], max_wait: Duration) -> PermitAnswer {
     let limits = &gateway.limits;
     if gateway.desk.has_leader() {
-        let (number, answered) = limits.permit_requests.add();
+        let (number, receiver) = limits.permit_requests.add();
         let request = Report::Turn { number, replicas: replicas.to_vec(), most_wait: max_wait };
         if gateway.desk.report(request) {
-            let outcome = tokio::time::timeout(PERMIT_TIMEOUT, answered).await;
+            let outcome = tokio::time::timeout(PERMIT_TIMEOUT, receiver).await;
             limits.permit_requests.waiting.borrow_mut().remove(&number);
             if let Ok(Ok(answer)) = outcome {
                 return answer;
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -17,8 +17,8 @@
 use super::{Source, apply_events};
 use crate::{event, metric};
 
-/// Time that a request waits for the probe of its replica before it is sent again: a few one-way latencies within a region.
-/// Behind a network partition the probe does not complete in time, and yields no evidence.
+/// Time that a request waits for the probe of its replica before it is sent again: a few one-way latencies within a
+/// region. Behind a network partition the probe does not complete in time, and yields no evidence.
 const PROBE_WAIT: Duration = Duration::from_millis(25);
 /// Delays before a replica that still listens is probed again. A process that ends closes its connections and its
 /// listener one after the other, on a busy VM some milliseconds apart.
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -80,7 +80,7 @@
         gateway.desk.set_suspects(suspects);
     }
 
-    /// Returns whether there is any evidence or verdict against a fingerprint.
+    /// Returns whether any evidence or verdict exists against a fingerprint.
     fn has_evidence(&self, fingerprint: Work) -> bool {
         let register = self.register.borrow();
         register.standing(fingerprint) != Standing::Clear || register.evidence(fingerprint).next().is_some()
@@ -97,7 +97,7 @@
         self.write_needed.notify_one();
     }
 
-    /// Returns the complete register for another entry, split into messages.
+    /// Returns the full register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<Told>> {
         self.register.borrow().all().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
     }
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -23,8 +23,8 @@
 use crate::{event, metric, warn_event};
 
 /// Time for which the store holds a read if nothing changes. An entry that is isolated from other entries must stop
-/// sending a condemned request within 3 s of the verdict. Even if the connection to the store becomes unresponsive, this
-/// time and the response timeout together take less.
+/// sending a condemned request within 3 s of the verdict. Even if the connection to the store becomes unresponsive,
+/// this time and the response timeout together take less.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Timeout for a response of the store.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -41,8 +41,8 @@
     let mut reader = Reader::new(&gateway, QUARANTINE);
     let mut writer = Client::new(gateway.settings.store);
     loop {
-        let first_by = gateway.first_from_others_by();
-        watch::reads_replicas(&gateway, first_by).await;
+        let peer_update_deadline = gateway.first_from_others_by();
+        watch::reads_replicas(&gateway, peer_update_deadline).await;
         let is_read = tokio::select! {
             outcome = read_changes(&gateway, &mut reader) => {
                 reader.note(&outcome);
@@ -87,8 +87,8 @@
     let mut stored = gateway.quarantine.stored.borrow_mut();
     let events = match entry {
         Some(entry) => {
-            // The runs get the names that they have in this process. Otherwise two entries that exchange terminations only
-            // through the store would each see the other's record as new and write it again forever.
+            // The runs get the names that they have in this process. Otherwise two entries that exchange terminations
+            // only through the store would each see the other's record as new and write it again forever.
             let entry = entry.with_local_run_names(&mut gateway.quarantine.ends.borrow_mut(), now());
             let events = entry.news(fingerprint);
             stored.insert(fingerprint, entry);
