--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -50,7 +50,7 @@
     pub call: dialect::Call,
     /// Route that the host and the path select.
     pub route: Route,
-    /// Workspace of the request's API key, or `None` if the route is public.
+    /// Workspace of the request's API key, or `None` if the route needs no key.
     pub workspace: Option<Workspace>,
     /// Service that the route selects.
     pub service: Name,
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -232,7 +232,7 @@
             };
             let lease = match lease {
                 Ok(lease) => lease,
-                // Only this entry can resume a broken stream, so it plans again.
+                // Only this entry can resume a broken stream, so the prompt is planned again.
                 Err(PlacementError::Refused(_)) if self.attempts > 0 => {
                     tokio::time::sleep(REPLAN_DELAY).await;
                     continue;
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -29,7 +29,7 @@
     previous.into_keys().filter(|replica| !cold.contains_key(replica)).collect()
 }
 
-/// Removes the rate limits of replicas that are no longer cold, until the process ends.
+/// Background task that removes the rate limit of each replica when the replica is no longer cold.
 pub async fn thaw(gateway: Rc<Gateway>) {
     loop {
         match next_cold_end(&gateway) {
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -36,7 +36,7 @@
     entry: Option<Entry>,
 }
 
-/// Synchronizes this entry with the store, until the process ends.
+/// Background task that keeps this entry synchronized with the store.
 pub async fn run(gateway: Rc<Gateway>) {
     let mut reader = Reader::new(&gateway, QUARANTINE);
     let mut writer = Client::new(gateway.settings.store);
