--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -1,4 +1,4 @@
-//! Taking a request in: its head, its body, its route and the workspace that it is from.
+//! Reads a request and admits it: decodes the head, reads the body, and finds the route and the workspace.
 
 use std::any::Any;
 use std::rc::Rc;
@@ -18,85 +18,88 @@
 use super::super::now;
 use super::super::state::{Gateway, Phase};
 use super::super::work;
-use super::{BUSY_RETRY, Job};
+use super::{BUSY_RETRY_AFTER, Job};
 use crate::failure::Failure;
 use crate::unread::Watched;
 use crate::{event, metric};
 
-/// Time for which a request may be held where neither caller nor route names one.
-const DEFAULT_ALLOWED: Duration = Duration::from_secs(30);
-/// Largest body where the configuration names none, in bytes.
-const DEFAULT_BODY_BYTES: usize = 4 << 20;
-/// When a caller should come back to an entry that has no proof of its configuration.
-const UNPROVEN_RETRY: Duration = Duration::from_millis(500);
-/// When a caller should come back to another entry, this one being about to end.
-const STOPPING_RETRY: Duration = Duration::from_millis(20);
+/// Timeout of a request whose caller sends no deadline. The timeout of the route is a further bound.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum body size if the configuration sets none, in bytes.
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
+/// Retry delay for callers of an entry whose copy of the configuration has not been verified recently.
+const UNVERIFIED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry delay for callers of an entry that is about to stop; they retry at another entry.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// A request as it came.
-struct Arrival {
+/// A request whose head has been received and whose body has not been read.
+struct ReceivedRequest {
     call: dialect::Call,
     request: Request<Watched<Incoming>>,
-    /// When its head had come.
-    at: Moment,
-    /// Counts it at its caller's connection until it is over.
-    busy: Box<dyn Any>,
+    /// Time at which the head was received.
+    received_at: Moment,
+    /// Guard that counts the request on the caller's connection until the request is complete.
+    caller_guard: Box<dyn Any>,
 }
 
-/// Takes a request to its answer. `busy` is dropped once the request is over.
-pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, busy: Box<dyn Any>) -> Answer {
+/// Handles a request and returns the response. `caller_guard` is dropped when the request is complete.
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, caller_guard: Box<dyn Any>) -> Answer {
     let started = now();
     let request = request.map(Watched::new);
-    let unread = request.body().unread();
+    let has_unread_body = request.body().unread();
     let (id, outcome) = match dialect::decode(request.headers()) {
         Err(malformed) => (Name::default(), Err(Failure::bad_request("malformed", malformed.0))),
-        Ok(call) => (call.id.clone(), serve(&gateway, Arrival { call, request, at: started, busy }).await),
+        Ok(call) => (
+            call.id.clone(),
+            serve(&gateway, ReceivedRequest { call, request, received_at: started, caller_guard }).await,
+        ),
     };
     let mut answer = match outcome {
         Ok(answer) => answer,
-        Err(failure) => give_up(failure, &id, started),
+        Err(failure) => failure_response(failure, &id, started),
     };
-    if gateway.phase() != Phase::Serving || unread.get() {
+    if gateway.phase() != Phase::Serving || has_unread_body.get() {
         answer::close_after(&mut answer);
     }
     answer
 }
 
-/// Notes a failure and turns it into the caller's answer.
-fn give_up(failure: Failure, id: &str, started: Moment) -> Answer {
+/// Logs and counts a failure, and converts it into the response to the caller.
+fn failure_response(failure: Failure, id: &str, started: Moment) -> Answer {
     event!("give-up", request = %id, code = failure.code, status = failure.status.as_u16(),
         ran = failure.ran.as_str(), reason = %failure.message, after_ms = now().since(started).as_millis());
     metric::request(failure.code);
     answer::failure(failure, id)
 }
 
-async fn serve(gateway: &Rc<Gateway>, arrival: Arrival) -> Result<Answer, Failure> {
+async fn serve(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Answer, Failure> {
     if gateway.phase() == Phase::Closing {
-        // It could not be finished before the process must end.
-        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY));
+        // The request could not complete before the process stops.
+        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY_AFTER));
     }
-    let mut job = job(gateway, arrival).await?;
-    let opened = job.open_in_time().await?;
-    job.pass_on(opened).await
+    let mut job = admit(gateway, received).await?;
+    let response = job.open_before_deadline().await?;
+    job.forward_response(response).await
 }
 
-/// Reads and admits a request.
-async fn job(gateway: &Rc<Gateway>, arrival: Arrival) -> Result<Job, Failure> {
-    let Arrival { call, request, at: started, busy } = arrival;
+/// Reads the body of a request and admits it.
+async fn admit(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Job, Failure> {
+    let ReceivedRequest { call, request, received_at: started, caller_guard } = received;
     let in_flight = gateway.begin_request();
     let (head, body) = request.into_parts();
-    let allowed = call.allowed.unwrap_or(DEFAULT_ALLOWED);
-    let body = read_body(gateway, body, allowed).await?;
+    let timeout = call.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let body = read_body(gateway, body, timeout).await?;
     gateway.learn().await;
-    let (route, workspace) = admit(gateway, &call, head.uri.path())?;
+    let (route, workspace) = find_route(gateway, &call, head.uri.path())?;
     if workspace.is_some() && !gateway.has_recent_proof() {
         metric::old_proof();
     }
     let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
-    let deadline = started + allowed.min(route.timeout);
+    let deadline = started + timeout.min(route.timeout);
     let outgoing = Outgoing { method: head.method, uri: head.uri, headers: head.headers, body };
     let work = work::fingerprint(&call.host, &outgoing, workspace.as_ref().map(|workspace| &workspace.name));
     event!("request", request = %call.id, work = %work, route = %route.name, service = %service, prompt_tokens = call.prompt_tokens.unwrap_or(0),
-        version = gateway.table().version(), proof_age_ms = gateway.proof_age_ms().unwrap_or(0), allowed_ms = allowed.as_millis());
+        version = gateway.table().version(), proof_age_ms = gateway.proof_age_ms().unwrap_or(0), allowed_ms = timeout.as_millis());
     Ok(Job {
         gateway: gateway.clone(),
         call,
@@ -106,62 +109,63 @@
         outgoing,
         work,
         started,
-        allowed,
+        timeout,
         deadline,
-        tried: Vec::new(),
-        sends: 0,
-        runs: 0,
-        unreached: 0,
+        tried_replicas: Vec::new(),
+        attempts: 0,
+        possible_executions: 0,
+        failed_connections: 0,
         _in_flight: in_flight,
-        _busy: busy,
+        _caller_guard: caller_guard,
     })
 }
 
-/// Reads the whole body, so that it can be sent again and a broken one reaches no replica.
-async fn read_body(gateway: &Gateway, body: Watched<Incoming>, allowed: Duration) -> Result<Bytes, Failure> {
-    let most = gateway.table().limits().map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
-    match tokio::time::timeout(allowed, Limited::new(body, most).collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+/// Reads the complete body, so that the request can be sent again and a truncated body never reaches a replica.
+async fn read_body(gateway: &Gateway, body: Watched<Incoming>, timeout: Duration) -> Result<Bytes, Failure> {
+    let max_bytes = gateway.table().limits().map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
+    match tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err(Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", format!("a body may have {most} bytes")))
+            Err(Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", format!("a body may have {max_bytes} bytes")))
         }
         Ok(Err(error)) => Err(Failure::bad_request("broken_body", error.to_string())),
         Err(_) => Err(Failure::new(StatusCode::REQUEST_TIMEOUT, "slow_body", "the body did not come in time")),
     }
 }
 
-/// Finds the route and the workspace. Without a recent proof of the configuration no key is trusted, and nothing is
-/// said not to be there.
-fn admit(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
+/// Finds the route and the workspace of a request. While the configuration has not been verified recently, API keys
+/// are not trusted, and a missing route or an unknown key is not reported.
+fn find_route(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
-        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNPROVEN_RETRY));
+        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNVERIFIED_RETRY_AFTER));
     }
     let Ok(route) = table.route(&call.host, path) else {
-        return Err(denied(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
+        return Err(rejection(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
     };
     if !table.needs_key(route) {
         return Ok((route.clone(), None));
     }
     if !gateway.proof_holds() {
-        return Err(unproven());
+        return Err(unverified());
     }
-    match table.workspace(call.key.as_deref()) {
+    match table.workspace(call.api_key.as_deref()) {
         Ok(workspace) => Ok((route.clone(), Some(workspace.clone()))),
-        Err(_) => Err(denied(gateway, StatusCode::UNAUTHORIZED, "unknown_key", "the key stands for nobody")),
+        Err(_) => Err(rejection(gateway, StatusCode::UNAUTHORIZED, "unknown_key", "the key stands for nobody")),
     }
 }
 
-/// Says that something is not there; a table that may lack what is in force by now cannot say so.
-fn denied(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
-    if gateway.may_deny() { Failure::new(status, code, message) } else { unproven() }
+/// Returns the failure for a missing route or an unknown key, or [`unverified`] if the routing table may lack changes
+/// that are already in force.
+fn rejection(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
+    if gateway.may_deny() { Failure::new(status, code, message) } else { unverified() }
 }
 
-/// The table is too old to decide.
-fn unproven() -> Failure {
-    Failure::busy("unproven", "the configuration may have changed", UNPROVEN_RETRY)
+/// Returns the failure of a request that the routing table is too old to decide.
+fn unverified() -> Failure {
+    Failure::busy("unproven", "the configuration may have changed", UNVERIFIED_RETRY_AFTER)
 }
 
 fn no_service() -> Failure {
-    Failure::busy("no_replica", "the route has no service", BUSY_RETRY)
+    Failure::busy("no_replica", "the route has no service", BUSY_RETRY_AFTER)
 }
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one replica once, and judging what came back.
+//! One attempt to send a request to a replica, and the classification of its response.
 
 use std::time::Duration;
 
@@ -16,111 +16,115 @@
 use super::{Job, Opened};
 use crate::{event, metric, util};
 
-/// What one send came to.
-pub(super) enum Sent {
-    /// An answer that is worth passing on.
+/// Outcome of an attempt.
+pub(super) enum Outcome {
+    /// The replica opened a response that can be forwarded.
     Opened(Box<Opened>),
-    /// The replica proved that it did not run the request; it may say when to come back.
-    NotRun(Option<Duration>),
-    /// The replica may have run it, and nothing usable came back.
-    Lost,
-    /// The replica never saw it.
-    Unsent,
-    /// It was not sent: its time is over.
-    Late,
-    /// It was not sent: nothing new may go to that replica any more.
-    Barred,
-    /// It was not sent: replicas end under what it asks for.
+    /// The replica proved that it did not execute the request. Contains the retry delay that the replica asked for.
+    NotExecuted(Option<Duration>),
+    /// The replica may have executed the request, and no usable response arrived.
+    ResponseLost,
+    /// The connection failed, so the replica never received the request.
+    NotSent,
+    /// The request was not sent because its deadline has passed.
+    DeadlinePassed,
+    /// The request was not sent because the replica no longer accepts new requests.
+    ReplicaClosed,
+    /// The request was not sent, or was aborted, because it is condemned.
     Condemned,
-    /// Nothing came for longer than can be explained, and it goes here next; the retry is counted already.
-    Silent(Box<Target>),
+    /// The engines were unresponsive for longer than expected. Contains the next target, whose retry has been charged
+    /// to the budget.
+    Unresponsive(Box<Target>),
 }
 
 impl Job {
-    /// One send to one replica.
-    pub(super) async fn send(&mut self, target: Target, after_event: Option<u64>) -> Sent {
-        // The one place that every send passes, behind all waits.
+    /// Makes one attempt at one replica.
+    pub(super) async fn send(&mut self, target: Target, after_event: Option<u64>) -> Outcome {
+        // Every attempt passes this check, after all waits.
         if self.is_condemned() {
-            return Sent::Condemned;
+            return Outcome::Condemned;
         }
-        // Timers do not run while a VM is suspended; what is due by then is late all the same.
+        // Timers do not run while a VM is suspended, so the deadline is checked again here.
         if self.left().is_zero() {
-            return Sent::Late;
+            return Outcome::DeadlinePassed;
         }
         if self.gateway.open_replica(&target.record.id).is_none() {
             event!("not-sent", request = %self.call.id, peer = %target.record.id);
-            return Sent::Barred;
+            return Outcome::ReplicaClosed;
         }
         let Target { record, helpers, place } = target;
         metric::sent(&record.failure_domain, util::wall());
-        let begun = now();
-        self.tried.push(record.id.clone());
-        let head = self.head(&record, helpers, after_event);
-        event!("send", request = %self.call.id, peer = %record.id, helpers = head.helpers.len(), number = self.sends + 1, left_ms = head.left.as_millis(),
+        let sent_at = now();
+        self.tried_replicas.push(record.id.clone());
+        let head = self.upstream_head(&record, helpers, after_event);
+        event!("send", request = %self.call.id, peer = %record.id, helpers = head.helpers.len(), number = self.attempts + 1, left_ms = head.time_left.as_millis(),
             after_event = after_event.map_or(-1, |event| event as i64));
-        let may_run = self.runs == 0 || self.route.repeatable();
-        invariant!(may_run, "a request that may run once is not sent again after it may have run");
-        let first = self.sends == 0;
-        // Counted before the send: if the time runs out during it, the replica may have run the request.
-        self.sends += 1;
-        self.runs += 1;
-        let sent = tokio::select! {
-            // An answer that has come counts, also if it was given up by now.
+        let can_run = self.possible_executions == 0 || self.route.repeatable();
+        invariant!(can_run, "a request that may run once is not sent again after it may have run");
+        let is_first = self.attempts == 0;
+        // Counted before the send, since the replica may have executed the request if the deadline passes during the
+        // send.
+        self.attempts += 1;
+        self.possible_executions += 1;
+        let result = tokio::select! {
+            // A response that has arrived takes precedence over the reasons to give up the attempt.
             biased;
-            sent = attempt::send(&record, &self.outgoing, &head) => sent,
-            next = self.elsewhere(&place) => return Sent::Silent(Box::new(next)),
-            // Called back before the replica begins with it, that one does not end.
-            () = self.gateway.quarantine.condemned(self.work) => return Sent::Condemned,
+            result = attempt::send(&record, &self.outgoing, &head) => result,
+            next = self.fallback_target(&place) => return Outcome::Unresponsive(Box::new(next)),
+            // If the attempt is aborted before the replica starts the request, the replica does not crash.
+            () = self.gateway.quarantine.wait_until_condemned(self.work) => return Outcome::Condemned,
         };
-        if first && !matches!(sent, Err(Failed::Unsent(_))) {
+        if is_first && !matches!(result, Err(Failed::Unsent(_))) {
             self.gateway.note_first(&self.service);
         }
-        match sent {
-            Ok((response, connection)) => self.judge(Opened { record, response, connection, place, sent: begun }),
+        match result {
+            Ok((response, connection)) => self.classify(Opened { record, response, connection, place, sent: sent_at }),
             Err(Failed::Lost(error)) => {
-                self.blame(&record.id, NO_ANSWER);
+                self.record_failure(&record.id, NO_ANSWER);
                 event!("lost", request = %self.call.id, work = %self.work, peer = %record.id, error = %error);
-                // An engine opens its answer when it begins; a plain replica may run for long before it does.
+                // An engine opens its response when it starts the prompt, so before that the prompt may only have been
+                // queued. A plain replica may run a request for a long time before it responds.
                 let weight = if self.has_engines() { Weight::Faint } else { Weight::Strong };
-                self.connection_lost(&record, begun, weight).await;
-                Sent::Lost
+                self.connection_lost(&record, sent_at, weight).await;
+                Outcome::ResponseLost
             }
             Err(Failed::Unsent(error)) => {
-                self.sends -= 1;
-                self.runs -= 1;
-                self.unreached += 1;
-                self.blame(&record.id, NO_ANSWER);
-                event!("unreached", request = %self.call.id, peer = %record.id, error = %error);
-                Sent::Unsent
+                self.attempts -= 1;
+                self.possible_executions -= 1;
+                self.failed_connections += 1;
+                self.record_failure(&record.id, NO_ANSWER);
+                event!("connect-failed", request = %self.call.id, peer = %record.id, error = %error);
+                Outcome::NotSent
             }
         }
     }
 
-    /// Where the request goes if nothing comes from the engines that have it: once they are silent, the common retry
-    /// budget allows it, and others are free. Pends for ever where it may not be sent again. What comes from the first
-    /// engines meanwhile is taken, so that a false alarm costs nothing while others are busy.
-    async fn elsewhere(&self, place: &Place) -> Target {
-        let silent_after = match place.silent_after() {
-            Some(silent_after) if self.may_repeat() => silent_after,
+    /// Returns another target if the current engines are unresponsive, the retry budget of the service allows another
+    /// attempt, and other engines are free. Otherwise, and if the request may not be sent again, the future never
+    /// completes. Meanwhile a response of the current engines is still accepted, so that a false alarm costs nothing
+    /// while other engines are busy.
+    async fn fallback_target(&self, place: &Place) -> Target {
+        let timeout = match place.unresponsive_after() {
+            Some(timeout) if self.can_retry() => timeout,
             _ => return std::future::pending().await,
         };
-        tokio::time::sleep(silent_after).await;
-        if !self.take_retry() {
+        tokio::time::sleep(timeout).await;
+        if !self.try_retry() {
             return std::future::pending().await;
         }
-        event!("silent", request = %self.call.id, peer = self.tried.last().map_or("", |id| id), after_ms = silent_after.as_millis());
-        place.silent();
-        match self.target().await {
+        event!("engines-unresponsive", request = %self.call.id, peer = self.tried_replicas.last().map_or("", |id| id), after_ms = timeout.as_millis());
+        place.report_unresponsive();
+        match self.choose_target().await {
             Ok(target) => target,
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// What this send adds to the caller's head.
-    fn head(&self, record: &Record, helpers: Vec<dialect::Helper>, after_event: Option<u64>) -> dialect::Send {
+    /// Returns the values that this attempt adds to the caller's headers.
+    fn upstream_head(&self, record: &Record, helpers: Vec<dialect::Helper>, after_event: Option<u64>) -> dialect::Send {
         dialect::Send {
             replica: record.id.clone(),
-            left: self.left(),
+            time_left: self.left(),
             workspace: self.workspace.as_ref().map(|workspace| workspace.name.clone()),
             helpers,
             after_event,
@@ -128,74 +132,79 @@
         }
     }
 
-    /// Whether an answer head is one to pass on.
-    fn judge(&mut self, opened: Opened) -> Sent {
+    /// Classifies a response head, and applies what it reports about the replica.
+    fn classify(&mut self, opened: Opened) -> Outcome {
         let answer = dialect::answer(opened.response.status(), opened.response.headers(), &self.call.id);
         let record = &opened.record;
-        limits::said(&self.gateway, record, &answer, opened.sent);
+        limits::observe_response(&self.gateway, record, &answer, opened.sent);
         leaving::said(&self.gateway, record, &answer);
         rests::said(&self.gateway, record, &answer);
         if let Some(load) = answer.load {
             self.gateway.placer.borrow_mut().told(&record.id, load);
         }
-        if answer.not_run {
-            return self.refused(record, &answer);
+        if answer.is_not_executed {
+            return self.handle_refusal(record, &answer);
         }
-        let (usable, error) = (is_usable(&answer), answer.status.is_server_error());
-        match (usable, error) {
-            (false, _) => self.blame(&record.id, NO_ANSWER),
-            (true, true) => self.blame(&record.id, ERROR_ANSWER),
+        let (is_usable, is_error) = (is_usable(&answer), answer.status.is_server_error());
+        match (is_usable, is_error) {
+            (false, _) => self.record_failure(&record.id, NO_ANSWER),
+            (true, true) => self.record_failure(&record.id, ERROR_ANSWER),
             (true, false) => self.gateway.placer.borrow_mut().succeeded(&record.id),
         }
-        if !usable || (error && self.may_repeat()) {
-            event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), ours = answer.ours, sealed = answer.sealed);
-            return Sent::Lost;
+        if !is_usable || (is_error && self.can_retry()) {
+            event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
+            return Outcome::ResponseLost;
         }
-        Sent::Opened(Box::new(opened))
+        Outcome::Opened(Box::new(opened))
     }
 
-    /// Notes that a replica failed the request; for a plain service `share` tells how far that is its fault.
-    pub(super) fn blame(&self, replica: &Name, share: f64) {
+    /// Records that a replica failed the request. For a plain replica, `fault_share` is the part of the failure that is
+    /// attributed to it.
+    pub(super) fn record_failure(&self, replica: &Name, fault_share: f64) {
         if self.has_engines() {
             self.gateway.desk.failed(&self.service, replica);
         } else {
-            self.gateway.placer.borrow_mut().failed(replica, share);
+            self.gateway.placer.borrow_mut().failed(replica, fault_share);
         }
     }
 
-    /// Notes that a replica proved that it did not run the request, and who is to blame.
-    fn refused(&mut self, record: &Record, answer: &dialect::Answer) -> Sent {
-        let rest = answer.rest().unwrap_or_default();
-        event!("not-run", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), at_fault = answer.at_fault.as_deref().unwrap_or(""),
-            rest_ms = rest.as_millis());
-        self.runs -= 1;
-        let at_fault = self.at_fault(record, answer);
-        self.blame(&at_fault, REFUSAL);
-        if answer.displaced && at_fault == record.id {
+    /// Handles a replica's proof that it did not execute the request, and records the failure of the responsible
+    /// replica.
+    fn handle_refusal(&mut self, record: &Record, answer: &dialect::Answer) -> Outcome {
+        let backoff = answer.rest().unwrap_or_default();
+        event!("not-executed", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), responsible = answer.responsible_address.as_deref().unwrap_or(""),
+            backoff_ms = backoff.as_millis());
+        self.possible_executions -= 1;
+        let responsible = self.responsible_replica(record, answer);
+        self.record_failure(&responsible, REFUSAL);
+        if answer.is_misdirected && responsible == record.id {
             self.gateway.displaced(&record.id);
         }
-        Sent::NotRun(answer.retry_after)
+        Outcome::NotExecuted(answer.retry_after)
     }
 
-    /// The replica to blame for a refusal: the one that the answer names, else the one that answered.
-    fn at_fault(&self, record: &Record, answer: &dialect::Answer) -> Name {
+    /// Returns the replica that is responsible for a refusal: the replica that the response names, or else the one that
+    /// responded.
+    fn responsible_replica(&self, record: &Record, answer: &dialect::Answer) -> Name {
         let roster = self.gateway.roster.borrow();
-        let named = answer.at_fault.as_ref().and_then(|address| {
-            let of_address = |record: &&Record| record.address == *address || record.id == *address;
-            roster.living(&self.service).map(|replica| &replica.record).find(of_address)
+        let named_replica = answer.responsible_address.as_ref().and_then(|address| {
+            let has_address = |record: &&Record| record.address == *address || record.id == *address;
+            roster.living(&self.service).map(|replica| &replica.record).find(has_address)
         });
-        named.unwrap_or(record).id.clone()
+        named_replica.unwrap_or(record).id.clone()
     }
 }
 
-/// Whether an answer is to this request, is vouched for if it says that all went well, and promises nothing unproven.
+/// Returns whether a response can be forwarded: it belongs to this request, it has a seal if it reports success, and
+/// its status does not promise without proof that the request was not executed.
 fn is_usable(answer: &dialect::Answer) -> bool {
-    let vouched = answer.sealed || !answer.status.is_success();
-    answer.ours && vouched && !promises_not_run(answer.status)
+    let has_required_seal = answer.is_sealed || !answer.status.is_success();
+    answer.matches_request && has_required_seal && !promises_not_executed(answer.status)
 }
 
-/// Statuses that promise callers that the request did not run; only proof lets them through.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Returns whether callers understand the status as a promise that the request was not executed. Such a status is
+/// forwarded only with proof.
+fn promises_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -1,6 +1,6 @@
-//! Replicas that are cold: for a while they take fewer requests than they will, from all entries together.
+//! Cold replicas, which accept fewer requests from all entries together for a while after their start.
 //!
-//! Such a replica counts as one that names a limit, until the moment at which it is cold no more.
+//! A cold replica is rate-limited until the time at which it is no longer cold.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 use super::super::now;
 use super::super::state::Gateway;
 
-/// Notes which replicas are cold now; returns those that were and are not any more.
-pub(super) fn refresh(gateway: &Gateway) -> Vec<Name> {
+/// Updates the set of cold replicas. Returns the replicas that are no longer cold.
+pub(super) fn update_cold(gateway: &Gateway) -> Vec<Name> {
     let mut cold = BTreeMap::new();
     let roster = gateway.roster.borrow();
     for service in gateway.table().services() {
@@ -22,26 +22,26 @@
     }
     drop(roster);
     if !cold.is_empty() {
-        gateway.limits.chilled.notify_one();
+        gateway.limits.cold_changed.notify_one();
     }
-    let before = gateway.limits.cold.replace(cold);
+    let previous = gateway.limits.cold.replace(cold);
     let cold = gateway.limits.cold.borrow();
-    before.into_keys().filter(|replica| !cold.contains_key(replica)).collect()
+    previous.into_keys().filter(|replica| !cold.contains_key(replica)).collect()
 }
 
-/// Lifts the limits of replicas that are cold no more, for as long as the process lives.
+/// Background task that removes the rate limit of each replica when the replica is no longer cold.
 pub async fn thaw(gateway: Rc<Gateway>) {
     loop {
-        match next_warm(&gateway) {
-            Some(at) => tokio::time::sleep(at.since(now())).await,
-            None => gateway.limits.chilled.notified().await,
+        match next_cold_end(&gateway) {
+            Some(cold_end) => tokio::time::sleep(cold_end.since(now())).await,
+            None => gateway.limits.cold_changed.notified().await,
         }
         super::apply(&gateway);
     }
 }
 
-/// When the next replica will be cold no more.
-fn next_warm(gateway: &Gateway) -> Option<Moment> {
+/// Returns the time at which the next replica is no longer cold, or `None` if no replica is cold.
+fn next_cold_end(gateway: &Gateway) -> Option<Moment> {
     let roster = gateway.roster.borrow();
     let table = gateway.table();
     let services = table.services().filter_map(|service| Some((service, service.cold?)));
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -1,9 +1,10 @@
-//! Limits that replicas name: what this entry knows of them, passing that on, and keeping to them.
+//! Rate limits that replicas set: the register of this entry, its synchronization with other entries, and its
+//! enforcement.
 //!
-//! Every entry has a register of what replicas say, and hears from the others by way of the one that plans for all. A limit
-//! holds for all entries together, so one entry keeps count: for engines the one that plans, with each grant
-//! ([`coord::planner`]); for replicas of plain services the same one, which gives out turns ([`turn`]). Calls to
-//! replicas that name no limit ask nobody.
+//! Every entry keeps a register of the limits in replicas' responses, and receives the limits that other entries see
+//! through the leader. A limit applies to all entries together, so the leader does the accounting: for engines with
+//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`turn`]). Requests to replicas
+//! without a limit need no permit.
 
 mod cold;
 mod turn;
@@ -20,198 +21,200 @@
 use tokio::sync::Notify;
 
 pub use self::cold::thaw;
-use self::turn::Wishes;
-pub use self::turn::take;
+use self::turn::PermitRequests;
+pub use self::turn::take_permit;
 use super::link::{Order, Report, Turn};
 use super::now;
 use super::quarantine::Source;
 use super::state::Gateway;
 use crate::{event, metric, warn_event};
 
-/// News in one message: some 30 bytes each, so a message stays below 32 KB.
-const NEWS_A_MESSAGE: usize = 512;
+/// Maximum number of reports in a message. A report has about 30 bytes, so that a message stays below 32 KB.
+const MAX_REPORTS_PER_MESSAGE: usize = 512;
 
-/// What this entry knows of limits.
+/// Rate limits as this entry knows them.
 #[derive(Default)]
 pub struct Limits {
     register: RefCell<Register>,
-    /// Replicas that are cold, with the requests a second that they take until they are not.
+    /// Cold replicas, with their rate limit while they are cold, in requests per second.
     cold: RefCell<BTreeMap<Name, f64>>,
-    /// Told when replicas may have turned cold.
-    chilled: Notify,
-    /// What may still be sent to plain replicas, while this entry gives out the turns.
+    /// Notified when the set of cold replicas may have changed.
+    cold_changed: Notify,
+    /// Remaining allowances of plain replicas, from which this entry grants permits while it is the leader or has no
+    /// leader.
     allowances: RefCell<HashMap<Name, Allowance>>,
-    /// Replicas that have no turn for this entry until then.
-    held: RefCell<HashMap<Name, Moment>>,
-    /// Replicas whose word could not be read.
-    unreadable: RefCell<HashSet<Name>>,
-    /// Turns that this entry has asked for.
-    wishes: Wishes,
-    /// The entries that were together of late.
+    /// Replicas that have no permit for this entry before the given time.
+    no_permit_until: RefCell<HashMap<Name, Moment>>,
+    /// Replicas whose limit could not be parsed.
+    unparsable: RefCell<HashSet<Name>>,
+    /// Permit requests of this entry that the leader has not answered.
+    permit_requests: PermitRequests,
+    /// Recent sizes of the group of entries with the same leader.
     group: Cell<Group>,
-    /// Entries that the store knows, as of the last reading.
-    known: Cell<usize>,
+    /// Number of entries in the store at the last read.
+    stored_entries: Cell<usize>,
 }
 
 impl Limits {
-    /// Whether a replica takes a limited number of requests now.
+    /// Returns whether a rate limit applies to a replica now.
     pub fn is_limited(&self, replica: &str) -> bool {
-        self.rate(replica).is_some()
+        self.rate_limit(replica).is_some()
     }
 
-    /// The requests a second that a replica takes from all entries together: what it names, and what it takes while it is
-    /// cold, whichever is less.
-    fn rate(&self, replica: &str) -> Option<f64> {
-        let named = self.register.borrow().rate(replica);
+    /// Returns the rate limit of a replica over all entries, in requests per second: the lower of the limit that the
+    /// replica sets and the limit while it is cold.
+    fn rate_limit(&self, replica: &str) -> Option<f64> {
+        let reported = self.register.borrow().rate(replica);
         let cold = self.cold.borrow().get(replica).copied();
-        named.into_iter().chain(cold).reduce(f64::min)
+        reported.into_iter().chain(cold).reduce(f64::min)
     }
 
-    /// Notes that so many entries are together.
+    /// Records the size of the group of entries with the same leader.
     pub fn note_group(&self, entries: usize) {
         let mut group = self.group.get();
         group.note(entries, now());
         self.group.set(group);
     }
 
-    /// Notes how many entries the store knows.
+    /// Records the number of entries in the store.
     pub fn note_known(&self, entries: usize) {
-        self.known.set(entries);
+        self.stored_entries.set(entries);
     }
 
-    /// Forgets what a replica said that has started again.
+    /// Removes the limit that a replica set before it restarted.
     pub fn restarted(&self, replica: &Name) {
         if self.register.borrow_mut().restarted(replica, now()) {
             event!("limit", peer = %replica, rate = ?None::<f64>, reason = "restarted");
         }
     }
 
-    /// Forgets a replica that is gone. One that is not known yet is another matter: an entry that starts hears of limits
-    /// before it has read which replicas there are.
+    /// Removes a replica that is gone. Limits of replicas that are not known yet are kept, since a starting entry
+    /// receives limits before it has read the replicas' records.
     pub fn forget(&self, replica: &Name) {
-        self.unreadable.borrow_mut().remove(replica);
-        self.held.borrow_mut().remove(replica);
+        self.unparsable.borrow_mut().remove(replica);
+        self.no_permit_until.borrow_mut().remove(replica);
         self.register.borrow_mut().forget(replica);
     }
 
-    /// All that another entry should know, in messages.
+    /// Returns the full register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<News>> {
-        self.register.borrow().all(now()).chunks(NEWS_A_MESSAGE).map(<[News]>::to_vec).collect()
+        self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[News]>::to_vec).collect()
     }
 
-    /// A turn at the first of `replicas` that has one within `most_wait`, or the time until there is one. One that names no
-    /// limit as far as this entry knows takes any request.
-    pub fn turn(&self, replicas: &[Name], most_wait: Duration) -> Result<Turn, Duration> {
+    /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
+    /// Otherwise returns the time until it is due. A replica without a limit always has a permit.
+    pub fn turn(&self, replicas: &[Name], max_wait: Duration) -> Result<Turn, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
         let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.wait(now));
-        let soonest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
-        let Some((after, replica)) = soonest else { return Err(Duration::ZERO) };
-        if after > most_wait {
-            return Err(after);
+        let earliest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
+        let Some((delay, replica)) = earliest else { return Err(Duration::ZERO) };
+        if delay > max_wait {
+            return Err(delay);
         }
         if let Some(allowance) = allowances.get_mut(replica) {
             allowance.take(now);
         }
-        Ok(Turn { replica: replica.clone(), after })
+        Ok(Turn { replica: replica.clone(), after: delay })
     }
 
-    /// The answer to one of our wishes has come.
+    /// Handles the leader's answer to a permit request.
     pub fn answered(&self, number: u64, turn: Result<Turn, Duration>) {
-        self.wishes.answer(number, turn);
+        self.permit_requests.complete(number, turn);
     }
 }
 
-/// Takes in what an answer of a replica says, to a request that was sent at `asked`.
-pub fn said(gateway: &Gateway, record: &Record, answer: &dialect::Answer, asked: Moment) {
+/// Applies the rate limit in a replica's response to a request that was sent at `sent_at`.
+pub fn observe_response(gateway: &Gateway, record: &Record, answer: &dialect::Answer, sent_at: Moment) {
     if !answer.speaks_for_itself() {
         return;
     }
     let replica = &record.id;
-    match answer.limit {
+    match answer.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
-            let word = Word { rate, asked, heard: now() };
-            hear(gateway, vec![News::of(replica, &word, now())], Source::Own);
+            let report = Word { rate, asked: sent_at, heard: now() };
+            hear(gateway, vec![News::of(replica, &report, now())], Source::Own);
         }
-        // It says something, who knows what: what it said before stands. Logged once, not for each answer.
-        Err(error) if gateway.limits.unreadable.borrow_mut().insert(replica.clone()) => {
+        // The previous limit stays in force. The error is logged once, not for each response.
+        Err(error) if gateway.limits.unparsable.borrow_mut().insert(replica.clone()) => {
             warn_event!("limit", peer = %replica, error = %error.0);
         }
         Err(_) => {}
     }
 }
 
-/// Takes words of replicas in, and passes on what is new.
-pub fn hear(gateway: &Gateway, news: Vec<News>, source: Source) {
+/// Applies reports of rate limits, and relays the ones that change a limit.
+pub fn hear(gateway: &Gateway, reports: Vec<News>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
     let mut changed = Vec::new();
-    for item in news {
+    for report in reports {
         let mut register = limits.register.borrow_mut();
-        let before = register.rate(&item.replica);
-        if register.hear(&item.replica, item.word(now)) {
-            let age_ms = item.heard_ago.as_millis();
-            event!("limit", peer = %item.replica, rate = ?item.rate, before = ?before, source = ?source, age_ms);
-            changed.push(item);
+        let previous_rate = register.rate(&report.replica);
+        if register.hear(&report.replica, report.word(now)) {
+            let age_ms = report.heard_ago.as_millis();
+            event!("limit", peer = %report.replica, rate = ?report.rate, before = ?previous_rate, source = ?source, age_ms);
+            changed.push(report);
         }
     }
     if changed.is_empty() {
         return;
     }
     metric::limited(limits.register.borrow().limited().count());
-    let share = share(gateway);
-    for news in &changed {
-        limits.held.borrow_mut().remove(&news.replica);
-        set(gateway, &news.replica, limits.rate(&news.replica), share);
+    let share = usable_share(gateway);
+    for report in &changed {
+        limits.no_permit_until.borrow_mut().remove(&report.replica);
+        apply_limit(gateway, &report.replica, limits.rate_limit(&report.replica), share);
     }
     gateway.desk.pass_on(changed, source, Report::Limits, Order::Limits);
 }
 
-/// Puts in force all that is known: which replicas take how much, and which share of it may be used here.
+/// Applies all known rate limits, and the share of them that this entry may use.
 pub fn apply(gateway: &Gateway) {
     let limits = &gateway.limits;
-    let share = share(gateway);
-    let warm = cold::refresh(gateway);
+    let share = usable_share(gateway);
+    let no_longer_cold = cold::update_cold(gateway);
     limits.allowances.borrow_mut().retain(|replica, _| limits.is_limited(replica));
-    let named: Vec<Name> = limits.register.borrow().limited().map(|(replica, _)| replica.clone()).collect();
+    let reported: Vec<Name> = limits.register.borrow().limited().map(|(replica, _)| replica.clone()).collect();
     let cold: Vec<Name> = limits.cold.borrow().keys().cloned().collect();
-    for replica in warm.iter().chain(&named).chain(&cold) {
-        set(gateway, replica, limits.rate(replica), share);
+    for replica in no_longer_cold.iter().chain(&reported).chain(&cold) {
+        apply_limit(gateway, replica, limits.rate_limit(replica), share);
     }
 }
 
-/// Puts the limit of one replica in force.
-fn set(gateway: &Gateway, replica: &Name, rate: Option<f64>, share: f64) {
-    gateway.desk.set_limit(replica, rate, share);
+/// Applies the rate limit of one replica.
+fn apply_limit(gateway: &Gateway, replica: &Name, rate: Option<f64>, share: f64) {
+    gateway.desk.set_rate_limit(replica, rate, share);
     let mut allowances = gateway.limits.allowances.borrow_mut();
     let Some(rate) = rate else {
         allowances.remove(replica);
         return;
     };
     let now = now();
-    let fresh = || Allowance::new(rate, share, rand::random_range(0.0..1.0), now);
-    allowances.entry(replica.clone()).or_insert_with(fresh).set(rate, share, now);
+    let new_allowance = || Allowance::new(rate, share, rand::random_range(0.0..1.0), now);
+    allowances.entry(replica.clone()).or_insert_with(new_allowance).set(rate, share, now);
 }
 
-/// The share of each limit that may be used here: that of the entries for which this one decides.
-fn share(gateway: &Gateway) -> f64 {
+/// Returns the share of each limit that this entry may use: the share of the entries that it plans for.
+fn usable_share(gateway: &Gateway) -> f64 {
     let limits = &gateway.limits;
     let entries = gateway.desk.entries();
     if !gateway.desk.has_leader() {
         limits.note_group(entries);
     }
-    // One that decides for others knows of the rest from them; one that is alone from the store only.
-    let known = if entries == 1 { limits.known.get() } else { 0 };
-    limits.group.get().share(entries, known, now())
+    // A leader knows the size of its group from its followers. An entry without followers knows the number of entries
+    // only from the store.
+    let known_entries = if entries == 1 { limits.stored_entries.get() } else { 0 };
+    limits.group.get().share(entries, known_entries, now())
 }
 
-/// Notes that this entry decides in place of another, whose grants of late it does not know.
+/// Takes over from a leader whose recent grants this entry does not know.
 pub fn alone(gateway: &Gateway) {
     let limits = &gateway.limits;
-    limits.wishes.clear();
-    limits.held.borrow_mut().clear();
-    gateway.desk.restart_limits();
+    limits.permit_requests.clear();
+    limits.no_permit_until.borrow_mut().clear();
+    gateway.desk.reset_limit_accounting();
     let now = now();
     let mut allowances = limits.allowances.borrow_mut();
     allowances.values_mut().for_each(|allowance| allowance.restart(rand::random_range(0.0..1.0), now));
--- a/sorrelpass/src/gateway/limits/turn.rs
+++ b/sorrelpass/src/gateway/limits/turn.rs
@@ -1,8 +1,9 @@
-//! Turns at plain replicas that name a limit: asked of the entry that plans for all, which counts them.
+//! Permits for plain replicas that set a rate limit. The leader grants and counts them for all entries.
 //!
-//! A limit of one request a second shared out over five entries is one in five seconds for each, whatever comes to them;
-//! over 770 it is nothing at all. One entry that counts for all gives it to whoever asks, for 2 ms of waiting, and
-//! nothing has to be shared out, taken back or kept for entries that are gone.
+//! If a limit of one request per second were divided among five entries, each could send one request in five seconds,
+//! regardless of its load. Among 770 entries no request would be possible. A leader that counts for all entries can
+//! give the whole limit to any of them, at the cost of 2 ms of waiting, and no shares have to be assigned, revoked or
+//! reserved for entries that are gone.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,81 +16,87 @@
 use super::super::now;
 use super::super::state::Gateway;
 
-/// Time for the answer of the entry that plans: some ways across a region. One that is silent for longer is frozen or cut
-/// off; the call goes to another replica, or waits for what this entry may use of the limit by itself.
-const ANSWERED: Duration = Duration::from_millis(100);
+/// Timeout for the leader's answer, which takes a few one-way latencies within a region. A leader that does not answer
+/// for longer is suspended or partitioned. The request then goes to another replica, or waits for the share of the
+/// limit that this entry may use by itself.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-type Answer = Result<Turn, Duration>;
+type PermitAnswer = Result<Turn, Duration>;
 
-/// Turns that were asked for and not answered yet.
+/// Permit requests that have not been answered.
 #[derive(Default)]
-pub struct Wishes {
-    next: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+pub struct PermitRequests {
+    next_number: Cell<u64>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
 }
 
-impl Wishes {
-    /// One more wish: its number, and where its answer comes.
-    fn add(&self) -> (u64, oneshot::Receiver<Answer>) {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let (answer, answered) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, answer);
-        (number, answered)
+impl PermitRequests {
+    /// Adds a permit request. Returns its number and the receiver of its answer.
+    fn add(&self) -> (u64, oneshot::Receiver<PermitAnswer>) {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(number, sender);
+        (number, receiver)
     }
 
-    /// Answers a wish, if it still waits.
-    pub fn answer(&self, number: u64, turn: Answer) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
-            // Its caller may have gone meanwhile.
-            let _ = waiting.send(turn);
+    /// Completes a permit request, if it still waits for an answer.
+    pub fn complete(&self, number: u64, permit: PermitAnswer) {
+        if let Some(sender) = self.waiting.borrow_mut().remove(&number) {
+            // The caller may have disconnected.
+            let _ = sender.send(permit);
         }
     }
 
-    /// Gives up all that wait: whoever was asked answers no more.
+    /// Drops all permit requests, because the leader that they were sent to no longer answers.
     pub fn clear(&self) {
         self.waiting.borrow_mut().clear();
     }
 }
 
-/// A turn at one of `replicas`, the best first, within `most_wait`, or the time until there is one.
-pub async fn take(gateway: &Gateway, replicas: Vec<Name>, most_wait: Duration) -> Answer {
+/// Takes a permit of one of `replicas`, which are in order of preference, that is due within `max_wait`. Otherwise
+/// returns the time until the first permit is due.
+pub async fn take_permit(gateway: &Gateway, replicas: Vec<Name>, max_wait: Duration) -> PermitAnswer {
     let limits = &gateway.limits;
     let now = now();
-    let is_held = |name: &Name| limits.held.borrow().get(name).is_some_and(|until| *until > now + most_wait);
-    let asked: Vec<Name> = replicas.iter().filter(|name| !is_held(name)).cloned().collect();
-    let answer =
-        if asked.is_empty() { Err(soonest(gateway, &replicas)) } else { ask(gateway, &asked, most_wait).await };
-    if let (Err(after), false) = (&answer, asked.is_empty()) {
-        let mut held = limits.held.borrow_mut();
-        held.extend(asked.into_iter().map(|name| (name, now + *after)));
+    let has_no_permit =
+        |name: &Name| limits.no_permit_until.borrow().get(name).is_some_and(|until| *until > now + max_wait);
+    let candidates: Vec<Name> = replicas.iter().filter(|name| !has_no_permit(name)).cloned().collect();
+    let answer = if candidates.is_empty() {
+        Err(next_known_permit(gateway, &replicas))
+    } else {
+        request_permit(gateway, &candidates, max_wait).await
+    };
+    if let (Err(delay), false) = (&answer, candidates.is_empty()) {
+        let mut no_permit_until = limits.no_permit_until.borrow_mut();
+        no_permit_until.extend(candidates.into_iter().map(|name| (name, now + *delay)));
     }
     answer
 }
 
-/// Asks whoever counts.
-async fn ask(gateway: &Gateway, replicas: &[Name], most_wait: Duration) -> Answer {
+/// Requests a permit from the leader, or grants it locally if this entry has no leader.
+async fn request_permit(gateway: &Gateway, replicas: &[Name], max_wait: Duration) -> PermitAnswer {
     let limits = &gateway.limits;
     if gateway.desk.has_leader() {
-        let (number, answered) = limits.wishes.add();
-        let wish = Report::Turn { number, replicas: replicas.to_vec(), most_wait };
-        if gateway.desk.report(wish) {
-            let outcome = tokio::time::timeout(ANSWERED, answered).await;
-            limits.wishes.waiting.borrow_mut().remove(&number);
+        let (number, receiver) = limits.permit_requests.add();
+        let request = Report::Turn { number, replicas: replicas.to_vec(), most_wait: max_wait };
+        if gateway.desk.report(request) {
+            let outcome = tokio::time::timeout(PERMIT_TIMEOUT, receiver).await;
+            limits.permit_requests.waiting.borrow_mut().remove(&number);
             if let Ok(Ok(answer)) = outcome {
                 return answer;
             }
         }
         if gateway.desk.has_leader() {
-            return Err(ANSWERED);
+            return Err(PERMIT_TIMEOUT);
         }
     }
-    limits.turn(replicas, most_wait)
+    limits.turn(replicas, max_wait)
 }
 
-/// Time until the first of replicas that were asked before has a turn.
-fn soonest(gateway: &Gateway, replicas: &[Name]) -> Duration {
-    let held = gateway.limits.held.borrow();
-    let until = replicas.iter().filter_map(|name| held.get(name)).min();
+/// Returns the time until the first of the replicas has a permit, according to earlier answers.
+fn next_known_permit(gateway: &Gateway, replicas: &[Name]) -> Duration {
+    let no_permit_until = gateway.limits.no_permit_until.borrow();
+    let until = replicas.iter().filter_map(|name| no_permit_until.get(name)).min();
     until.map_or(Duration::ZERO, |until| until.since(now()))
 }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence: whether a replica ended under a request, or only a connection.
+//! Evidence collection: whether the run of a replica terminated during a request, or only the connection was lost.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,85 +14,85 @@
 use super::super::attempt;
 use super::super::now;
 use super::super::state::Gateway;
-use super::{Source, hear};
+use super::{Source, apply_events};
 use crate::{event, metric};
 
-/// Time for which a request whose connection ended waits to learn whether its replica did, before it is sent again: some
-/// ways across a region. Behind a cut that is not learned in time, and nothing is known against the request.
-const LOOK: Duration = Duration::from_millis(25);
-/// Pauses before a replica that still listens is looked at again. A process that ends closes its connections and its
+/// Time that a request waits for the probe of its replica before it is sent again: a few one-way latencies within a
+/// region. Behind a network partition the probe does not complete in time, and yields no evidence.
+const PROBE_WAIT: Duration = Duration::from_millis(25);
+/// Delays before a replica that still listens is probed again. A process that ends closes its connections and its
 /// listener one after the other, on a busy VM some milliseconds apart.
-const AGAIN: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(40)];
-/// Replicas whose ends are remembered before those that are no longer in the store are forgotten.
-const MANY_ENDS: usize = 1_024;
+const REPROBE_DELAYS: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(40)];
+/// Number of replicas with known terminations above which replicas without a record in the store are forgotten.
+const MAX_REPLICAS_WITH_TERMINATIONS: usize = 1_024;
 
-/// A request whose connection to a replica ended.
+/// A request whose connection to a replica was lost.
 #[derive(Clone, Debug)]
-pub struct Lost {
-    /// Its caller's id.
+pub struct LostConnection {
+    /// Request id that the caller sent.
     pub request: Name,
-    /// What it asks for.
-    pub work: Work,
-    /// The replica.
+    /// Fingerprint of the request.
+    pub fingerprint: Work,
+    /// Replica that the request was sent to.
     pub record: Record,
-    /// When it was sent there.
-    pub sent: Moment,
-    /// What the replica's end would say against it.
+    /// Time at which the request was sent.
+    pub sent_at: Moment,
+    /// Weight of the evidence against the request if the replica terminated.
     pub weight: Weight,
 }
 
-impl Lost {
-    /// Looks whether the replica ended, and notes it if so. What takes longer than a look, and further looks, go on beside
-    /// the request.
-    pub async fn look(self, gateway: &Rc<Gateway>) {
+impl LostConnection {
+    /// Probes whether the replica terminated, and records the evidence if it did. The function returns after the first
+    /// probe or a timeout, and further probes continue in the background.
+    pub async fn probe(self, gateway: &Rc<Gateway>) {
         let gateway = gateway.clone();
-        let (looked, first) = oneshot::channel();
+        let (first_probe_done, first_probe) = oneshot::channel();
         tokio::task::spawn_local(async move {
-            let mut liveness = self.probe(&gateway).await;
-            // Nobody waits any more if that took long.
-            let _ = looked.send(());
-            for pause in AGAIN {
-                if liveness != Liveness::Listening {
+            let mut result = self.probe_once(&gateway).await;
+            // If the probe took too long, the receiver has timed out.
+            let _ = first_probe_done.send(());
+            for delay in REPROBE_DELAYS {
+                if result != Liveness::Listening {
                     return;
                 }
-                tokio::time::sleep(pause).await;
-                liveness = self.probe(&gateway).await;
+                tokio::time::sleep(delay).await;
+                result = self.probe_once(&gateway).await;
             }
         });
-        // Late or not: what it finds is noted.
-        let _ = tokio::time::timeout(LOOK, first).await;
+        // The background task also records a termination that it finds after the timeout.
+        let _ = tokio::time::timeout(PROBE_WAIT, first_probe).await;
     }
 
-    /// Looks once.
-    async fn probe(&self, gateway: &Gateway) -> Liveness {
-        let liveness = attempt::liveness(&self.record).await;
-        event!("probe", request = %self.request, work = %self.work, peer = %self.record.id, liveness = liveness.as_str());
-        if liveness == Liveness::Ended {
-            self.note(gateway);
+    /// Probes the replica once.
+    async fn probe_once(&self, gateway: &Gateway) -> Liveness {
+        let result = attempt::liveness(&self.record).await;
+        event!("probe", request = %self.request, work = %self.fingerprint, peer = %self.record.id, liveness = result.as_str());
+        if result == Liveness::Ended {
+            self.record_termination(gateway);
         }
-        liveness
+        result
     }
 
-    /// Notes that the replica ended under the request. A planned end is no evidence.
-    fn note(&self, gateway: &Gateway) {
-        let known = gateway.roster.borrow().get(&self.record.id).map(|replica| replica.record.leaving);
-        if known.unwrap_or(self.record.leaving) {
+    /// Records the termination of the replica during the request. A planned shutdown is no evidence.
+    fn record_termination(&self, gateway: &Gateway) {
+        let known_draining = gateway.roster.borrow().get(&self.record.id).map(|replica| replica.record.leaving);
+        if known_draining.unwrap_or(self.record.leaving) {
             return;
         }
-        let span = Span { after: self.sent, by: now() };
+        let span = Span { after: self.sent_at, by: now() };
         let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.born, span);
         if is_new {
             metric::replica_ended();
         }
-        forget_unknown(gateway);
-        hear(gateway, vec![News::Ended { work: self.work, run, weight: self.weight }], Source::Own);
+        forget_removed_replicas(gateway);
+        apply_events(gateway, vec![News::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
     }
 }
 
-/// Keeps the ends that are remembered bounded.
-pub(super) fn forget_unknown(gateway: &Gateway) {
+/// Bounds the number of remembered terminations.
+pub(super) fn forget_removed_replicas(gateway: &Gateway) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    if ends.replicas() > MANY_ENDS {
+    if ends.replicas() > MAX_REPLICAS_WITH_TERMINATIONS {
         let roster = gateway.roster.borrow();
         ends.keep(|replica| roster.get(replica).is_some());
     }
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! What this entry knows of work under which replicas end, and passing that on.
+//! Quarantine of requests that crash replicas: the register of this entry, and its synchronization with other entries.
 //!
-//! Evidence is gathered where a connection to a replica ends ([`evidence`]). Every entry has a register of its own, and
-//! hears from the others by way of the one that plans for all. What must outlast a loss of all entries stands in the
-//! store ([`record`], [`store`]).
+//! Evidence is collected when a connection to a replica is lost ([`evidence`]). Every entry keeps a register, and
+//! receives the evidence of other entries through the leader. Evidence and verdicts that must survive the loss of all
+//! entries are written to the store ([`record`], [`store`]).
 
 mod evidence;
 pub mod record;
@@ -16,7 +16,7 @@
 use coord::quarantine::{News, Register, Standing, Work};
 use tokio::sync::{Notify, watch};
 
-pub use self::evidence::Lost;
+pub use self::evidence::LostConnection;
 use self::record::Entry;
 pub use self::told::Told;
 use super::link::{Order, Report};
@@ -24,142 +24,143 @@
 use super::topic::Topic;
 use crate::{event, metric, util, warn_event};
 
-/// News in one message: some 75 bytes each, so a message stays below 32 KB.
-const NEWS_A_MESSAGE: usize = 400;
+/// Maximum number of events in a message. An event has about 75 bytes, so that a message stays below 32 KB.
+const MAX_EVENTS_PER_MESSAGE: usize = 400;
 
-/// Who told this entry.
+/// Origin of an event or another update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Nobody: it saw it itself, or read it in the store.
+    /// This entry observed it or read it in the store.
     Own,
-    /// The entry that plans for this one.
+    /// The leader sent it.
     Leader,
-    /// An entry that this one plans for.
+    /// A follower sent it.
     Follower,
 }
 
-/// The quarantine as this entry knows it.
+/// Quarantine as this entry knows it.
 pub struct Quarantine {
     register: RefCell<Register>,
-    /// How far its topic of the store is known.
+    /// Read position in the quarantine topic of the store.
     topic: Topic,
-    /// What stands in the store, as far as is known.
+    /// Contents of the store, as far as this entry has read or written them.
     stored: RefCell<HashMap<Work, Entry>>,
-    /// Ends of replicas that this entry has seen or heard of.
+    /// Terminations of replicas that this entry has observed or received.
     ends: RefCell<Ends>,
-    /// Told when something may have to be written.
-    unwritten: Notify,
-    /// Changes with each verdict.
+    /// Notified when a record may have to be written to the store.
+    write_needed: Notify,
+    /// Counter that increases with each verdict.
     verdicts: watch::Sender<u64>,
 }
 
 impl Quarantine {
-    /// Nothing known.
+    /// Creates an empty quarantine.
     pub fn new() -> Self {
         Self {
             register: RefCell::default(),
             topic: Topic::default(),
             stored: RefCell::default(),
             ends: RefCell::new(Ends::new(util::incarnation())),
-            unwritten: Notify::new(),
+            write_needed: Notify::new(),
             verdicts: watch::Sender::default(),
         }
     }
 
-    /// Whether work is sent no more.
-    pub fn is_condemned(&self, work: Work) -> bool {
-        self.register.borrow().standing(work) == Standing::Condemned
+    /// Returns whether requests with the fingerprint are no longer sent.
+    pub fn is_condemned(&self, fingerprint: Work) -> bool {
+        self.register.borrow().standing(fingerprint) == Standing::Condemned
     }
 
-    /// Has prompts placed by what is known now. All suspects are told: a verdict also clears others, without news of them.
-    fn report(&self, gateway: &Gateway) {
+    /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
+    /// event of its own, so the list is always complete.
+    fn update_planners(&self, gateway: &Gateway) {
         let register = self.register.borrow();
-        let suspects: Vec<Work> = register.suspects().map(|(work, _)| work).collect();
+        let suspects: Vec<Work> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
         metric::quarantine(suspects.len(), register.condemned().count());
         gateway.desk.set_suspects(suspects);
     }
 
-    /// Whether anything is known against work.
-    fn knows(&self, work: Work) -> bool {
+    /// Returns whether any evidence or verdict exists against a fingerprint.
+    fn has_evidence(&self, fingerprint: Work) -> bool {
         let register = self.register.borrow();
-        register.standing(work) != Standing::Clear || register.evidence(work).next().is_some()
+        register.standing(fingerprint) != Standing::Clear || register.evidence(fingerprint).next().is_some()
     }
 
-    /// Waits until work is condemned.
-    pub async fn condemned(&self, work: Work) {
-        // Fails only if the sender is gone, which lives as long as this.
-        let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(work)).await;
+    /// Waits until a fingerprint is condemned.
+    pub async fn wait_until_condemned(&self, fingerprint: Work) {
+        // Waiting fails only when the sender is dropped, which has the lifetime of `self`.
+        let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(fingerprint)).await;
     }
 
-    /// Has what must last be looked at: who writes it may have changed.
+    /// Wakes the task that writes to the store. It is called when the entry that has to write may have changed.
     pub fn wake(&self) {
-        self.unwritten.notify_one();
+        self.write_needed.notify_one();
     }
 
-    /// All that another entry should know, in messages.
+    /// Returns the full register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<Told>> {
-        self.register.borrow().all().chunks(NEWS_A_MESSAGE).map(|news| self.tell(news)).collect()
+        self.register.borrow().all().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
     }
 
-    /// News as they are passed on now.
-    fn tell(&self, news: &[News]) -> Vec<Told> {
+    /// Returns the wire form of events, with ages relative to the current time.
+    fn to_wire(&self, events: &[News]) -> Vec<Told> {
         let ends = self.ends.borrow();
-        news.iter().map(|news| Told::of(news.clone(), &ends)).collect()
+        events.iter().map(|event| Told::from_event(event.clone(), &ends)).collect()
     }
 }
 
-/// Takes in what another entry tells.
-pub fn receive(gateway: &Gateway, told: Vec<Told>, source: Source) {
+/// Applies events that another entry relays.
+pub fn receive(gateway: &Gateway, received: Vec<Told>, source: Source) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    let news = told.into_iter().map(|told| told.news(&mut ends)).collect();
+    let events = received.into_iter().map(|event| event.into_event(&mut ends)).collect();
     drop(ends);
-    evidence::forget_unknown(gateway);
-    hear(gateway, news, source);
+    evidence::forget_removed_replicas(gateway);
+    apply_events(gateway, events, source);
 }
 
-/// Takes news in, and passes on what others should hear.
-fn hear(gateway: &Gateway, news: Vec<News>, source: Source) {
+/// Applies events, and relays the ones that change the register.
+fn apply_events(gateway: &Gateway, events: Vec<News>, source: Source) {
     let quarantine = &gateway.quarantine;
     if source == Source::Own && gateway.desk.has_leader() {
-        gateway.desk.report(Report::Quarantine(quarantine.tell(&news)));
+        gateway.desk.report(Report::Quarantine(quarantine.to_wire(&events)));
     }
-    let mut told = Vec::new();
-    for item in news {
-        told.extend(quarantine.register.borrow_mut().hear(item));
+    let mut changes = Vec::new();
+    for event in events {
+        changes.extend(quarantine.register.borrow_mut().hear(event));
     }
-    if told.is_empty() {
+    if changes.is_empty() {
         return;
     }
-    told.iter().for_each(|news| note(gateway, news));
-    quarantine.report(gateway);
+    changes.iter().for_each(|event| log_change(gateway, event));
+    quarantine.update_planners(gateway);
     if source != Source::Leader {
-        gateway.desk.tell_all(&Order::Quarantine(quarantine.tell(&told)));
+        gateway.desk.broadcast(&Order::Quarantine(quarantine.to_wire(&changes)));
     }
     quarantine.wake();
 }
 
-/// Notes that work came to a whole answer of success.
-pub fn cleared(gateway: &Gateway, work: Work) {
-    if gateway.quarantine.knows(work) {
-        hear(gateway, vec![News::Cleared(work)], Source::Own);
+/// Records that a request with the fingerprint completed successfully.
+pub fn cleared(gateway: &Gateway, fingerprint: Work) {
+    if gateway.quarantine.has_evidence(fingerprint) {
+        apply_events(gateway, vec![News::Cleared(fingerprint)], Source::Own);
     }
 }
 
-/// Logs one change.
-fn note(gateway: &Gateway, news: &News) {
-    let work = news.work();
+/// Logs a change of the register, and announces a verdict to the tasks that wait for one.
+fn log_change(gateway: &Gateway, event: &News) {
+    let fingerprint = event.work();
     let quarantine = &gateway.quarantine;
-    match news {
+    match event {
         News::Ended { run, weight, .. } => {
-            let ends = quarantine.register.borrow().evidence(work).count();
-            event!("suspect", work = %work, run = %run, weight = ?weight, ends);
+            let ends = quarantine.register.borrow().evidence(fingerprint).count();
+            event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends);
         }
-        News::Cleared(_) => event!("suspect-cleared", work = %work),
+        News::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
         News::Condemned(_) => {
-            warn_event!("condemned", work = %work);
+            warn_event!("condemned", work = %fingerprint);
             metric::condemned();
             quarantine.verdicts.send_modify(|verdicts| *verdicts += 1);
         }
-        News::Lifted(_) => event!("quarantine-lifted", work = %work),
+        News::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
     }
 }
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -1,8 +1,10 @@
-//! What outlasts a loss of all entries: reading the quarantine from the store, and writing there what is new.
+//! Persistence of the quarantine, so that it survives the loss of all entries: reads the quarantine topic of the store,
+//! and writes changes to it.
 //!
-//! Whoever reads the replicas' records for itself reads this too; whoever follows another entry hears of it there. Only an
-//! entry that follows nobody writes: verdicts at once, evidence when it comes close to one, or when no other entry hears
-//! of it. On days without such work nothing is written, and a reader makes one call in two seconds.
+//! An entry that reads the replicas' records reads the quarantine topic as well, and a follower receives its contents
+//! from the leader. Only an entry without a leader writes: verdicts at once, and evidence when it is close to a verdict
+//! or when no other entry receives it. Without new evidence nothing is written, and each reader makes one call in two
+//! seconds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,65 +19,65 @@
 use super::super::state::Gateway;
 use super::super::watch;
 use super::record::{self, Entry};
-use super::{Source, hear};
+use super::{Source, apply_events};
 use crate::{event, metric, warn_event};
 
-/// For how long the store holds a read if nothing changes. An entry that hears nothing from others knows of a verdict
-/// within this time also after a connection went silent: with the time for an answer, less than the 3 s in which sends
-/// must end.
-const HELD: Duration = Duration::from_millis(1_800);
-/// Time for an answer of the store.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+/// Time for which the store holds a read if nothing changes. An entry that is isolated from other entries must stop
+/// sending a condemned request within 3 s of the verdict. Even if the connection to the store becomes unresponsive,
+/// this time and the response timeout together take less.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Timeout for a response of the store.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One record to be written.
-struct Change {
-    work: Work,
-    /// None takes back what stands there.
+/// A record to write.
+struct PendingWrite {
+    fingerprint: Work,
+    /// New value of the record, or `None` to remove it.
     entry: Option<Entry>,
 }
 
-/// Keeps this entry and the store in step, for as long as the process lives.
+/// Background task that keeps this entry synchronized with the store.
 pub async fn run(gateway: Rc<Gateway>) {
     let mut reader = Reader::new(&gateway, QUARANTINE);
     let mut writer = Client::new(gateway.settings.store);
     loop {
-        let first_by = gateway.first_from_others_by();
-        watch::reads_replicas(&gateway, first_by).await;
-        let read = tokio::select! {
-            outcome = read(&gateway, &mut reader) => {
+        let peer_update_deadline = gateway.first_from_others_by();
+        watch::reads_replicas(&gateway, peer_update_deadline).await;
+        let is_read = tokio::select! {
+            outcome = read_changes(&gateway, &mut reader) => {
                 reader.note(&outcome);
                 outcome.is_ok()
             }
-            () = gateway.quarantine.unwritten.notified() => true,
+            () = gateway.quarantine.write_needed.notified() => true,
         };
-        // A write that fails has its line in the log.
-        if !read || write(&gateway, &mut writer).await.is_err() {
+        // `write_changes` has logged its error.
+        if !is_read || write_changes(&gateway, &mut writer).await.is_err() {
             reader.back_off(&gateway, &gateway.facts.replicas).await;
         }
     }
 }
 
-/// Reads what is new.
-async fn read(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
+/// Reads and applies new records.
+async fn read_changes(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
     let topic = &gateway.quarantine.topic;
     let page = match topic.next() {
         None => {
-            let whole = reader.read_all().await?;
-            // What it leaves out, the store has lost: it is written again.
+            let snapshot = reader.read_all().await?;
+            // Records that the snapshot does not contain were lost by the store, and are written again.
             gateway.quarantine.stored.borrow_mut().clear();
-            Some(whole)
+            Some(snapshot)
         }
-        Some(from) => reader.read_on(topic, from, HELD).await?,
+        Some(from) => reader.read_on(topic, from, LONG_POLL_TIMEOUT).await?,
     };
     let Some(Page { records, next }) = page else { return Ok(()) };
-    records.iter().for_each(|record| take_in(gateway, record));
+    records.iter().for_each(|record| apply_record(gateway, record));
     topic.advance(next);
     Ok(())
 }
 
-/// Takes one record in; one that cannot be decoded says nothing.
-fn take_in(gateway: &Gateway, record: &Keyed) {
-    let (work, entry) = match record::decode(record) {
+/// Applies one record. A record that cannot be decoded is logged and skipped.
+fn apply_record(gateway: &Gateway, record: &Keyed) {
+    let (fingerprint, entry) = match record::decode(record) {
         Ok(decoded) => decoded,
         Err(error) => {
             warn_event!("quarantine-record", offset = %Text(record.offset), error = %format!("{error:#}"));
@@ -83,63 +85,66 @@
         }
     };
     let mut stored = gateway.quarantine.stored.borrow_mut();
-    let news = match entry {
+    let events = match entry {
         Some(entry) => {
-            // Under the names that its runs have here: else entries that hear of each other by the store only would each
-            // find something new in what the other wrote, for ever.
-            let entry = entry.renamed(&mut gateway.quarantine.ends.borrow_mut(), now());
-            let news = entry.news(work);
-            stored.insert(work, entry);
-            news
+            // The runs get the names that they have in this process. Otherwise two entries that exchange terminations
+            // only through the store would each see the other's record as new and write it again forever.
+            let entry = entry.with_local_run_names(&mut gateway.quarantine.ends.borrow_mut(), now());
+            let events = entry.news(fingerprint);
+            stored.insert(fingerprint, entry);
+            events
         }
-        // Nothing was stored that this entry could take back: what it knows may be newer.
-        None if stored.remove(&work).is_none() => return,
-        None => vec![News::Lifted(work)],
+        // This entry has not seen a stored record that the removal could refer to, so its own evidence may be newer.
+        None if stored.remove(&fingerprint).is_none() => return,
+        None => vec![News::Lifted(fingerprint)],
     };
     drop(stored);
-    hear(gateway, news, Source::Own);
+    apply_events(gateway, events, Source::Own);
 }
 
-/// Writes what is new here, if that is on this entry.
-async fn write(gateway: &Gateway, client: &mut Client) -> Result<()> {
-    while let Some(change) = next_change(gateway) {
-        let value = change.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
-        let work = change.work;
+/// Writes all new records, if this entry is the one that writes.
+async fn write_changes(gateway: &Gateway, client: &mut Client) -> Result<()> {
+    while let Some(pending) = next_write(gateway) {
+        let value = pending.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
+        let fingerprint = pending.fingerprint;
         metric::store_calls("append", QUARANTINE, 1);
-        if let Err(error) = client.put(QUARANTINE, &work.to_string(), &value, PATIENCE).await {
-            warn_event!("quarantine-write", work = %work, error = %format!("{error:#}"));
+        if let Err(error) = client.put(QUARANTINE, &fingerprint.to_string(), &value, RESPONSE_TIMEOUT).await {
+            warn_event!("quarantine-write", work = %fingerprint, error = %format!("{error:#}"));
             return Err(error);
         }
-        event!("quarantine-written", work = %work, condemned = change.entry.as_ref().is_some_and(|entry| entry.condemned));
+        event!("quarantine-written", work = %fingerprint, condemned = pending.entry.as_ref().is_some_and(|entry| entry.condemned));
         let mut stored = gateway.quarantine.stored.borrow_mut();
-        match change.entry {
-            Some(entry) => drop(stored.insert(work, entry)),
-            None => drop(stored.remove(&work)),
+        match pending.entry {
+            Some(entry) => drop(stored.insert(fingerprint, entry)),
+            None => drop(stored.remove(&fingerprint)),
         }
     }
     Ok(())
 }
 
-/// The next record to be written by this entry. Before it has read what stands there, it writes nothing.
-fn next_change(gateway: &Gateway) -> Option<Change> {
+/// Returns the next record to write. An entry that follows a leader, or has not read the topic yet, writes nothing.
+fn next_write(gateway: &Gateway) -> Option<PendingWrite> {
     let quarantine = &gateway.quarantine;
     if gateway.desk.has_leader() || quarantine.topic.next().is_none() {
         return None;
     }
     let register = quarantine.register.borrow();
     let stored = quarantine.stored.borrow();
-    let is_news = |work: &Work| stored.get(work).is_none_or(|known| adds(&register, *work, known));
-    let news = register.lasting(gateway.desk.is_alone()).find(is_news);
-    if let Some(work) = news {
-        return Some(Change { work, entry: Some(Entry::of(&register, work)) });
+    let is_new = |fingerprint: &Work| {
+        stored.get(fingerprint).is_none_or(|stored_entry| has_new_evidence(&register, *fingerprint, stored_entry))
+    };
+    let unwritten = register.lasting(gateway.desk.is_alone()).find(is_new);
+    if let Some(fingerprint) = unwritten {
+        return Some(PendingWrite { fingerprint, entry: Some(Entry::of(&register, fingerprint)) });
     }
-    let is_clear =
-        |work: &&Work| register.standing(**work) == Standing::Clear && register.evidence(**work).next().is_none();
-    stored.keys().find(is_clear).map(|work| Change { work: *work, entry: None })
+    let is_clear = |fingerprint: &&Work| {
+        register.standing(**fingerprint) == Standing::Clear && register.evidence(**fingerprint).next().is_none()
+    };
+    stored.keys().find(is_clear).map(|fingerprint| PendingWrite { fingerprint: *fingerprint, entry: None })
 }
 
-/// Whether a register has more against work than stands in the store.
-fn adds(register: &Register, work: Work, known: &Entry) -> bool {
-    let own = Entry::of(register, work);
-    !known.condemned && (own.condemned || own.ends.iter().any(|end| !known.ends.contains(end)))
+/// Returns whether a register has more evidence against a fingerprint than the store.
+fn has_new_evidence(register: &Register, fingerprint: Work, stored_entry: &Entry) -> bool {
+    let local = Entry::of(register, fingerprint);
+    !stored_entry.condemned && (local.condemned || local.ends.iter().any(|end| !stored_entry.ends.contains(end)))
 }
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -1,4 +1,4 @@
-//! News of work under which replicas end as entries pass them on.
+//! Wire form of quarantine events between entries.
 
 use coord::end::{Age, Ends, Span};
 use coord::quarantine::News;
@@ -6,29 +6,29 @@
 
 use super::super::now;
 
-/// News, with the age of the end that they are of.
+/// A quarantine event, with the age of the termination that it reports. Ages are sent since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    news: News,
-    /// None where the news are of no end, or when it came about is not known.
-    ended: Option<Age>,
+    event: News,
+    /// Age of the termination, or `None` if the event reports no termination or its time is unknown.
+    termination_age: Option<Age>,
 }
 
 impl Told {
-    /// The form in which news are sent now.
-    pub(super) fn of(news: News, ends: &Ends) -> Self {
-        let span = match &news {
+    /// Returns the wire form of an event that is sent now.
+    pub(super) fn from_event(event: News, ends: &Ends) -> Self {
+        let span = match &event {
             News::Ended { run, .. } => ends.span(run),
             News::Cleared(_) | News::Condemned(_) | News::Lifted(_) => None,
         };
-        Self { news, ended: span.map(|span| Age::of(&span, now())) }
+        Self { event, termination_age: span.map(|span| Age::of(&span, now())) }
     }
 
-    /// The news that were received now, with the name that the run has here.
-    pub(super) fn news(self, ends: &mut Ends) -> News {
+    /// Returns the event as received now, with the name that the run has in this process.
+    pub(super) fn into_event(self, ends: &mut Ends) -> News {
         let now = now();
-        let span = self.ended.map_or(Span::before(now), |age| age.span(now));
-        match self.news {
+        let span = self.termination_age.map_or(Span::before(now), |age| age.span(now));
+        match self.event {
             News::Ended { work, run, weight } => News::Ended { work, run: ends.heard(&run, span), weight },
             other => other,
         }
