--- a/sorrelpass/src/entry/body.rs
+++ b/sorrelpass/src/entry/body.rs
@@ -1,4 +1,5 @@
-//! Callers' bodies: bounded one by one and together, read once, never copied again.
+//! Buffering of request bodies. Each body and their total are bounded, and a body is not copied once it is
+//! buffered.
 
 use std::time::Duration;
 
@@ -14,22 +15,23 @@
 use crate::failure::Failure;
 use crate::ring;
 
-/// First piece of memory for a body of unknown length.
+/// Initial buffer capacity for a body without `Content-Length`.
 const FIRST_BYTES: usize = 4 * 1_024;
-/// Bodies above this size are read on the `parse` thread, so that short ones do not wait.
+/// Larger bodies are parsed on the `parse` thread, so that they do not delay short ones.
 const LARGE_BYTES: usize = 64 * 1_024;
-/// A body that makes no progress for so long is given up.
+/// Longest wait for the next part of a body.
 const STALL: Duration = Duration::from_secs(10);
 
-/// A body held in memory, with its part of the budget.
+/// A buffered body and its reservation in the memory budget.
 pub struct Held {
-    /// The bytes.
+    /// Content of the body.
     pub bytes: Bytes,
-    /// Freed with the body.
+    /// Memory reservation, to be dropped together with the body.
     pub share: Share,
 }
 
-/// Reads a caller's body.
+/// Buffers a request body. Fails if the body exceeds the size limit or the memory budget, stalls, or breaks
+/// off.
 pub async fn read(settings: &Entry, budget: &Budget, headers: &HeaderMap, mut body: Body) -> Result<Held, Failure> {
     let too_large = || {
         let message = format!("the body exceeds {} bytes", settings.max_body_bytes);
@@ -62,14 +64,14 @@
     Ok(Held { bytes: bytes.freeze(), share })
 }
 
-/// A large body to be read on the `parse` thread.
+/// A large body to be parsed on the `parse` thread.
 pub struct Parse {
     form: Form,
     body: Bytes,
     reply: oneshot::Sender<Result<Prompt, Failure>>,
 }
 
-/// Reads a prompt; a large one on the `parse` thread.
+/// Parses a prompt body; a large one is parsed on the `parse` thread.
 pub async fn parse(ring: &ring::Sender<Parse>, form: Form, body: &Bytes) -> Result<Prompt, Failure> {
     if body.len() <= LARGE_BYTES {
         return prompt::parse(form, body);
@@ -80,7 +82,7 @@
     answer.await.map_err(|_| stopped())?
 }
 
-/// The `parse` thread.
+/// Runs the `parse` thread until all senders are dropped.
 pub async fn run(mut commands: ring::Receiver<Parse>) {
     while let Some(Parse { form, body, reply }) = commands.recv().await {
         let _ = reply.send(prompt::parse(form, &body));
--- a/sorrelpass/src/entry/budget.rs
+++ b/sorrelpass/src/entry/budget.rs
@@ -1,4 +1,4 @@
-//! The bytes of bodies that an entry holds at the same time, bounded.
+//! Bounds the memory that an entry uses for request bodies in flight.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 
 use crate::failure::Failure;
 
-/// Bytes that one permit stands for.
+/// Bytes per semaphore permit.
 const PERMIT_BYTES: usize = 1_024;
-/// For how long a body that does not fit waits for others to be over: half of the time after which its caller would come
-/// back, and send all of it again.
+/// Longest time that a body waits for memory before it is refused: half of [`RETRY_AFTER`], the delay after
+/// which its caller would send the whole body again.
 const PATIENCE: Duration = Duration::from_millis(250);
-/// When to come back if too many bodies are held.
+/// `Retry-After` for bodies that do not fit into the memory budget.
 pub const RETRY: Duration = Duration::from_millis(500);
 
-/// A budget of bytes.
+/// Memory budget for request bodies; clones share it.
 #[derive(Clone)]
 pub struct Budget(Arc<Inner>);
 
 struct Inner {
     permits: Arc<Semaphore>,
-    /// Told when a part is given back.
+    /// Notified whenever a reservation is released.
     freed: Notify,
 }
 
-/// A part of a budget; dropping it gives it back.
+/// A reserved part of a memory budget, released on drop.
 pub struct Share {
     budget: Budget,
-    /// None once it was given back.
+    /// `None` once it has been released.
     permit: Option<OwnedSemaphorePermit>,
 }
 
 impl Budget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes` bytes, rounded down to whole permits.
     pub fn new(bytes: usize) -> Self {
         Self(Arc::new(Inner { permits: Arc::new(Semaphore::new(bytes / PERMIT_BYTES)), freed: Notify::new() }))
     }
 
-    /// Takes a part at once, or says that there is none.
+    /// Reserves memory without waiting. Fails if the budget does not have it.
     pub fn take(&self, bytes: usize) -> Result<Share, Failure> {
         let permits = u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX);
         let busy = |_| Failure::busy("bodies_in_flight", "too many large bodies are in flight", RETRY);
@@ -47,10 +47,11 @@
         Ok(Share { budget: self.clone(), permit: Some(permit) })
     }
 
-    /// Takes a part for a body of which nothing has been read; waits a little for others to be over.
+    /// Reserves memory for a body of which nothing has been read, waiting up to [`RESERVE_TIMEOUT`] for it.
     ///
-    /// Most bodies are held for some milliseconds: without the wait a large one that comes beside short prompts is refused
-    /// as often as it comes. It waits without a place in a queue, since those that fit meanwhile must not wait behind it.
+    /// Most bodies are held for a few milliseconds. Without the wait, a large body that competes with short
+    /// prompts would be refused on each attempt. The wait has no queue, so that smaller bodies that fit are
+    /// not blocked by a larger one.
     pub async fn take_soon(&self, bytes: usize) -> Result<Share, Failure> {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -59,7 +60,7 @@
             match self.take(bytes) {
                 Ok(share) => return Ok(share),
                 Err(failure) if Instant::now() >= until => return Err(failure),
-                // Whether something was given back or the time is over: one more look tells.
+                // Retries after a release and once more at the deadline.
                 Err(_) => drop(tokio::time::timeout_at(until, freed).await),
             }
         }
@@ -67,12 +68,13 @@
 }
 
 impl Share {
-    /// The bytes that it is for.
+    /// Returns the number of bytes reserved.
     pub fn bytes(&self) -> usize {
         self.permit.as_ref().map_or(0, |permit| permit.num_permits() * PERMIT_BYTES)
     }
 
-    /// Takes so many bytes more, at once or not at all: who holds a part and waits for more may wait for another that does the same.
+    /// Extends the reservation by `bytes` without waiting: two bodies that both hold memory and wait for
+    /// more could deadlock.
     pub fn grow(&mut self, bytes: usize) -> Result<(), Failure> {
         let mut more = self.budget.take(bytes)?;
         if let (Some(permit), Some(more)) = (&mut self.permit, more.permit.take()) {
@@ -84,7 +86,7 @@
 
 impl Drop for Share {
     fn drop(&mut self) {
-        // Given back before others look again.
+        // Releases the permits before the notification, so that waiters find the memory available.
         drop(self.permit.take());
         self.budget.0.freed.notify_waiters();
     }
--- a/sorrelpass/src/entry/callers.rs
+++ b/sorrelpass/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' API: prompts in the OpenAI form, plain services, tickets.
+//! HTTP API for callers: prompts in the OpenAI format, calls to plain services, and tickets.
 
 use std::time::Duration;
 
@@ -25,20 +25,20 @@
 use crate::wire::{Ask, Call};
 use crate::{event, metric, util};
 
-/// Parts of an answer that may wait for a caller that reads slowly.
+/// Number of parts of an answer that are buffered for a caller that reads slowly.
 const PART_RING: usize = 64;
-/// Header that marks a call that may run once.
+/// Header with the key of a call that may run at most once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY: usize = 512;
-/// Header with the time allowed, in milliseconds.
+/// Header with the time allowed for the whole answer, in milliseconds.
 const DEADLINE: &str = "x-deadline-ms";
-/// Longest request id that is taken over from a caller, in bytes.
+/// Maximum length of a request id that is accepted from a caller.
 const MAX_ID: usize = 128;
-/// When to come back if the entry is stopping.
+/// `Retry-After` while the entry is shutting down or no endpoint accepts calls.
 const STOPPING_RETRY: Duration = Duration::from_millis(500);
 
-/// All routes of an entry's listener.
+/// Builds the router of an entry's public listener: the APIs for callers and for operators.
 pub fn router(app: App) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(chat))
@@ -59,12 +59,12 @@
         .method_not_allowed_fallback(|| async {
             Failure::new(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed", "the path does not take this method")
         })
-        // Bodies have a limit of our own, which is a setting.
+        // Body sizes are limited by the setting `max_body_bytes` instead.
         .layer(DefaultBodyLimit::disable())
         .with_state(app)
 }
 
-/// The request's id: the caller's, if it is fit to be logged, or a new one.
+/// Returns the request id sent by the caller if it is safe to log, otherwise a new one.
 fn request_id(headers: &HeaderMap) -> Name {
     let given = headers.get(&reply::REQUEST_ID).and_then(|value| value.to_str().ok());
     let fit = |id: &&str| {
@@ -111,14 +111,14 @@
     admitted.map_err(|error| Failure::busy("stopping", error.to_string(), STOPPING_RETRY))?
 }
 
-/// Starts a request on its way.
+/// Spawns the task that runs a request, and returns the receiver of its answer.
 fn start(app: &App, request: impl FnOnce(mpsc::Sender<Result<upstream::Part, Failure>>) -> Request) -> Parts {
     let (parts, receiver) = mpsc::channel(PART_RING);
     tokio::spawn(route::run(app.clone(), request(parts)));
     receiver
 }
 
-/// Answers with the request's id, and notes a refusal in the time line.
+/// Adds the request id to the response, and logs a failure.
 fn finish(id: &Name, answer: Result<Response, Failure>) -> Response {
     if let Err(failure) = &answer {
         event!("answer", request = %id, status = failure.status.as_u16(), code = failure.code, ran = failure.ran.as_str());
@@ -138,7 +138,7 @@
 
 async fn prompt(app: &App, id: &Name, form: Form, headers: &HeaderMap, body: Body) -> Result<Response, Failure> {
     let arrived = util::now();
-    // An unknown caller is turned away before its body takes any memory.
+    // Rejects requests without a bearer key before their body takes any memory.
     key_digest(headers)?;
     let held = body::read(&app.shared.settings, &app.shared.body_budget, headers, body).await?;
     let prompt = body::parse(&app.shared.parse, form, &held.bytes).await?;
@@ -178,7 +178,7 @@
     }
 }
 
-/// How often the caller allows the request to run, if it says.
+/// Returns the run policy that the caller's idempotency key or ticket asks for; `None` without the header.
 fn once(app: &App, headers: &HeaderMap, admitted: &Admitted) -> Result<Option<Once>, Failure> {
     let Some(key) = idempotency_key(headers)? else { return Ok(None) };
     let workspace = admitted.workspace.name.clone();
@@ -224,7 +224,7 @@
     let once = once(app, &head.headers, &admitted)?.unwrap_or(default);
     let query = head.uri.query().map_or(String::new(), |query| format!("?{query}"));
     let mut headers = crate::sidecar::plain::passed_on(&head.headers);
-    // The caller's key opens this system, not the services behind it.
+    // The bearer key authenticates callers to this system and must not reach the services behind it.
     headers.retain(|(name, _)| name != "authorization" && name != DEADLINE);
     headers.push((reply::REQUEST_ID.as_str().to_owned(), id.to_string()));
     headers.push(("x-workspace".to_owned(), admitted.workspace.name.to_string()));
@@ -278,7 +278,7 @@
     names.map_err(|error| Failure::busy("stopping", error.to_string(), STOPPING_RETRY))?
 }
 
-/// What a caller sends for a ticket.
+/// JSON body of `POST /v1/tickets`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TicketWanted {
@@ -287,7 +287,8 @@
     life_ms: Option<u64>,
 }
 
-/// `POST /v1/tickets`: a key that runs at most once even while the log is out.
+/// Handles `POST /v1/tickets`: issues an idempotency key that guarantees at-most-once execution even while
+/// the log is unavailable.
 async fn tickets(State(app): State<App>, headers: HeaderMap, body: axum::body::Bytes) -> Result<Response, Failure> {
     let secret = app.shared.settings.ticket_secret.clone().ok_or_else(no_tickets)?;
     let wanted: TicketWanted = serde_json::from_slice(&body)
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -1,9 +1,10 @@
-//! The `claims` thread: binds callers' keys to sidecar runs through the log.
+//! The `claims` thread: binds idempotency keys to sidecar incarnations through the log.
 //!
-//! Keys fall into partitions, each with a stream of its own. For each partition rendezvous
-//! hashing ranks the entries: the first is its writer, the second follows the stream and
-//! stands by, and all others ask them. So appends a second do not grow with the entries, and
-//! an entry follows few partitions. Two writers at once are harmless: the first offset wins.
+//! Keys are hashed to partitions, each with its own stream. Rendezvous hashing ranks the entries for each
+//! partition: the first one writes the stream, the second one follows it as standby, and the others send
+//! their claims to these two. The number of appends per second therefore does not grow with the number of
+//! entries, and each entry follows few partitions. Two concurrent writers are harmless, since the claim
+//! with the lowest offset wins.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,36 +23,38 @@
 use crate::platform::Log;
 use crate::{event, ring, util, warn_event};
 
-/// Partitions of the claims.
+/// Number of partitions of the key space.
 pub const PARTITIONS: u64 = 8;
-/// Entries that follow a partition: its writer and one that stands by.
+/// Number of entries that follow a partition: the writer and one standby.
 const RANKS: usize = 2;
-/// Other entries that are asked, when the log is out, whether they know a key.
+/// Maximum number of entries that are queried for a key while the log is unavailable.
 const MOST_ASKED: usize = 16;
-/// How long a read may wait for news, in milliseconds.
+/// Longest time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 2_000;
-/// Shortest time between two appends of a partition; claims that come meanwhile share the next.
+/// Shortest interval between two appends to a partition; claims that arrive in between share the next
+/// append.
 const GROUP: Duration = Duration::from_millis(50);
-/// Most claims in one append.
+/// Maximum number of claims in one append.
 const MOST_IN_GROUP: usize = 256;
-/// How often it is looked whether a partition has come to this entry.
+/// Interval at which this entry checks whether a partition has been assigned to it.
 const FOLLOW_CHECK: Duration = Duration::from_millis(500);
-/// Longest that this entry's own partitions are waited for, for a lookup …
+/// Timeout for a lookup in this entry's own partitions.
 const HERE_TIMEOUT: Duration = Duration::from_millis(400);
-/// … and for a claim, which needs an append.
+/// Timeout for a claim in this entry's own partitions, which needs an append.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a failed call to the log, and when callers are told to come back.
+/// Delay after a failed log call, and `Retry-After` for callers whose claim failed.
 const RETRY: Duration = Duration::from_millis(300);
 
-/// What is asked of a partition.
+/// Commands to the partition of a key.
 pub enum Question {
-    /// Who holds this key, as far as read?
+    /// Returns the binding of a key, as far as the stream has been replayed.
     Lookup(Key, oneshot::Sender<Option<Binding>>),
-    /// Bind this key, unless it is bound; answered once read back, or dropped if the log is out.
+    /// Binds a key unless it is bound, and replies with the binding that holds once it has been replayed.
+    /// The reply is dropped if the log is unavailable.
     Claim(Key, Binding, oneshot::Sender<Binding>),
 }
 
-/// Claims in one append.
+/// Claims that are appended as one record.
 #[derive(Serialize, Deserialize)]
 struct Group {
     claims: Vec<Claim>,
@@ -63,7 +66,7 @@
     binding: Binding,
 }
 
-/// The claims of one partition, at an entry that writes it or stands by.
+/// Claims of one partition, at its writer or its standby.
 struct Binder {
     stream: String,
     log: Box<dyn Log>,
@@ -74,24 +77,25 @@
     reading: watch::Sender<Reading>,
 }
 
-/// How far a partition was read.
+/// Progress of replaying a partition's stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
-    /// Not yet to the end.
+    /// The end of the stream has not been reached.
     Behind,
-    /// Not yet to the end, and the log is out.
+    /// The end of the stream has not been reached, and the log is unavailable.
     Out,
-    /// To the end, once: from then on "nobody" means that nobody claimed before.
+    /// The end of the stream has been reached once. From then on, the absence of a key proves that it was
+    /// not claimed before.
     CaughtUp,
 }
 
-/// The partition of a key.
+/// Returns the partition of a key.
 fn partition(key: &Key) -> u64 {
     let hash = xxhash_rust::xxh3::xxh3_64(key.key.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(key.workspace.as_bytes(), hash) % PARTITIONS
 }
 
-/// The entries that write a partition, by rank.
+/// Returns the entries that follow a partition, writer first.
 fn ranked(shared: &Shared, partition: u64) -> Vec<Name> {
     let mut all = shared.peers();
     all.push(own(shared));
@@ -102,7 +106,7 @@
     Name::from(shared.settings.peer_listen.to_string())
 }
 
-/// Runs the thread.
+/// Runs the `claims` thread until all command senders are dropped.
 pub async fn run(shared: Arc<Shared>, make_log: impl Fn() -> Box<dyn Log>, mut questions: ring::Receiver<Question>) {
     let mut binders: HashMap<u64, Rc<Binder>> = HashMap::new();
     loop {
@@ -121,7 +125,7 @@
         };
         match (question, binders.get(&partition)) {
             (question, Some(binder)) => drop(tokio::task::spawn_local(binder.clone().handle(question))),
-            // What this entry does not follow it has bound nothing of.
+            // This entry cannot have bound a key of a partition that it does not follow.
             (Question::Lookup(_, reply), None) => drop(reply.send(None)),
             (question, None) => {
                 let binder = Binder::start(&shared, partition, make_log());
@@ -150,7 +154,8 @@
     }
 
     async fn handle(self: Rc<Self>, question: Question) {
-        // Before the stream was read to its end nothing is said; if the log is out, at once.
+        // Nothing is answered before the stream has been replayed. If the log is unavailable, the reply is
+        // dropped at once instead.
         let mut reading = self.reading.subscribe();
         match reading.wait_for(|reading| *reading != Reading::Behind).await {
             Ok(reading) if *reading == Reading::CaughtUp => {}
@@ -172,7 +177,7 @@
         self.work.notify_one();
     }
 
-    /// Appends what was proposed, in groups. What cannot be appended is given up at once.
+    /// Appends the proposed claims in batches. Claims whose append fails are abandoned without a retry.
     async fn append(self: Rc<Self>) {
         let mut next_append = tokio::time::Instant::now();
         loop {
@@ -193,7 +198,8 @@
             let Ok(payload) = serde_json::to_vec(&Group { claims: group }) else { continue };
             if let Err(error) = self.log.append(&self.stream, Bytes::from(payload)).await {
                 warn_event!("claim-failed", stream = %self.stream, keys = keys.len(), reason = %error);
-                // Dropping the replies tells the callers; a claim that took effect all the same is harmless.
+                // Dropping the replies reports the failure to the requests. If the append took effect
+                // despite the error, the claim is harmless.
                 let mut waiting = self.waiting.borrow_mut();
                 keys.iter().for_each(|key| drop(waiting.remove(key)));
             }
@@ -208,7 +214,8 @@
             match self.log.read(&self.stream, next, wait).await {
                 Ok(batch) => {
                     if batch.oldest > next {
-                        // Claims that were trimmed unread are older than the window, which is below the retention.
+                        // Claims that were trimmed before they were read are older than the idempotency
+                        // window, which is shorter than the log's retention.
                         self.board.borrow_mut().skip_to(batch.oldest);
                     }
                     for entry in &batch.entries {
@@ -248,21 +255,22 @@
     }
 }
 
-/// Who holds a key, as far as this entry itself has bound or read; `None` if it cannot tell yet.
+/// Looks up a key in this entry's own partitions. The outer `None` means that the stream has not been
+/// replayed yet.
 pub async fn lookup_here(shared: &Shared, key: Key) -> Option<Option<Binding>> {
     let (reply, answer) = oneshot::channel();
     shared.claims.send(Question::Lookup(key, reply)).await.ok()?;
     tokio::time::timeout(HERE_TIMEOUT, answer).await.ok()?.ok()
 }
 
-/// Binds a key here, as its partition's writer; `None` if the log is out.
+/// Binds a key at this entry, as writer of the key's partition; `None` if the log is unavailable.
 pub async fn claim_here(shared: &Shared, key: Key, binding: Binding) -> Option<Binding> {
     let (reply, answer) = oneshot::channel();
     shared.claims.send(Question::Claim(key, binding, reply)).await.ok()?;
     tokio::time::timeout(CLAIM_TIMEOUT, answer).await.ok()?.ok()
 }
 
-/// Who holds a key, by its partition's writer, or by who stands by.
+/// Looks up the binding of a key at the writer of its partition or, if that fails, at the standby.
 pub async fn lookup(shared: &Shared, key: &Key) -> Option<Binding> {
     for entry in ranked(shared, partition(key)) {
         let found = if entry == own(shared) {
@@ -277,11 +285,11 @@
     None
 }
 
-/// Binds a key to `binding`, unless it is bound; returns the binding that holds.
+/// Binds a key to `binding` unless it is bound, and returns the binding that holds.
 ///
-/// When the log is out, the other entries are asked: a key runs only after its claim was read
-/// back by the entry that served it, so if every one of them says that it knows none, nothing
-/// under the key ran.
+/// While the log is unavailable, all other entries are queried instead. A key runs only after the entry
+/// that serves it has read its claim back, so if every entry reports that it does not know the key, nothing
+/// has run under it.
 pub async fn claim(shared: &Shared, key: Key, binding: Binding) -> Result<Binding, Failure> {
     for entry in ranked(shared, partition(&key)) {
         let bound = if entry == own(shared) {
@@ -302,7 +310,8 @@
     Err(Failure::busy("claims_unavailable", message, RETRY).ran(ran))
 }
 
-/// What all entries know of a key, and what that proves.
+/// Queries all entries for a key. Returns its binding, if known, and whether the key is proven not to have
+/// run.
 async fn asked_around(shared: &Shared, key: &Key) -> (Option<Binding>, Ran) {
     let peers = shared.peers();
     let mut ran = if peers.len() > MOST_ASKED { Ran::Unknown } else { Ran::No };
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -1,8 +1,8 @@
-//! The `controller` thread: holds, or waits for, the controller lease of this entry's failure
-//! domain, and places loads while it holds it.
+//! The `controller` thread: competes for the controller lease of this entry's failure domain, and places
+//! model loads on endpoints while it holds the lease.
 //!
-//! Every entry replays the control stream, so that it can tell sidecars their orders. When the
-//! log is out placement stands still, and serving goes on.
+//! Every entry replays the control stream to be able to answer sidecars that ask for their placement
+//! orders. While the log is unavailable, placement stops and serving continues.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,32 +21,33 @@
 use crate::platform::Log;
 use crate::{event, util, warn_event, wire};
 
-/// Stream of leases and placements.
+/// Stream of lease claims and placement records.
 const CONTROL: &str = "control";
-/// How long a read may wait for news, in milliseconds.
+/// Longest time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 500;
-/// How long a lease lasts; it is renewed when half of it is over.
+/// Duration of a lease; the holder renews it after half of this time.
 const TERM: Duration = Duration::from_secs(4);
-/// Pause after a failed call to the log.
+/// Delay after a failed log call.
 const RETRY: Duration = Duration::from_millis(300);
-/// A sidecar that has not said by then what its endpoint holds is asked again later.
+/// Timeout for asking a sidecar which load its endpoint has; the next cycle asks again.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most of a service's endpoints in a failure domain that a roll-out takes at a time.
+/// Maximum share of a service's endpoints in one failure domain that a rollout changes at a time.
 const ROLL_SHARE: f64 = 0.25;
 
 struct Controller {
     shared: Arc<Shared>,
     log: Box<dyn Log>,
     board: Board,
-    /// The log's time as last seen, and ours then: leases are judged by the log's.
+    /// Timestamp of the newest record and the local time when it was read. Leases are judged by the log's
+    /// clock.
     clock: Option<(Moment, Moment)>,
-    /// What endpoints were last seen to hold.
+    /// Load that each endpoint was last seen to have.
     holds: HashMap<Name, Load>,
     caller: Caller,
     out: watch::Sender<Arc<HashMap<Name, Order>>>,
 }
 
-/// Runs the thread.
+/// Runs the `controller` thread.
 pub async fn run(shared: Arc<Shared>, log: Box<dyn Log>, out: watch::Sender<Arc<HashMap<Name, Order>>>) {
     let mut controller = Controller {
         shared,
@@ -105,18 +106,19 @@
         &self.shared.settings.process.failure_domain
     }
 
-    /// The log's time now, as far as it can be told from its last stamp.
+    /// Returns the current time of the log's clock, extrapolated from the newest record.
     fn log_time(&self) -> Moment {
         self.clock.map_or(Moment::ZERO, |(log, ours)| log + util::now().since(ours))
     }
 
-    /// How long the domain's lease still lasts, whoever holds it.
+    /// Returns the remaining duration of the domain's lease, whichever process holds it.
     fn lease_left(&self) -> Duration {
         let holder = self.board.lease(self.domain()).and_then(|lease| lease.holder());
         holder.map_or(Duration::ZERO, |holder| holder.until.since(self.log_time()))
     }
 
-    /// Our fence, if we hold the lease. A pause may have outlasted it unnoticed: then what we write is void.
+    /// Returns this process's fence if it holds the lease. The process may have been paused past the end of
+    /// the lease without noticing; replay then discards the records that it appends.
     fn fence(&self) -> Option<Fence> {
         let holder = self.board.lease(self.domain())?.holder()?;
         let own = holder.process == self.shared.settings.process.name && holder.incarnation == util::incarnation();
@@ -143,7 +145,7 @@
         self.log.append(CONTROL, Bytes::from(serde_json::to_vec(record)?)).await
     }
 
-    /// Asks the sidecars of `unsettled` endpoints what these hold.
+    /// Asks the sidecars of `unsettled` endpoints which load their endpoint has.
     async fn look(&mut self, unsettled: &[Vm]) {
         for vm in unsettled {
             let call = http::exchange_json(&self.caller, &vm.address, "GET", wire::HOLDS, None);
@@ -153,7 +155,8 @@
         }
     }
 
-    /// The endpoints of our domain; those that have not come to their order are asked what they hold.
+    /// Returns the endpoints of this failure domain with their loads. Sidecars are asked only for endpoints
+    /// that have not reached their ordered load.
     async fn endpoints(&mut self) -> Vec<Endpoint> {
         let vms = self.shared.vms.borrow().clone();
         let ours = |vm: &&Vm| vm.role == Role::Endpoint && vm.failure_domain == *self.domain();
--- a/sorrelpass/src/entry/gang.rs
+++ b/sorrelpass/src/entry/gang.rs
@@ -1,8 +1,9 @@
-//! Prompts that exceed one engine: a gang of engines in one failure domain holds their spans.
+//! Prompts that exceed the memory of one engine: a gang of engines in one failure domain holds the prompt
+//! in spans.
 //!
-//! Memory is taken span by span in the order of the endpoints' names, so two gangs
-//! never wait for each other, and every span is leased: if this entry dies, the
-//! sidecars free them. The last span's engine leads and gives the answer.
+//! Memory is reserved span by span in the order of the endpoints' names, so that two gangs cannot deadlock.
+//! Each span is leased: if this entry dies, the sidecars free its spans. The engine of the last span is the
+//! leader, which generates the answer.
 
 use std::time::Duration;
 
@@ -21,26 +22,26 @@
 
 /// Share of an engine's memory that a span may take; the rest is for other prompts and the output.
 const SPAN_SHARE: f64 = 0.85;
-/// Spans end at multiples of this many bytes.
+/// Alignment of span ends, in bytes.
 const SPAN_ALIGN: usize = 64 * 1_024;
-/// How long a span's lease lasts …
+/// Duration of a span's lease.
 const LEASE: Duration = Duration::from_secs(2);
-/// … and how often it is renewed.
+/// Interval at which leases are renewed; also the timeout of a hold request.
 const RENEW: Duration = Duration::from_millis(500);
-/// Shortest and longest pause before memory is asked for again.
+/// Shortest and longest delay before memory is requested again from a member that is full.
 const PAUSE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(500));
 
-/// Header by which the lead's engine learns the digest of the spans.
+/// Header that gives the leader's engine the digest of the spans.
 pub const DIGEST_HEADER: &str = "x-span-digest";
-/// Header by which the lead's engine learns the tokens in the spans.
+/// Header that gives the leader's engine the number of tokens in the spans.
 pub const TOKENS_HEADER: &str = "x-span-tokens";
 
-/// Cuts prompt text into spans that fit engines of `capacity` tokens.
+/// Splits a prompt's text into spans for engines with a memory of `capacity` tokens.
 pub fn cut(text: &Bytes, bytes_per_token: f64, capacity: u64) -> Vec<Bytes> {
     let most = (capacity as f64 * SPAN_SHARE * bytes_per_token) as usize;
     let most = (most / SPAN_ALIGN * SPAN_ALIGN).max(SPAN_ALIGN);
     let count = text.len().div_ceil(most).max(1);
-    // Even spans: the gang is only as strong as its fullest member.
+    // Spans have equal size, since the member with the largest span limits the whole gang.
     let even = text.len().div_ceil(count).div_ceil(SPAN_ALIGN) * SPAN_ALIGN;
     let mut spans = Vec::new();
     let mut rest = text.clone();
@@ -51,39 +52,40 @@
     spans
 }
 
-/// One member and its span.
+/// A member of a gang, with its span.
 #[derive(Clone)]
 pub struct Member {
-    /// The endpoint.
+    /// Endpoint of the member.
     pub target: Target,
-    /// The span's name.
+    /// Id of the span.
     pub span: Attempt,
-    /// Its memory, in tokens.
+    /// Memory that the span takes, in tokens.
     pub tokens: u64,
 }
 
-/// Spans held at their members and kept alive; they are freed when this is closed or dropped.
+/// Spans reserved at their members. Their leases are renewed until this value is dropped, which frees the
+/// spans.
 pub struct Spans {
     app: App,
     members: Vec<Member>,
     renewal: JoinHandle<()>,
 }
 
-/// Why a gang did not come together, and at which member.
+/// The member and the step at which a gang failed.
 pub struct Failed {
-    /// The member.
+    /// Endpoint of the member.
     pub target: Target,
-    /// The step.
+    /// Step that failed.
     pub step: &'static str,
 }
 
 impl Spans {
-    /// Holds memory for all members, waiting up to `limit`.
+    /// Reserves memory at all members, waiting up to `timeout` for members that are full.
     pub async fn hold(app: &App, mut members: Vec<Member>, limit: Duration) -> Result<Self, Failed> {
         members.sort_by(|a, b| a.target.endpoint.cmp(&b.target.endpoint));
         let deadline = util::now() + limit;
         let renewal = tokio::spawn(renew(app.clone(), members.clone()));
-        // From here on whatever is held is freed on every way out.
+        // From here on, each return path drops `leases` and so frees the spans that are held.
         let spans = Self { app: app.clone(), members, renewal };
         for member in &spans.members {
             let failed = |step| Failed { target: member.target.clone(), step };
@@ -106,7 +108,7 @@
         Ok(spans)
     }
 
-    /// Prefills one span after another; returns the digest and tokens of them all.
+    /// Prefills the spans in order, and returns the digest and the number of tokens of the whole prompt.
     pub async fn fill(&self, texts: &[(Attempt, Bytes)]) -> Result<Filled, Failed> {
         let mut all = Filled { tokens: 0, digest: 0 };
         for (span, text) in texts {
@@ -118,7 +120,7 @@
         Ok(all)
     }
 
-    /// Frees all spans; dropping does the same.
+    /// Frees all spans, as dropping does.
     pub fn close(self) {
         drop(self);
     }
@@ -137,7 +139,7 @@
                     wire::SPAN_FREE,
                     wire::encode(&member.span),
                 );
-                // If this is lost the lease lapses.
+                // If the request is lost, the span's lease expires.
                 let _ = tokio::time::timeout(LEASE, call).await;
             });
         }
@@ -153,7 +155,8 @@
     }
 }
 
-/// Renews the leases of all members until aborted. Members that do not hold theirs yet say no, harmlessly.
+/// Renews the leases of all members until the task is aborted. A member that does not hold its span yet
+/// refuses the renewal, which is harmless.
 async fn renew(app: App, members: Vec<Member>) {
     loop {
         tokio::time::sleep(RENEW).await;
--- a/sorrelpass/src/entry/kernel/message.rs
+++ b/sorrelpass/src/entry/kernel/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the kernel thread and comes out of it.
+//! Commands to the event loop of an entry, and its replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,189 +11,190 @@
 
 use crate::failure::Failure;
 
-/// What a caller asks for.
+/// What a request is addressed to.
 #[derive(Clone, Debug)]
 pub enum Wanted {
-    /// A prompt to a model.
+    /// A prompt for a model.
     Model {
-        /// The model's name.
+        /// Name of the model.
         model: Name,
-        /// Bytes of prompt.
+        /// Length of the prompt text, in bytes of JSON.
         prompt_bytes: u64,
-        /// Most output tokens.
+        /// Maximum number of output tokens.
         output_tokens: u64,
     },
-    /// A call to a plain service.
+    /// A call to a plain service, which has no model engine.
     Service {
-        /// The service's name.
+        /// Name of the service.
         service: Name,
     },
 }
 
-/// A caller's request, for admission.
+/// A caller's request for admission.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Hex BLAKE3 digest of the bearer key.
+    /// BLAKE3 digest of the bearer key, in hexadecimal.
     pub key_digest: String,
-    /// What is asked for.
+    /// Model or service that the request is addressed to.
     pub wanted: Wanted,
 }
 
-/// An endpoint to try.
+/// An endpoint that a request may be sent to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// Its sidecar's address.
+    /// Address of the endpoint's sidecar.
     pub address: Name,
-    /// Extra microseconds to reach it.
+    /// Additional latency to reach the endpoint, in microseconds: 0 within this entry's failure domain.
     pub distance: u64,
 }
 
-/// What admission decided.
+/// An admitted request, with the settings of its intent or service.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// The workspace.
+    /// Workspace that the bearer key belongs to.
     pub workspace: Arc<Workspace>,
-    /// The service whose endpoints serve it.
+    /// Service whose endpoints can run the request.
     pub service: Name,
-    /// Failure domains allowed; empty is all.
+    /// Failure domains that the request may run in; empty allows all.
     pub domains: Vec<Name>,
-    /// The intent's priority.
+    /// Priority set by the intent; 0 for a plain call.
     pub priority: u8,
-    /// Prompt tokens, estimated.
+    /// Estimated number of prompt tokens; 0 for a plain call.
     pub prompt_tokens: u64,
-    /// Bytes of text per token.
+    /// Bytes of prompt text per token, used for estimates.
     pub bytes_per_token: f64,
-    /// Time allowed when the caller says none.
+    /// Time allowed for the whole answer if the caller sets no deadline.
     pub deadline: Duration,
-    /// Longest time the caller may ask for.
+    /// Longest deadline that the caller may set.
     pub ceiling: Duration,
-    /// Whether any call may be sent again without harm.
+    /// Whether the request may be run more than once without harm.
     pub repeatable: bool,
 }
 
-/// A question for endpoints to try.
+/// Query for endpoints that can run a request.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// The service.
+    /// Service whose endpoints are wanted.
     pub service: Name,
-    /// Failure domains allowed; empty is all.
+    /// Failure domains to search; empty searches all.
     pub domains: Vec<Name>,
-    /// The prompt's prefix.
+    /// Hash of the prompt's prefix, if there is one; it favours endpoints that are likely to have the
+    /// prefix cached.
     pub hash: Option<u64>,
-    /// Endpoints already tried.
+    /// Endpoints to leave out because they have been tried.
     pub exclude: Vec<Name>,
 }
 
-/// Endpoints to try.
+/// Endpoints that can run a request.
 #[derive(Clone, Debug, Default)]
 pub struct Found {
-    /// Best first.
+    /// Endpoints in order of preference.
     pub targets: Vec<Target>,
-    /// Whether to ask them for quotes before choosing.
+    /// Whether to request quotes from the endpoints before choosing one.
     pub asks: bool,
 }
 
-/// Commands to the kernel.
+/// Commands to the event loop.
 pub enum Command {
-    /// May this run?
+    /// Checks the bearer key, the model or service, and the workspace's rate limits of a request.
     Admit(Admission, oneshot::Sender<Result<Admitted, Failure>>),
-    /// Where?
+    /// Selects endpoints for a request.
     Find(Search, oneshot::Sender<Found>),
-    /// Endpoints of a service by failure domain, the nearest first.
+    /// Lists a service's endpoints by failure domain, nearest domain first.
     ByDomain(Search, oneshot::Sender<Vec<Vec<Target>>>),
-    /// Where is this endpoint?
+    /// Looks up an endpoint; replies `None` if it is not in the VM list.
     Locate(Name, oneshot::Sender<Option<Target>>),
-    /// A sidecar answered.
+    /// Records that a sidecar answered a quote request.
     Heard {
-        /// The endpoint.
+        /// Name of the sidecar's endpoint.
         endpoint: Name,
-        /// The sidecar's incarnation.
+        /// Incarnation of the sidecar process.
         incarnation: Incarnation,
-        /// Whether it refuses new work.
+        /// Whether the sidecar refuses new work.
         leaving: bool,
     },
-    /// A sidecar could not be reached.
+    /// Records that an endpoint's sidecar could not be reached.
     Failed(Name),
-    /// An attempt was sent there.
+    /// Records the start of an attempt at an endpoint, with its number of tokens.
     Begin(Name, u64),
-    /// It is over.
+    /// Records the end of an attempt at an endpoint, with the same number of tokens.
     End(Name, u64),
-    /// May a retry be sent?
+    /// Takes one retry from the retry budget; replies `false` if the budget is spent.
     Retry(oneshot::Sender<bool>),
-    /// The configuration changed.
+    /// Replaces the configuration.
     Config(Arc<Config>),
-    /// The platform's list.
+    /// Replaces the VM list.
     Vms(Vec<Vm>),
-    /// What models may this key use?
+    /// Lists the models that the workspace of a bearer key may use; takes the key's digest.
     Models(String, oneshot::Sender<Result<Vec<Name>, Failure>>),
-    /// What is going on?
+    /// Returns the state shown by `/v1/status`.
     Status(oneshot::Sender<Status>),
-    /// All endpoints.
+    /// Returns the endpoints shown by `/v1/endpoints`.
     Endpoints(oneshot::Sender<Vec<Endpoint>>),
-    /// Local shares of the workspaces' limits, as worked out with the other entries.
+    /// Sets this entry's shares of the workspaces' rate limits, as assigned by the owners of the limits.
     Shares(Vec<Share>),
-    /// What each limited workspace asked for since the last report.
+    /// Returns the demand of each limited workspace since the last call, and resets the counters.
     Demands(oneshot::Sender<Vec<Demand>>),
 }
 
-/// An entry's share of a workspace's limits.
+/// One entry's share of a workspace's rate limits.
 #[derive(Clone, Debug, PartialEq, Serialize, serde::Deserialize)]
 pub struct Share {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: Name,
-    /// Requests a second here.
+    /// Requests per second allowed at this entry; `None` if the workspace has no such limit.
     pub requests_per_s: Option<f64>,
-    /// Prompt tokens a second here.
+    /// Prompt tokens per second allowed at this entry; `None` if the workspace has no such limit.
     pub tokens_per_s: Option<f64>,
 }
 
-/// What a workspace asked for at one entry, as rates.
+/// Rates at which a workspace sent requests to one entry, refused requests included.
 #[derive(Clone, Debug, PartialEq, Serialize, serde::Deserialize)]
 pub struct Demand {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: Name,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub tokens_per_s: f64,
 }
 
-/// What `/v1/status` shows.
+/// JSON body of `/v1/status`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// The entry's name.
+    /// Name of the entry.
     pub entry: Name,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub failure_domain: Name,
-    /// This process's run.
+    /// Incarnation of the entry process.
     pub incarnation: String,
-    /// The configuration's revision in force here.
+    /// Revision of the configuration in use; 0 before the first one has been read.
     pub revision: u64,
-    /// Endpoints known.
+    /// Number of endpoints in the VM list.
     pub endpoints: usize,
-    /// Of them, those that are leaving.
+    /// Number of those endpoints that refuse new work.
     pub leaving: usize,
-    /// Invariants breached in this process.
+    /// Number of invariant violations in this process.
     pub breaches: u64,
 }
 
-/// What `/v1/endpoints` shows of one.
+/// JSON object of one endpoint in `/v1/endpoints`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// Its service.
+    /// Service that the endpoint belongs to.
     pub service: Name,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub failure_domain: Name,
-    /// Its sidecar's address.
+    /// Address of the endpoint's sidecar.
     pub address: Name,
-    /// The sidecar's incarnation, once heard of.
+    /// Incarnation of the sidecar; `None` until it has answered once.
     pub incarnation: Option<String>,
-    /// Whether it is leaving.
+    /// Whether the endpoint refuses new work.
     pub leaving: bool,
-    /// This entry's unfinished attempts there.
+    /// Number of this entry's unfinished attempts at the endpoint.
     pub outstanding: u32,
 }
--- a/sorrelpass/src/entry/kernel/meter.rs
+++ b/sorrelpass/src/entry/kernel/meter.rs
@@ -1,4 +1,4 @@
-//! Meters: the local part of the workspaces' limits.
+//! Token buckets that enforce this entry's shares of the workspaces' rate limits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use super::message::{Demand, Share};
 
-/// Which limit is used up.
+/// The rate limit that refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     Tokens,
 }
 
-/// The meter of one workspace that has limits.
+/// Rate limiter of one workspace, with the demand counted since the last report.
 pub struct Meter {
     requests: Option<Bucket>,
     tokens: Option<Bucket>,
@@ -27,19 +27,19 @@
     asked_tokens: f64,
 }
 
-/// The meters of all workspaces that have limits.
+/// Rate limiters of all workspaces that have limits.
 pub struct Meters {
     by_workspace: HashMap<Name, Meter>,
     reported: Moment,
 }
 
 impl Meters {
-    /// No limits yet.
+    /// Creates an empty set of rate limiters.
     pub fn new(now: Moment) -> Self {
         Self { by_workspace: HashMap::new(), reported: now }
     }
 
-    /// Takes new limits; levels stay where a limit stays.
+    /// Replaces the limits. The bucket of an unchanged limit keeps its level.
     pub fn configure<'a>(&mut self, workspaces: impl Iterator<Item = &'a Workspace>, now: Moment) {
         let old = std::mem::take(&mut self.by_workspace);
         let limited =
@@ -49,7 +49,8 @@
             .collect();
     }
 
-    /// Takes one request of `tokens` prompt tokens out, or says which limit is used up and for how long.
+    /// Takes one request of `tokens` prompt tokens from the workspace's buckets. Fails with the exceeded
+    /// limit and the time until the bucket has refilled.
     pub fn take(&mut self, workspace: &Name, tokens: f64, now: Moment) -> Result<(), (Limit, Duration)> {
         let Some(meter) = self.by_workspace.get_mut(workspace) else { return Ok(()) };
         meter.asked_requests += 1.0;
@@ -63,7 +64,7 @@
         Ok(())
     }
 
-    /// Takes this entry's shares, as worked out with the others.
+    /// Sets this entry's shares of the limits. Workspaces without limits are ignored.
     pub fn share(&mut self, shares: &[Share], now: Moment) {
         for share in shares {
             let Some(meter) = self.by_workspace.get_mut(&share.workspace) else { continue };
@@ -76,7 +77,8 @@
         }
     }
 
-    /// What was asked for since the last report, as rates.
+    /// Returns the demand since the last call, and resets the counters. Workspaces without requests are
+    /// left out.
     pub fn demands(&mut self, now: Moment) -> Vec<Demand> {
         let span = now.since(self.reported).as_secs_f64().max(1e-3);
         self.reported = now;
@@ -100,7 +102,8 @@
     }
 }
 
-/// A bucket at the limit's rate; one whose limit was lowered starts from its level.
+/// Returns the bucket of a limit of `rate`. An existing bucket keeps its level; its rate, which is this entry's
+/// share of the limit, changes only if it exceeds the new limit.
 fn bucket(rate: Option<f64>, before: Option<&Bucket>, now: Moment) -> Option<Bucket> {
     let rate = rate?;
     let mut bucket = before.cloned().unwrap_or_else(|| Bucket::new(rate, now));
--- a/sorrelpass/src/entry/kernel/mod.rs
+++ b/sorrelpass/src/entry/kernel/mod.rs
@@ -1,4 +1,5 @@
-//! The kernel thread of an entry: owns members, configuration, limits and the retry budget.
+//! The event loop of an entry: it owns the endpoint membership, the configuration, the rate limits and the
+//! retry budget.
 
 mod message;
 mod meter;
@@ -22,9 +23,9 @@
 use crate::plugin::{self, PickerPlugin};
 use crate::{event, metric, ring, util};
 
-/// Retries saved up at most.
+/// Largest number of unused retries that the retry budget accumulates.
 const RETRY_CAP: f64 = 100.0;
-/// When to come back if the configuration has not been read yet.
+/// `Retry-After` for requests that arrive before the configuration has been read.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
 
 struct Kernel {
@@ -37,7 +38,7 @@
     meters: Meters,
 }
 
-/// Runs the kernel until all senders are gone.
+/// Runs the event loop until all command senders are dropped.
 pub async fn run(settings: Entry, mut commands: ring::Receiver<Command>) {
     let mut kernel = Kernel::new(settings);
     while let Some(command) = commands.recv().await {
@@ -176,7 +177,7 @@
         })
     }
 
-    /// Takes the request out of its workspace's local shares.
+    /// Takes the request from this entry's shares of its workspace's rate limits.
     fn meter(&mut self, admitted: &Admitted) -> Result<(), Failure> {
         let taken = self.meters.take(&admitted.workspace.name, admitted.prompt_tokens as f64, util::now());
         taken.map_err(|(limit, wait)| {
--- a/sorrelpass/src/entry/limits.rs
+++ b/sorrelpass/src/entry/limits.rs
@@ -1,5 +1,5 @@
-//! Workspaces' limits over all entries: each limit has an owner among the entries, to
-//! which the others report what was asked of them and which shares the limit out.
+//! Rate limits across entries: each workspace's limits are owned by one entry. The other entries report
+//! their demand to the owner, which divides the limits among them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use super::{Shared, peer};
 use crate::{util, warn_event};
 
-/// How often demand is reported.
+/// Interval at which demand is reported.
 const PERIOD: Duration = Duration::from_millis(500);
-/// A report older than this no longer counts.
+/// Age after which a report is ignored.
 const STALE: Duration = Duration::from_secs(3);
 
-/// What an owner knows of its workspaces' demand.
+/// Newest demand of each entry, by workspace, for the limits that this entry owns.
 #[derive(Default)]
 pub struct Exchange {
     reports: HashMap<Name, HashMap<Name, (Moment, Demand)>>,
 }
 
 impl Exchange {
-    /// Takes `entry`'s report and returns its shares.
+    /// Records the demand of `entry` and returns its shares.
     fn report(&mut self, config: &Config, entry: &Name, demands: Vec<Demand>, now: Moment) -> Vec<Share> {
         demands
             .into_iter()
@@ -54,15 +54,15 @@
     }
 }
 
-/// Takes a report at the owner. The lock is between the threads `members` and `peer`; no
-/// request waits for it.
+/// Records a demand report at the owner. Only the threads `members` and `peer` use the lock, so no request
+/// waits for it.
 pub fn report(shared: &Shared, entry: &Name, demands: Vec<Demand>) -> Vec<Share> {
     let config = shared.config.borrow().clone();
     let mut exchange = shared.exchange.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     exchange.report(&config, entry, demands, util::now())
 }
 
-/// Reports demand again and again.
+/// Reports this entry's demand periodically and applies the shares that the owners assign.
 pub async fn run(shared: &Shared) {
     let own = Name::from(shared.settings.peer_listen.to_string());
     loop {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Groups demands by the entry that owns their workspace's limit.
+/// Groups demands by the entry that owns the limits of their workspace.
 fn by_owner(entries: &[Name], demands: Vec<Demand>) -> HashMap<Name, Vec<Demand>> {
     let mut grouped: HashMap<Name, Vec<Demand>> = HashMap::new();
     for demand in demands {
@@ -92,7 +92,8 @@
     grouped
 }
 
-/// The owner's word on the shares; without it each entry takes an equal part.
+/// Requests this entry's shares from the owner. If the owner does not answer, the limits are divided
+/// equally among the entries.
 async fn ask_owner(shared: &Shared, own: &Name, owner: &Name, demands: Vec<Demand>, entries: usize) -> Vec<Share> {
     let config = shared.config.borrow().clone();
     if owner == own {
--- a/sorrelpass/src/entry/log.rs
+++ b/sorrelpass/src/entry/log.rs
@@ -1,7 +1,7 @@
-//! The `log` thread: replays the configuration, and appends plans and confirms.
+//! The `log` thread: replays the configuration, and appends plans and confirmations.
 //!
-//! Snapshots live on a stream of their own, which only a fresh process reads, so
-//! that following the configuration costs no more than the changes themselves.
+//! Snapshots have their own stream, which is read only after a start or a gap, so that following the
+//! configuration costs no more than reading the changes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,32 +21,32 @@
 use crate::platform::{Batch, Log};
 use crate::{event, ring, util, warn_event};
 
-/// Stream of plans and confirms.
+/// Stream of plans and confirmations.
 const CONFIG: &str = "config";
 /// Stream of snapshots.
 const SNAPSHOTS: &str = "config-snapshots";
-/// How long a read may wait for news, in milliseconds.
+/// Longest time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 2_000;
-/// Pause after a failed call to the log.
+/// Delay after a failed log call.
 const RETRY: Duration = Duration::from_millis(200);
-/// How long a plan or confirm is tried before the operator is told that nothing is known.
+/// Time during which an append is retried before the operator is told that its outcome is unknown.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Records after which a snapshot is due.
+/// Number of records after which a snapshot is due.
 const SNAPSHOT_RECORDS: u64 = 512;
-/// Bytes of snapshot in one record.
+/// Maximum size of the snapshot part in one record, in bytes.
 const PART_BYTES: usize = 256 * 1_024;
 
-/// Commands to the log thread.
+/// Commands to the `log` thread.
 pub enum Command {
-    /// Append a plan; answered once it is read back.
+    /// Appends a plan; replies once the plan has been replayed.
     Plan(Record, oneshot::Sender<Result<()>>),
-    /// Confirm a plan; answered once its verdict is read back.
+    /// Confirms a plan; replies with its verdict once the confirmation has been replayed.
     Confirm(Name, oneshot::Sender<Result<Verdict>>),
-    /// The state, if it is newer than this offset.
+    /// Returns a snapshot of the replayed state if its next offset is above the given one.
     Snapshot(u64, oneshot::Sender<Option<Snapshot>>),
 }
 
-/// A part of a snapshot; a snapshot too large for one record has several.
+/// A part of a snapshot; a snapshot that does not fit into one record has several parts.
 #[derive(Serialize, Deserialize)]
 struct Part {
     id: Name,
@@ -59,13 +59,13 @@
     shared: Arc<Shared>,
     log: Box<dyn Log>,
     replay: RefCell<Replay>,
-    /// Offset of the next record to replay, for those who wait.
+    /// Offset of the next record to replay; appends that wait to be replayed subscribe to it.
     position: watch::Sender<u64>,
     published: watch::Sender<Arc<Config>>,
     snapshot_at: RefCell<(coord::time::Moment, u64)>,
 }
 
-/// Runs the thread.
+/// Runs the `log` thread until all command senders are dropped.
 pub async fn run(
     shared: Arc<Shared>,
     log: Box<dyn Log>,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Follows the log; while it is out, the peers.
+    /// Follows the log; while the log is unavailable, follows the peers' snapshots.
     async fn follow(self: Rc<Self>) {
         let mut reachable = true;
         self.ask_peers().await;
@@ -131,7 +131,7 @@
     async fn take(&self, batch: &Batch) {
         let next = self.replay.borrow().next();
         if batch.oldest > next {
-            // What comes next is gone from the log: only a snapshot bridges the gap.
+            // Records before `oldest` have been trimmed, so the state must be restored from a snapshot.
             event!("log-gap", stream = CONFIG, next, oldest = batch.oldest);
             self.bridge(batch.oldest).await;
             return;
@@ -170,7 +170,7 @@
         self.publish(snapshot.config.revision != before).await;
     }
 
-    /// Takes the newest state that any peer has.
+    /// Restores the newest state that any peer has.
     async fn ask_peers(&self) {
         for entry in self.shared.peers() {
             let next = self.replay.borrow().next();
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Bridges a gap before `oldest` by a peer's state, or a published snapshot.
+    /// Restores the state across a gap of trimmed records before `oldest`, from a peer or from a published
+    /// snapshot.
     async fn bridge(&self, oldest: u64) {
         self.ask_peers().await;
         if self.replay.borrow().next() >= oldest {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The newest whole snapshot on the log.
+    /// Reads the newest complete snapshot from the log.
     async fn read_snapshot(&self) -> Result<Option<Snapshot>> {
         let mut newest: Option<Snapshot> = None;
         let mut parts: Vec<Part> = Vec::new();
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Publishes a snapshot when one is due. Two at once are harmless: readers take the newest.
+    /// Publishes a snapshot when one is due. Concurrent snapshots are harmless, since readers take the
+    /// newest.
     async fn publish_snapshot(&self) {
         let (at, records) = *self.snapshot_at.borrow();
         let next = self.replay.borrow().next();
@@ -236,7 +238,8 @@
         }
     }
 
-    /// Whether this entry is the one to write now: all agree by rendezvous, without a word.
+    /// Returns whether rendezvous hashing selects this entry to write the snapshot. All entries compute the
+    /// same writer without communicating.
     fn is_writer(&self, next: u64) -> bool {
         let own = Name::from(self.shared.settings.peer_listen.to_string());
         let mut all = self.shared.peers();
@@ -258,13 +261,14 @@
         Ok(())
     }
 
-    /// Appends a record again and again until `seen` says that it was read back.
+    /// Appends a record repeatedly until `is_replayed` reports that it has been replayed.
     async fn append_until(&self, record: &Record, seen: impl Fn(&Replay) -> bool) -> Result<()> {
         let payload = Bytes::from(serde_json::to_vec(record).wrap_err("step=encode-record")?);
         let mut position = self.position.subscribe();
         let attempt = async {
             while !seen(&self.replay.borrow()) {
-                // An error does not say that the record is not there: replay drops what comes twice.
+                // A failed append may have taken effect, so a record can be appended twice; replay ignores
+                // the duplicate.
                 if self.log.append(CONFIG, payload.clone()).await.is_err() {
                     tokio::time::sleep(util::jitter(RETRY)).await;
                 }
@@ -303,7 +307,7 @@
     pieces
 }
 
-/// Takes a whole snapshot out of `parts`, if there is one.
+/// Removes a complete snapshot from `parts` and returns it, if the newest part completes one.
 fn assemble(parts: &mut Vec<Part>) -> Option<Snapshot> {
     let (id, count) = parts.last().map(|part| (part.id.clone(), part.parts))?;
     if parts.iter().filter(|part| part.id == id).count() < count {
--- a/sorrelpass/src/entry/members.rs
+++ b/sorrelpass/src/entry/members.rs
@@ -1,4 +1,4 @@
-//! The `members` thread: reads the platform's VM list and passes it on.
+//! Polls the platform's VM list and publishes it.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::platform::VmList;
 use crate::{event, util, warn_event};
 
-/// Reads the list again and again; an unreadable list leaves the last one in force.
+/// Polls the VM list periodically. While it cannot be read, the last list stays in use.
 pub async fn run(shared: &Shared, vms: Box<dyn VmList>, out: watch::Sender<Arc<Vec<Vm>>>) {
     let mut reachable = true;
     loop {
@@ -39,7 +39,7 @@
     out.send_replace(Arc::new(list));
 }
 
-/// Peer addresses of the listed entries.
+/// Returns the peer addresses of the listed entries that are not leaving.
 pub fn entries(vms: &[Vm]) -> Vec<Name> {
     vms.iter().filter(|vm| vm.role == Role::Entry && !vm.leaving).map(|vm| vm.address.clone()).collect()
 }
--- a/sorrelpass/src/entry/mod.rs
+++ b/sorrelpass/src/entry/mod.rs
@@ -1,9 +1,10 @@
-//! `sorrelpass entry`: callers' API, operators' API, choice of endpoint, deadline, retry, answer.
+//! `sorrelpass entry`: the HTTP API for callers and operators, endpoint selection, deadlines, retries and
+//! answers.
 //!
-//! Threads by duty: `callers-N` serve HTTP and carry the answers, `kernel` owns
-//! the decisions, `log` replays configuration and appends plans, `claims` binds
-//! keys that may run once, `controller` places loads while it holds its domain's lease, `members` reads the VM list, `peer` answers other
-//! processes of the system, `parse` reads large bodies.
+//! Each thread has one task: `callers-N` serve HTTP and relay answers, `kernel` runs the event loop that
+//! owns the serving state, `log` replays the configuration and appends plans, `claims` binds idempotency
+//! keys, `controller` places model loads while it holds its failure domain's lease, `members` polls the VM
+//! list and exchanges rate limits, `peer` answers RPCs of other processes, and `parse` parses large bodies.
 
 mod body;
 mod budget;
@@ -40,46 +41,49 @@
 use crate::plugin::{self, LogPlugin, VmListPlugin};
 use crate::{event, metric, ring, timeline, util};
 
-/// Commands that may wait for a thread.
+/// Capacity of each thread's command queue, in commands.
 const RING: usize = 4_096;
-/// How long `/readyz` says no before the listener closes, so that the balancer takes notice.
+/// Time during which `/readyz` reports not ready before the listener closes, so that load balancers stop
+/// sending requests first.
 const LAME_DUCK: Duration = Duration::from_millis(500);
 
-/// What the threads of an entry share: settings, rings and published views; no decision state.
+/// State shared by the threads of an entry: settings, command queues and published views. It holds no state
+/// that decisions are based on.
 pub struct Shared {
-    /// The settings.
+    /// Settings of this entry.
     pub settings: Entry,
-    /// Commands to the kernel.
+    /// Command queue of the event loop.
     pub kernel: ring::Sender<kernel::Command>,
-    /// Commands to the log thread.
+    /// Command queue of the `log` thread.
     pub log: ring::Sender<log::Command>,
-    /// Commands to the claims thread.
+    /// Command queue of the `claims` thread.
     pub claims: ring::Sender<claims::Question>,
-    /// Large bodies to be read.
+    /// Queue of large bodies to be parsed on the `parse` thread.
     pub parse: ring::Sender<body::Parse>,
-    /// The configuration in force here.
+    /// Newest configuration that this entry has replayed.
     pub config: watch::Receiver<Arc<Config>>,
-    /// The VM list as last read.
+    /// VM list of the platform, as of the last successful poll.
     pub vms: watch::Receiver<Arc<Vec<Vm>>>,
-    /// Orders that count, by endpoint.
+    /// Newest placement order for each endpoint.
     pub orders: watch::Receiver<Arc<HashMap<Name, Order>>>,
-    /// Demand on the limits that this entry owns.
+    /// Demand reported for the rate limits that this entry owns.
     pub exchange: Mutex<limits::Exchange>,
-    /// Bytes of bodies that may still be held.
+    /// Memory budget for buffered request bodies.
     pub body_budget: Budget,
-    /// Whether this entry has been told to stop.
+    /// Whether this entry is shutting down.
     pub stopping: watch::Receiver<bool>,
 }
 
 impl Shared {
-    /// Asks the kernel and waits for its answer.
+    /// Sends a command to the event loop and waits for its reply. Fails if the event loop has stopped.
     pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> kernel::Command) -> Result<T> {
         let (reply, answer) = oneshot::channel();
         self.kernel.send(command(reply)).await.map_err(|_| eyre!("step=ask-kernel: the kernel has stopped"))?;
         answer.await.map_err(|_| eyre!("step=ask-kernel: the kernel has stopped"))
     }
 
-    /// Peer addresses of the other entries: from the VM list, else from the settings.
+    /// Returns the peer addresses of the other entries: those in the VM list or, while it lists none, those
+    /// in the settings.
     pub fn peers(&self) -> Vec<Name> {
         let own = self.settings.peer_listen.to_string();
         let listed = members::entries(&self.vms.borrow());
@@ -88,16 +92,16 @@
     }
 }
 
-/// One caller thread's view: what is shared, and its own client.
+/// State of the HTTP handlers of one `callers-N` thread.
 #[derive(Clone)]
 pub struct App {
-    /// What all threads share.
+    /// State shared by all threads.
     pub shared: Arc<Shared>,
-    /// This thread's client to sidecars.
+    /// HTTP client of this thread for calls to sidecars.
     pub caller: Caller,
 }
 
-/// Runs an entry until it is told to stop and no request is in flight.
+/// Runs an entry until it receives a termination signal and the requests in flight are finished.
 pub fn run(settings: Entry) -> Result<()> {
     timeline::init(&settings.process.name, &settings.process.log_level);
     metric::init()?;
--- a/sorrelpass/src/entry/operators.rs
+++ b/sorrelpass/src/entry/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' API: plans, confirms, and views of what is in force.
+//! HTTP API for operators: plans, confirmations, and views of the state in use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,22 +21,22 @@
 use crate::failure::Failure;
 use crate::{event, util};
 
-/// Largest plan, in bytes.
+/// Maximum size of a plan.
 const MAX_PLAN: usize = 4 * 1_024 * 1_024;
-/// When to come back if the log is out.
+/// `Retry-After` while the log is unavailable.
 const LOG_RETRY: Duration = Duration::from_secs(1);
 
-/// What an operator sends.
+/// JSON body of `POST /v1/intents`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Wanted {
     changes: Vec<Change>,
-    /// Revision that the operator looked at; the newest if not given.
+    /// Revision that the plan is based on; the newest revision if absent.
     #[serde(default)]
     base: Option<u64>,
 }
 
-/// What an operator is answered.
+/// JSON answer to `POST /v1/intents`.
 #[derive(Debug, Serialize)]
 struct Plan {
     plan: Name,
@@ -46,18 +46,18 @@
     warnings: Vec<String>,
 }
 
-/// Lets an operator in.
+/// Checks the operator key. Without a configured key, every request is allowed.
 fn authorize(shared: &Shared, headers: &HeaderMap) -> Result<(), Failure> {
     let wrong =
         || Failure::new(StatusCode::UNAUTHORIZED, "invalid_operator_key", "the operator key is missing or wrong");
     let Some(secret) = &shared.settings.operator_secret else { return Ok(()) };
     let given = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok()).ok_or_else(wrong)?;
     let given = given.strip_prefix("Bearer ").ok_or_else(wrong)?;
-    // Digests are compared, so that the time taken says nothing of the secret.
+    // Digests are compared, so that the response time does not leak the secret.
     if blake3::hash(given.as_bytes()) == blake3::hash(secret.bytes()) { Ok(()) } else { Err(wrong()) }
 }
 
-/// `POST /v1/intents`
+/// Handles `POST /v1/intents`: appends a plan and returns its id and its effects.
 pub async fn plan(State(app): State<App>, headers: HeaderMap, body: Body) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let too_large = |_| Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", "the plan exceeds 4 MiB");
@@ -139,7 +139,7 @@
     warnings
 }
 
-/// `POST /v1/plans/{id}/confirm`
+/// Handles `POST /v1/plans/{id}/confirm`: confirms a plan and returns the verdict.
 pub async fn confirm(State(app): State<App>, Path(id): Path<String>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let plan = Name::from(id);
@@ -167,33 +167,34 @@
     Failure::busy("stopping", "the entry is stopping", LOG_RETRY)
 }
 
-/// Nothing is known of the append; the same call may be made again without harm.
+/// The outcome of the append is unknown; the call can be repeated without harm.
 fn log_out(error: &eyre::Report) -> Failure {
     Failure::busy("log_unavailable", format!("{error:#}"), LOG_RETRY).ran(Ran::Unknown)
 }
 
-/// `GET /v1/intents`
+/// Handles `GET /v1/intents`: returns the configuration in use.
 pub async fn intents(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let config: Arc<Config> = app.shared.config.borrow().clone();
     Ok(Json(&*config).into_response())
 }
 
-/// `GET /v1/status`
+/// Handles `GET /v1/status`: returns the state of this entry.
 pub async fn status(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let status = app.shared.ask(Command::Status).await.map_err(|_| stopping())?;
     Ok(Json(status).into_response())
 }
 
-/// `GET /v1/endpoints`
+/// Handles `GET /v1/endpoints`: returns the endpoints known to this entry.
 pub async fn endpoints(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let endpoints = app.shared.ask(Command::Endpoints).await.map_err(|_| stopping())?;
     Ok(Json(endpoints).into_response())
 }
 
-/// `GET /readyz`
+/// Handles `GET /readyz`: succeeds once a configuration and a VM list have been read, until shutdown
+/// begins.
 pub async fn ready(State(app): State<App>) -> Response {
     let revision = app.shared.config.borrow().revision;
     let members = app.shared.vms.borrow().len();
--- a/sorrelpass/src/entry/peer.rs
+++ b/sorrelpass/src/entry/peer.rs
@@ -1,4 +1,4 @@
-//! The wire between entries, and from sidecars to entries: JSON-RPC by jsonrpsee.
+//! JSON-RPC between entries, and from sidecars to entries, by `jsonrpsee`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,64 +21,66 @@
 use super::{Shared, claims, limits, log, members};
 use crate::warn_event;
 
-/// Largest message: a snapshot of tens of thousands of workspaces.
+/// Maximum size of a message; a snapshot of tens of thousands of workspaces fits.
 const MAX_MESSAGE: u32 = 64 * 1_024 * 1_024;
-/// A peer that has not answered by then is given up.
+/// Base timeout of a call to a peer.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What the configuration says of one endpoint.
+/// Configuration of one endpoint, as sent to its sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Brief {
-    /// The revision that it is taken from.
+    /// Revision of the configuration that it is taken from.
     pub revision: u64,
-    /// Whether operators drain the endpoint.
+    /// Whether an operator has drained the endpoint.
     pub drained: bool,
-    /// Peer addresses of all entries, unless they are those that the asker knows.
+    /// Peer addresses of all entries; `None` if they match the digest in the request.
     pub entries: Option<Vec<Name>>,
-    /// The order to the endpoint that counts.
+    /// Newest placement order for the endpoint.
     pub order: Option<Order>,
 }
 
-/// What a sidecar knows and says when it asks for its [`Brief`].
+/// State that a sidecar already has when it requests its [`EndpointConfig`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Known {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// The newest revision that it was told.
+    /// Newest revision received.
     pub revision: u64,
-    /// Whether it was told that operators drain the endpoint.
+    /// Whether the sidecar has been told that the endpoint is drained.
     pub drained: bool,
-    /// Offset of the newest order that it was told.
+    /// Offset of the newest placement order received.
     pub order: Option<u64>,
-    /// Digest of the entries that it was told: at size the list alone would be most of the traffic.
+    /// Digest of the entry addresses received. In a large deployment, sending the addresses each time would
+    /// make up most of the traffic.
     pub entries: u64,
 }
 
-/// The digest of a list of entries.
+/// Returns a digest of a list of entry addresses; it depends on their order.
 pub fn digest(entries: &[Name]) -> u64 {
     entries.iter().fold(0, |digest, entry| xxhash_rust::xxh3::xxh3_64_with_seed(entry.as_bytes(), digest))
 }
 
-/// What entries answer.
+/// RPC methods of an entry.
 #[rpc(server, client, namespace = "peer")]
 pub trait Peer {
-    /// The configuration's word on an endpoint; waits for a change from what the asker knows.
+    /// Returns the configuration of an endpoint. Waits up to `wait_ms` for it to differ from the state that
+    /// the sidecar has.
     #[method(name = "brief")]
     async fn brief(&self, known: Known, wait_ms: u64) -> RpcResult<Brief>;
 
-    /// The replayed configuration, if newer than `next`.
+    /// Returns a snapshot of the replayed configuration if its next offset is above `next`.
     #[method(name = "snapshot")]
     async fn snapshot(&self, next: u64) -> RpcResult<Option<Snapshot>>;
 
-    /// Who holds a key, as far as this entry has read.
+    /// Returns the binding of an idempotency key, as far as this entry has replayed the claims.
     #[method(name = "binding")]
     async fn binding(&self, key: Key) -> RpcResult<Option<Binding>>;
 
-    /// Binds a key at its partition's writer; none if the log is out.
+    /// Binds an idempotency key at the writer of its partition; returns `None` if the log is unavailable.
     #[method(name = "claim")]
     async fn claim(&self, key: Key, binding: Binding) -> RpcResult<Option<Binding>>;
 
-    /// An entry's demand, against the shares of its limits.
+    /// Records the demand of an entry and returns its shares of the rate limits that this entry owns.
     #[method(name = "report")]
     async fn report(&self, entry: Name, demands: Vec<Demand>) -> RpcResult<Vec<Share>>;
 }
@@ -127,7 +129,7 @@
     }
 }
 
-/// Serves the other processes until `closed` says so.
+/// Serves RPCs of other processes until `closed` is true.
 pub async fn serve(shared: Arc<Shared>, mut closed: watch::Receiver<bool>) {
     let address = shared.settings.peer_listen;
     let config = jsonrpsee::server::ServerConfig::builder()
@@ -175,32 +177,32 @@
     }
 }
 
-/// Asks an entry for the configuration's word on an endpoint.
+/// Requests the configuration of an endpoint from an entry, waiting up to `wait` for a change.
 pub async fn brief(peer: &Name, known: Known, wait: Duration) -> Result<Brief> {
     let client = client(peer)?;
     let wait_ms = crate::util::millis_up(wait);
     timed(peer, wait + TIMEOUT, PeerClient::brief(&client, known, wait_ms)).await
 }
 
-/// Asks an entry for its state, if newer than `next`.
+/// Requests a snapshot from an entry; `None` if its next offset is not above `next`.
 pub async fn snapshot(peer: &Name, next: u64) -> Result<Option<Snapshot>> {
     let client = client(peer)?;
     timed(peer, 5 * TIMEOUT, PeerClient::snapshot(&client, next)).await
 }
 
-/// Asks an entry who holds a key.
+/// Asks an entry for the binding of an idempotency key.
 pub async fn binding(peer: &Name, key: &Key) -> Result<Option<Binding>> {
     let client = client(peer)?;
     timed(peer, TIMEOUT / 2, PeerClient::binding(&client, key.clone())).await
 }
 
-/// Asks a partition's writer to bind a key; none if the log is out.
+/// Asks the writer of a partition to bind an idempotency key; `None` if the log is unavailable.
 pub async fn claim(peer: &Name, key: &Key, binding: &Binding) -> Result<Option<Binding>> {
     let client = client(peer)?;
     timed(peer, 2 * TIMEOUT, PeerClient::claim(&client, key.clone(), binding.clone())).await
 }
 
-/// Reports demand to the owner of the limits.
+/// Reports demand to the owner of rate limits and returns this entry's shares.
 pub async fn report(peer: &Name, entry: &Name, demands: &[Demand]) -> Result<Vec<Share>> {
     let client = client(peer)?;
     timed(peer, TIMEOUT, PeerClient::report(&client, entry.clone(), demands.to_vec())).await
--- a/sorrelpass/src/entry/prompt.rs
+++ b/sorrelpass/src/entry/prompt.rs
@@ -1,4 +1,4 @@
-//! Prompts in the OpenAI form: read without copying, checked, and rewritten for the engine.
+//! Prompts in the OpenAI format: parsed without copying, validated, and rewritten for the engine.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -12,22 +12,22 @@
 
 use crate::failure::Failure;
 
-/// Output tokens when the caller names no limit.
+/// Maximum number of output tokens if the caller sets none.
 const DEFAULT_OUTPUT_TOKENS: u64 = 1_024;
-/// Largest limit that a caller may name.
+/// Upper bound of the maximum that a caller may set.
 const MOST_OUTPUT_TOKENS: u64 = 1_000_000;
 
-/// Which of the two forms a prompt has.
+/// The two OpenAI request formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// `/v1/chat/completions`.
+    /// Chat messages, sent to `/v1/chat/completions`.
     Chat,
-    /// `/v1/completions`.
+    /// Prompt text, sent to `/v1/completions`.
     Text,
 }
 
 impl Form {
-    /// The engine's path for this form.
+    /// Returns the HTTP path of this format at an engine.
     pub const fn path(self) -> &'static str {
         match self {
             Form::Chat => "/v1/chat/completions",
@@ -43,31 +43,31 @@
     }
 }
 
-/// A checked prompt.
+/// A validated prompt.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// Its form.
+    /// Request format of the prompt.
     pub form: Form,
-    /// The model's name.
+    /// Name of the model.
     pub model: Name,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Whether the caller's stream ends with token counts.
+    /// Whether the stream ends with token counts.
     pub include_usage: bool,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// Bytes of prompt text, as JSON.
+    /// Length of the prompt text, in bytes of JSON.
     pub prompt_bytes: u64,
-    /// Prefix chain of the prompt text.
+    /// Hash chain over the prefixes of the prompt text.
     pub chain: Chain,
-    /// The body for the engine, in pieces that share the caller's bytes.
+    /// Request body for the engine, in pieces that share the caller's buffer.
     pub body: Vec<Bytes>,
-    /// The prompt text, as it stands in the body.
+    /// Prompt text as raw JSON, a slice of the caller's buffer.
     pub text: Bytes,
 }
 
 impl Prompt {
-    /// The body without its prompt text, for an engine that has the text in spans.
+    /// Returns the body with an empty prompt text, for an engine that holds the text in spans.
     pub fn shell(&self) -> Vec<Bytes> {
         let empty = Bytes::from_static(if self.form == Form::Chat { b"[]" } else { b"\"\"" });
         let is_text = |piece: &Bytes| piece.as_ptr() == self.text.as_ptr() && piece.len() == self.text.len();
@@ -75,7 +75,7 @@
     }
 }
 
-/// The top-level fields of a body, in their order, as they came.
+/// Top-level fields of a JSON object in their original order, with raw values.
 struct Fields<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for Fields<'a> {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Reads and checks a body.
+/// Parses and validates a request body.
 pub fn parse(form: Form, body: &Bytes) -> Result<Prompt, Failure> {
     let fields: Fields = serde_json::from_slice(body)
         .map_err(|error| Failure::bad_request("invalid_json", format!("the body is not a JSON object: {error}")))?;
@@ -174,7 +174,7 @@
     Ok(tokens)
 }
 
-/// The body with streaming and usage counts switched on, sharing all other bytes.
+/// Returns the body with streaming and token counts enabled; all other values share the caller's buffer.
 fn rewrite(fields: &Fields<'_>, body: &Bytes) -> Vec<Bytes> {
     let mut out = vec![Bytes::from_static(b"{\"stream\":true,\"stream_options\":{\"include_usage\":true}")];
     for (key, value) in &fields.0 {
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! Answers in the OpenAI form, streamed or whole, and answers of plain services.
+//! Answers to callers: in the OpenAI format, streamed or complete, and answers of plain services.
 
 use axum::body::Body;
 use axum::http::{HeaderName, HeaderValue, StatusCode, header};
@@ -15,13 +15,13 @@
 use crate::util;
 use crate::wire::Usage;
 
-/// Header that names the request.
+/// Header that carries the request id.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Parts of an answer as they come.
+/// Stream of the parts of an answer.
 pub type Parts = mpsc::Receiver<Result<Part, Failure>>;
 
-/// Puts the request's id on an answer.
+/// Adds the request id to a response.
 pub fn with_id(id: &Name, answer: impl IntoResponse) -> Response {
     let mut response = answer.into_response();
     if let Ok(value) = HeaderValue::from_str(id) {
@@ -34,7 +34,7 @@
     Failure::new(StatusCode::BAD_GATEWAY, "stopping", "the entry stopped").ran(Ran::Unknown)
 }
 
-/// What stands before and after the choices of each chunk.
+/// Encodes the chunks of one answer; `prefix` precedes the choices of each chunk.
 struct Chunk {
     before: String,
     id: String,
@@ -93,7 +93,7 @@
     })
 }
 
-/// Answers a prompt; returns as soon as the first part is there.
+/// Builds the response to a prompt, once the first part of the answer has arrived.
 pub async fn prompt(id: &Name, prompt: &Prompt, mut parts: Parts) -> Result<Response, Failure> {
     let first = parts.recv().await.unwrap_or_else(|| Err(broken_off()))?;
     let chunk = Chunk::new(id, prompt);
@@ -114,7 +114,7 @@
     Ok((headers, Body::from_stream(events)).into_response())
 }
 
-/// The event of a part, and whether it is the last.
+/// Encodes a part as server-sent events; the flag tells whether it is the last part.
 fn event(chunk: &Chunk, part: Result<Part, Failure>) -> (Bytes, bool) {
     match part {
         Ok(Part::Piece { bytes, .. }) => (chunk.choices(&bytes), false),
@@ -124,7 +124,7 @@
     }
 }
 
-/// Collects a whole answer.
+/// Collects the complete answer into one JSON body.
 async fn whole(chunk: &Chunk, first: Part, mut parts: Parts) -> Result<Response, Failure> {
     let mut message = Message::default();
     let mut part = first;
@@ -148,7 +148,7 @@
     Ok(axum::Json(body).into_response())
 }
 
-/// An answer put together from its pieces.
+/// The message of a complete answer, merged from its pieces.
 #[derive(Default)]
 struct Message {
     content: String,
@@ -173,7 +173,7 @@
 
     fn add_call(&mut self, call: &Value) {
         let index = call["index"].as_u64().unwrap_or(0) as usize;
-        // An index far beyond what came so far is the engine's fault, not a reason to take memory.
+        // An index with a gap before it is an error of the engine and must not cause an allocation.
         if index > self.tool_calls.len() {
             return;
         }
@@ -203,7 +203,8 @@
     }
 }
 
-/// The body of a plain answer broke off; ends the connection so that the caller sees it.
+/// Error that ends a response body which cannot be completed, so that the connection closes and the caller
+/// notices.
 #[derive(Debug)]
 struct BrokenOff(Failure);
 
@@ -215,7 +216,7 @@
 
 impl std::error::Error for BrokenOff {}
 
-/// Answers a call to a plain service.
+/// Builds the response to a call to a plain service.
 pub async fn call(mut parts: Parts) -> Result<Response, Failure> {
     let (status, headers) = loop {
         match parts.recv().await.unwrap_or_else(|| Err(broken_off()))? {
--- a/sorrelpass/src/entry/route/ending.rs
+++ b/sorrelpass/src/entry/route/ending.rs
@@ -1,4 +1,4 @@
-//! How a request ends that came to no whole answer.
+//! Failures of requests that got no complete answer.
 
 use std::time::Duration;
 
@@ -8,42 +8,42 @@
 
 use crate::failure::Failure;
 
-/// When to come back after a failure that tells nothing.
+/// `Retry-After` for failures that do not determine a better one.
 pub const PLAIN_RETRY: Duration = Duration::from_millis(500);
-/// Step of a failure on the caller's side.
+/// Step of an attempt that failed because of the caller.
 pub const CALLER: &str = "caller";
-/// Code of a call whose outcome may still be learned.
+/// Error code of a call whose outcome can still be determined.
 pub const LOST: &str = "upstream_lost";
-/// Code of a call whose outcome can no longer be learned.
+/// Error code of a call whose outcome can no longer be determined.
 pub const UNKNOWN: &str = "outcome_unknown";
 
 impl Failure {
-    /// Gives the failure another code.
+    /// Replaces the error code.
     pub fn code(mut self, code: &'static str) -> Self {
         self.code = code;
         self
     }
 }
 
-/// An attempt that may have run was lost.
+/// Returns the failure of a request whose attempt was lost and may have run.
 pub fn lost(ran: Ran, message: impl Into<String>) -> Failure {
     Failure::new(StatusCode::BAD_GATEWAY, LOST, message).ran(ran).after(PLAIN_RETRY)
 }
 
-/// The run that a key is bound to is gone.
+/// Returns the failure of a request whose key is bound to a sidecar incarnation that is gone.
 pub fn outcome_unknown(binding: &Binding) -> Failure {
     let message = format!("the call is bound to {} run {}, which is gone", binding.endpoint, binding.incarnation);
     Failure::new(StatusCode::BAD_GATEWAY, UNKNOWN, message).ran(Ran::Unknown)
 }
 
-/// The endpoint refused the call itself.
+/// Returns the failure of a request that the endpoint refused.
 pub fn rejected(status: u16, message: String) -> Failure {
     let code = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let code = if code.is_client_error() { code } else { StatusCode::BAD_GATEWAY };
     Failure::new(code, "endpoint_rejected", message)
 }
 
-/// A thread of this process has stopped.
+/// Returns the failure of a request that found the event loop stopped.
 pub fn stopping(error: eyre::Report) -> Failure {
     Failure::busy("stopping", error.to_string(), PLAIN_RETRY)
 }
--- a/sorrelpass/src/entry/route/ganged.rs
+++ b/sorrelpass/src/entry/route/ganged.rs
@@ -1,4 +1,4 @@
-//! The way of a prompt that exceeds one engine.
+//! Execution of prompts that exceed the memory of one engine.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 use crate::wire::Ask;
 use crate::{event, util};
 
-/// Gangs gathered for one request.
+/// Maximum number of gangs tried per request.
 const MOST_GANGS: u32 = 3;
-/// Endpoints asked for a gang.
+/// Maximum number of endpoints per failure domain that are asked for quotes to form a gang.
 const MOST_GANG_SAMPLE: usize = 24;
 
 impl Route<'_> {
-    /// Whether no engine that gave a quote could hold the prompt.
+    /// Returns whether the prompt and its output exceed the memory of every engine that gave a quote.
     pub(super) fn exceeds_one_engine(&self) -> bool {
         let needed = self.request.admitted.prompt_tokens + self.request.output_tokens;
         self.request.long.is_some() && self.capacity > 0 && needed > self.capacity
     }
 
-    /// Gathers gangs until one gives the whole answer.
+    /// Forms gangs until one gives a complete answer.
     pub(super) async fn ganged(&mut self) -> Result<(), Failure> {
         self.tried.clear();
         for _ in 0..MOST_GANGS {
@@ -39,7 +39,7 @@
                 Ok(Next::Fail(failure)) => return Err(failure),
                 Err(failed) => {
                     event!("gang-failed", request = %self.request.id, peer = %failed.target.endpoint, at = failed.step);
-                    // One that was only full is asked again.
+                    // A member that was only full may be used by the next gang.
                     if failed.step != "wait-for-memory" {
                         self.tried.push(failed.target.endpoint);
                     }
@@ -50,7 +50,8 @@
         Err(self.exhausted())
     }
 
-    /// One gang: holds the spans' memory, fills them, and lets the last one's engine answer.
+    /// Runs the prompt on one gang: reserves the spans' memory, prefills them, and has the leader's engine
+    /// answer.
     async fn gang(&mut self) -> Result<Next, gang::Failed> {
         let Some(long) = self.request.long.clone() else { return Ok(Next::Fail(self.exhausted())) };
         let bytes_per_token = self.request.admitted.bytes_per_token;
@@ -82,7 +83,7 @@
         Ok(next)
     }
 
-    /// Members for a gang, in the nearest failure domain that has enough of them.
+    /// Selects members for a gang in the nearest failure domain that has enough suitable endpoints.
     async fn gang_targets(&mut self, count: usize, span_tokens: u64) -> Option<Vec<Target>> {
         let admitted = &self.request.admitted;
         let search = Search {
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -1,4 +1,4 @@
-//! The way of one request: quotes, attempts, retries, resumption, and its end in time.
+//! Execution of one request: quotes, attempts, retries, resumption and the deadline.
 
 mod ending;
 mod ganged;
@@ -25,70 +25,71 @@
 use crate::wire::{Ask, Call, Filled, Open, Refused, Usage};
 use crate::{event, metric, util};
 
-/// Rounds of new candidates before a request is given up.
+/// Maximum number of candidate selections per request.
 const MOST_ROUNDS: u32 = 4;
-/// Attempts at one request.
+/// Maximum number of attempts per request.
 const MOST_ATTEMPTS: u32 = 6;
-/// Pause before an attempt at the same bound sidecar is repeated.
+/// Delay between attempts at the sidecar that a key is bound to.
 const BOUND_PAUSE: Duration = Duration::from_millis(50);
-/// Difference of two clocks within which both count as run out.
+/// Clock skew between an entry and a sidecar: with less time left than this, a lost attempt counts as past
+/// its deadline.
 const CLOCK_SLACK: Duration = Duration::from_millis(20);
 
-/// How often a request may run.
+/// How often a request may run, and what ensures it.
 #[derive(Clone, Debug)]
 pub enum Once {
-    /// As often as needed.
+    /// The request may run any number of times.
     Repeatable,
-    /// Once; the request itself is the key, bound to the first sidecar that takes it.
+    /// At most once, under a generated key that is bound to the first sidecar that accepts it.
     Own,
-    /// Once, under a caller's key that is claimed on the log.
+    /// At most once, under the caller's idempotency key, which is claimed on the log.
     Claimed(Key),
-    /// Once, under a ticket that names the sidecar's run.
+    /// At most once, under a ticket that names the sidecar incarnation.
     Ticket(Key, Binding),
 }
 
-/// A request on its way.
+/// An admitted request to be run.
 pub struct Request {
-    /// Its id.
+    /// Request id.
     pub id: Name,
-    /// What admission decided.
+    /// Result of admission.
     pub admitted: Admitted,
-    /// What to call on the endpoint.
+    /// HTTP call to make at the endpoint.
     pub call: Call,
-    /// The body, in pieces.
+    /// Request body, in pieces.
     pub body: Vec<Bytes>,
-    /// What a gang of engines needs of a prompt that exceeds one.
+    /// The prompt in the form that a gang of engines needs; `None` for a plain call.
     pub long: Option<Long>,
-    /// The prompt's prefix.
+    /// Hash chain over the prompt's prefixes.
     pub chain: Chain,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// How often it may run.
+    /// How often the request may run.
     pub once: Once,
-    /// When its answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Moment,
-    /// Where its parts go.
+    /// Receives the parts of the answer.
     pub parts: mpsc::Sender<Result<Part, Failure>>,
-    /// The body's part of the budget, freed with the request.
+    /// Memory reservation of the body, released together with the request.
     pub _budget: Share,
 }
 
-/// A prompt in the form that a gang of engines needs.
+/// A prompt that can be divided among a gang of engines.
 #[derive(Clone)]
 pub struct Long {
-    /// The prompt text.
+    /// Prompt text, as raw JSON.
     pub text: Bytes,
-    /// The body without it.
+    /// Request body with an empty prompt text.
     pub shell: Vec<Bytes>,
 }
 
-/// What ended an attempt, as far as the request goes on.
+/// How a request continues after an attempt.
 enum Next {
-    /// The whole answer was passed on, or nobody wants it any more.
+    /// The request is finished: the caller has the complete answer.
     Over,
-    /// Try elsewhere.
+    /// The request may be tried on another endpoint.
     Again,
-    /// Give up.
+    /// The request fails.
     Fail(Failure),
 }
 
@@ -97,20 +98,20 @@
     request: Request,
     tried: Vec<Name>,
     attempts: u32,
-    /// Output tokens that the caller has.
+    /// Number of output tokens that were sent to the caller.
     passed_tokens: u64,
-    /// Whether the caller has anything of the answer.
+    /// Whether any part of the answer was sent to the caller.
     begun: bool,
     retry_after: Option<Duration>,
     reason: Option<Refused>,
-    /// Largest engine memory that a quote named, in tokens.
+    /// Largest engine memory reported in a quote, in tokens.
     capacity: u64,
-    /// The spans that hold the prompt, once a gang has filled them.
+    /// Digest and token count of the prompt's spans, once a gang has prefilled them.
     spans: Option<Filled>,
     started: Moment,
 }
 
-/// Takes a request to its end; the last thing sent is the answer's end or a failure.
+/// Runs a request. The last item sent to the caller is the end of the answer or a failure.
 pub async fn run(app: App, request: Request) {
     let id = request.id.clone();
     let parts = request.parts.clone();
@@ -153,13 +154,13 @@
         match self.request.once.clone() {
             Once::Repeatable => self.anywhere(None).await,
             Once::Own => {
-                // Not the request's id: a caller may choose that, and give it to two calls.
+                // The request id cannot serve as key: callers may choose it, and reuse it for another call.
                 let own = Name::from(util::attempt().to_string());
                 let key = Key { workspace: self.request.admitted.workspace.name.clone(), key: own };
                 self.anywhere(Some(key)).await
             }
             Once::Claimed(key) => {
-                // Nothing was sent yet, but an earlier call under the key may have run.
+                // Nothing has been sent yet, but an earlier call under the same key may have run.
                 let Ok(claimed) = tokio::time::timeout(self.left(), self.claim(&key)).await else {
                     return Err(self.timed_out(Ran::Unknown));
                 };
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Time left for attempts, with the reserve kept back.
+    /// Returns the time left for attempts, which excludes the reserve for voiding.
     fn left(&self) -> Duration {
         upstream::left(self.request.deadline).saturating_sub(self.reserve())
     }
@@ -194,7 +195,8 @@
         }
     }
 
-    /// New candidates with their quotes, best first; the incarnation is known of those that were asked.
+    /// Selects new candidates, best first. The incarnation is `None` for candidates that were not asked for
+    /// a quote.
     async fn search(&mut self, must_ask: bool) -> Result<Vec<(Target, Option<Incarnation>)>, Failure> {
         let admitted = &self.request.admitted;
         let search = Search {
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Tries endpoints until one gives the whole answer.
+    /// Tries endpoints until one gives a complete answer.
     async fn anywhere(&mut self, once: Option<Key>) -> Result<(), Failure> {
         for _ in 0..MOST_ROUNDS {
             let targets = self.search(once.is_some()).await?;
@@ -241,7 +243,8 @@
                     return Err(self.timed_out(Ran::No));
                 }
                 self.tried.push(target.endpoint.clone());
-                // A call that may run once keeps to the sidecar that may have taken it.
+                // A call that may run at most once is retried only at the sidecar that may have accepted
+                // it.
                 let next = match (&once, incarnation) {
                     (Some(key), Some(incarnation)) => {
                         let binding = Binding { endpoint: target.endpoint.clone(), incarnation };
@@ -287,7 +290,8 @@
         Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(ran).after(wait)
     }
 
-    /// Proposes the best sidecar for a caller's key and learns from the log who holds it.
+    /// Proposes the best sidecar for a caller's key, and returns the binding that holds according to the
+    /// log.
     async fn claim(&mut self, key: &Key) -> Result<Binding, Failure> {
         if let Some(binding) = claims::lookup(&self.app.shared, key).await {
             return Ok(binding);
@@ -300,7 +304,7 @@
         Ok(bound)
     }
 
-    /// Runs a call at the one sidecar run that may run it.
+    /// Runs a call at the sidecar incarnation that its key is bound to.
     async fn bound(&mut self, key: Key, binding: Binding) -> Result<(), Failure> {
         let endpoint = binding.endpoint.clone();
         let located = self.app.shared.ask(|reply| Command::Locate(endpoint, reply)).await.map_err(stopping)?;
@@ -312,13 +316,15 @@
         }
     }
 
-    /// Tries one sidecar run again and again until its outcome is known; it runs the key at most once.
+    /// Tries one sidecar incarnation until the outcome of the call is known. The sidecar runs a key at most
+    /// once.
     async fn bound_once(&mut self, key: &Key, target: &Target, binding: &Binding) -> Next {
         for turn in 0..MOST_ATTEMPTS {
             let asked_before = turn > 0;
             let next = self.attempt(target, Some(binding.incarnation), Some(key), asked_before).await;
             let Next::Fail(failure) = next else {
-                // Not run now, but an earlier turn may have been taken before its answer was lost.
+                // This attempt did not run, but an earlier one may have been accepted before its answer was
+                // lost.
                 return if asked_before && matches!(next, Next::Again) {
                     Next::Fail(outcome_unknown(binding))
                 } else {
@@ -334,7 +340,8 @@
         Next::Fail(outcome_unknown(binding))
     }
 
-    /// One attempt at one sidecar. With `asked_before`, an earlier attempt under the same key may yet run.
+    /// Makes one attempt at one sidecar. With `may_run_already`, an earlier attempt under the same key may
+    /// still run.
     async fn attempt(
         &mut self,
         target: &Target,
@@ -407,7 +414,7 @@
         }
     }
 
-    /// Counts the tokens of all attempts, not only of the last.
+    /// Replaces the usage of the last attempt by that of all attempts.
     fn whole_usage(&self, part: Part) -> Part {
         match part {
             Part::End { usage, finish } => {
@@ -418,7 +425,7 @@
         }
     }
 
-    /// Passes a part to the caller; one that does not read is given up.
+    /// Sends a part to the caller. Fails if the caller has disconnected or does not read in time.
     async fn pass(&self, part: Part) -> Result<(), Broken> {
         let patience = self.app.shared.settings.slow_caller;
         let gone = |message: &str| Broken::Lost { ran: Ran::Partial, step: CALLER.into(), message: message.into() };
@@ -429,7 +436,7 @@
         }
     }
 
-    /// Decides what follows a broken attempt.
+    /// Decides how the request continues after a failed attempt.
     async fn judge(&mut self, broken: Broken, once: bool) -> Next {
         match broken {
             Broken::NotRun { refused, retry_after } => {
@@ -451,7 +458,7 @@
                 if step == CALLER {
                     return Next::Fail(lost(Ran::Partial, message).code("caller_too_slow"));
                 }
-                // The sidecar's clock may run out a moment before this one.
+                // The sidecar's clock may reach the deadline slightly before this one.
                 if self.left() <= CLOCK_SLACK {
                     return Next::Fail(self.timed_out(ran));
                 }
@@ -464,7 +471,7 @@
         }
     }
 
-    /// A repeatable request goes on elsewhere if the retry budget allows it.
+    /// Continues a repeatable request on another endpoint if the retry budget allows it.
     async fn again(&mut self, ran: Ran, step: &str, message: &str) -> Next {
         let allowed = self.app.shared.ask(Command::Retry).await.unwrap_or(false);
         if !allowed {
@@ -476,7 +483,7 @@
     }
 }
 
-/// Counts an attempt at an endpoint while it lives.
+/// Counts an attempt as outstanding at its endpoint until it is dropped.
 struct Outstanding<'a> {
     app: &'a App,
     endpoint: Name,
--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets on the wire: a MAC and a payload, in hexadecimal after a prefix.
+//! Encoding of tickets: a prefix, then a MAC and the payload in hexadecimal.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 use crate::secret::Secret;
 use crate::{util, wire};
 
-/// What marks a key as a ticket.
+/// Prefix that distinguishes tickets from other idempotency keys.
 const PREFIX: &str = "st_";
-/// Bytes of the MAC.
+/// Length of the MAC, in bytes.
 const MAC_BYTES: usize = 32;
-/// Longest life of a ticket.
+/// Longest lifetime of a ticket.
 pub const MOST_LIFE: Duration = Duration::from_secs(3_600);
 
-/// Why a ticket is not good.
+/// Reason why a ticket is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Not ours, or changed on the way.
+    /// The ticket was not issued by this system, or was altered.
     Forged,
-    /// Another workspace's.
+    /// The ticket belongs to another workspace.
     OtherWorkspace,
-    /// Its time is over.
+    /// The lifetime of the ticket has ended.
     Expired,
 }
 
@@ -38,12 +38,12 @@
     mac
 }
 
-/// Whether a key looks like a ticket.
+/// Returns whether an idempotency key has the prefix of a ticket.
 pub fn is_ticket(key: &str) -> bool {
     key.starts_with(PREFIX)
 }
 
-/// Mints a ticket.
+/// Issues a ticket that is valid for `lifetime`, at most [`MAX_LIFETIME`].
 pub fn mint(secret: &Secret, workspace: &Name, binding: Binding, life: Duration) -> String {
     let expires = util::wall() + life.min(MOST_LIFE);
     let ticket = Ticket { workspace: workspace.clone(), binding, number: rand::random(), expires };
@@ -52,7 +52,7 @@
     format!("{PREFIX}{}{}", hex(&code), hex(&payload))
 }
 
-/// Reads a ticket and checks that `workspace` may use it now.
+/// Decodes a ticket and verifies its MAC, workspace and lifetime.
 pub fn open(secret: &Secret, workspace: &Name, key: &str) -> Result<Ticket, Fault> {
     let bytes = key.strip_prefix(PREFIX).and_then(unhex).ok_or(Fault::Forged)?;
     let (code, payload) = bytes.split_at_checked(MAC_BYTES).ok_or(Fault::Forged)?;
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -1,4 +1,4 @@
-//! One attempt at one sidecar: quotes, work and voids on the wire.
+//! HTTP client side of the entry-to-sidecar protocol: quotes, work and voiding of attempts.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -19,18 +19,19 @@
 use crate::wire::{self, Ask, Frame, Open, Quoted, Refused, Splitter, Usage};
 use crate::{event, timeline, util};
 
-/// An endpoint that gave a quote.
+/// An endpoint that answered a quote request.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// The endpoint.
+    /// The endpoint and its address.
     pub target: Target,
-    /// Its sidecar's run.
+    /// Incarnation of the sidecar that gave the quote.
     pub incarnation: Incarnation,
-    /// What it expects.
+    /// The quote, with the latency to reach the endpoint.
     pub offer: Offer,
 }
 
-/// Asks all `targets` at once; those that do not answer in time are left out and noted as failed.
+/// Requests quotes from all `targets` concurrently and returns them best first. Targets that do not answer
+/// in time are left out and reported as unreachable.
 pub async fn quotes(app: &App, targets: Vec<Target>, ask: &Ask) -> Vec<Asked> {
     let bytes = wire::encode(ask);
     let asked = targets.into_iter().map(|target| quote(app, target, bytes.clone()));
@@ -57,64 +58,64 @@
     Some(Asked { target, incarnation, offer })
 }
 
-/// Notes that a sidecar could not be reached.
+/// Reports to the event loop that a sidecar could not be reached.
 pub fn failed(app: &App, target: &Target) {
     event!("unreachable", peer = %target.endpoint);
     app.shared.kernel.send_detached(Command::Failed(target.endpoint.clone()));
 }
 
-/// What comes of the answer.
+/// A part of an answer.
 #[derive(Debug)]
 pub enum Part {
-    /// The endpoint was given the call.
+    /// The sidecar has passed the call to the endpoint.
     Started,
-    /// A plain service's status and headers.
+    /// Response head of a plain service.
     Head {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Headers.
+        /// HTTP headers as name and value.
         headers: Vec<(String, String)>,
     },
-    /// The next piece.
+    /// The next piece of the answer.
     Piece {
-        /// Its bytes.
+        /// Content of the piece: JSON choices of an engine or body bytes of a plain service.
         bytes: Bytes,
-        /// Output tokens in it.
+        /// Number of output tokens in the piece.
         tokens: u32,
     },
-    /// The answer is whole.
+    /// The end of a complete answer.
     End {
-        /// Token counts.
+        /// Token counts of the answer.
         usage: Usage,
-        /// Why the engine stopped.
+        /// Reason why the engine stopped.
         finish: String,
     },
 }
 
-/// Why an attempt came to no whole answer.
+/// Reason why an attempt gave no complete answer.
 #[derive(Clone, Debug)]
 pub enum Broken {
-    /// Proven not to have run and never to run.
+    /// The attempt is proven not to have run, and never will.
     NotRun {
-        /// The sidecar's reason, if it was the sidecar that refused.
+        /// Reason given by the sidecar; `None` if the sidecar did not refuse the attempt.
         refused: Option<Refused>,
-        /// When to come back.
+        /// Delay after which the sidecar may accept the request; zero if unknown.
         retry_after: Duration,
     },
-    /// The endpoint itself refused the call.
+    /// The endpoint refused the call.
     Rejected {
-        /// Its status.
+        /// HTTP status code of the endpoint.
         status: u16,
-        /// Its words.
+        /// Response body of the endpoint.
         message: String,
     },
-    /// It may have run.
+    /// The attempt was lost and may have run.
     Lost {
-        /// Whether it ran, as far as known.
+        /// Whether the attempt ran, as far as known.
         ran: Ran,
-        /// The step at which it was lost.
+        /// Step at which the attempt was lost.
         step: String,
-        /// What happened.
+        /// Description of the error.
         message: String,
     },
 }
@@ -125,20 +126,20 @@
     }
 }
 
-/// The frames of one attempt.
+/// Stream of the frames of one attempt.
 pub struct Upstream {
     body: Incoming,
     splitter: Splitter,
     receiver: Receiver,
 }
 
-/// A body of several pieces, shared and not copied.
+/// Builds a request body from several pieces without copying them.
 pub fn pieces(pieces: Vec<Bytes>) -> Sent {
     let frames = stream::iter(pieces.into_iter().map(|bytes| Ok::<_, Infallible>(BodyFrame::data(bytes))));
     BodyExt::boxed(StreamBody::new(frames))
 }
 
-/// Hands work to a sidecar and returns its stream of frames.
+/// Sends work to a sidecar and returns its stream of frames.
 pub async fn open(app: &App, target: &Target, open: &Open, body: &[Bytes]) -> Result<Upstream, Broken> {
     let mut all = vec![wire::encode_delimited(open)];
     all.extend(body.iter().cloned());
@@ -167,7 +168,7 @@
 }
 
 impl Upstream {
-    /// The next part of the answer.
+    /// Returns the next part of the answer.
     pub async fn next(&mut self) -> Result<Part, Broken> {
         loop {
             let decoded: Option<Frame> = self.splitter.next().map_err(|error| Broken::lost("decode", error))?;
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Judges a frame; `None` if it is to be dropped.
+    /// Converts a frame to an answer part; `None` if the frame is a duplicate or belongs to another
+    /// attempt.
     fn take(&mut self, frame: Frame) -> Option<Result<Part, Broken>> {
         match frame {
             Frame::Started => Some(Ok(Part::Started)),
@@ -218,7 +220,8 @@
     }
 }
 
-/// Makes sure that an attempt never starts; says whether that is proven.
+/// Voids an attempt, so that it never starts. Returns `Ran::No` only if the sidecar proves that it did not
+/// and will not run.
 pub async fn void(app: &App, target: &Target, open: &Open) -> Ran {
     let Open { attempt, incarnation, ref once, .. } = *open;
     let bytes = wire::encode(&wire::Void { attempt, once: once.clone() });
@@ -229,7 +232,7 @@
         _ => None,
     };
     let ran = match answer {
-        // Another incarnation knows nothing of what was sent to the one before.
+        // A different incarnation has no record of work sent to the previous one.
         Some(answer) if incarnation.is_some_and(|sent| sent != answer.incarnation) => Ran::Unknown,
         Some(answer) if answer.voided == Voided::NotRun && incarnation.is_some() => Ran::No,
         _ => Ran::Unknown,
@@ -238,7 +241,7 @@
     ran
 }
 
-/// Time left until `deadline`.
+/// Returns the time left until `deadline`.
 pub fn left(deadline: coord::time::Moment) -> Duration {
     deadline.since(util::now())
 }
--- a/sorrelpass/src/sidecar/control.rs
+++ b/sorrelpass/src/sidecar/control.rs
@@ -1,4 +1,5 @@
-//! What a sidecar learns: the configuration's word on its endpoint, and the endpoint's health.
+//! The `control` thread of a sidecar: follows the configuration of its endpoint, and checks the endpoint's
+//! health.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +14,17 @@
 use crate::entry::peer::{self, Brief, Known};
 use crate::{event, http, util, warn_event};
 
-/// Failed health checks in a row after which the endpoint counts as dead.
+/// Number of consecutive failed health checks after which the endpoint counts as unhealthy.
 const MOST_MISSES: u32 = 3;
-/// How long an entry may hold a question for news.
+/// Longest time that an entry may hold a request until the configuration changes.
 const BRIEF_WAIT: Duration = Duration::from_secs(5);
-/// Pause after an entry that could not be asked.
+/// Delay after a failed request to an entry, and longest wait for a change while the endpoint does not have
+/// its ordered load.
 const BRIEF_RETRY: Duration = Duration::from_millis(300);
-/// Entries asked for news: these are assigned by rendezvous.
+/// Number of entries that a sidecar follows, selected by rendezvous hashing.
 const ASSIGNED: usize = 2;
 
-/// Runs until told to stop.
+/// Runs the `control` thread until `stopped` is true.
 pub async fn run(
     shared: Arc<Shared>,
     mut lapsed: mpsc::UnboundedReceiver<Attempt>,
@@ -33,7 +35,8 @@
             span::reconcile(&shared).await;
         }
         while let Some(span) = lapsed.recv().await {
-            // One that the engine does not answer for must not hold up the others.
+            // Spans are freed concurrently, so that one that the engine does not free does not delay the
+            // others.
             let shared = shared.clone();
             tokio::task::spawn_local(async move { span::free_on_engine(&shared, span).await });
         }
@@ -46,7 +49,7 @@
     }
 }
 
-/// Follows the configuration through the assigned entries, one at a time.
+/// Follows the endpoint's configuration through the assigned entries, one at a time.
 async fn follow(shared: &Shared) {
     let hash = xxhash_rust::xxh3::xxh3_64(shared.settings.endpoint.as_bytes());
     let mut entries = shared.settings.entries.clone();
@@ -76,7 +79,7 @@
             Err(error) => {
                 warn_event!("brief-failed", peer = %entry, reason = %error);
                 turn += 1;
-                // An assigned entry may be gone for good: the settings' ones are asked too.
+                // The assigned entries may be gone for good, so those in the settings are used again.
                 if turn.is_multiple_of(2 * ASSIGNED) {
                     entries = shared.settings.entries.clone();
                     known.entries = 0;
@@ -99,7 +102,7 @@
     let _ = shared.kernel.send(Command::Drain(brief.drained)).await;
 }
 
-/// Checks the endpoint's health.
+/// Checks the endpoint's health periodically.
 async fn check(shared: &Shared) {
     let caller = http::caller_h1();
     let mut misses = 0;
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to a model engine: the prompt goes up as it comes, tokens come back as events.
+//! Calls to a model engine: streams the prompt to it and reads the tokens as server-sent events.
 
 use std::cell::RefCell;
 
@@ -18,7 +18,7 @@
 use super::kernel::Command;
 use crate::wire::{Open, Usage};
 
-/// A level as the engine's priority header has it; larger goes first.
+/// Returns the value of the engine's priority header; requests with a higher value run first.
 const fn priority(level: Level) -> u16 {
     match level {
         Level::Huge => 0,
@@ -34,7 +34,8 @@
     static CLIENT: RefCell<Option<EngineClient>> = const { RefCell::new(None) };
 }
 
-/// The calling thread's client; a request is never sent again by the library.
+/// Returns this thread's HTTP client. Its automatic retries are disabled, since a request may run only
+/// once.
 pub fn client() -> EngineClient {
     CLIENT.with_borrow_mut(|client| {
         client
@@ -51,7 +52,7 @@
     })
 }
 
-/// Sends a request to the endpoint; an endpoint that could not be connected to has not run it.
+/// Sends a request to the endpoint. A failure to connect proves that the request did not run.
 pub async fn send(
     request: http::request::Builder,
     upload: Upload,
@@ -64,7 +65,7 @@
     })
 }
 
-/// One event of an engine's stream.
+/// Data of one server-sent event of an engine.
 #[derive(Deserialize)]
 struct Event<'a> {
     #[serde(borrow, default)]
@@ -79,7 +80,7 @@
     completion_tokens: u64,
 }
 
-/// The part of a choice that we need; the rest passes through as it is.
+/// The fields of a choice that the sidecar reads; the choice is forwarded unchanged.
 #[derive(Deserialize)]
 struct Choice<'a> {
     #[serde(default, borrow)]
@@ -97,7 +98,7 @@
     }
 }
 
-/// Sends a prompt and passes its tokens on.
+/// Sends a prompt to the engine and forwards its tokens.
 pub async fn prompt(
     shared: &Shared,
     open: &Open,
@@ -144,7 +145,7 @@
 }
 
 impl Answer {
-    /// Takes one event's data; false when it was the last.
+    /// Handles the data of one event; returns `false` for the end of the stream.
     async fn take(
         &mut self,
         shared: &Shared,
@@ -186,7 +187,7 @@
     }
 }
 
-/// Takes the data of server-sent events out of a byte stream.
+/// Decoder for the data of server-sent events.
 #[derive(Default)]
 struct Events {
     buffer: BytesMut,
@@ -198,7 +199,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The data of the next event that has any.
+    /// Returns the data of the next event that has any; `None` if more bytes are needed.
     fn next(&mut self) -> Option<Bytes> {
         while let Some(end) = self.line_end() {
             let line = self.buffer.split_to(end + 1).freeze();
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -1,4 +1,4 @@
-//! The task of one accepted job: waits for its start, calls the endpoint, passes frames on.
+//! The task of one accepted job: waits for its start, calls the endpoint and forwards frames.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 use crate::event;
 use crate::wire::{self, Frame, Open, Usage};
 
-/// The caller's body: what was read of it already, and the rest as it comes.
+/// A request body: the bytes that have been read, and the stream of the rest.
 pub struct Upload {
     start: Bytes,
     rest: Body,
 }
 
 impl Upload {
-    /// A body whose first bytes were read already.
+    /// Creates a body from the bytes that have been read and the rest.
     pub fn new(start: Bytes, rest: Body) -> Self {
         Self { start, rest }
     }
 
-    /// The body as a stream; what has not come yet is pulled when it is polled.
+    /// Converts it to a stream; the rest is read as the stream is polled.
     pub fn into_body(self) -> Body {
         use futures_util::StreamExt;
         let start = futures_util::stream::iter([Ok::<Bytes, axum::Error>(self.start)]);
@@ -35,25 +35,25 @@
     }
 }
 
-/// Where a job's frames go.
+/// Destination of a job's frames.
 pub enum Output {
-    /// To an entry, through a bounded ring.
+    /// An entry, through a bounded channel.
     Ring {
-        /// The ring.
+        /// Sender of the encoded frames.
         frames: mpsc::Sender<Bytes>,
-        /// How long a full ring is waited for.
+        /// Longest wait for space in a full channel.
         patience: Duration,
     },
-    /// Into a transcript that any entry may read.
+    /// A transcript that any attempt under the same key may read.
     Transcript(Transcript),
 }
 
-/// Nobody takes the frames any more.
+/// Error: the destination accepts no more frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone;
 
 impl Output {
-    /// Sends a frame on.
+    /// Sends a frame. Fails if the entry has disconnected or does not read in time.
     pub async fn send(&self, frame: &Frame) -> Result<(), Gone> {
         match self {
             Output::Ring { frames, patience } => match frames.try_send(wire::encode_delimited(frame)) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Resolves when nobody will take frames any more.
+    /// Resolves when the destination accepts no more frames; never for a transcript.
     async fn gone(&self) {
         match self {
             Output::Ring { frames, .. } => frames.closed().await,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// No frame follows.
+    /// Marks the end of the frames.
     pub fn close(self) {
         if let Output::Transcript(transcript) = self {
             transcript.close();
@@ -87,20 +87,20 @@
     }
 }
 
-/// Numbers the pieces of an answer and passes them on.
+/// Numbers the pieces of an answer and sends them.
 pub struct Writer<'a> {
-    /// Where they go.
+    /// Destination of the frames.
     pub output: &'a Output,
     attempt: Attempt,
     tally: Tally,
-    /// Output tokens passed on.
+    /// Number of output tokens sent.
     pub tokens: u64,
-    /// Whether anything was passed on.
+    /// Whether any piece was sent.
     pub begun: bool,
 }
 
 impl Writer<'_> {
-    /// Passes a piece on.
+    /// Sends a piece of the answer.
     pub async fn piece(&mut self, bytes: Bytes, tokens: u32) -> Result<(), Gone> {
         let number = self.tally.add(&bytes);
         self.tokens += u64::from(tokens);
@@ -108,7 +108,7 @@
         self.output.send(&Frame::Piece { attempt: self.attempt, number, tokens, bytes }).await
     }
 
-    /// Seals the answer as whole.
+    /// Sends the end of a complete answer, with the piece count and digest.
     pub async fn end(&mut self, usage: Usage, finish: String) -> Result<(), Gone> {
         let seal = self.tally.seal();
         let end = Frame::End { attempt: self.attempt, count: seal.count, digest: seal.digest, usage, finish };
@@ -116,21 +116,21 @@
     }
 }
 
-/// Why a call to an endpoint came to no whole answer.
+/// Reason why a call to an endpoint gave no complete answer.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// Whether it ran.
+    /// Whether the call ran.
     pub ran: Ran,
-    /// The step at which it failed.
+    /// Step that failed.
     pub step: &'static str,
-    /// What happened.
+    /// Description of the error.
     pub message: String,
-    /// Status with which the endpoint refused the call.
+    /// HTTP status with which the endpoint refused the call.
     pub status: Option<u16>,
 }
 
 impl Failure {
-    /// A failure whose effect at the endpoint is not known.
+    /// Creates an error of a call that may have run.
     pub fn unknown(step: &'static str, message: impl Into<String>) -> Self {
         Self { ran: Ran::Unknown, step, message: message.into(), status: None }
     }
@@ -142,7 +142,7 @@
     }
 }
 
-/// Runs a job that the kernel accepted to its end.
+/// Runs a job that the event loop has accepted.
 pub async fn run(
     shared: Arc<Shared>,
     open: Open,
@@ -182,7 +182,7 @@
     shared.kernel.send_detached(Command::Finish { attempt: open.attempt, output_tokens: tokens, not_run });
 }
 
-/// Waits for the kernel to start the job; `None` if it never will.
+/// Waits for the event loop to start the job; `None` if it never starts.
 async fn wait(
     shared: &Shared,
     open: &Open,
@@ -193,7 +193,8 @@
         signal = signals.recv() => signal,
         () = output.gone() => {
             shared.kernel.send_detached(Command::Void { attempt: open.attempt, once: None, reply: None });
-            // The kernel may have started it at this very moment: it then holds a slot until told.
+            // The event loop may have started the job concurrently; the job then occupies a slot until it
+            // is finished.
             if let Some(Signal::Start(_)) = signals.recv().await {
                 let finish = Command::Finish { attempt: open.attempt, output_tokens: 0, not_run: true };
                 shared.kernel.send_detached(finish);
--- a/sorrelpass/src/sidecar/kernel.rs
+++ b/sorrelpass/src/sidecar/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel thread of a sidecar: owns the scheduler and decides everything.
+//! The event loop of a sidecar: it owns the scheduler and makes all decisions.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,110 +19,110 @@
 use crate::wire::{Ask, Held, Hold, Open, Quoted};
 use crate::{event, metric, ring, util, warn_event};
 
-/// Longest the kernel sleeps while jobs wait or run.
+/// Interval at which the scheduler advances while jobs wait or run.
 const TICK: Duration = Duration::from_millis(5);
-/// Longest it sleeps otherwise.
+/// Interval at which the scheduler advances while it is idle.
 const IDLE_TICK: Duration = Duration::from_secs(1);
 
-/// What the kernel tells the task of a job.
+/// Signals from the event loop to the task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Hand it to the endpoint.
+    /// Pass the job to the endpoint, at a priority level.
     Start(Level),
-    /// Its time ran out before it started; it never will.
+    /// The deadline passed before the job started; it never starts.
     Expired,
-    /// It is better off elsewhere; it never starts here.
+    /// The scheduler removed the job from its queue, as it could not start here for a long time; it never starts.
     Evicted,
-    /// It was voided before it started; it never will.
+    /// The job was voided before it started; it never starts.
     Voided,
-    /// Stop it: its time ran out or its endpoint is dead.
+    /// Stop the running job: its deadline has passed or its endpoint is unhealthy.
     Cancel,
 }
 
-/// What became of an offer.
+/// Outcome of an offered job.
 pub enum Answer {
-    /// Accepted: signals follow.
+    /// The job is accepted; the receiver gets its signals.
     Accepted(mpsc::UnboundedReceiver<Signal>),
-    /// Refused: it did not run and will not.
+    /// The job is refused: it did not run and will not.
     Refused(Refused),
-    /// The key ran or runs here: this is what it says.
+    /// A job with the same key ran or runs here; the transcript is its answer.
     Seen(Transcript),
 }
 
-/// Commands to the kernel.
+/// Commands to the event loop.
 pub enum Command {
-    /// What would this prompt have to expect?
+    /// Returns a quote for a prompt or call.
     Quote(Ask, oneshot::Sender<Quoted>),
-    /// Take this work.
+    /// Offers a job.
     Offer {
-        /// The work.
+        /// Header of the work request.
         open: Box<Open>,
-        /// Where its answer goes if it runs once.
+        /// Transcript for the answer of a call that may run at most once.
         transcript: Option<Transcript>,
-        /// Tells what became of it.
+        /// Receives the outcome.
         reply: oneshot::Sender<Answer>,
     },
-    /// The endpoint gave the first token.
+    /// Records that the endpoint generated the first token of an attempt.
     FirstToken(Attempt),
-    /// The attempt is over after so many output tokens.
+    /// Records the end of an attempt.
     Finish {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: Attempt,
-        /// Output tokens given.
+        /// Number of output tokens generated.
         output_tokens: u64,
-        /// Proven not to have run: its key may be tried again.
+        /// Whether the attempt is proven not to have run; its key may then be used again.
         not_run: bool,
     },
-    /// The entry went away or gave up.
+    /// Voids an attempt, because the entry has disconnected or given it up.
     Void {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: Attempt,
-        /// Its key, if it may run once.
+        /// Idempotency key of the attempt, if it has one.
         once: Option<Key>,
-        /// Tells what became of it.
+        /// Receives whether the attempt had started.
         reply: Option<oneshot::Sender<Voided>>,
     },
-    /// Hold a span's memory, or renew its lease.
+    /// Reserves memory for a span, or renews the span's lease.
     Hold(Hold, oneshot::Sender<Held>),
-    /// A span is being prefilled, or no longer; tells whether it is held.
+    /// Marks the start (`true`) or end (`false`) of a span's prefill; replies whether the span is held.
     Fill(Attempt, bool, oneshot::Sender<bool>),
-    /// Give a span up, and have the engine free it.
+    /// Releases a span and has the engine free it.
     GiveUp(Attempt),
-    /// Does anything of this run own what the engine holds under this name?
+    /// Returns whether a job or span of this incarnation has the given id at the engine.
     Owns(Attempt, oneshot::Sender<bool>),
-    /// The engine has freed a span.
+    /// Records that the engine has freed a span.
     Freed(Attempt),
-    /// Refuse new work and say when nothing runs.
+    /// Refuses new work from now on, and reports when the sidecar is idle.
     Leave {
-        /// Told once idle.
+        /// Notified when no job waits or runs and no span is held.
         idle: oneshot::Sender<()>,
     },
-    /// An operator's drain is in force, or is not.
+    /// Sets whether an operator has drained the endpoint.
     Drain(bool),
-    /// The endpoint answers, or does not.
+    /// Sets whether the endpoint is healthy.
     Health(bool),
-    /// What is going on?
+    /// Returns the state shown by `/status`.
     Status(oneshot::Sender<Status>),
 }
 
-/// What `/status` shows.
+/// JSON body of `/status`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// The service it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: Name,
-    /// This process's run.
+    /// Incarnation of the sidecar process.
     pub incarnation: String,
     /// Whether new work is refused.
     pub leaving: bool,
-    /// Jobs waiting.
+    /// Number of jobs in the queue.
     pub waiting: usize,
-    /// Jobs running.
+    /// Number of running jobs.
     pub running: usize,
-    /// Tokens of KV memory held by running jobs.
+    /// KV cache memory held by running jobs and spans, in tokens.
     pub memory_held_tokens: u64,
-    /// Invariants breached in this process.
+    /// Number of invariant violations in this process.
     pub breaches: u64,
 }
 
@@ -140,7 +140,7 @@
     stopping: bool,
 }
 
-/// Runs the kernel until all senders are gone or the sidecar has closed.
+/// Runs the event loop until all command senders are dropped, or until shutdown is complete.
 pub async fn run(settings: Sidecar, mut commands: ring::Receiver<Command>, lapsed: mpsc::UnboundedSender<Attempt>) {
     let mut kernel = Kernel::new(settings, lapsed);
     loop {
@@ -153,7 +153,7 @@
         }
         kernel.advance();
         if kernel.stopping && kernel.leaving.is_empty() {
-            // Answer what is still asked while the threads end.
+            // Replies to the commands that arrive while the other threads end.
             while let Some(command) = commands.recv().await {
                 kernel.handle(command);
             }
@@ -224,7 +224,7 @@
 
     fn quote(&self, ask: &Ask) -> Quoted {
         let now = util::now();
-        // The number of no attempt: a quote leaves no trace.
+        // Placeholder id: a quote is not recorded.
         let job = self.job(Attempt(0), ask, now);
         Quoted {
             incarnation: util::incarnation(),
@@ -258,12 +258,12 @@
         Answer::Accepted(receiver)
     }
 
-    /// What the key's first attempt said, or that its outcome was too old to keep.
+    /// Returns the transcript of the key's first attempt, or the empty `fresh` one if the first is no longer kept.
     fn seen(&self, key: &Key, fresh: Transcript) -> Answer {
         Answer::Seen(self.once.get(key).cloned().unwrap_or(fresh))
     }
 
-    /// The attempt is proven not to have run: its key may be tried again.
+    /// Makes a key available again, as its attempt is proven not to have run.
     fn unbind(&mut self, attempt: Attempt) {
         if let Some(key) = self.once_attempts.remove(&attempt) {
             self.scheduler.once_not_run(&key, attempt);
@@ -302,7 +302,7 @@
                 self.forget(attempt);
                 self.unbind(attempt);
             }
-            // A call that may run once goes on to its end, so that its outcome is known.
+            // A call that may run at most once is not cancelled, so that its outcome becomes known.
             Voided::Started if !self.once_attempts.contains_key(&attempt) => self.signal(attempt, Signal::Cancel),
             Voided::Started => {}
         }
@@ -334,7 +334,8 @@
         }
     }
 
-    /// The `control` thread frees it on the engine: whoever asked may be gone by now.
+    /// Releases a span. The `control` thread frees it on the engine, since the entry that requested the
+    /// release may be gone by then.
     fn give_up(&mut self, span: Attempt) {
         if self.scheduler.give_up(span) {
             let _ = self.lapsed.send(span);
@@ -378,7 +379,7 @@
         }
     }
 
-    /// Drops transcripts of keys whose window is over.
+    /// Drops the transcripts of keys that are past the idempotency window.
     fn prune(&mut self) {
         let scheduler = &self.scheduler;
         self.once.retain(|key, _| scheduler.knows(key));
@@ -418,7 +419,7 @@
     fn start(&mut self, attempt: Attempt, level: Level) {
         let told = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
         if !told {
-            // Its task is gone; nothing was sent to the endpoint.
+            // The job's task has ended, so nothing was sent to the endpoint.
             self.scheduler.finish(attempt, 0, util::now());
             self.forget(attempt);
             self.unbind(attempt);
--- a/sorrelpass/src/sidecar/mod.rs
+++ b/sorrelpass/src/sidecar/mod.rs
@@ -1,8 +1,7 @@
-//! `sorrelpass sidecar`: the only process that hands work to the endpoint beside it.
+//! `sorrelpass sidecar`: the only process that sends work to its endpoint.
 //!
-//! Threads by duty: `kernel` owns the scheduler, `work` serves entries and calls
-//! the endpoint, `control` learns configuration from the assigned entries and
-//! checks the endpoint's health.
+//! Each thread has one task: `kernel` runs the event loop that owns the scheduler, `work` serves entries
+//! and calls the endpoint, and `control` follows the configuration and checks the endpoint's health.
 
 mod control;
 mod engine;
@@ -22,18 +21,18 @@
 use crate::config::Sidecar;
 use crate::{event, http, metric, ring, timeline, util};
 
-/// Commands that may wait for the kernel.
+/// Capacity of the event loop's command queue, in commands.
 const KERNEL_RING: usize = 4_096;
 
-/// What the threads of a sidecar share: settings and rings, no decision state.
+/// State shared by the threads of a sidecar. It holds no state that decisions are based on.
 pub struct Shared {
-    /// The settings.
+    /// Settings of this sidecar.
     pub settings: Sidecar,
-    /// Commands to the kernel.
+    /// Command queue of the event loop.
     pub kernel: ring::Sender<kernel::Command>,
 }
 
-/// Runs a sidecar until it is told to stop and nothing runs any more.
+/// Runs a sidecar until it receives a termination signal and its jobs are finished.
 pub fn run(settings: Sidecar) -> Result<()> {
     timeline::init(&settings.process.name, &settings.process.log_level);
     metric::init()?;
@@ -78,7 +77,7 @@
     util::with_runtime(async { Ok(http::listen(address)?.into_std()?) })
 }
 
-/// Refuses new work, waits until what runs is over, then lets the threads end.
+/// Refuses new work, waits until no job waits or runs and no span is held, then stops the threads.
 fn close(shared: Arc<Shared>, stop: &watch::Sender<bool>) -> Result<()> {
     util::with_runtime(async {
         let (done, idle) = tokio::sync::oneshot::channel();
--- a/sorrelpass/src/sidecar/order.rs
+++ b/sorrelpass/src/sidecar/order.rs
@@ -1,8 +1,8 @@
-//! Orders to the endpoint: the sidecar alone sends them, and only the newest.
+//! Placement orders for the endpoint: only its sidecar sends them, and only the newest one.
 //!
-//! Endpoints that check fences refuse old ones themselves. For those that do not, this
-//! process sends orders one at a time, newest fence first known, and a new run of it waits
-//! out the longest life of an order before it sends any.
+//! Endpoints that check fences refuse outdated orders themselves. For those that do not, the sidecar sends
+//! one order at a time, the one with the highest known fence. After a restart it first waits
+//! [`ORDER_TIMEOUT`], so that no order of the previous incarnation is still in flight.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use super::Shared;
 use crate::{event, http, util, warn_event};
 
-/// An order that the endpoint has not answered by then is dead: its connection is closed.
+/// Timeout of an order. The connection is closed at the timeout, so that a late order cannot take effect.
 pub const ORDER_LIFE: Duration = Duration::from_secs(1);
 
-/// Sends orders and reads back what the endpoint holds.
+/// Sends placement orders to the endpoint, and reads back its load.
 pub struct Orders {
     caller: http::Caller,
     newest: Option<Order>,
-    /// From when on this run may send orders.
+    /// Earliest time at which this incarnation may send orders.
     quiet_until: coord::time::Moment,
 }
 
@@ -37,12 +37,12 @@
 }
 
 impl Orders {
-    /// No orders yet; none is sent before those of an earlier run are dead.
+    /// Creates a sender that sends no order until those of the previous incarnation have timed out.
     pub fn new() -> Self {
         Self { caller: http::caller_h1(), newest: None, quiet_until: util::now() + ORDER_LIFE }
     }
 
-    /// Takes an order if it is newer than all before.
+    /// Stores an order if it is newer than the stored one.
     pub fn take(&mut self, order: Order) {
         let newer = self.newest.as_ref().is_none_or(|known| (order.fence, order.offset) > (known.fence, known.offset));
         if newer {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Brings the endpoint to what the newest order says; whether it is there already.
+    /// Sends the newest order if the endpoint's load differs from it. Returns whether the endpoint already
+    /// has that load.
     pub async fn converge(&self, shared: &Shared) -> bool {
         let Some(order) = &self.newest else { return true };
         let Some(holds) = holds(&self.caller, shared).await else { return false };
@@ -79,7 +80,7 @@
     }
 }
 
-/// What the endpoint holds, as it says itself.
+/// Asks the endpoint for its load; `None` if it does not answer.
 pub async fn holds(caller: &http::Caller, shared: &Shared) -> Option<Load> {
     let call = http::exchange_json(caller, &shared.settings.endpoint_address, "GET", "/loaded", None);
     let loaded: Loaded = tokio::time::timeout(ORDER_LIFE, call).await.ok()?.ok()?;
--- a/sorrelpass/src/sidecar/plain.rs
+++ b/sorrelpass/src/sidecar/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to a plain service: method, body, query and status carried through.
+//! Calls to a plain service: method, path, query, headers and body are forwarded, and so is the response.
 
 use http_body_util::BodyExt;
 use hyper::Request;
@@ -9,7 +9,7 @@
 use super::job::{Failure, Upload, Writer};
 use crate::wire::{Frame, Open, Usage};
 
-/// Headers that concern one connection only and are not passed on.
+/// Hop-by-hop headers, which apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -21,7 +21,7 @@
     "upgrade",
 ];
 
-/// Calls the service and passes its answer on.
+/// Calls the service and forwards its response.
 pub async fn call(shared: &Shared, open: &Open, upload: Upload, writer: &mut Writer<'_>) -> Result<(), Failure> {
     let mut request = Request::builder()
         .method(open.call.method.as_str())
@@ -42,7 +42,7 @@
     Ok(writer.end(Usage::default(), "stop".to_owned()).await?)
 }
 
-/// The headers that pass from one hop to the next.
+/// Returns the headers to forward: all but the hop-by-hop headers, `content-length` and `host`.
 pub fn passed_on(headers: &HeaderMap) -> Vec<(String, String)> {
     headers
         .iter()
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -1,4 +1,4 @@
-//! Spans of prompts that exceed one engine: held, filled and freed beside their engine.
+//! Spans of prompts that exceed one engine: reserved, prefilled and freed on this sidecar's engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,19 +20,19 @@
 use crate::wire::{self, Fill, Filled, Hold};
 use crate::{event, util, warn_event};
 
-/// Pause before the engine is asked again to free a span.
+/// Delay before a failed request to the engine is repeated.
 const RETRY: Duration = Duration::from_millis(200);
-/// Longest that the engine may take to free one.
+/// Timeout for the engine to free a span or cancel a request.
 const FREE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `POST /span/hold`
+/// Handles `POST /span/hold`: reserves memory for a span, or renews its lease.
 pub async fn hold(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
     let hold: Hold = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
     let held = ask(&shared, |reply| Command::Hold(hold, reply)).await?;
     Ok(stamped(wire::encode(&held)))
 }
 
-/// `POST /span/fill`: prefills a held span; answers once it is done.
+/// Handles `POST /span/fill`: prefills a reserved span, and answers once the prefill is complete.
 pub async fn fill(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
     let (fill, start) = read_delimited::<Fill>(&mut body).await?;
     if !ask(&shared, |reply| Command::Fill(fill.span, true, reply)).await? {
@@ -64,14 +64,14 @@
     Ok(Filled { tokens: filled.tokens, digest: filled.digest })
 }
 
-/// `POST /span/free`
+/// Handles `POST /span/free`: releases a span.
 pub async fn free(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
     let span: Attempt = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
     shared.kernel.send(Command::GiveUp(span)).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     Ok(stamped(Bytes::new()))
 }
 
-/// Frees a span on the engine, again and again until the engine says so.
+/// Frees a span on the engine, retrying until the engine confirms it.
 pub async fn free_on_engine(shared: &Shared, span: Attempt) {
     loop {
         if delete(shared, &span.to_string()).await {
@@ -95,7 +95,7 @@
     spans: Vec<String>,
 }
 
-/// Frees what an earlier run of this sidecar left on the engine: nothing owns it any more.
+/// Frees the spans and cancels the requests that a previous incarnation of this sidecar left on the engine.
 pub async fn reconcile(shared: &Shared) {
     let caller = crate::http::caller_h1();
     let found: EngineMemory = loop {
@@ -123,7 +123,8 @@
     }
 }
 
-/// Whether anything of this run owns what the engine holds under `name`; what is no name of ours is left alone.
+/// Returns whether this incarnation owns the job or span with the id `name`. Ids that this system did not
+/// generate count as owned, so that they are left alone.
 async fn owned(shared: &Shared, name: &str) -> bool {
     let Ok(number) = u128::from_str_radix(name, 16) else { return true };
     ask(shared, |reply| Command::Owns(Attempt(number), reply)).await.unwrap_or(true)
--- a/sorrelpass/src/sidecar/transcript.rs
+++ b/sorrelpass/src/sidecar/transcript.rs
@@ -1,4 +1,4 @@
-//! The answer of a call that runs once, kept so that every later attempt gets the same.
+//! The recorded answer of a call that may run at most once, from which each later attempt is served.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -7,7 +7,7 @@
 
 use crate::wire::Frame;
 
-/// Frames as they were sent; clones share them.
+/// Recorded frames of an answer; clones share them.
 #[derive(Clone)]
 pub struct Transcript {
     frames: Arc<Mutex<Vec<Frame>>>,
@@ -21,12 +21,12 @@
 }
 
 impl Transcript {
-    /// An empty transcript.
+    /// Creates an empty transcript.
     pub fn new() -> Self {
         Self { frames: Arc::default(), progress: Arc::new(watch::channel(Progress::default()).0) }
     }
 
-    /// Adds a frame.
+    /// Appends a frame.
     pub fn push(&self, frame: Frame) {
         let mut frames = self.lock();
         frames.push(frame);
@@ -35,12 +35,13 @@
         self.progress.send_modify(|progress| progress.frames = count);
     }
 
-    /// No frame follows.
+    /// Marks the end of the frames.
     pub fn close(self) {
         self.progress.send_modify(|progress| progress.closed = true);
     }
 
-    /// The frame number `index` as told to `attempt`, waiting for it; `None` after the last.
+    /// Waits for the frame with the given index and returns it, addressed to `attempt`; `None` after the
+    /// last frame.
     pub async fn frame(&self, index: usize, attempt: Attempt) -> Option<Frame> {
         let mut progress = self.progress.subscribe();
         let ready = progress.wait_for(|progress| progress.frames > index || progress.closed).await;
--- a/sorrelpass/src/sidecar/work.rs
+++ b/sorrelpass/src/sidecar/work.rs
@@ -1,4 +1,4 @@
-//! What entries call: quotes, work, voids; and health and metrics for operators.
+//! HTTP server of a sidecar: quotes, work and voiding for entries, health and metrics for operators.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,12 +21,12 @@
 use crate::wire::{self, Frame, Open, Splitter};
 use crate::{http, metric, timeline, util};
 
-/// Frames that may wait for an entry that reads slowly.
+/// Number of frames that are buffered for an entry that reads slowly.
 const FRAME_RING: usize = 256;
-/// Largest body of a call that runs once; it is held whole before it is accepted.
+/// Maximum body size of a call that may run at most once; its body is buffered before the job is offered.
 const MAX_ONCE_BODY: usize = 16 * 1_024 * 1_024;
 
-/// All routes of a sidecar.
+/// Builds the router of a sidecar.
 pub fn router(shared: Arc<Shared>) -> Router {
     Router::new()
         .route(wire::QUOTE, post(quote))
@@ -49,12 +49,12 @@
     }
 }
 
-/// An answer with our clock's stamp.
+/// Adds the clock stamp of this process to a response.
 pub fn stamped(body: impl IntoResponse) -> Response {
     ([(timeline::HEADER, timeline::stamp())], body).into_response()
 }
 
-/// Asks the kernel and waits for its answer.
+/// Sends a command to the event loop and waits for its reply. Fails with 503 if the event loop has stopped.
 pub async fn ask<T>(shared: &Shared, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, StatusCode> {
     let (reply, answer) = oneshot::channel();
     shared.kernel.send(command(reply)).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
@@ -86,7 +86,7 @@
     Ok(axum::Json(status).into_response())
 }
 
-/// Reads the message at the start of the body; returns the rest of the body's first bytes too.
+/// Reads the message at the start of a body. Also returns the bytes of the body that were read beyond it.
 pub async fn read_delimited<T: DeserializeOwned>(body: &mut Body) -> Result<(T, Bytes), StatusCode> {
     let mut splitter = Splitter::new();
     loop {
@@ -125,7 +125,7 @@
     }))))
 }
 
-/// A call that runs once: its body is held whole first, and its answer is kept.
+/// Runs a call that may run at most once: buffers its body first, and records its answer.
 async fn once(shared: Arc<Shared>, open: Open, start: Bytes, body: Body) -> Result<Response, StatusCode> {
     let rest = http_body_util::Limited::new(body, MAX_ONCE_BODY);
     let rest = rest.collect().await.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes();
