--- a/sorrelpass/src/entry/log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -16,25 +16,25 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{oneshot, watch};
 
-use super::kernel;
+use super::event_loop;
 use super::{Shared, peer};
 use crate::platform::{Batch, Log};
 use crate::{event, ring, util, warn_event};
 
 /// Stream of plans and confirmations.
-const CONFIG: &str = "config";
+const CONFIG_STREAM: &str = "config";
 /// Stream of snapshots.
-const SNAPSHOTS: &str = "config-snapshots";
+const SNAPSHOT_STREAM: &str = "config-snapshots";
 /// Longest time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 2_000;
 /// Delay after a failed log call.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Time during which an append is retried before the operator is told that its outcome is unknown.
-const PATIENCE: Duration = Duration::from_secs(5);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of records after which a snapshot is due.
-const SNAPSHOT_RECORDS: u64 = 512;
+const SNAPSHOT_INTERVAL_RECORDS: u64 = 512;
 /// Maximum size of the snapshot part in one record, in bytes.
-const PART_BYTES: usize = 256 * 1_024;
+const MAX_PART_BYTES: usize = 256 * 1_024;
 
 /// Commands to the `log` thread.
 pub enum Command {
@@ -48,7 +48,7 @@
 
 /// A part of a snapshot; a snapshot that does not fit into one record has several parts.
 #[derive(Serialize, Deserialize)]
-struct Part {
+struct SnapshotPart {
     id: Name,
     part: usize,
     parts: usize,
@@ -61,15 +61,15 @@
     replay: RefCell<Replay>,
     /// Offset of the next record to replay; appends that wait to be replayed subscribe to it.
     position: watch::Sender<u64>,
-    published: watch::Sender<Arc<Config>>,
-    snapshot_at: RefCell<(coord::time::Moment, u64)>,
+    config_sender: watch::Sender<Arc<Config>>,
+    last_snapshot: RefCell<(coord::time::Moment, u64)>,
 }
 
 /// Runs the `log` thread until all command senders are dropped.
 pub async fn run(
     shared: Arc<Shared>,
     log: Box<dyn Log>,
-    published: watch::Sender<Arc<Config>>,
+    config_sender: watch::Sender<Arc<Config>>,
     mut commands: ring::Receiver<Command>,
 ) {
     let follower = Rc::new(Follower {
@@ -77,86 +77,86 @@
         log,
         replay: RefCell::new(Replay::new()),
         position: watch::channel(0).0,
-        published,
-        snapshot_at: RefCell::new((util::now(), 0)),
+        config_sender,
+        last_snapshot: RefCell::new((util::now(), 0)),
     });
-    let tail = tokio::task::spawn_local(follower.clone().follow());
+    let follow_task = tokio::task::spawn_local(follower.clone().follow());
     while let Some(command) = commands.recv().await {
         let follower = follower.clone();
         tokio::task::spawn_local(async move { follower.handle(command).await });
     }
-    tail.abort();
+    follow_task.abort();
 }
 
 impl Follower {
     async fn handle(&self, command: Command) {
         match command {
-            Command::Plan(record, reply) => drop(reply.send(self.plan(&record).await)),
-            Command::Confirm(plan, reply) => drop(reply.send(self.confirm(&plan).await)),
+            Command::Plan(record, reply) => drop(reply.send(self.append_plan(&record).await)),
+            Command::Confirm(plan, reply) => drop(reply.send(self.append_confirm(&plan).await)),
             Command::Snapshot(next, reply) => {
                 let replay = self.replay.borrow();
-                let newer = replay.next() > next;
-                let _ = reply.send(newer.then(|| replay.snapshot()));
+                let is_newer = replay.next() > next;
+                let _ = reply.send(is_newer.then(|| replay.snapshot()));
             }
         }
     }
 
     /// Follows the log; while the log is unavailable, follows the peers' snapshots.
     async fn follow(self: Rc<Self>) {
-        let mut reachable = true;
-        self.ask_peers().await;
+        let mut is_reachable = true;
+        self.restore_from_peers().await;
         loop {
             let next = self.replay.borrow().next();
-            match self.log.read(CONFIG, next, READ_WAIT_MS).await {
+            match self.log.read(CONFIG_STREAM, next, READ_WAIT_MS).await {
                 Ok(batch) => {
-                    if !reachable {
-                        event!("log-back", stream = CONFIG);
+                    if !is_reachable {
+                        event!("log-back", stream = CONFIG_STREAM);
                     }
-                    reachable = true;
-                    self.take(&batch).await;
+                    is_reachable = true;
+                    self.apply_batch(&batch).await;
                     self.publish_snapshot().await;
                 }
                 Err(error) => {
-                    if reachable {
-                        warn_event!("log-out", stream = CONFIG, reason = %error);
+                    if is_reachable {
+                        warn_event!("log-out", stream = CONFIG_STREAM, reason = %error);
                     }
-                    reachable = false;
-                    self.ask_peers().await;
-                    tokio::time::sleep(util::jitter(RETRY)).await;
+                    is_reachable = false;
+                    self.restore_from_peers().await;
+                    tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
                 }
             }
         }
     }
 
-    async fn take(&self, batch: &Batch) {
+    async fn apply_batch(&self, batch: &Batch) {
         let next = self.replay.borrow().next();
         if batch.oldest > next {
             // Records before `oldest` have been trimmed, so the state must be restored from a snapshot.
-            event!("log-gap", stream = CONFIG, next, oldest = batch.oldest);
-            self.bridge(batch.oldest).await;
+            event!("log-gap", stream = CONFIG_STREAM, next, oldest = batch.oldest);
+            self.restore_across_gap(batch.oldest).await;
             return;
         }
-        let mut changed = false;
+        let mut is_changed = false;
         for entry in &batch.entries {
             match serde_json::from_slice::<Record>(&entry.payload) {
-                Ok(record) => changed |= self.replay.borrow_mut().apply(entry.offset, &record),
+                Ok(record) => is_changed |= self.replay.borrow_mut().apply(entry.offset, &record),
                 Err(error) => {
-                    warn_event!("record-unreadable", stream = CONFIG, offset = entry.offset, reason = %error);
+                    warn_event!("record-unreadable", stream = CONFIG_STREAM, offset = entry.offset, reason = %error);
                     self.replay.borrow_mut().skip(entry.offset);
                 }
             }
         }
-        self.publish(changed).await;
+        self.publish(is_changed).await;
     }
 
-    async fn publish(&self, changed: bool) {
+    async fn publish(&self, is_changed: bool) {
         let (config, next) = {
             let replay = self.replay.borrow();
             (replay.config().clone(), replay.next())
         };
-        if changed {
-            let _ = self.shared.kernel.send(kernel::Command::Config(config.clone())).await;
-            self.published.send_replace(config);
+        if is_changed {
+            let _ = self.shared.event_loop.send(event_loop::Command::UpdateConfig(config.clone())).await;
+            self.config_sender.send_replace(config);
         }
         self.position.send_replace(next);
     }
@@ -171,10 +171,10 @@
     }
 
     /// Restores the newest state that any peer has.
-    async fn ask_peers(&self) {
+    async fn restore_from_peers(&self) {
         for entry in self.shared.peers() {
             let next = self.replay.borrow().next();
-            if let Ok(Some(snapshot)) = peer::snapshot(&entry, next).await {
+            if let Ok(Some(snapshot)) = peer::fetch_snapshot(&entry, next).await {
                 self.restore(&snapshot, &entry).await;
             }
         }
@@ -182,36 +182,36 @@
 
     /// Restores the state across a gap of trimmed records before `oldest`, from a peer or from a published
     /// snapshot.
-    async fn bridge(&self, oldest: u64) {
-        self.ask_peers().await;
+    async fn restore_across_gap(&self, oldest: u64) {
+        self.restore_from_peers().await;
         if self.replay.borrow().next() >= oldest {
             return;
         }
         match self.read_snapshot().await {
-            Ok(Some(snapshot)) if snapshot.next >= oldest => self.restore(&snapshot, SNAPSHOTS).await,
+            Ok(Some(snapshot)) if snapshot.next >= oldest => self.restore(&snapshot, SNAPSHOT_STREAM).await,
             Ok(_) => {
-                warn_event!("no-snapshot", stream = SNAPSHOTS, oldest);
-                tokio::time::sleep(util::jitter(RETRY)).await;
+                warn_event!("no-snapshot", stream = SNAPSHOT_STREAM, oldest);
+                tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
             }
-            Err(error) => warn_event!("no-snapshot", stream = SNAPSHOTS, oldest, reason = %error),
+            Err(error) => warn_event!("no-snapshot", stream = SNAPSHOT_STREAM, oldest, reason = %error),
         }
     }
 
     /// Reads the newest complete snapshot from the log.
     async fn read_snapshot(&self) -> Result<Option<Snapshot>> {
         let mut newest: Option<Snapshot> = None;
-        let mut parts: Vec<Part> = Vec::new();
+        let mut parts: Vec<SnapshotPart> = Vec::new();
         let mut next = 0;
         loop {
-            let batch = self.log.read(SNAPSHOTS, next, 0).await?;
+            let batch = self.log.read(SNAPSHOT_STREAM, next, 0).await?;
             for entry in &batch.entries {
-                let Ok(part) = serde_json::from_slice::<Part>(&entry.payload) else { continue };
+                let Ok(part) = serde_json::from_slice::<SnapshotPart>(&entry.payload) else { continue };
                 parts.retain(|other| other.id != part.id || other.part != part.part);
                 parts.push(part);
-                if let Some(whole) = assemble(&mut parts)
-                    && newest.as_ref().is_none_or(|newest| newest.next < whole.next)
+                if let Some(complete) = take_complete_snapshot(&mut parts)
+                    && newest.as_ref().is_none_or(|newest| newest.next < complete.next)
                 {
-                    newest = Some(whole);
+                    newest = Some(complete);
                 }
             }
             match batch.entries.last() {
@@ -224,67 +224,67 @@
     /// Publishes a snapshot when one is due. Concurrent snapshots are harmless, since readers take the
     /// newest.
     async fn publish_snapshot(&self) {
-        let (at, records) = *self.snapshot_at.borrow();
+        let (at, records) = *self.last_snapshot.borrow();
         let next = self.replay.borrow().next();
-        let due = next.saturating_sub(records) >= SNAPSHOT_RECORDS
+        let is_due = next.saturating_sub(records) >= SNAPSHOT_INTERVAL_RECORDS
             || util::now().since(at) >= self.shared.settings.snapshot_every;
-        if !due || next == 0 || !self.is_writer(next) {
+        if !is_due || next == 0 || !self.is_snapshot_writer(next) {
             return;
         }
-        *self.snapshot_at.borrow_mut() = (util::now(), next);
+        *self.last_snapshot.borrow_mut() = (util::now(), next);
         let snapshot = self.replay.borrow().snapshot();
         if let Err(error) = self.write_snapshot(&snapshot).await {
-            warn_event!("snapshot-failed", stream = SNAPSHOTS, reason = %error);
+            warn_event!("snapshot-failed", stream = SNAPSHOT_STREAM, reason = %error);
         }
     }
 
     /// Returns whether rendezvous hashing selects this entry to write the snapshot. All entries compute the
     /// same writer without communicating.
-    fn is_writer(&self, next: u64) -> bool {
-        let own = Name::from(self.shared.settings.peer_listen.to_string());
-        let mut all = self.shared.peers();
-        all.push(own.clone());
-        let turn = next / SNAPSHOT_RECORDS;
-        coord::pick::chosen(turn, all.iter(), 1).contains(&own)
+    fn is_snapshot_writer(&self, next: u64) -> bool {
+        let own_address = Name::from(self.shared.settings.peer_listen.to_string());
+        let mut entries = self.shared.peers();
+        entries.push(own_address.clone());
+        let snapshot_index = next / SNAPSHOT_INTERVAL_RECORDS;
+        coord::pick::chosen(snapshot_index, entries.iter(), 1).contains(&own_address)
     }
 
     async fn write_snapshot(&self, snapshot: &Snapshot) -> Result<()> {
         let text = serde_json::to_string(snapshot).wrap_err("step=encode-snapshot")?;
-        let pieces = split(&text, PART_BYTES);
+        let pieces = split_text(&text, MAX_PART_BYTES);
         let id = Name::from(format!("{}-{}", snapshot.next, util::incarnation()));
         for (part, piece) in pieces.iter().enumerate() {
-            let part = Part { id: id.clone(), part, parts: pieces.len(), text: (*piece).to_owned() };
+            let part = SnapshotPart { id: id.clone(), part, parts: pieces.len(), text: (*piece).to_owned() };
             let payload = serde_json::to_vec(&part).wrap_err("step=encode-snapshot")?;
-            self.log.append(SNAPSHOTS, Bytes::from(payload)).await?;
+            self.log.append(SNAPSHOT_STREAM, Bytes::from(payload)).await?;
         }
         event!("snapshot", next = snapshot.next, bytes = text.len(), parts = pieces.len());
         Ok(())
     }
 
     /// Appends a record repeatedly until `is_replayed` reports that it has been replayed.
-    async fn append_until(&self, record: &Record, seen: impl Fn(&Replay) -> bool) -> Result<()> {
+    async fn append_until(&self, record: &Record, is_replayed: impl Fn(&Replay) -> bool) -> Result<()> {
         let payload = Bytes::from(serde_json::to_vec(record).wrap_err("step=encode-record")?);
         let mut position = self.position.subscribe();
-        let attempt = async {
-            while !seen(&self.replay.borrow()) {
+        let append = async {
+            while !is_replayed(&self.replay.borrow()) {
                 // A failed append may have taken effect, so a record can be appended twice; replay ignores
                 // the duplicate.
-                if self.log.append(CONFIG, payload.clone()).await.is_err() {
-                    tokio::time::sleep(util::jitter(RETRY)).await;
+                if self.log.append(CONFIG_STREAM, payload.clone()).await.is_err() {
+                    tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
                 }
-                let read_back = position.wait_for(|_| seen(&self.replay.borrow()));
+                let read_back = position.wait_for(|_| is_replayed(&self.replay.borrow()));
                 let _ = tokio::time::timeout(Duration::from_millis(500), read_back).await;
             }
         };
-        tokio::time::timeout(PATIENCE, attempt).await.wrap_err("step=append: the log did not answer in time")
+        tokio::time::timeout(APPEND_TIMEOUT, append).await.wrap_err("step=append: the log did not answer in time")
     }
 
-    async fn plan(&self, record: &Record) -> Result<()> {
+    async fn append_plan(&self, record: &Record) -> Result<()> {
         let Record::Plan { id, .. } = record else { return Ok(()) };
         self.append_until(record, |replay| replay.has_plan(id) || replay.verdict(id).is_some()).await
     }
 
-    async fn confirm(&self, plan: &Name) -> Result<Verdict> {
+    async fn append_confirm(&self, plan: &Name) -> Result<Verdict> {
         let record = Record::Confirm { plan: plan.clone() };
         self.append_until(&record, |replay| replay.verdict(plan).is_some()).await?;
         let verdict = self.replay.borrow().verdict(plan).cloned();
@@ -292,11 +292,11 @@
     }
 }
 
-fn split(text: &str, most: usize) -> Vec<&str> {
+fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
     let mut pieces = Vec::new();
     let mut rest = text;
     while !rest.is_empty() {
-        let mut end = rest.len().min(most);
+        let mut end = rest.len().min(max_bytes);
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
@@ -308,14 +308,14 @@
 }
 
 /// Removes a complete snapshot from `parts` and returns it, if the newest part completes one.
-fn assemble(parts: &mut Vec<Part>) -> Option<Snapshot> {
+fn take_complete_snapshot(parts: &mut Vec<SnapshotPart>) -> Option<Snapshot> {
     let (id, count) = parts.last().map(|part| (part.id.clone(), part.parts))?;
     if parts.iter().filter(|part| part.id == id).count() < count {
         return None;
     }
-    let (mut whole, rest): (Vec<Part>, Vec<Part>) = parts.drain(..).partition(|part| part.id == id);
+    let (mut complete, rest): (Vec<SnapshotPart>, Vec<SnapshotPart>) = parts.drain(..).partition(|part| part.id == id);
     *parts = rest;
-    whole.sort_by_key(|part| part.part);
-    let text: String = whole.into_iter().map(|part| part.text).collect();
+    complete.sort_by_key(|part| part.part);
+    let text: String = complete.into_iter().map(|part| part.text).collect();
     serde_json::from_str(&text).ok()
 }
--- a/sorrelpass/src/entry/kernel/message.rs
+++ b/sorrelpass/src/entry/event_loop/message.rs
@@ -13,7 +13,7 @@
 
 /// What a request is addressed to.
 #[derive(Clone, Debug)]
-pub enum Wanted {
+pub enum RequestKind {
     /// A prompt for a model.
     Model {
         /// Name of the model.
@@ -32,11 +32,11 @@
 
 /// A caller's request for admission.
 #[derive(Clone, Debug)]
-pub struct Admission {
+pub struct AdmissionRequest {
     /// BLAKE3 digest of the bearer key, in hexadecimal.
     pub key_digest: String,
     /// Model or service that the request is addressed to.
-    pub wanted: Wanted,
+    pub kind: RequestKind,
 }
 
 /// An endpoint that a request may be sent to.
@@ -52,7 +52,7 @@
 
 /// An admitted request, with the settings of its intent or service.
 #[derive(Clone, Debug)]
-pub struct Admitted {
+pub struct AdmittedRequest {
     /// Workspace that the bearer key belongs to.
     pub workspace: Arc<Workspace>,
     /// Service whose endpoints can run the request.
@@ -68,46 +68,46 @@
     /// Time allowed for the whole answer if the caller sets no deadline.
     pub deadline: Duration,
     /// Longest deadline that the caller may set.
-    pub ceiling: Duration,
+    pub max_deadline: Duration,
     /// Whether the request may be run more than once without harm.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
 }
 
 /// Query for endpoints that can run a request.
 #[derive(Clone, Debug)]
-pub struct Search {
+pub struct TargetQuery {
     /// Service whose endpoints are wanted.
     pub service: Name,
     /// Failure domains to search; empty searches all.
     pub domains: Vec<Name>,
     /// Hash of the prompt's prefix, if there is one; it favours endpoints that are likely to have the
     /// prefix cached.
-    pub hash: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Endpoints to leave out because they have been tried.
-    pub exclude: Vec<Name>,
+    pub excluded: Vec<Name>,
 }
 
 /// Endpoints that can run a request.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
+pub struct Candidates {
     /// Endpoints in order of preference.
     pub targets: Vec<Target>,
     /// Whether to request quotes from the endpoints before choosing one.
-    pub asks: bool,
+    pub needs_quotes: bool,
 }
 
 /// Commands to the event loop.
 pub enum Command {
     /// Checks the bearer key, the model or service, and the workspace's rate limits of a request.
-    Admit(Admission, oneshot::Sender<Result<Admitted, Failure>>),
+    Admit(AdmissionRequest, oneshot::Sender<Result<AdmittedRequest, Failure>>),
     /// Selects endpoints for a request.
-    Find(Search, oneshot::Sender<Found>),
+    FindTargets(TargetQuery, oneshot::Sender<Candidates>),
     /// Lists a service's endpoints by failure domain, nearest domain first.
-    ByDomain(Search, oneshot::Sender<Vec<Vec<Target>>>),
+    TargetsByDomain(TargetQuery, oneshot::Sender<Vec<Vec<Target>>>),
     /// Looks up an endpoint; replies `None` if it is not in the VM list.
     Locate(Name, oneshot::Sender<Option<Target>>),
     /// Records that a sidecar answered a quote request.
-    Heard {
+    SidecarReachable {
         /// Name of the sidecar's endpoint.
         endpoint: Name,
         /// Incarnation of the sidecar process.
@@ -116,32 +116,32 @@
         leaving: bool,
     },
     /// Records that an endpoint's sidecar could not be reached.
-    Failed(Name),
+    SidecarUnreachable(Name),
     /// Records the start of an attempt at an endpoint, with its number of tokens.
-    Begin(Name, u64),
+    AttemptStarted(Name, u64),
     /// Records the end of an attempt at an endpoint, with the same number of tokens.
-    End(Name, u64),
+    AttemptEnded(Name, u64),
     /// Takes one retry from the retry budget; replies `false` if the budget is spent.
-    Retry(oneshot::Sender<bool>),
+    TakeRetry(oneshot::Sender<bool>),
     /// Replaces the configuration.
-    Config(Arc<Config>),
+    UpdateConfig(Arc<Config>),
     /// Replaces the VM list.
-    Vms(Vec<Vm>),
+    UpdateVms(Vec<Vm>),
     /// Lists the models that the workspace of a bearer key may use; takes the key's digest.
-    Models(String, oneshot::Sender<Result<Vec<Name>, Failure>>),
+    ListModels(String, oneshot::Sender<Result<Vec<Name>, Failure>>),
     /// Returns the state shown by `/v1/status`.
     Status(oneshot::Sender<Status>),
     /// Returns the endpoints shown by `/v1/endpoints`.
-    Endpoints(oneshot::Sender<Vec<Endpoint>>),
+    ListEndpoints(oneshot::Sender<Vec<Endpoint>>),
     /// Sets this entry's shares of the workspaces' rate limits, as assigned by the owners of the limits.
-    Shares(Vec<Share>),
+    SetShares(Vec<LimitShare>),
     /// Returns the demand of each limited workspace since the last call, and resets the counters.
-    Demands(oneshot::Sender<Vec<Demand>>),
+    TakeDemands(oneshot::Sender<Vec<WorkspaceDemand>>),
 }
 
 /// One entry's share of a workspace's rate limits.
 #[derive(Clone, Debug, PartialEq, Serialize, serde::Deserialize)]
-pub struct Share {
+pub struct LimitShare {
     /// Name of the workspace.
     pub workspace: Name,
     /// Requests per second allowed at this entry; `None` if the workspace has no such limit.
@@ -152,7 +152,7 @@
 
 /// Rates at which a workspace sent requests to one entry, refused requests included.
 #[derive(Clone, Debug, PartialEq, Serialize, serde::Deserialize)]
-pub struct Demand {
+pub struct WorkspaceDemand {
     /// Name of the workspace.
     pub workspace: Name,
     /// Requests per second.
--- a/sorrelpass/src/entry/gang.rs
+++ b/sorrelpass/src/entry/gang.rs
@@ -14,39 +14,39 @@
 use tokio::task::JoinHandle;
 
 use super::App;
-use super::kernel::Target;
+use super::event_loop::Target;
 use super::upstream;
 use crate::http;
 use crate::util;
 use crate::wire::{self, Fill, Filled, Held, Hold};
 
 /// Share of an engine's memory that a span may take; the rest is for other prompts and the output.
-const SPAN_SHARE: f64 = 0.85;
+const MAX_SPAN_SHARE: f64 = 0.85;
 /// Alignment of span ends, in bytes.
-const SPAN_ALIGN: usize = 64 * 1_024;
+const SPAN_ALIGN_BYTES: usize = 64 * 1_024;
 /// Duration of a span's lease.
-const LEASE: Duration = Duration::from_secs(2);
+const LEASE_DURATION: Duration = Duration::from_secs(2);
 /// Interval at which leases are renewed; also the timeout of a hold request.
-const RENEW: Duration = Duration::from_millis(500);
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest and longest delay before memory is requested again from a member that is full.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(500));
+const RETRY_DELAY_RANGE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(500));
 
 /// Header that gives the leader's engine the digest of the spans.
-pub const DIGEST_HEADER: &str = "x-span-digest";
+pub const SPAN_DIGEST_HEADER: &str = "x-span-digest";
 /// Header that gives the leader's engine the number of tokens in the spans.
-pub const TOKENS_HEADER: &str = "x-span-tokens";
+pub const SPAN_TOKENS_HEADER: &str = "x-span-tokens";
 
 /// Splits a prompt's text into spans for engines with a memory of `capacity` tokens.
-pub fn cut(text: &Bytes, bytes_per_token: f64, capacity: u64) -> Vec<Bytes> {
-    let most = (capacity as f64 * SPAN_SHARE * bytes_per_token) as usize;
-    let most = (most / SPAN_ALIGN * SPAN_ALIGN).max(SPAN_ALIGN);
-    let count = text.len().div_ceil(most).max(1);
+pub fn split_prompt(text: &Bytes, bytes_per_token: f64, capacity_tokens: u64) -> Vec<Bytes> {
+    let max_bytes = (capacity_tokens as f64 * MAX_SPAN_SHARE * bytes_per_token) as usize;
+    let max_bytes = (max_bytes / SPAN_ALIGN_BYTES * SPAN_ALIGN_BYTES).max(SPAN_ALIGN_BYTES);
+    let count = text.len().div_ceil(max_bytes).max(1);
     // Spans have equal size, since the member with the largest span limits the whole gang.
-    let even = text.len().div_ceil(count).div_ceil(SPAN_ALIGN) * SPAN_ALIGN;
+    let span_bytes = text.len().div_ceil(count).div_ceil(SPAN_ALIGN_BYTES) * SPAN_ALIGN_BYTES;
     let mut spans = Vec::new();
     let mut rest = text.clone();
-    while rest.len() > even {
-        spans.push(rest.split_to(even));
+    while rest.len() > span_bytes {
+        spans.push(rest.split_to(span_bytes));
     }
     spans.push(rest);
     spans
@@ -65,91 +65,91 @@
 
 /// Spans reserved at their members. Their leases are renewed until this value is dropped, which frees the
 /// spans.
-pub struct Spans {
+pub struct SpanLeases {
     app: App,
     members: Vec<Member>,
-    renewal: JoinHandle<()>,
+    renewal_task: JoinHandle<()>,
 }
 
 /// The member and the step at which a gang failed.
-pub struct Failed {
+pub struct GangError {
     /// Endpoint of the member.
     pub target: Target,
     /// Step that failed.
     pub step: &'static str,
 }
 
-impl Spans {
+impl SpanLeases {
     /// Reserves memory at all members, waiting up to `timeout` for members that are full.
-    pub async fn hold(app: &App, mut members: Vec<Member>, limit: Duration) -> Result<Self, Failed> {
+    pub async fn acquire(app: &App, mut members: Vec<Member>, timeout: Duration) -> Result<Self, GangError> {
         members.sort_by(|a, b| a.target.endpoint.cmp(&b.target.endpoint));
-        let deadline = util::now() + limit;
-        let renewal = tokio::spawn(renew(app.clone(), members.clone()));
+        let deadline = util::now() + timeout;
+        let renewal_task = tokio::spawn(renew_leases(app.clone(), members.clone()));
         // From here on, each return path drops `leases` and so frees the spans that are held.
-        let spans = Self { app: app.clone(), members, renewal };
-        for member in &spans.members {
-            let failed = |step| Failed { target: member.target.clone(), step };
+        let leases = Self { app: app.clone(), members, renewal_task };
+        for member in &leases.members {
+            let error = |step| GangError { target: member.target.clone(), step };
             loop {
-                match hold(app, member, false).await {
+                match request_hold(app, member, false).await {
                     Some(Held::Yes) => break,
-                    Some(Held::Wait(_)) if util::now() >= deadline => return Err(failed("wait-for-memory")),
+                    Some(Held::Wait(_)) if util::now() >= deadline => return Err(error("wait-for-memory")),
                     Some(Held::Wait(wait)) => {
-                        let wait = Duration::from_micros(wait).clamp(PAUSE.0, PAUSE.1);
+                        let wait = Duration::from_micros(wait).clamp(RETRY_DELAY_RANGE.0, RETRY_DELAY_RANGE.1);
                         tokio::time::sleep(util::jitter(wait)).await;
                     }
-                    Some(Held::No) => return Err(failed("hold-span")),
+                    Some(Held::No) => return Err(error("hold-span")),
                     None => {
-                        upstream::failed(app, &member.target);
-                        return Err(failed("reach-member"));
+                        upstream::report_unreachable(app, &member.target);
+                        return Err(error("reach-member"));
                     }
                 }
             }
         }
-        Ok(spans)
+        Ok(leases)
     }
 
     /// Prefills the spans in order, and returns the digest and the number of tokens of the whole prompt.
-    pub async fn fill(&self, texts: &[(Attempt, Bytes)]) -> Result<Filled, Failed> {
-        let mut all = Filled { tokens: 0, digest: 0 };
+    pub async fn prefill(&self, texts: &[(Attempt, Bytes)]) -> Result<Filled, GangError> {
+        let mut total = Filled { tokens: 0, digest: 0 };
         for (span, text) in texts {
             let Some(member) = self.members.iter().find(|member| member.span == *span) else { continue };
-            let failed = || Failed { target: member.target.clone(), step: "fill-span" };
-            let filled = fill(&self.app, member, all.digest, text).await.ok_or_else(failed)?;
-            all = Filled { tokens: all.tokens + filled.tokens, digest: filled.digest };
+            let error = || GangError { target: member.target.clone(), step: "fill-span" };
+            let filled = request_prefill(&self.app, member, total.digest, text).await.ok_or_else(error)?;
+            total = Filled { tokens: total.tokens + filled.tokens, digest: filled.digest };
         }
-        Ok(all)
+        Ok(total)
     }
 
     /// Frees all spans, as dropping does.
-    pub fn close(self) {
+    pub fn release(self) {
         drop(self);
     }
 }
 
-impl Drop for Spans {
+impl Drop for SpanLeases {
     fn drop(&mut self) {
-        self.renewal.abort();
+        self.renewal_task.abort();
         for member in self.members.drain(..) {
             let app = self.app.clone();
             tokio::spawn(async move {
                 let call = http::exchange(
-                    &app.caller,
+                    &app.client,
                     &member.target.address,
                     "POST",
                     wire::SPAN_FREE,
                     wire::encode(&member.span),
                 );
                 // If the request is lost, the span's lease expires.
-                let _ = tokio::time::timeout(LEASE, call).await;
+                let _ = tokio::time::timeout(LEASE_DURATION, call).await;
             });
         }
     }
 }
 
-async fn hold(app: &App, member: &Member, renew: bool) -> Option<Held> {
-    let hold = Hold { span: member.span, tokens: member.tokens, lease_micros: micros(LEASE), renew };
-    let call = http::exchange(&app.caller, &member.target.address, "POST", wire::SPAN_HOLD, wire::encode(&hold));
-    match tokio::time::timeout(RENEW, call).await {
+async fn request_hold(app: &App, member: &Member, renew: bool) -> Option<Held> {
+    let hold = Hold { span: member.span, tokens: member.tokens, lease_micros: micros(LEASE_DURATION), renew };
+    let call = http::exchange(&app.client, &member.target.address, "POST", wire::SPAN_HOLD, wire::encode(&hold));
+    match tokio::time::timeout(RENEW_INTERVAL, call).await {
         Ok(Ok((200, bytes))) => wire::decode(&bytes).ok(),
         _ => None,
     }
@@ -157,17 +157,17 @@
 
 /// Renews the leases of all members until the task is aborted. A member that does not hold its span yet
 /// refuses the renewal, which is harmless.
-async fn renew(app: App, members: Vec<Member>) {
+async fn renew_leases(app: App, members: Vec<Member>) {
     loop {
-        tokio::time::sleep(RENEW).await;
-        futures_util::future::join_all(members.iter().map(|member| hold(&app, member, true))).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
+        futures_util::future::join_all(members.iter().map(|member| request_hold(&app, member, true))).await;
     }
 }
 
-async fn fill(app: &App, member: &Member, digest: u64, text: &Bytes) -> Option<Filled> {
-    let head = wire::encode_delimited(&Fill { span: member.span, digest });
-    let sent = upstream::pieces(vec![head, text.clone()]);
-    let response = http::call(&app.caller, &member.target.address, "POST", wire::SPAN_FILL, sent).await.ok()?;
+async fn request_prefill(app: &App, member: &Member, digest: u64, text: &Bytes) -> Option<Filled> {
+    let header = wire::encode_delimited(&Fill { span: member.span, digest });
+    let body = upstream::body_from_pieces(vec![header, text.clone()]);
+    let response = http::call(&app.client, &member.target.address, "POST", wire::SPAN_FILL, body).await.ok()?;
     if !response.status().is_success() {
         return None;
     }
--- a/sorrelpass/src/entry/peer.rs
+++ b/sorrelpass/src/entry/peer.rs
@@ -17,18 +17,18 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{oneshot, watch};
 
-use super::kernel::{Demand, Share};
-use super::{Shared, claims, limits, log, members};
+use super::event_loop::{LimitShare, WorkspaceDemand};
+use super::{Shared, claims, config_log, limit_sharing, vm_list};
 use crate::warn_event;
 
 /// Maximum size of a message; a snapshot of tens of thousands of workspaces fits.
-const MAX_MESSAGE: u32 = 64 * 1_024 * 1_024;
+const MAX_MESSAGE_BYTES: u32 = 64 * 1_024 * 1_024;
 /// Base timeout of a call to a peer.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Configuration of one endpoint, as sent to its sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Brief {
+pub struct EndpointConfig {
     /// Revision of the configuration that it is taken from.
     pub revision: u64,
     /// Whether an operator has drained the endpoint.
@@ -41,7 +41,7 @@
 
 /// State that a sidecar already has when it requests its [`EndpointConfig`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownConfig {
     /// Name of the endpoint.
     pub endpoint: Name,
     /// Newest revision received.
@@ -56,7 +56,7 @@
 }
 
 /// Returns a digest of a list of entry addresses; it depends on their order.
-pub fn digest(entries: &[Name]) -> u64 {
+pub fn entries_digest(entries: &[Name]) -> u64 {
     entries.iter().fold(0, |digest, entry| xxhash_rust::xxh3::xxh3_64_with_seed(entry.as_bytes(), digest))
 }
 
@@ -66,7 +66,7 @@
     /// Returns the configuration of an endpoint. Waits up to `wait_ms` for it to differ from the state that
     /// the sidecar has.
     #[method(name = "brief")]
-    async fn brief(&self, known: Known, wait_ms: u64) -> RpcResult<Brief>;
+    async fn endpoint_config(&self, known: KnownConfig, wait_ms: u64) -> RpcResult<EndpointConfig>;
 
     /// Returns a snapshot of the replayed configuration if its next offset is above `next`.
     #[method(name = "snapshot")]
@@ -82,50 +82,50 @@
 
     /// Records the demand of an entry and returns its shares of the rate limits that this entry owns.
     #[method(name = "report")]
-    async fn report(&self, entry: Name, demands: Vec<Demand>) -> RpcResult<Vec<Share>>;
+    async fn report_demand(&self, entry: Name, demands: Vec<WorkspaceDemand>) -> RpcResult<Vec<LimitShare>>;
 }
 
-struct Answers(Arc<Shared>);
+struct RpcHandlers(Arc<Shared>);
 
 #[async_trait]
-impl PeerServer for Answers {
-    async fn brief(&self, known: Known, wait_ms: u64) -> RpcResult<Brief> {
-        let Known { endpoint, revision, drained, order, entries: known_entries } = known;
+impl PeerServer for RpcHandlers {
+    async fn endpoint_config(&self, known: KnownConfig, wait_ms: u64) -> RpcResult<EndpointConfig> {
+        let KnownConfig { endpoint, revision, drained, order, entries: known_entries } = known;
         let (mut config, mut orders) = (self.0.config.clone(), self.0.orders.clone());
-        let news = async {
+        let change = async {
             tokio::select! {
                 _ = config.wait_for(|config| config.drained.contains(&endpoint) != drained || revision == 0) => {}
                 _ = orders.wait_for(|orders| orders.get(&endpoint).map(|order| order.offset) != order) => {}
             }
         };
-        let _ = tokio::time::timeout(Duration::from_millis(wait_ms), news).await;
+        let _ = tokio::time::timeout(Duration::from_millis(wait_ms), change).await;
         let config = self.0.config.borrow().clone();
         let order = self.0.orders.borrow().get(&endpoint).cloned();
-        let mut entries = members::entries(&self.0.vms.borrow());
+        let mut entries = vm_list::entry_addresses(&self.0.vms.borrow());
         entries.sort_unstable();
-        let entries = Some(entries).filter(|entries| digest(entries) != known_entries);
-        Ok(Brief { revision: config.revision, drained: config.drained.contains(&endpoint), entries, order })
+        let entries = Some(entries).filter(|entries| entries_digest(entries) != known_entries);
+        Ok(EndpointConfig { revision: config.revision, drained: config.drained.contains(&endpoint), entries, order })
     }
 
     async fn snapshot(&self, next: u64) -> RpcResult<Option<Snapshot>> {
         let (reply, answer) = oneshot::channel();
-        if self.0.log.send(log::Command::Snapshot(next, reply)).await.is_err() {
+        if self.0.log.send(config_log::Command::Snapshot(next, reply)).await.is_err() {
             return Ok(None);
         }
         Ok(answer.await.unwrap_or_default())
     }
 
     async fn binding(&self, key: Key) -> RpcResult<Option<Binding>> {
-        let unread = || jsonrpsee::types::ErrorObjectOwned::owned(1, "the claims have not been read", None::<()>);
-        claims::lookup_here(&self.0, key).await.ok_or_else(unread)
+        let not_replayed = || jsonrpsee::types::ErrorObjectOwned::owned(1, "the claims have not been read", None::<()>);
+        claims::lookup_local(&self.0, key).await.ok_or_else(not_replayed)
     }
 
     async fn claim(&self, key: Key, binding: Binding) -> RpcResult<Option<Binding>> {
-        Ok(claims::claim_here(&self.0, key, binding).await)
+        Ok(claims::claim_local(&self.0, key, binding).await)
     }
 
-    async fn report(&self, entry: Name, demands: Vec<Demand>) -> RpcResult<Vec<Share>> {
-        Ok(limits::report(&self.0, &entry, demands))
+    async fn report_demand(&self, entry: Name, demands: Vec<WorkspaceDemand>) -> RpcResult<Vec<LimitShare>> {
+        Ok(limit_sharing::record_report(&self.0, &entry, demands))
     }
 }
 
@@ -133,8 +133,8 @@
 pub async fn serve(shared: Arc<Shared>, mut closed: watch::Receiver<bool>) {
     let address = shared.settings.peer_listen;
     let config = jsonrpsee::server::ServerConfig::builder()
-        .max_response_body_size(MAX_MESSAGE)
-        .max_request_body_size(MAX_MESSAGE)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
         .max_connections(20_000)
         .build();
     let server = match Server::builder().set_config(config).build(address).await {
@@ -144,7 +144,7 @@
             return;
         }
     };
-    let handle = server.start(Answers(shared).into_rpc());
+    let handle = server.start(RpcHandlers(shared).into_rpc());
     let _ = closed.wait_for(|closed| *closed).await;
     let _ = handle.stop();
 }
@@ -158,7 +158,7 @@
         return Ok(client);
     }
     let client = HttpClientBuilder::new()
-        .max_response_size(MAX_MESSAGE)
+        .max_response_size(MAX_MESSAGE_BYTES)
         .request_timeout(Duration::from_secs(60))
         .build(format!("http://{peer}"))
         .map_err(|error| eyre!("step=peer-client peer={peer}: {error}"))?;
@@ -166,44 +166,44 @@
     Ok(client)
 }
 
-async fn timed<T, E: std::fmt::Display>(
+async fn with_timeout<T, E: std::fmt::Display>(
     peer: &Name,
-    limit: Duration,
+    timeout: Duration,
     call: impl Future<Output = Result<T, E>>,
 ) -> Result<T> {
-    match tokio::time::timeout(limit, call).await {
+    match tokio::time::timeout(timeout, call).await {
         Ok(result) => result.map_err(|error| eyre!("step=ask-peer peer={peer}: {error}")),
-        Err(_) => Err(eyre!("step=ask-peer peer={peer}: no answer within {} ms", limit.as_millis())),
+        Err(_) => Err(eyre!("step=ask-peer peer={peer}: no answer within {} ms", timeout.as_millis())),
     }
 }
 
 /// Requests the configuration of an endpoint from an entry, waiting up to `wait` for a change.
-pub async fn brief(peer: &Name, known: Known, wait: Duration) -> Result<Brief> {
+pub async fn fetch_endpoint_config(peer: &Name, known: KnownConfig, wait: Duration) -> Result<EndpointConfig> {
     let client = client(peer)?;
     let wait_ms = crate::util::millis_up(wait);
-    timed(peer, wait + TIMEOUT, PeerClient::brief(&client, known, wait_ms)).await
+    with_timeout(peer, wait + CALL_TIMEOUT, PeerClient::endpoint_config(&client, known, wait_ms)).await
 }
 
 /// Requests a snapshot from an entry; `None` if its next offset is not above `next`.
-pub async fn snapshot(peer: &Name, next: u64) -> Result<Option<Snapshot>> {
+pub async fn fetch_snapshot(peer: &Name, next: u64) -> Result<Option<Snapshot>> {
     let client = client(peer)?;
-    timed(peer, 5 * TIMEOUT, PeerClient::snapshot(&client, next)).await
+    with_timeout(peer, 5 * CALL_TIMEOUT, PeerClient::snapshot(&client, next)).await
 }
 
 /// Asks an entry for the binding of an idempotency key.
-pub async fn binding(peer: &Name, key: &Key) -> Result<Option<Binding>> {
+pub async fn fetch_binding(peer: &Name, key: &Key) -> Result<Option<Binding>> {
     let client = client(peer)?;
-    timed(peer, TIMEOUT / 2, PeerClient::binding(&client, key.clone())).await
+    with_timeout(peer, CALL_TIMEOUT / 2, PeerClient::binding(&client, key.clone())).await
 }
 
 /// Asks the writer of a partition to bind an idempotency key; `None` if the log is unavailable.
-pub async fn claim(peer: &Name, key: &Key, binding: &Binding) -> Result<Option<Binding>> {
+pub async fn request_claim(peer: &Name, key: &Key, binding: &Binding) -> Result<Option<Binding>> {
     let client = client(peer)?;
-    timed(peer, 2 * TIMEOUT, PeerClient::claim(&client, key.clone(), binding.clone())).await
+    with_timeout(peer, 2 * CALL_TIMEOUT, PeerClient::claim(&client, key.clone(), binding.clone())).await
 }
 
 /// Reports demand to the owner of rate limits and returns this entry's shares.
-pub async fn report(peer: &Name, entry: &Name, demands: &[Demand]) -> Result<Vec<Share>> {
+pub async fn report_demand(peer: &Name, entry: &Name, demands: &[WorkspaceDemand]) -> Result<Vec<LimitShare>> {
     let client = client(peer)?;
-    timed(peer, TIMEOUT, PeerClient::report(&client, entry.clone(), demands.to_vec())).await
+    with_timeout(peer, CALL_TIMEOUT, PeerClient::report_demand(&client, entry.clone(), demands.to_vec())).await
 }
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -9,79 +9,79 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use super::prompt::{Form, Prompt};
-use super::upstream::Part;
+use super::prompt::{ApiFormat, Prompt};
+use super::upstream::AnswerPart;
 use crate::failure::Failure;
 use crate::util;
 use crate::wire::Usage;
 
 /// Header that carries the request id.
-pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 
 /// Stream of the parts of an answer.
-pub type Parts = mpsc::Receiver<Result<Part, Failure>>;
+pub type AnswerParts = mpsc::Receiver<Result<AnswerPart, Failure>>;
 
 /// Adds the request id to a response.
-pub fn with_id(id: &Name, answer: impl IntoResponse) -> Response {
+pub fn with_request_id(id: &Name, answer: impl IntoResponse) -> Response {
     let mut response = answer.into_response();
     if let Ok(value) = HeaderValue::from_str(id) {
-        response.headers_mut().insert(REQUEST_ID, value);
+        response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
     response
 }
 
-fn broken_off() -> Failure {
+fn entry_stopped() -> Failure {
     Failure::new(StatusCode::BAD_GATEWAY, "stopping", "the entry stopped").ran(Ran::Unknown)
 }
 
 /// Encodes the chunks of one answer; `prefix` precedes the choices of each chunk.
-struct Chunk {
-    before: String,
+struct ChunkEncoder {
+    prefix: String,
     id: String,
-    form: Form,
+    format: ApiFormat,
     model: Name,
     created: u64,
     include_usage: bool,
 }
 
-impl Chunk {
+impl ChunkEncoder {
     fn new(id: &Name, prompt: &Prompt) -> Self {
-        let object = if prompt.form == Form::Chat { "chat.completion.chunk" } else { "text_completion" };
-        let id = answer_id(id, prompt.form);
+        let object = if prompt.format == ApiFormat::Chat { "chat.completion.chunk" } else { "text_completion" };
+        let id = completion_id(id, prompt.format);
         let created = util::wall().as_micros() / 1_000_000;
         let model = Value::from(&*prompt.model);
-        let before = format!(
+        let prefix = format!(
             "data: {{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":{created},\"model\":{model},\"choices\":"
         );
         Self {
-            before,
+            prefix,
             id,
-            form: prompt.form,
+            format: prompt.format,
             model: prompt.model.clone(),
             created,
             include_usage: prompt.include_usage,
         }
     }
 
-    fn choices(&self, raw: &[u8]) -> Bytes {
-        Bytes::from([self.before.as_bytes(), raw, b"}\n\n"].concat())
+    fn encode_choices(&self, raw: &[u8]) -> Bytes {
+        Bytes::from([self.prefix.as_bytes(), raw, b"}\n\n"].concat())
     }
 
-    fn end(&self, usage: Usage) -> Bytes {
+    fn encode_end(&self, usage: Usage) -> Bytes {
         let mut out = Vec::new();
         if self.include_usage {
             let usage = usage_json(usage);
-            out.extend_from_slice(format!("{}[],\"usage\":{usage}}}\n\n", self.before).as_bytes());
+            out.extend_from_slice(format!("{}[],\"usage\":{usage}}}\n\n", self.prefix).as_bytes());
         }
         out.extend_from_slice(b"data: [DONE]\n\n");
         Bytes::from(out)
     }
 }
 
-fn answer_id(id: &Name, form: Form) -> String {
-    match form {
-        Form::Chat => format!("chatcmpl-{id}"),
-        Form::Text => format!("cmpl-{id}"),
+fn completion_id(id: &Name, format: ApiFormat) -> String {
+    match format {
+        ApiFormat::Chat => format!("chatcmpl-{id}"),
+        ApiFormat::Text => format!("cmpl-{id}"),
     }
 }
 
@@ -94,55 +94,59 @@
 }
 
 /// Builds the response to a prompt, once the first part of the answer has arrived.
-pub async fn prompt(id: &Name, prompt: &Prompt, mut parts: Parts) -> Result<Response, Failure> {
-    let first = parts.recv().await.unwrap_or_else(|| Err(broken_off()))?;
-    let chunk = Chunk::new(id, prompt);
+pub async fn prompt_response(id: &Name, prompt: &Prompt, mut parts: AnswerParts) -> Result<Response, Failure> {
+    let first = parts.recv().await.unwrap_or_else(|| Err(entry_stopped()))?;
+    let encoder = ChunkEncoder::new(id, prompt);
     if !prompt.stream {
-        return whole(&chunk, first, parts).await;
+        return collect_answer(&encoder, first, parts).await;
     }
-    let events = stream::unfold(Some((chunk, Some(first), parts)), |state| async move {
-        let (chunk, first, mut parts) = state?;
+    let events = stream::unfold(Some((encoder, Some(first), parts)), |state| async move {
+        let (encoder, first, mut parts) = state?;
         let part = match first {
             Some(part) => Ok(part),
-            None => parts.recv().await.unwrap_or_else(|| Err(broken_off())),
+            None => parts.recv().await.unwrap_or_else(|| Err(entry_stopped())),
         };
-        let (bytes, last) = event(&chunk, part);
-        let next = if last { None } else { Some((chunk, None, parts)) };
-        Some((Ok::<Bytes, std::convert::Infallible>(bytes), next))
+        let (bytes, is_last) = encode_part(&encoder, part);
+        let next_state = if is_last { None } else { Some((encoder, None, parts)) };
+        Some((Ok::<Bytes, std::convert::Infallible>(bytes), next_state))
     });
     let headers = [(header::CONTENT_TYPE, "text/event-stream"), (header::CACHE_CONTROL, "no-cache")];
     Ok((headers, Body::from_stream(events)).into_response())
 }
 
 /// Encodes a part as server-sent events; the flag tells whether it is the last part.
-fn event(chunk: &Chunk, part: Result<Part, Failure>) -> (Bytes, bool) {
+fn encode_part(encoder: &ChunkEncoder, part: Result<AnswerPart, Failure>) -> (Bytes, bool) {
     match part {
-        Ok(Part::Piece { bytes, .. }) => (chunk.choices(&bytes), false),
-        Ok(Part::End { usage, .. }) => (chunk.end(usage), true),
-        Ok(Part::Started | Part::Head { .. }) => (Bytes::new(), false),
+        Ok(AnswerPart::Piece { bytes, .. }) => (encoder.encode_choices(&bytes), false),
+        Ok(AnswerPart::End { usage, .. }) => (encoder.encode_end(usage), true),
+        Ok(AnswerPart::Started | AnswerPart::Head { .. }) => (Bytes::new(), false),
         Err(failure) => (Bytes::from(format!("data: {}\n\n", failure.ran(Ran::Partial).body())), true),
     }
 }
 
 /// Collects the complete answer into one JSON body.
-async fn whole(chunk: &Chunk, first: Part, mut parts: Parts) -> Result<Response, Failure> {
-    let mut message = Message::default();
+async fn collect_answer(
+    encoder: &ChunkEncoder,
+    first: AnswerPart,
+    mut parts: AnswerParts,
+) -> Result<Response, Failure> {
+    let mut message = AnswerMessage::default();
     let mut part = first;
     let usage = loop {
         match part {
-            Part::Piece { bytes, .. } => message.add(&bytes),
-            Part::End { usage, .. } => break usage,
-            Part::Started | Part::Head { .. } => {}
+            AnswerPart::Piece { bytes, .. } => message.add_piece(&bytes),
+            AnswerPart::End { usage, .. } => break usage,
+            AnswerPart::Started | AnswerPart::Head { .. } => {}
         }
-        part = parts.recv().await.unwrap_or_else(|| Err(broken_off()))?;
+        part = parts.recv().await.unwrap_or_else(|| Err(entry_stopped()))?;
     };
-    let object = if chunk.form == Form::Chat { "chat.completion" } else { "text_completion" };
+    let object = if encoder.format == ApiFormat::Chat { "chat.completion" } else { "text_completion" };
     let body = json!({
-        "id": chunk.id,
+        "id": encoder.id,
         "object": object,
-        "created": chunk.created,
-        "model": &*chunk.model,
-        "choices": [message.choice(chunk.form)],
+        "created": encoder.created,
+        "model": &*encoder.model,
+        "choices": [message.into_choice(encoder.format)],
         "usage": usage_json(usage),
     });
     Ok(axum::Json(body).into_response())
@@ -150,88 +154,88 @@
 
 /// The message of a complete answer, merged from its pieces.
 #[derive(Default)]
-struct Message {
+struct AnswerMessage {
     content: String,
     tool_calls: Vec<Value>,
-    finish: Value,
+    finish_reason: Value,
 }
 
-impl Message {
-    fn add(&mut self, choices: &[u8]) {
+impl AnswerMessage {
+    fn add_piece(&mut self, choices: &[u8]) {
         let Ok(mut choices) = serde_json::from_slice::<Vec<Value>>(choices) else { return };
         let Some(choice) = choices.first_mut() else { return };
         for text in [&choice["delta"]["content"], &choice["text"]] {
             self.content.push_str(text.as_str().unwrap_or_default());
         }
         if let Some(calls) = choice["delta"]["tool_calls"].as_array() {
-            calls.iter().for_each(|call| self.add_call(call));
+            calls.iter().for_each(|call| self.add_tool_call(call));
         }
         if choice["finish_reason"].is_string() {
-            self.finish = choice["finish_reason"].take();
+            self.finish_reason = choice["finish_reason"].take();
         }
     }
 
-    fn add_call(&mut self, call: &Value) {
+    fn add_tool_call(&mut self, call: &Value) {
         let index = call["index"].as_u64().unwrap_or(0) as usize;
         // An index with a gap before it is an error of the engine and must not cause an allocation.
         if index > self.tool_calls.len() {
             return;
         }
         if index == self.tool_calls.len() {
-            let mut fresh = call.clone();
-            if let Some(fields) = fresh.as_object_mut() {
+            let mut new_call = call.clone();
+            if let Some(fields) = new_call.as_object_mut() {
                 fields.remove("index");
             }
-            self.tool_calls.push(fresh);
+            self.tool_calls.push(new_call);
             return;
         }
-        let more = call["function"]["arguments"].as_str().unwrap_or_default();
+        let added_arguments = call["function"]["arguments"].as_str().unwrap_or_default();
         let arguments = &mut self.tool_calls[index]["function"]["arguments"];
-        let joined = format!("{}{more}", arguments.as_str().unwrap_or_default());
+        let joined = format!("{}{added_arguments}", arguments.as_str().unwrap_or_default());
         *arguments = Value::from(joined);
     }
 
-    fn choice(self, form: Form) -> Value {
-        if form == Form::Text {
-            return json!({ "index": 0, "text": self.content, "logprobs": null, "finish_reason": self.finish });
+    fn into_choice(self, format: ApiFormat) -> Value {
+        if format == ApiFormat::Text {
+            return json!({ "index": 0, "text": self.content, "logprobs": null, "finish_reason": self.finish_reason });
         }
         let mut message = json!({ "role": "assistant", "content": self.content });
         if !self.tool_calls.is_empty() {
             message["tool_calls"] = Value::from(self.tool_calls);
         }
-        json!({ "index": 0, "message": message, "logprobs": null, "finish_reason": self.finish })
+        json!({ "index": 0, "message": message, "logprobs": null, "finish_reason": self.finish_reason })
     }
 }
 
 /// Error that ends a response body which cannot be completed, so that the connection closes and the caller
 /// notices.
 #[derive(Debug)]
-struct BrokenOff(Failure);
+struct BodyAborted(Failure);
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0.message)
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for BodyAborted {}
 
 /// Builds the response to a call to a plain service.
-pub async fn call(mut parts: Parts) -> Result<Response, Failure> {
+pub async fn service_response(mut parts: AnswerParts) -> Result<Response, Failure> {
     let (status, headers) = loop {
-        match parts.recv().await.unwrap_or_else(|| Err(broken_off()))? {
-            Part::Head { status, headers } => break (status, headers),
-            Part::Started => {}
-            Part::Piece { .. } | Part::End { .. } => return Err(broken_off()),
+        match parts.recv().await.unwrap_or_else(|| Err(entry_stopped()))? {
+            AnswerPart::Head { status, headers } => break (status, headers),
+            AnswerPart::Started => {}
+            AnswerPart::Piece { .. } | AnswerPart::End { .. } => return Err(entry_stopped()),
         }
     };
     let body = stream::unfold(Some(parts), |state| async move {
         let mut parts = state?;
-        match parts.recv().await.unwrap_or_else(|| Err(broken_off())) {
-            Ok(Part::Piece { bytes, .. }) => Some((Ok(bytes), Some(parts))),
-            Ok(Part::End { .. }) => None,
-            Ok(Part::Started | Part::Head { .. }) => Some((Ok(Bytes::new()), Some(parts))),
-            Err(failure) => Some((Err(BrokenOff(failure)), None)),
+        match parts.recv().await.unwrap_or_else(|| Err(entry_stopped())) {
+            Ok(AnswerPart::Piece { bytes, .. }) => Some((Ok(bytes), Some(parts))),
+            Ok(AnswerPart::End { .. }) => None,
+            Ok(AnswerPart::Started | AnswerPart::Head { .. }) => Some((Ok(Bytes::new()), Some(parts))),
+            Err(failure) => Some((Err(BodyAborted(failure)), None)),
         }
     });
     let mut response = Response::new(Body::from_stream(body));
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -1,7 +1,7 @@
 //! Execution of one request: quotes, attempts, retries, resumption and the deadline.
 
-mod ending;
-mod ganged;
+mod failures;
+mod gang_attempt;
 
 use std::time::Duration;
 
@@ -14,38 +14,41 @@
 use coord::time::{Moment, micros};
 use tokio::sync::mpsc;
 
-use self::ending::{CALLER, LOST, PLAIN_RETRY, UNKNOWN, lost, outcome_unknown, rejected, stopping};
+use self::failures::{
+    CALLER_STEP, DEFAULT_RETRY_AFTER, LOST_CODE, UNKNOWN_CODE, attempt_lost, entry_stopping, outcome_unknown,
+    rejected_by_endpoint,
+};
 use super::App;
-use super::budget::Share;
 use super::claims;
+use super::event_loop::{AdmittedRequest, Command, Target, TargetQuery};
 use super::gang;
-use super::kernel::{Admitted, Command, Search, Target};
-use super::upstream::{self, Broken, Part, Upstream};
+use super::memory_budget::Reservation;
+use super::upstream::{self, AnswerPart, AttemptError, FrameStream};
 use crate::failure::Failure;
 use crate::wire::{Ask, Call, Filled, Open, Refused, Usage};
 use crate::{event, metric, util};
 
 /// Maximum number of candidate selections per request.
-const MOST_ROUNDS: u32 = 4;
+const MAX_ROUNDS: u32 = 4;
 /// Maximum number of attempts per request.
-const MOST_ATTEMPTS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 /// Delay between attempts at the sidecar that a key is bound to.
-const BOUND_PAUSE: Duration = Duration::from_millis(50);
+const BOUND_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Clock skew between an entry and a sidecar: with less time left than this, a lost attempt counts as past
 /// its deadline.
-const CLOCK_SLACK: Duration = Duration::from_millis(20);
+const MAX_CLOCK_SKEW: Duration = Duration::from_millis(20);
 
 /// How often a request may run, and what ensures it.
 #[derive(Clone, Debug)]
-pub enum Once {
+pub enum RunPolicy {
     /// The request may run any number of times.
     Repeatable,
     /// At most once, under a generated key that is bound to the first sidecar that accepts it.
-    Own,
+    OnceInternalKey,
     /// At most once, under the caller's idempotency key, which is claimed on the log.
-    Claimed(Key),
+    OnceClaimedKey(Key),
     /// At most once, under a ticket that names the sidecar incarnation.
-    Ticket(Key, Binding),
+    OnceTicket(Key, Binding),
 }
 
 /// An admitted request to be run.
@@ -53,83 +56,83 @@
     /// Request id.
     pub id: Name,
     /// Result of admission.
-    pub admitted: Admitted,
+    pub admitted: AdmittedRequest,
     /// HTTP call to make at the endpoint.
     pub call: Call,
     /// Request body, in pieces.
     pub body: Vec<Bytes>,
     /// The prompt in the form that a gang of engines needs; `None` for a plain call.
-    pub long: Option<Long>,
+    pub gang_prompt: Option<GangPrompt>,
     /// Hash chain over the prompt's prefixes.
     pub chain: Chain,
     /// Maximum number of output tokens.
     pub output_tokens: u64,
     /// How often the request may run.
-    pub once: Once,
+    pub run_policy: RunPolicy,
     /// Time by which the answer must be complete.
     pub deadline: Moment,
     /// Receives the parts of the answer.
-    pub parts: mpsc::Sender<Result<Part, Failure>>,
+    pub parts: mpsc::Sender<Result<AnswerPart, Failure>>,
     /// Memory reservation of the body, released together with the request.
-    pub _budget: Share,
+    pub _reservation: Reservation,
 }
 
 /// A prompt that can be divided among a gang of engines.
 #[derive(Clone)]
-pub struct Long {
+pub struct GangPrompt {
     /// Prompt text, as raw JSON.
     pub text: Bytes,
     /// Request body with an empty prompt text.
-    pub shell: Vec<Bytes>,
+    pub body_without_text: Vec<Bytes>,
 }
 
 /// How a request continues after an attempt.
-enum Next {
+enum AttemptOutcome {
     /// The request is finished: the caller has the complete answer.
-    Over,
+    Finished,
     /// The request may be tried on another endpoint.
-    Again,
+    TryAnother,
     /// The request fails.
     Fail(Failure),
 }
 
-struct Route<'a> {
+struct RequestTask<'a> {
     app: &'a App,
     request: Request,
     tried: Vec<Name>,
     attempts: u32,
     /// Number of output tokens that were sent to the caller.
-    passed_tokens: u64,
+    sent_tokens: u64,
     /// Whether any part of the answer was sent to the caller.
-    begun: bool,
+    is_answer_started: bool,
     retry_after: Option<Duration>,
-    reason: Option<Refused>,
+    last_refusal: Option<Refused>,
     /// Largest engine memory reported in a quote, in tokens.
-    capacity: u64,
+    max_capacity_tokens: u64,
     /// Digest and token count of the prompt's spans, once a gang has prefilled them.
     spans: Option<Filled>,
-    started: Moment,
+    started_at: Moment,
 }
 
 /// Runs a request. The last item sent to the caller is the end of the answer or a failure.
 pub async fn run(app: App, request: Request) {
     let id = request.id.clone();
     let parts = request.parts.clone();
-    let mut route = Route {
+    let mut task = RequestTask {
         app: &app,
         request,
         tried: Vec::new(),
         attempts: 0,
-        passed_tokens: 0,
-        begun: false,
+        sent_tokens: 0,
+        is_answer_started: false,
         retry_after: None,
-        reason: None,
-        capacity: 0,
+        last_refusal: None,
+        max_capacity_tokens: 0,
         spans: None,
-        started: util::now(),
+        started_at: util::now(),
     };
     let outcome = tokio::select! {
-        outcome = route.run() => outcome,
+        outcome = task.run() => outcome,
         () = parts.closed() => {
             event!("caller-gone", request = %id);
             metric::request("caller_gone");
@@ -138,7 +141,7 @@
     };
     match outcome {
         Ok(()) => {
-            event!("done", request = %id, tokens = route.passed_tokens);
+            event!("done", request = %id, tokens = task.sent_tokens);
             metric::request("ok");
         }
         Err(failure) => {
@@ -149,47 +152,47 @@
     }
 }
 
-impl Route<'_> {
+impl RequestTask<'_> {
     async fn run(&mut self) -> Result<(), Failure> {
-        match self.request.once.clone() {
-            Once::Repeatable => self.anywhere(None).await,
-            Once::Own => {
+        match self.request.run_policy.clone() {
+            RunPolicy::Repeatable => self.run_on_any_endpoint(None).await,
+            RunPolicy::OnceInternalKey => {
                 // The request id cannot serve as key: callers may choose it, and reuse it for another call.
-                let own = Name::from(util::attempt().to_string());
-                let key = Key { workspace: self.request.admitted.workspace.name.clone(), key: own };
-                self.anywhere(Some(key)).await
+                let generated = Name::from(util::attempt().to_string());
+                let key = Key { workspace: self.request.admitted.workspace.name.clone(), key: generated };
+                self.run_on_any_endpoint(Some(key)).await
             }
-            Once::Claimed(key) => {
+            RunPolicy::OnceClaimedKey(key) => {
                 // Nothing has been sent yet, but an earlier call under the same key may have run.
-                let Ok(claimed) = tokio::time::timeout(self.left(), self.claim(&key)).await else {
-                    return Err(self.timed_out(Ran::Unknown));
+                let Ok(claimed) = tokio::time::timeout(self.time_left(), self.claim_key(&key)).await else {
+                    return Err(self.deadline_failure(Ran::Unknown));
                 };
                 let binding = claimed?;
-                self.bound(key, binding).await
+                self.run_on_bound_sidecar(key, binding).await
             }
-            Once::Ticket(key, binding) => self.bound(key, binding).await,
+            RunPolicy::OnceTicket(key, binding) => self.run_on_bound_sidecar(key, binding).await,
         }
     }
 
     /// Returns the time left for attempts, which excludes the reserve for voiding.
-    fn left(&self) -> Duration {
-        upstream::left(self.request.deadline).saturating_sub(self.reserve())
+    fn time_left(&self) -> Duration {
+        upstream::time_left(self.request.deadline).saturating_sub(self.void_reserve())
     }
 
-    fn reserve(&self) -> Duration {
-        let whole = self.request.deadline.since(self.started);
-        self.app.shared.settings.void_reserve.min(whole / 10)
+    fn void_reserve(&self) -> Duration {
+        let allowed = self.request.deadline.since(self.started_at);
+        self.app.shared.settings.void_reserve.min(allowed / 10)
     }
 
-    fn ask(&self) -> Ask {
+    fn quote_request(&self) -> Ask {
         let admitted = &self.request.admitted;
         Ask {
             workspace: admitted.workspace.name.clone(),
             weight: admitted.workspace.weight,
-            prompt_tokens: if self.spans.is_some() { 0 } else { admitted.prompt_tokens } + self.passed_tokens,
-            output_tokens: self.request.output_tokens.saturating_sub(self.passed_tokens),
+            prompt_tokens: if self.spans.is_some() { 0 } else { admitted.prompt_tokens } + self.sent_tokens,
+            output_tokens: self.request.output_tokens.saturating_sub(self.sent_tokens),
             priority: admitted.priority,
-            left_micros: micros(self.left()),
+            left_micros: micros(self.time_left()),
             bytes_per_token: admitted.bytes_per_token,
             chain: self.request.chain.clone(),
         }
@@ -197,32 +200,36 @@
 
     /// Selects new candidates, best first. The incarnation is `None` for candidates that were not asked for
     /// a quote.
-    async fn search(&mut self, must_ask: bool) -> Result<Vec<(Target, Option<Incarnation>)>, Failure> {
+    async fn select_candidates(
+        &mut self,
+        needs_incarnation: bool,
+    ) -> Result<Vec<(Target, Option<Incarnation>)>, Failure> {
         let admitted = &self.request.admitted;
-        let search = Search {
+        let query = TargetQuery {
             service: admitted.service.clone(),
             domains: admitted.domains.clone(),
-            hash: self.request.chain.head(),
-            exclude: self.tried.clone(),
+            prefix_hash: self.request.chain.head(),
+            excluded: self.tried.clone(),
         };
-        let found = self.app.shared.ask(|reply| Command::Find(search, reply)).await.map_err(stopping)?;
-        if !found.asks && !must_ask {
+        let found = self.app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(entry_stopping)?;
+        if !found.needs_quotes && !needs_incarnation {
             return Ok(found.targets.into_iter().map(|target| (target, None)).collect());
         }
         let names: Vec<Name> = found.targets.iter().map(|target| target.endpoint.clone()).collect();
-        let asked = upstream::quotes(self.app, found.targets, &self.ask()).await;
-        self.tried.extend(names.into_iter().filter(|name| !asked.iter().any(|asked| asked.target.endpoint == *name)));
-        let mut open = Vec::new();
-        for asked in asked {
-            self.capacity = self.capacity.max(asked.offer.quote.capacity_tokens);
-            if asked.offer.quote.open {
-                open.push((asked.target, Some(asked.incarnation)));
+        let quoted = upstream::request_quotes(self.app, found.targets, &self.quote_request()).await;
+        self.tried
+            .extend(names.into_iter().filter(|name| !quoted.iter().any(|quoted| quoted.target.endpoint == *name)));
+        let mut candidates = Vec::new();
+        for quoted in quoted {
+            self.max_capacity_tokens = self.max_capacity_tokens.max(quoted.offer.quote.capacity_tokens);
+            if quoted.offer.quote.open {
+                candidates.push((quoted.target, Some(quoted.incarnation)));
                 continue;
             }
-            self.tried.push(asked.target.endpoint);
-            self.note_retry_after(asked.offer.quote.retry_after);
+            self.tried.push(quoted.target.endpoint);
+            self.note_retry_after(quoted.offer.quote.retry_after);
         }
-        Ok(open)
+        Ok(candidates)
     }
 
     fn note_retry_after(&mut self, wait: Duration) {
@@ -232,15 +239,15 @@
     }
 
     /// Tries endpoints until one gives a complete answer.
-    async fn anywhere(&mut self, once: Option<Key>) -> Result<(), Failure> {
-        for _ in 0..MOST_ROUNDS {
-            let targets = self.search(once.is_some()).await?;
+    async fn run_on_any_endpoint(&mut self, once: Option<Key>) -> Result<(), Failure> {
+        for _ in 0..MAX_ROUNDS {
+            let targets = self.select_candidates(once.is_some()).await?;
             if self.exceeds_one_engine() {
-                return self.ganged().await;
+                return self.run_on_gang().await;
             }
             for (target, incarnation) in targets {
-                if self.left().is_zero() {
-                    return Err(self.timed_out(Ran::No));
+                if self.time_left().is_zero() {
+                    return Err(self.deadline_failure(Ran::No));
                 }
                 self.tried.push(target.endpoint.clone());
                 // A call that may run at most once is retried only at the sidecar that may have accepted
@@ -248,56 +255,58 @@
                 let next = match (&once, incarnation) {
                     (Some(key), Some(incarnation)) => {
                         let binding = Binding { endpoint: target.endpoint.clone(), incarnation };
-                        self.bound_once(key, &target, &binding).await
+                        self.run_once_on_sidecar(key, &target, &binding).await
                     }
                     _ => self.attempt(&target, incarnation, None, false).await,
                 };
                 match next {
-                    Next::Over => return Ok(()),
-                    Next::Again => {}
-                    Next::Fail(failure) => return Err(failure),
+                    AttemptOutcome::Finished => return Ok(()),
+                    AttemptOutcome::TryAnother => {}
+                    AttemptOutcome::Fail(failure) => return Err(failure),
                 }
-                if self.attempts >= MOST_ATTEMPTS {
-                    return Err(self.exhausted());
+                if self.attempts >= MAX_ATTEMPTS {
+                    return Err(self.no_endpoint_failure());
                 }
             }
             if self.retry_after.is_some() && self.attempts == 0 {
                 break;
             }
         }
-        Err(self.exhausted())
+        Err(self.no_endpoint_failure())
     }
 
-    fn exhausted(&self) -> Failure {
-        if self.begun {
+    fn no_endpoint_failure(&self) -> Failure {
+        if self.is_answer_started {
             return Failure::busy(
                 "answer_broken_off",
                 "the answer broke off and could not go on elsewhere",
-                PLAIN_RETRY,
+                DEFAULT_RETRY_AFTER,
             )
             .ran(Ran::Partial);
         }
-        let wait = self.retry_after.unwrap_or(PLAIN_RETRY);
-        if self.reason == Some(Refused::Scheduler(Refusal::TooLarge)) {
+        let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+        if self.last_refusal == Some(Refused::Scheduler(Refusal::TooLarge)) {
             return Failure::busy("no_memory", "no endpoint has the memory that this prompt needs", wait);
         }
         Failure::busy("overloaded", "no endpoint can finish this in its time now", wait)
     }
 
-    fn timed_out(&self, ran: Ran) -> Failure {
-        let ran = if self.begun { Ran::Partial } else { ran };
-        let wait = self.retry_after.unwrap_or(PLAIN_RETRY);
+    fn deadline_failure(&self, ran: Ran) -> Failure {
+        let ran = if self.is_answer_started { Ran::Partial } else { ran };
+        let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(ran).after(wait)
     }
 
     /// Proposes the best sidecar for a caller's key, and returns the binding that holds according to the
     /// log.
-    async fn claim(&mut self, key: &Key) -> Result<Binding, Failure> {
+    async fn claim_key(&mut self, key: &Key) -> Result<Binding, Failure> {
         if let Some(binding) = claims::lookup(&self.app.shared, key).await {
             return Ok(binding);
         }
-        let targets = self.search(true).await?;
-        let Some((target, Some(incarnation))) = targets.into_iter().next() else { return Err(self.exhausted()) };
+        let targets = self.select_candidates(true).await?;
+        let Some((target, Some(incarnation))) = targets.into_iter().next() else {
+            return Err(self.no_endpoint_failure());
+        };
         let proposed = Binding { endpoint: target.endpoint, incarnation };
         let bound = claims::claim(&self.app.shared, key.clone(), proposed).await?;
         event!("bound", request = %self.request.id, peer = %bound.endpoint, at = %bound.incarnation);
@@ -305,39 +314,39 @@
     }
 
     /// Runs a call at the sidecar incarnation that its key is bound to.
-    async fn bound(&mut self, key: Key, binding: Binding) -> Result<(), Failure> {
+    async fn run_on_bound_sidecar(&mut self, key: Key, binding: Binding) -> Result<(), Failure> {
         let endpoint = binding.endpoint.clone();
-        let located = self.app.shared.ask(|reply| Command::Locate(endpoint, reply)).await.map_err(stopping)?;
+        let located = self.app.shared.ask(|reply| Command::Locate(endpoint, reply)).await.map_err(entry_stopping)?;
         let Some(target) = located else { return Err(outcome_unknown(&binding)) };
-        match self.bound_once(&key, &target, &binding).await {
-            Next::Over => Ok(()),
-            Next::Again => Err(self.exhausted()),
-            Next::Fail(failure) => Err(failure),
+        match self.run_once_on_sidecar(&key, &target, &binding).await {
+            AttemptOutcome::Finished => Ok(()),
+            AttemptOutcome::TryAnother => Err(self.no_endpoint_failure()),
+            AttemptOutcome::Fail(failure) => Err(failure),
         }
     }
 
     /// Tries one sidecar incarnation until the outcome of the call is known. The sidecar runs a key at most
     /// once.
-    async fn bound_once(&mut self, key: &Key, target: &Target, binding: &Binding) -> Next {
-        for turn in 0..MOST_ATTEMPTS {
-            let asked_before = turn > 0;
-            let next = self.attempt(target, Some(binding.incarnation), Some(key), asked_before).await;
-            let Next::Fail(failure) = next else {
+    async fn run_once_on_sidecar(&mut self, key: &Key, target: &Target, binding: &Binding) -> AttemptOutcome {
+        for round in 0..MAX_ATTEMPTS {
+            let may_run_already = round > 0;
+            let next = self.attempt(target, Some(binding.incarnation), Some(key), may_run_already).await;
+            let AttemptOutcome::Fail(failure) = next else {
                 // This attempt did not run, but an earlier one may have been accepted before its answer was
                 // lost.
-                return if asked_before && matches!(next, Next::Again) {
-                    Next::Fail(outcome_unknown(binding))
+                return if may_run_already && matches!(next, AttemptOutcome::TryAnother) {
+                    AttemptOutcome::Fail(outcome_unknown(binding))
                 } else {
                     next
                 };
             };
-            let lost = failure.ran == Ran::Unknown && failure.code == LOST && !self.begun;
-            if !lost || self.left() <= BOUND_PAUSE {
-                return Next::Fail(failure);
+            let is_retryable = failure.ran == Ran::Unknown && failure.code == LOST_CODE && !self.is_answer_started;
+            if !is_retryable || self.time_left() <= BOUND_RETRY_DELAY {
+                return AttemptOutcome::Fail(failure);
             }
-            tokio::time::sleep(BOUND_PAUSE).await;
+            tokio::time::sleep(BOUND_RETRY_DELAY).await;
         }
-        Next::Fail(outcome_unknown(binding))
+        AttemptOutcome::Fail(outcome_unknown(binding))
     }
 
     /// Makes one attempt at one sidecar. With `may_run_already`, an earlier attempt under the same key may
@@ -347,158 +356,161 @@
         target: &Target,
         incarnation: Option<Incarnation>,
         once: Option<&Key>,
-        asked_before: bool,
-    ) -> Next {
+        may_run_already: bool,
+    ) -> AttemptOutcome {
         self.attempts += 1;
         let mut call = self.request.call.clone();
-        call.resume_after = self.passed_tokens;
+        call.resume_after = self.sent_tokens;
         if let Some(spans) = &self.spans {
-            call.headers.push((gang::DIGEST_HEADER.to_owned(), spans.digest.to_string()));
-            call.headers.push((gang::TOKENS_HEADER.to_owned(), spans.tokens.to_string()));
+            call.headers.push((gang::SPAN_DIGEST_HEADER.to_owned(), spans.digest.to_string()));
+            call.headers.push((gang::SPAN_TOKENS_HEADER.to_owned(), spans.tokens.to_string()));
         }
-        let open = Open {
+        let work = Open {
             attempt: util::attempt(),
             request: self.request.id.clone(),
             entry: self.app.shared.settings.process.name.clone(),
             incarnation,
             once: once.cloned(),
-            ask: self.ask(),
+            ask: self.quote_request(),
             call,
         };
-        event!("attempt", request = %self.request.id, attempt = %open.attempt, peer = %target.endpoint, number = self.attempts);
-        let tokens = open.ask.prompt_tokens + open.ask.output_tokens;
-        let _outstanding = Outstanding::begin(self.app, target, tokens);
-        let limit = self.left();
-        let mut started = false;
-        let relayed = tokio::time::timeout(limit, self.relay(target, &open, &mut started)).await;
+        event!("attempt", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint, number = self.attempts);
+        let tokens = work.ask.prompt_tokens + work.ask.output_tokens;
+        let _outstanding = OutstandingAttempt::start(self.app, target, tokens);
+        let timeout = self.time_left();
+        let mut is_started = false;
+        let relayed = tokio::time::timeout(timeout, self.relay_answer(target, &work, &mut is_started)).await;
         match relayed {
-            Ok(Ok(())) => Next::Over,
-            Ok(Err(broken)) => self.judge(broken, once.is_some()).await,
+            Ok(Ok(())) => AttemptOutcome::Finished,
+            Ok(Err(error)) => self.handle_attempt_error(error, once.is_some()).await,
             Err(_) => {
-                let voided = upstream::void(self.app, target, &open).await;
-                let ran = if started || asked_before { Ran::Unknown } else { voided };
-                Next::Fail(self.timed_out(ran))
+                let voided = upstream::void_attempt(self.app, target, &work).await;
+                let ran = if is_started || may_run_already { Ran::Unknown } else { voided };
+                AttemptOutcome::Fail(self.deadline_failure(ran))
             }
         }
     }
 
-    async fn relay(&mut self, target: &Target, open: &Open, started: &mut bool) -> Result<(), Broken> {
-        let shell = self.request.long.as_ref().filter(|_| self.spans.is_some()).map(|long| &long.shell);
-        let body = shell.unwrap_or(&self.request.body);
-        let mut upstream: Upstream = upstream::open(self.app, target, open, body).await?;
+    async fn relay_answer(&mut self, target: &Target, work: &Open, is_started: &mut bool) -> Result<(), AttemptError> {
+        let body_without_text =
+            self.request.gang_prompt.as_ref().filter(|_| self.spans.is_some()).map(|prompt| &prompt.body_without_text);
+        let body = body_without_text.unwrap_or(&self.request.body);
+        let mut frames: FrameStream = upstream::send_work(self.app, target, work, body).await?;
         loop {
-            let part = upstream.next().await?;
+            let part = frames.next().await?;
             match &part {
-                Part::Started => {
-                    *started = true;
+                AnswerPart::Started => {
+                    *is_started = true;
                     continue;
                 }
-                Part::Head { .. } => self.begun = true,
-                Part::Piece { tokens, .. } => {
-                    if *tokens > 0 && self.passed_tokens == 0 {
+                AnswerPart::Head { .. } => self.is_answer_started = true,
+                AnswerPart::Piece { tokens, .. } => {
+                    if *tokens > 0 && self.sent_tokens == 0 {
                         let class = coord::estimate::class(self.request.admitted.prompt_tokens);
-                        metric::ttft(class, util::now().since(self.started));
-                        event!("first-token", request = %self.request.id, attempt = %open.attempt, peer = %target.endpoint);
+                        metric::ttft(class, util::now().since(self.started_at));
+                        event!("first-token", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint);
                     }
-                    self.begun = true;
-                    self.passed_tokens += u64::from(*tokens);
+                    self.is_answer_started = true;
+                    self.sent_tokens += u64::from(*tokens);
                 }
-                Part::End { .. } => {}
+                AnswerPart::End { .. } => {}
             }
-            let last = matches!(part, Part::End { .. });
-            let part = self.whole_usage(part);
-            self.pass(part).await?;
-            if last {
+            let is_last = matches!(part, AnswerPart::End { .. });
+            let part = self.with_total_usage(part);
+            self.send_to_caller(part).await?;
+            if is_last {
                 return Ok(());
             }
         }
     }
 
     /// Replaces the usage of the last attempt by that of all attempts.
-    fn whole_usage(&self, part: Part) -> Part {
+    fn with_total_usage(&self, part: AnswerPart) -> AnswerPart {
         match part {
-            Part::End { usage, finish } => {
-                let usage = Usage { output_tokens: usage.output_tokens.max(self.passed_tokens), ..usage };
-                Part::End { usage, finish }
+            AnswerPart::End { usage, finish } => {
+                let usage = Usage { output_tokens: usage.output_tokens.max(self.sent_tokens), ..usage };
+                AnswerPart::End { usage, finish }
             }
             part => part,
         }
     }
 
     /// Sends a part to the caller. Fails if the caller has disconnected or does not read in time.
-    async fn pass(&self, part: Part) -> Result<(), Broken> {
-        let patience = self.app.shared.settings.slow_caller;
-        let gone = |message: &str| Broken::Lost { ran: Ran::Partial, step: CALLER.into(), message: message.into() };
-        match tokio::time::timeout(patience, self.request.parts.send(Ok(part))).await {
+    async fn send_to_caller(&self, part: AnswerPart) -> Result<(), AttemptError> {
+        let timeout = self.app.shared.settings.slow_caller;
+        let caller_lost =
+            |message: &str| AttemptError::Lost { ran: Ran::Partial, step: CALLER_STEP.into(), message: message.into() };
+        match tokio::time::timeout(timeout, self.request.parts.send(Ok(part))).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(gone("the caller went away")),
-            Err(_) => Err(gone("the caller reads too slowly")),
+            Ok(Err(_)) => Err(caller_lost("the caller went away")),
+            Err(_) => Err(caller_lost("the caller reads too slowly")),
         }
     }
 
     /// Decides how the request continues after a failed attempt.
-    async fn judge(&mut self, broken: Broken, once: bool) -> Next {
-        match broken {
-            Broken::NotRun { refused, retry_after } => {
+    async fn handle_attempt_error(&mut self, error: AttemptError, once: bool) -> AttemptOutcome {
+        match error {
+            AttemptError::NotRun { refused, retry_after } => {
                 self.note_retry_after(retry_after);
-                self.reason = refused;
+                self.last_refusal = refused;
                 if refused == Some(Refused::OtherIncarnation) && once {
-                    return Next::Fail(
-                        lost(Ran::Unknown, "the sidecar that held this call was restarted").code(UNKNOWN),
+                    return AttemptOutcome::Fail(
+                        attempt_lost(Ran::Unknown, "the sidecar that held this call was restarted")
+                            .with_code(UNKNOWN_CODE),
                     );
                 }
                 if refused == Some(Refused::Expired) {
-                    return Next::Fail(self.timed_out(Ran::No));
+                    return AttemptOutcome::Fail(self.deadline_failure(Ran::No));
                 }
-                Next::Again
+                AttemptOutcome::TryAnother
             }
-            Broken::Rejected { status, message } => Next::Fail(rejected(status, message)),
-            Broken::Lost { ran, step, message } => {
+            AttemptError::Rejected { status, message } => AttemptOutcome::Fail(rejected_by_endpoint(status, message)),
+            AttemptError::Lost { ran, step, message } => {
                 event!("lost", request = %self.request.id, at = %step, ran = ran.as_str(), reason = %message);
-                if step == CALLER {
-                    return Next::Fail(lost(Ran::Partial, message).code("caller_too_slow"));
+                if step == CALLER_STEP {
+                    return AttemptOutcome::Fail(attempt_lost(Ran::Partial, message).with_code("caller_too_slow"));
                 }
                 // The sidecar's clock may reach the deadline slightly before this one.
-                if self.left() <= CLOCK_SLACK {
-                    return Next::Fail(self.timed_out(ran));
+                if self.time_left() <= MAX_CLOCK_SKEW {
+                    return AttemptOutcome::Fail(self.deadline_failure(ran));
                 }
                 if once {
-                    let ran = if self.begun { Ran::Partial } else { Ran::Unknown };
-                    return Next::Fail(lost(ran, format!("{step}: {message}")));
+                    let ran = if self.is_answer_started { Ran::Partial } else { Ran::Unknown };
+                    return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}")));
                 }
-                self.again(ran, &step, &message).await
+                self.retry_within_budget(ran, &step, &message).await
             }
         }
     }
 
     /// Continues a repeatable request on another endpoint if the retry budget allows it.
-    async fn again(&mut self, ran: Ran, step: &str, message: &str) -> Next {
-        let allowed = self.app.shared.ask(Command::Retry).await.unwrap_or(false);
-        if !allowed {
-            let ran = if self.begun { Ran::Partial } else { ran };
-            return Next::Fail(lost(ran, format!("{step}: {message}; the retry budget is spent")));
+    async fn retry_within_budget(&mut self, ran: Ran, step: &str, message: &str) -> AttemptOutcome {
+        let is_allowed = self.app.shared.ask(Command::TakeRetry).await.unwrap_or(false);
+        if !is_allowed {
+            let ran = if self.is_answer_started { Ran::Partial } else { ran };
+            return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}; the retry budget is spent")));
         }
         metric::retry();
-        Next::Again
+        AttemptOutcome::TryAnother
     }
 }
 
 /// Counts an attempt as outstanding at its endpoint until it is dropped.
-struct Outstanding<'a> {
+struct OutstandingAttempt<'a> {
     app: &'a App,
     endpoint: Name,
     tokens: u64,
 }
 
-impl<'a> Outstanding<'a> {
-    fn begin(app: &'a App, target: &Target, tokens: u64) -> Self {
-        app.shared.kernel.send_detached(Command::Begin(target.endpoint.clone(), tokens));
+impl<'a> OutstandingAttempt<'a> {
+    fn start(app: &'a App, target: &Target, tokens: u64) -> Self {
+        app.shared.event_loop.send_detached(Command::AttemptStarted(target.endpoint.clone(), tokens));
         Self { app, endpoint: target.endpoint.clone(), tokens }
     }
 }
 
-impl Drop for Outstanding<'_> {
+impl Drop for OutstandingAttempt<'_> {
     fn drop(&mut self) {
-        self.app.shared.kernel.send_detached(Command::End(self.endpoint.clone(), self.tokens));
+        self.app.shared.event_loop.send_detached(Command::AttemptEnded(self.endpoint.clone(), self.tokens));
     }
 }
--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -16,11 +16,11 @@
 /// Length of the MAC, in bytes.
 const MAC_BYTES: usize = 32;
 /// Longest lifetime of a ticket.
-pub const MOST_LIFE: Duration = Duration::from_secs(3_600);
+pub const MAX_LIFETIME: Duration = Duration::from_secs(3_600);
 
 /// Reason why a ticket is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum TicketError {
     /// The ticket was not issued by this system, or was altered.
     Forged,
     /// The ticket belongs to another workspace.
@@ -29,7 +29,7 @@
     Expired,
 }
 
-fn mac(secret: &Secret, payload: &[u8]) -> Hmac<Sha256> {
+fn compute_mac(secret: &Secret, payload: &[u8]) -> Hmac<Sha256> {
     let mut mac = match Hmac::<Sha256>::new_from_slice(secret.bytes()) {
         Ok(mac) => mac,
         Err(_) => unreachable!("HMAC takes keys of any length"),
@@ -44,34 +44,34 @@
 }
 
 /// Issues a ticket that is valid for `lifetime`, at most [`MAX_LIFETIME`].
-pub fn mint(secret: &Secret, workspace: &Name, binding: Binding, life: Duration) -> String {
-    let expires = util::wall() + life.min(MOST_LIFE);
+pub fn issue(secret: &Secret, workspace: &Name, binding: Binding, lifetime: Duration) -> String {
+    let expires = util::wall() + lifetime.min(MAX_LIFETIME);
     let ticket = Ticket { workspace: workspace.clone(), binding, number: rand::random(), expires };
     let payload = wire::encode(&ticket);
-    let code = mac(secret, &payload).finalize().into_bytes();
-    format!("{PREFIX}{}{}", hex(&code), hex(&payload))
+    let tag = compute_mac(secret, &payload).finalize().into_bytes();
+    format!("{PREFIX}{}{}", encode_hex(&tag), encode_hex(&payload))
 }
 
 /// Decodes a ticket and verifies its MAC, workspace and lifetime.
-pub fn open(secret: &Secret, workspace: &Name, key: &str) -> Result<Ticket, Fault> {
-    let bytes = key.strip_prefix(PREFIX).and_then(unhex).ok_or(Fault::Forged)?;
-    let (code, payload) = bytes.split_at_checked(MAC_BYTES).ok_or(Fault::Forged)?;
-    mac(secret, payload).verify_slice(code).map_err(|_| Fault::Forged)?;
-    let ticket: Ticket = wire::decode(payload).map_err(|_| Fault::Forged)?;
+pub fn verify(secret: &Secret, workspace: &Name, key: &str) -> Result<Ticket, TicketError> {
+    let bytes = key.strip_prefix(PREFIX).and_then(decode_hex).ok_or(TicketError::Forged)?;
+    let (tag, payload) = bytes.split_at_checked(MAC_BYTES).ok_or(TicketError::Forged)?;
+    compute_mac(secret, payload).verify_slice(tag).map_err(|_| TicketError::Forged)?;
+    let ticket: Ticket = wire::decode(payload).map_err(|_| TicketError::Forged)?;
     if ticket.workspace != *workspace {
-        return Err(Fault::OtherWorkspace);
+        return Err(TicketError::OtherWorkspace);
     }
     if !ticket.is_live(util::wall()) {
-        return Err(Fault::Expired);
+        return Err(TicketError::Expired);
     }
     Ok(ticket)
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let digits: Option<Vec<u8>> = text.chars().map(|digit| digit.to_digit(16).map(|digit| digit as u8)).collect();
     let digits = digits.filter(|digits| digits.len().is_multiple_of(2))?;
     Some(digits.chunks_exact(2).map(|pair| pair[0] << 4 | pair[1]).collect())
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -14,14 +14,14 @@
 use hyper::body::{Frame as BodyFrame, Incoming};
 
 use super::App;
-use super::kernel::{Command, Target};
+use super::event_loop::{Command, Target};
 use crate::http::{self, Sent};
 use crate::wire::{self, Ask, Frame, Open, Quoted, Refused, Splitter, Usage};
 use crate::{event, timeline, util};
 
 /// An endpoint that answered a quote request.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct QuotedTarget {
     /// The endpoint and its address.
     pub target: Target,
     /// Incarnation of the sidecar that gave the quote.
@@ -32,41 +32,45 @@
 
 /// Requests quotes from all `targets` concurrently and returns them best first. Targets that do not answer
 /// in time are left out and reported as unreachable.
-pub async fn quotes(app: &App, targets: Vec<Target>, ask: &Ask) -> Vec<Asked> {
+pub async fn request_quotes(app: &App, targets: Vec<Target>, ask: &Ask) -> Vec<QuotedTarget> {
     let bytes = wire::encode(ask);
-    let asked = targets.into_iter().map(|target| quote(app, target, bytes.clone()));
-    let answers = futures_util::future::join_all(asked).await;
-    let mut open: Vec<Asked> = answers.into_iter().flatten().collect();
-    let ranked = coord::pick::rank_offers(open.iter().map(|asked| asked.offer.clone()).collect());
-    open.sort_by_key(|asked| ranked.iter().position(|offer| offer.endpoint == asked.target.endpoint));
-    open
+    let requests = targets.into_iter().map(|target| request_quote(app, target, bytes.clone()));
+    let answers = futures_util::future::join_all(requests).await;
+    let mut quoted: Vec<QuotedTarget> = answers.into_iter().flatten().collect();
+    let ranked = coord::pick::rank_offers(quoted.iter().map(|quoted| quoted.offer.clone()).collect());
+    quoted.sort_by_key(|quoted| ranked.iter().position(|offer| offer.endpoint == quoted.target.endpoint));
+    quoted
 }
 
-async fn quote(app: &App, target: Target, ask: Bytes) -> Option<Asked> {
-    let call = http::exchange(&app.caller, &target.address, "POST", wire::QUOTE, ask);
+async fn request_quote(app: &App, target: Target, ask: Bytes) -> Option<QuotedTarget> {
+    let call = http::exchange(&app.client, &target.address, "POST", wire::QUOTE, ask);
     let answer = tokio::time::timeout(app.shared.settings.quote_timeout, call).await;
     let quoted: Quoted = match answer {
         Ok(Ok((200, bytes))) => wire::decode(&bytes).ok()?,
         _ => {
-            failed(app, &target);
+            report_unreachable(app, &target);
             return None;
         }
     };
     let Quoted { incarnation, leaving, quote } = quoted;
-    app.shared.kernel.send_detached(Command::Heard { endpoint: target.endpoint.clone(), incarnation, leaving });
+    app.shared.event_loop.send_detached(Command::SidecarReachable {
+        endpoint: target.endpoint.clone(),
+        incarnation,
+        leaving,
+    });
     let offer = Offer { endpoint: target.endpoint.clone(), quote, distance: target.distance };
-    Some(Asked { target, incarnation, offer })
+    Some(QuotedTarget { target, incarnation, offer })
 }
 
 /// Reports to the event loop that a sidecar could not be reached.
-pub fn failed(app: &App, target: &Target) {
+pub fn report_unreachable(app: &App, target: &Target) {
     event!("unreachable", peer = %target.endpoint);
-    app.shared.kernel.send_detached(Command::Failed(target.endpoint.clone()));
+    app.shared.event_loop.send_detached(Command::SidecarUnreachable(target.endpoint.clone()));
 }
 
 /// A part of an answer.
 #[derive(Debug)]
-pub enum Part {
+pub enum AnswerPart {
     /// The sidecar has passed the call to the endpoint.
     Started,
     /// Response head of a plain service.
@@ -94,7 +98,7 @@
 
 /// Reason why an attempt gave no complete answer.
 #[derive(Clone, Debug)]
-pub enum Broken {
+pub enum AttemptError {
     /// The attempt is proven not to have run, and never will.
     NotRun {
         /// Reason given by the sidecar; `None` if the sidecar did not refuse the attempt.
@@ -120,61 +124,61 @@
     },
 }
 
-impl Broken {
+impl AttemptError {
     fn lost(step: &str, message: impl ToString) -> Self {
-        Broken::Lost { ran: Ran::Unknown, step: step.to_owned(), message: message.to_string() }
+        AttemptError::Lost { ran: Ran::Unknown, step: step.to_owned(), message: message.to_string() }
     }
 }
 
 /// Stream of the frames of one attempt.
-pub struct Upstream {
+pub struct FrameStream {
     body: Incoming,
     splitter: Splitter,
     receiver: Receiver,
 }
 
 /// Builds a request body from several pieces without copying them.
-pub fn pieces(pieces: Vec<Bytes>) -> Sent {
+pub fn body_from_pieces(pieces: Vec<Bytes>) -> Sent {
     let frames = stream::iter(pieces.into_iter().map(|bytes| Ok::<_, Infallible>(BodyFrame::data(bytes))));
     BodyExt::boxed(StreamBody::new(frames))
 }
 
 /// Sends work to a sidecar and returns its stream of frames.
-pub async fn open(app: &App, target: &Target, open: &Open, body: &[Bytes]) -> Result<Upstream, Broken> {
-    let mut all = vec![wire::encode_delimited(open)];
-    all.extend(body.iter().cloned());
-    let sent = pieces(all);
+pub async fn send_work(app: &App, target: &Target, work: &Open, body: &[Bytes]) -> Result<FrameStream, AttemptError> {
+    let mut pieces = vec![wire::encode_delimited(work)];
+    pieces.extend(body.iter().cloned());
+    let body = body_from_pieces(pieces);
     let request = Request::post(format!("http://{}{}", target.address, wire::WORK))
         .header(timeline::HEADER, timeline::stamp())
-        .body(sent)
-        .map_err(|error| Broken::lost("build-request", error))?;
-    let response = match app.caller.request(request).await {
+        .body(body)
+        .map_err(|error| AttemptError::lost("build-request", error))?;
+    let response = match app.client.request(request).await {
         Ok(response) => response,
         Err(error) => {
-            failed(app, target);
+            report_unreachable(app, target);
             if error.is_connect() {
-                return Err(Broken::NotRun { refused: None, retry_after: Duration::ZERO });
+                return Err(AttemptError::NotRun { refused: None, retry_after: Duration::ZERO });
             }
-            return Err(Broken::lost("hand-over", error));
+            return Err(AttemptError::lost("hand-over", error));
         }
     };
     if let Some(stamp) = response.headers().get(timeline::HEADER).and_then(|value| value.to_str().ok()) {
         timeline::observe(stamp);
     }
     if !response.status().is_success() {
-        return Err(Broken::lost("hand-over", format!("status {}", response.status())));
+        return Err(AttemptError::lost("hand-over", format!("status {}", response.status())));
     }
-    Ok(Upstream { body: response.into_body(), splitter: Splitter::new(), receiver: Receiver::new(open.attempt) })
+    Ok(FrameStream { body: response.into_body(), splitter: Splitter::new(), receiver: Receiver::new(work.attempt) })
 }
 
-impl Upstream {
+impl FrameStream {
     /// Returns the next part of the answer.
-    pub async fn next(&mut self) -> Result<Part, Broken> {
+    pub async fn next(&mut self) -> Result<AnswerPart, AttemptError> {
         loop {
-            let decoded: Option<Frame> = self.splitter.next().map_err(|error| Broken::lost("decode", error))?;
+            let decoded: Option<Frame> = self.splitter.next().map_err(|error| AttemptError::lost("decode", error))?;
             if let Some(frame) = decoded {
-                match self.take(frame) {
-                    Some(taken) => return taken,
+                match self.handle_frame(frame) {
+                    Some(result) => return result,
                     None => continue,
                 }
             }
@@ -184,50 +188,52 @@
                         self.splitter.push(&data);
                     }
                 }
-                Some(Err(error)) => return Err(Broken::lost("read", error)),
-                None => return Err(Broken::lost("read", "the sidecar's stream broke off")),
+                Some(Err(error)) => return Err(AttemptError::lost("read", error)),
+                None => return Err(AttemptError::lost("read", "the sidecar's stream broke off")),
             }
         }
     }
 
     /// Converts a frame to an answer part; `None` if the frame is a duplicate or belongs to another
     /// attempt.
-    fn take(&mut self, frame: Frame) -> Option<Result<Part, Broken>> {
+    fn handle_frame(&mut self, frame: Frame) -> Option<Result<AnswerPart, AttemptError>> {
         match frame {
-            Frame::Started => Some(Ok(Part::Started)),
-            Frame::Head { status, headers } => Some(Ok(Part::Head { status, headers })),
+            Frame::Started => Some(Ok(AnswerPart::Started)),
+            Frame::Head { status, headers } => Some(Ok(AnswerPart::Head { status, headers })),
             Frame::Piece { attempt, number, tokens, bytes } => match self.receiver.accept(attempt, number, &bytes) {
-                Verdict::Pass => Some(Ok(Part::Piece { bytes, tokens })),
+                Verdict::Pass => Some(Ok(AnswerPart::Piece { bytes, tokens })),
                 Verdict::Drop => None,
-                Verdict::Gap => Some(Err(Broken::lost("assemble", "a frame is missing"))),
+                Verdict::Gap => Some(Err(AttemptError::lost("assemble", "a frame is missing"))),
             },
             Frame::End { attempt, count, digest, usage, finish } => {
                 if self.receiver.is_whole(attempt, Seal { count, digest }) {
-                    return Some(Ok(Part::End { usage, finish }));
+                    return Some(Ok(AnswerPart::End { usage, finish }));
                 }
-                Some(Err(Broken::lost("assemble", "the answer's count or digest does not match")))
+                Some(Err(AttemptError::lost("assemble", "the answer's count or digest does not match")))
             }
-            Frame::Refused { reason, retry_after_micros } => Some(Err(Broken::NotRun {
+            Frame::Refused { reason, retry_after_micros } => Some(Err(AttemptError::NotRun {
                 refused: Some(reason),
                 retry_after: Duration::from_micros(retry_after_micros),
             })),
-            Frame::Failed { status: Some(status), message, .. } => Some(Err(Broken::Rejected { status, message })),
+            Frame::Failed { status: Some(status), message, .. } => {
+                Some(Err(AttemptError::Rejected { status, message }))
+            }
             Frame::Failed { ran: Ran::No, .. } => {
-                Some(Err(Broken::NotRun { refused: None, retry_after: Duration::ZERO }))
+                Some(Err(AttemptError::NotRun { refused: None, retry_after: Duration::ZERO }))
             }
-            Frame::Failed { ran, step, message, .. } => Some(Err(Broken::Lost { ran, step, message })),
+            Frame::Failed { ran, step, message, .. } => Some(Err(AttemptError::Lost { ran, step, message })),
         }
     }
 }
 
 /// Voids an attempt, so that it never starts. Returns `Ran::No` only if the sidecar proves that it did not
 /// and will not run.
-pub async fn void(app: &App, target: &Target, open: &Open) -> Ran {
-    let Open { attempt, incarnation, ref once, .. } = *open;
+pub async fn void_attempt(app: &App, target: &Target, work: &Open) -> Ran {
+    let Open { attempt, incarnation, ref once, .. } = *work;
     let bytes = wire::encode(&wire::Void { attempt, once: once.clone() });
-    let call = http::exchange(&app.caller, &target.address, "POST", wire::VOID, bytes);
-    let limit = app.shared.settings.void_reserve / 2;
-    let answer = match tokio::time::timeout(limit, call).await {
+    let call = http::exchange(&app.client, &target.address, "POST", wire::VOID, bytes);
+    let timeout = app.shared.settings.void_reserve / 2;
+    let answer = match tokio::time::timeout(timeout, call).await {
         Ok(Ok((200, bytes))) => wire::decode::<wire::VoidAnswer>(&bytes).ok(),
         _ => None,
     };
@@ -242,6 +248,6 @@
 }
 
 /// Returns the time left until `deadline`.
-pub fn left(deadline: coord::time::Moment) -> Duration {
+pub fn time_left(deadline: coord::time::Moment) -> Duration {
     deadline.since(util::now())
 }
--- a/sorrelpass/src/entry/members.rs
+++ b/sorrelpass/src/entry/vm_list.rs
@@ -7,21 +7,21 @@
 use tokio::sync::watch;
 
 use super::Shared;
-use super::kernel::Command;
+use super::event_loop::Command;
 use crate::platform::VmList;
 use crate::{event, util, warn_event};
 
 /// Polls the VM list periodically. While it cannot be read, the last list stays in use.
-pub async fn run(shared: &Shared, vms: Box<dyn VmList>, out: watch::Sender<Arc<Vec<Vm>>>) {
-    let mut reachable = true;
+pub async fn run(shared: &Shared, vms: Box<dyn VmList>, sender: watch::Sender<Arc<Vec<Vm>>>) {
+    let mut is_reachable = true;
     loop {
         match vms.list().await {
             Ok(list) => {
-                reachable = true;
-                take(shared, list, &out).await;
+                is_reachable = true;
+                update(shared, list, &sender).await;
             }
-            Err(error) if reachable => {
-                reachable = false;
+            Err(error) if is_reachable => {
+                is_reachable = false;
                 warn_event!("vm-list-unreadable", peer = %shared.settings.platform.vms_address, reason = %error);
             }
             Err(_) => {}
@@ -30,16 +30,16 @@
     }
 }
 
-async fn take(shared: &Shared, list: Vec<Vm>, out: &watch::Sender<Arc<Vec<Vm>>>) {
-    if **out.borrow() == list {
+async fn update(shared: &Shared, list: Vec<Vm>, sender: &watch::Sender<Arc<Vec<Vm>>>) {
+    if **sender.borrow() == list {
         return;
     }
     event!("vm-list", vms = list.len(), leaving = list.iter().filter(|vm| vm.leaving).count());
-    let _ = shared.kernel.send(Command::Vms(list.clone())).await;
-    out.send_replace(Arc::new(list));
+    let _ = shared.event_loop.send(Command::UpdateVms(list.clone())).await;
+    sender.send_replace(Arc::new(list));
 }
 
 /// Returns the peer addresses of the listed entries that are not leaving.
-pub fn entries(vms: &[Vm]) -> Vec<Name> {
+pub fn entry_addresses(vms: &[Vm]) -> Vec<Name> {
     vms.iter().filter(|vm| vm.role == Role::Entry && !vm.leaving).map(|vm| vm.address.clone()).collect()
 }
--- a/sorrelpass/src/sidecar/control.rs
+++ b/sorrelpass/src/sidecar/control.rs
@@ -7,34 +7,34 @@
 use coord::name::{Attempt, Name};
 use tokio::sync::{mpsc, watch};
 
-use super::kernel::Command;
-use super::order::Orders;
+use super::event_loop::Command;
+use super::order::OrderSender;
 use super::{Shared, span};
 use crate::config::Kind;
-use crate::entry::peer::{self, Brief, Known};
+use crate::entry::peer::{self, EndpointConfig, KnownConfig};
 use crate::{event, http, util, warn_event};
 
 /// Number of consecutive failed health checks after which the endpoint counts as unhealthy.
-const MOST_MISSES: u32 = 3;
+const MAX_FAILED_PROBES: u32 = 3;
 /// Longest time that an entry may hold a request until the configuration changes.
-const BRIEF_WAIT: Duration = Duration::from_secs(5);
+const CONFIG_WAIT: Duration = Duration::from_secs(5);
 /// Delay after a failed request to an entry, and longest wait for a change while the endpoint does not have
 /// its ordered load.
-const BRIEF_RETRY: Duration = Duration::from_millis(300);
+const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Number of entries that a sidecar follows, selected by rendezvous hashing.
-const ASSIGNED: usize = 2;
+const ASSIGNED_ENTRIES: usize = 2;
 
 /// Runs the `control` thread until `stopped` is true.
 pub async fn run(
     shared: Arc<Shared>,
-    mut lapsed: mpsc::UnboundedReceiver<Attempt>,
+    mut expired_spans: mpsc::UnboundedReceiver<Attempt>,
     mut stopped: watch::Receiver<bool>,
 ) {
     let reconcile = async {
         if shared.settings.kind == Kind::Engine {
             span::reconcile(&shared).await;
         }
-        while let Some(span) = lapsed.recv().await {
+        while let Some(span) = expired_spans.recv().await {
             // Spans are freed concurrently, so that one that the engine does not free does not delay the
             // others.
             let shared = shared.clone();
@@ -43,79 +43,79 @@
     };
     tokio::select! {
         () = reconcile => {}
-        () = follow(&shared) => {}
-        () = check(&shared) => {}
+        () = follow_config(&shared) => {}
+        () = check_health(&shared) => {}
         _ = stopped.wait_for(|stop| *stop) => {}
     }
 }
 
 /// Follows the endpoint's configuration through the assigned entries, one at a time.
-async fn follow(shared: &Shared) {
+async fn follow_config(shared: &Shared) {
     let hash = xxhash_rust::xxh3::xxh3_64(shared.settings.endpoint.as_bytes());
     let mut entries = shared.settings.entries.clone();
-    let mut orders = Orders::new();
+    let mut orders = OrderSender::new();
     let endpoint = shared.settings.endpoint.clone();
-    let mut known = Known { endpoint, revision: 0, drained: false, order: None, entries: 0 };
-    let mut turn = 0;
+    let mut known_config = KnownConfig { endpoint, revision: 0, drained: false, order: None, entries: 0 };
+    let mut failures = 0;
     loop {
-        let assigned = coord::pick::chosen(hash, entries.iter(), ASSIGNED);
-        let Some(entry) = assigned.get(turn % assigned.len().max(1)) else {
-            tokio::time::sleep(util::jitter(BRIEF_RETRY)).await;
+        let assigned = coord::pick::chosen(hash, entries.iter(), ASSIGNED_ENTRIES);
+        let Some(entry) = assigned.get(failures % assigned.len().max(1)) else {
+            tokio::time::sleep(util::jitter(CONFIG_RETRY_DELAY)).await;
             continue;
         };
-        let settled = shared.settings.kind == Kind::Plain || orders.converge(shared).await;
-        let wait = if settled { BRIEF_WAIT } else { BRIEF_RETRY };
-        match peer::brief(entry, known.clone(), wait).await {
-            Ok(brief) => {
-                apply(shared, entry, &brief, &mut known).await;
-                if let Some(order) = brief.order {
-                    orders.take(order);
+        let is_settled = shared.settings.kind == Kind::Plain || orders.reconcile(shared).await;
+        let wait = if is_settled { CONFIG_WAIT } else { CONFIG_RETRY_DELAY };
+        match peer::fetch_endpoint_config(entry, known_config.clone(), wait).await {
+            Ok(endpoint_config) => {
+                apply(shared, entry, &endpoint_config, &mut known_config).await;
+                if let Some(order) = endpoint_config.order {
+                    orders.store(order);
                 }
-                if let Some(told) = brief.entries.filter(|told| !told.is_empty()) {
-                    known.entries = peer::digest(&told);
-                    entries = told;
+                if let Some(addresses) = endpoint_config.entries.filter(|addresses| !addresses.is_empty()) {
+                    known_config.entries = peer::entries_digest(&addresses);
+                    entries = addresses;
                 }
             }
             Err(error) => {
                 warn_event!("brief-failed", peer = %entry, reason = %error);
-                turn += 1;
+                failures += 1;
                 // The assigned entries may be gone for good, so those in the settings are used again.
-                if turn.is_multiple_of(2 * ASSIGNED) {
+                if failures.is_multiple_of(2 * ASSIGNED_ENTRIES) {
                     entries = shared.settings.entries.clone();
-                    known.entries = 0;
+                    known_config.entries = 0;
                 }
-                tokio::time::sleep(util::jitter(BRIEF_RETRY)).await;
+                tokio::time::sleep(util::jitter(CONFIG_RETRY_DELAY)).await;
             }
         }
     }
 }
 
-async fn apply(shared: &Shared, entry: &Name, brief: &Brief, known: &mut Known) {
-    known.order = brief.order.as_ref().map(|order| order.offset);
-    if brief.revision <= known.revision {
+async fn apply(shared: &Shared, entry: &Name, endpoint_config: &EndpointConfig, known_config: &mut KnownConfig) {
+    known_config.order = endpoint_config.order.as_ref().map(|order| order.offset);
+    if endpoint_config.revision <= known_config.revision {
         return;
     }
-    known.revision = brief.revision;
-    known.drained = brief.drained;
-    crate::metric::revision(brief.revision);
-    event!("config", peer = %entry, revision = brief.revision, drained = brief.drained);
-    let _ = shared.kernel.send(Command::Drain(brief.drained)).await;
+    known_config.revision = endpoint_config.revision;
+    known_config.drained = endpoint_config.drained;
+    crate::metric::revision(endpoint_config.revision);
+    event!("config", peer = %entry, revision = endpoint_config.revision, drained = endpoint_config.drained);
+    let _ = shared.event_loop.send(Command::SetDrained(endpoint_config.drained)).await;
 }
 
 /// Checks the endpoint's health periodically.
-async fn check(shared: &Shared) {
-    let caller = http::caller_h1();
-    let mut misses = 0;
-    let mut healthy = true;
+async fn check_health(shared: &Shared) {
+    let client = http::caller_h1();
+    let mut failed_probes = 0;
+    let mut is_healthy = true;
     loop {
         tokio::time::sleep(util::jitter(shared.settings.probe)).await;
-        let probe = http::exchange(&caller, &shared.settings.endpoint_address, "GET", "/health", bytes::Bytes::new());
-        let alive = matches!(tokio::time::timeout(shared.settings.probe, probe).await, Ok(Ok((200, _))));
-        misses = if alive { 0 } else { misses + 1 };
-        let now_healthy = misses < MOST_MISSES;
-        if now_healthy != healthy {
-            healthy = now_healthy;
-            let _ = shared.kernel.send(Command::Health(healthy)).await;
+        let probe = http::exchange(&client, &shared.settings.endpoint_address, "GET", "/health", bytes::Bytes::new());
+        let is_alive = matches!(tokio::time::timeout(shared.settings.probe, probe).await, Ok(Ok((200, _))));
+        failed_probes = if is_alive { 0 } else { failed_probes + 1 };
+        let is_now_healthy = failed_probes < MAX_FAILED_PROBES;
+        if is_now_healthy != is_healthy {
+            is_healthy = is_now_healthy;
+            let _ = shared.event_loop.send(Command::SetHealthy(is_healthy)).await;
         }
     }
 }
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to a model engine: streams the prompt to it and reads the tokens as server-sent events.
+//! Calls to a model engine: streams the prompt to it and reads the tokens as server-sent decoder.
 
 use std::cell::RefCell;
 
@@ -14,12 +14,12 @@
 use serde_json::value::RawValue;
 
 use super::Shared;
-use super::job::{Failure, Upload, Writer};
-use super::kernel::Command;
+use super::event_loop::Command;
+use super::job::{AnswerWriter, CallError, RequestBody};
 use crate::wire::{Open, Usage};
 
 /// Returns the value of the engine's priority header; requests with a higher value run first.
-const fn priority(level: Level) -> u16 {
+const fn priority_value(level: Level) -> u16 {
     match level {
         Level::Huge => 0,
         Level::Long => 3,
@@ -36,7 +36,7 @@
 
 /// Returns this thread's HTTP client. Its automatic retries are disabled, since a request may run only
 /// once.
-pub fn client() -> EngineClient {
+pub fn thread_client() -> EngineClient {
     CLIENT.with_borrow_mut(|client| {
         client
             .get_or_insert_with(|| {
@@ -55,19 +55,20 @@
 /// Sends a request to the endpoint. A failure to connect proves that the request did not run.
 pub async fn send(
     request: http::request::Builder,
-    upload: Upload,
-) -> Result<hyper::Response<hyper::body::Incoming>, Failure> {
-    let request =
-        request.body(upload.into_body()).map_err(|error| Failure::unknown("build-request", error.to_string()))?;
-    client().request(request).await.map_err(|error| {
-        let failure = Failure::unknown("call", error.to_string());
-        if error.is_connect() { Failure { ran: Ran::No, step: "connect", ..failure } } else { failure }
+    request_body: RequestBody,
+) -> Result<hyper::Response<hyper::body::Incoming>, CallError> {
+    let request = request
+        .body(request_body.into_body())
+        .map_err(|error| CallError::unknown("build-request", error.to_string()))?;
+    thread_client().request(request).await.map_err(|error| {
+        let call_error = CallError::unknown("call", error.to_string());
+        if error.is_connect() { CallError { ran: Ran::No, step: "connect", ..call_error } } else { call_error }
     })
 }
 
 /// Data of one server-sent event of an engine.
 #[derive(Deserialize)]
-struct Event<'a> {
+struct StreamEvent<'a> {
     #[serde(borrow, default)]
     choices: Option<&'a RawValue>,
     #[serde(default)]
@@ -93,108 +94,108 @@
 
 impl Choice<'_> {
     fn has_token(&self) -> bool {
-        let full = |raw: &RawValue| !matches!(raw.get(), "{}" | "\"\"" | "null");
-        self.delta.is_some_and(full) || self.text.is_some_and(full)
+        let is_nonempty = |raw: &RawValue| !matches!(raw.get(), "{}" | "\"\"" | "null");
+        self.delta.is_some_and(is_nonempty) || self.text.is_some_and(is_nonempty)
     }
 }
 
 /// Sends a prompt to the engine and forwards its tokens.
-pub async fn prompt(
+pub async fn run_prompt(
     shared: &Shared,
-    open: &Open,
-    upload: Upload,
+    work: &Open,
+    request_body: RequestBody,
     level: Level,
-    writer: &mut Writer<'_>,
-) -> Result<(), Failure> {
+    writer: &mut AnswerWriter<'_>,
+) -> Result<(), CallError> {
     let mut request = Request::builder()
-        .method(open.call.method.as_str())
-        .uri(format!("http://{}{}", shared.settings.endpoint_address, open.call.path))
-        .header("x-request-id", open.attempt.to_string())
-        .header("x-priority", priority(level))
-        .header("x-resume-after", open.call.resume_after);
-    for (name, value) in &open.call.headers {
+        .method(work.call.method.as_str())
+        .uri(format!("http://{}{}", shared.settings.endpoint_address, work.call.path))
+        .header("x-request-id", work.attempt.to_string())
+        .header("x-priority", priority_value(level))
+        .header("x-resume-after", work.call.resume_after);
+    for (name, value) in &work.call.headers {
         request = request.header(name, value);
     }
-    let response = send(request, upload).await?;
+    let response = send(request, request_body).await?;
     let status = response.status();
     let mut body = response.into_body();
     if !status.is_success() {
         let text = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let message = String::from_utf8_lossy(&text).into_owned();
-        return Err(Failure { ran: Ran::No, step: "engine", message, status: Some(status.as_u16()) });
+        return Err(CallError { ran: Ran::No, step: "engine", message, status: Some(status.as_u16()) });
     }
-    let mut events = Events::default();
-    let mut answer = Answer::default();
+    let mut decoder = SseDecoder::default();
+    let mut answer = AnswerState::default();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| Failure::unknown("read", error.to_string()))?;
+        let frame = frame.map_err(|error| CallError::unknown("read", error.to_string()))?;
         let Ok(data) = frame.into_data() else { continue };
-        events.push(&data);
-        while let Some(event) = events.next() {
-            if !answer.take(shared, open, &event, writer).await? {
-                return answer.end(writer).await;
+        decoder.push(&data);
+        while let Some(event) = decoder.next() {
+            if !answer.handle_event(shared, work, &event, writer).await? {
+                return answer.finish(writer).await;
             }
         }
     }
-    Err(Failure::unknown("read", "the engine's stream broke off"))
+    Err(CallError::unknown("read", "the engine's stream broke off"))
 }
 
 #[derive(Default)]
-struct Answer {
+struct AnswerState {
     usage: Usage,
-    finish: String,
+    finish_reason: String,
 }
 
-impl Answer {
+impl AnswerState {
     /// Handles the data of one event; returns `false` for the end of the stream.
-    async fn take(
+    async fn handle_event(
         &mut self,
         shared: &Shared,
-        open: &Open,
+        work: &Open,
         data: &[u8],
-        writer: &mut Writer<'_>,
-    ) -> Result<bool, Failure> {
+        writer: &mut AnswerWriter<'_>,
+    ) -> Result<bool, CallError> {
         if data == b"[DONE]" {
             return Ok(false);
         }
-        let event: Event =
-            serde_json::from_slice(data).map_err(|error| Failure::unknown("decode", error.to_string()))?;
+        let event: StreamEvent =
+            serde_json::from_slice(data).map_err(|error| CallError::unknown("decode", error.to_string()))?;
         if let Some(usage) = event.usage {
             self.usage = Usage { prompt_tokens: usage.prompt_tokens, output_tokens: usage.completion_tokens };
         }
         let Some(raw) = event.choices else { return Ok(true) };
         let choices: Vec<Choice> =
-            serde_json::from_str(raw.get()).map_err(|error| Failure::unknown("decode", error.to_string()))?;
+            serde_json::from_str(raw.get()).map_err(|error| CallError::unknown("decode", error.to_string()))?;
         let Some(choice) = choices.first() else { return Ok(true) };
-        if let Some(finish) = &choice.finish_reason {
-            self.finish.clone_from(finish);
+        if let Some(reason) = &choice.finish_reason {
+            self.finish_reason.clone_from(reason);
         }
         let tokens = u32::from(choice.has_token());
         if tokens > 0 && writer.tokens == 0 {
-            shared.kernel.send_detached(Command::FirstToken(open.attempt));
+            shared.event_loop.send_detached(Command::FirstToken(work.attempt));
         }
-        writer.piece(Bytes::copy_from_slice(raw.get().as_bytes()), tokens).await?;
+        writer.send_piece(Bytes::copy_from_slice(raw.get().as_bytes()), tokens).await?;
         Ok(true)
     }
 
-    async fn end(mut self, writer: &mut Writer<'_>) -> Result<(), Failure> {
-        if self.finish.is_empty() {
-            return Err(Failure::unknown("read", "the engine closed its stream without a finish"));
+    async fn finish(mut self, writer: &mut AnswerWriter<'_>) -> Result<(), CallError> {
+        if self.finish_reason.is_empty() {
+            return Err(CallError::unknown("read", "the engine closed its stream without a finish"));
         }
         if self.usage.output_tokens == 0 {
             self.usage.output_tokens = writer.tokens;
         }
-        Ok(writer.end(self.usage, self.finish).await?)
+        Ok(writer.send_end(self.usage, self.finish_reason).await?)
     }
 }
 
-/// Decoder for the data of server-sent events.
+/// Decoder for the data of server-sent decoder.
 #[derive(Default)]
-struct Events {
+struct SseDecoder {
     buffer: BytesMut,
-    searched: usize,
+    searched_bytes: usize,
 }
 
-impl Events {
+impl SseDecoder {
     fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
@@ -203,7 +204,7 @@
     fn next(&mut self) -> Option<Bytes> {
         while let Some(end) = self.line_end() {
             let line = self.buffer.split_to(end + 1).freeze();
-            self.searched = 0;
+            self.searched_bytes = 0;
             let text = line.trim_ascii_end();
             if let Some(data) = text.strip_prefix(b"data:") {
                 return Some(line.slice_ref(data.trim_ascii_start()));
@@ -213,10 +214,10 @@
     }
 
     fn line_end(&mut self) -> Option<usize> {
-        let found = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n');
-        let end = found.map(|at| self.searched + at);
+        let found = self.buffer[self.searched_bytes..].iter().position(|byte| *byte == b'\n');
+        let end = found.map(|at| self.searched_bytes + at);
         if end.is_none() {
-            self.searched = self.buffer.len();
+            self.searched_bytes = self.buffer.len();
         }
         end
     }
--- a/sorrelpass/src/sidecar/kernel.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -20,9 +20,9 @@
 use crate::{event, metric, ring, util, warn_event};
 
 /// Interval at which the scheduler advances while jobs wait or run.
-const TICK: Duration = Duration::from_millis(5);
+const ACTIVE_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval at which the scheduler advances while it is idle.
-const IDLE_TICK: Duration = Duration::from_secs(1);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Signals from the event loop to the task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,13 +40,13 @@
 }
 
 /// Outcome of an offered job.
-pub enum Answer {
+pub enum OfferOutcome {
     /// The job is accepted; the receiver gets its signals.
     Accepted(mpsc::UnboundedReceiver<Signal>),
     /// The job is refused: it did not run and will not.
     Refused(Refused),
     /// A job with the same key ran or runs here; the transcript is its answer.
-    Seen(Transcript),
+    Duplicate(Transcript),
 }
 
 /// Commands to the event loop.
@@ -56,11 +56,11 @@
     /// Offers a job.
     Offer {
         /// Header of the work request.
-        open: Box<Open>,
+        work: Box<Open>,
         /// Transcript for the answer of a call that may run at most once.
         transcript: Option<Transcript>,
         /// Receives the outcome.
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<OfferOutcome>,
     },
     /// Records that the endpoint generated the first token of an attempt.
     FirstToken(Attempt),
@@ -83,24 +83,24 @@
         reply: Option<oneshot::Sender<Voided>>,
     },
     /// Reserves memory for a span, or renews the span's lease.
-    Hold(Hold, oneshot::Sender<Held>),
+    HoldSpan(Hold, oneshot::Sender<Held>),
     /// Marks the start (`true`) or end (`false`) of a span's prefill; replies whether the span is held.
-    Fill(Attempt, bool, oneshot::Sender<bool>),
+    SetSpanFilling(Attempt, bool, oneshot::Sender<bool>),
     /// Releases a span and has the engine free it.
-    GiveUp(Attempt),
+    ReleaseSpan(Attempt),
     /// Returns whether a job or span of this incarnation has the given id at the engine.
-    Owns(Attempt, oneshot::Sender<bool>),
+    IsOwned(Attempt, oneshot::Sender<bool>),
     /// Records that the engine has freed a span.
-    Freed(Attempt),
+    SpanFreed(Attempt),
     /// Refuses new work from now on, and reports when the sidecar is idle.
-    Leave {
+    Shutdown {
         /// Notified when no job waits or runs and no span is held.
         idle: oneshot::Sender<()>,
     },
     /// Sets whether an operator has drained the endpoint.
-    Drain(bool),
+    SetDrained(bool),
     /// Sets whether the endpoint is healthy.
-    Health(bool),
+    SetHealthy(bool),
     /// Returns the state shown by `/status`.
     Status(oneshot::Sender<Status>),
 }
@@ -126,44 +126,48 @@
     pub breaches: u64,
 }
 
-struct Kernel {
+struct EventLoop {
     settings: Sidecar,
     scheduler: Scheduler,
     cache: Cache,
     signals: HashMap<Attempt, mpsc::UnboundedSender<Signal>>,
     chains: HashMap<Attempt, Chain>,
-    once: HashMap<Key, Transcript>,
-    once_attempts: HashMap<Attempt, Key>,
-    leaving: Vec<oneshot::Sender<()>>,
+    transcripts: HashMap<Key, Transcript>,
+    keys: HashMap<Attempt, Key>,
+    idle_waiters: Vec<oneshot::Sender<()>>,
     /// Spans that the `control` thread has to free on the engine.
-    lapsed: mpsc::UnboundedSender<Attempt>,
-    stopping: bool,
+    expired_spans: mpsc::UnboundedSender<Attempt>,
+    is_stopping: bool,
 }
 
 /// Runs the event loop until all command senders are dropped, or until shutdown is complete.
-pub async fn run(settings: Sidecar, mut commands: ring::Receiver<Command>, lapsed: mpsc::UnboundedSender<Attempt>) {
-    let mut kernel = Kernel::new(settings, lapsed);
+pub async fn run(
+    settings: Sidecar,
+    mut commands: ring::Receiver<Command>,
+    expired_spans: mpsc::UnboundedSender<Attempt>,
+) {
+    let mut event_loop = EventLoop::new(settings, expired_spans);
     loop {
-        let tick = if kernel.scheduler.is_idle() { IDLE_TICK } else { TICK };
-        match tokio::time::timeout(tick, commands.recv()).await {
-            Ok(Some(command)) => kernel.handle(command),
+        let interval = if event_loop.scheduler.is_idle() { IDLE_INTERVAL } else { ACTIVE_INTERVAL };
+        match tokio::time::timeout(interval, commands.recv()).await {
+            Ok(Some(command)) => event_loop.handle(command),
             Ok(None) => return,
-            Err(_) if kernel.scheduler.is_idle() => kernel.prune(),
+            Err(_) if event_loop.scheduler.is_idle() => event_loop.prune_transcripts(),
             Err(_) => {}
         }
-        kernel.advance();
-        if kernel.stopping && kernel.leaving.is_empty() {
+        event_loop.advance();
+        if event_loop.is_stopping && event_loop.idle_waiters.is_empty() {
             // Replies to the commands that arrive while the other threads end.
             while let Some(command) = commands.recv().await {
-                kernel.handle(command);
+                event_loop.handle(command);
             }
             return;
         }
     }
 }
 
-impl Kernel {
-    fn new(settings: Sidecar, lapsed: mpsc::UnboundedSender<Attempt>) -> Self {
+impl EventLoop {
+    fn new(settings: Sidecar, expired_spans: mpsc::UnboundedSender<Attempt>) -> Self {
         let order = plugin::find::<OrderPlugin>(settings.order, |plugin| plugin.name);
         let order =
             order.map_or_else(|| Box::new(coord::queue::Fifo) as Box<_>, |plugin| (plugin.make)(settings.weights));
@@ -173,11 +177,11 @@
             cache: Cache::new(settings.cache_blocks),
             signals: HashMap::new(),
             chains: HashMap::new(),
-            once: HashMap::new(),
-            once_attempts: HashMap::new(),
-            leaving: Vec::new(),
-            lapsed,
-            stopping: false,
+            transcripts: HashMap::new(),
+            keys: HashMap::new(),
+            idle_waiters: Vec::new(),
+            expired_spans,
+            is_stopping: false,
             settings,
         }
     }
@@ -185,23 +189,25 @@
     fn handle(&mut self, command: Command) {
         match command {
             Command::Quote(ask, reply) => drop(reply.send(self.quote(&ask))),
-            Command::Offer { open, transcript, reply } => drop(reply.send(self.offer(*open, transcript))),
-            Command::FirstToken(attempt) => self.first_token(attempt),
-            Command::Finish { attempt, output_tokens, not_run } => self.finish(attempt, output_tokens, not_run),
-            Command::Void { attempt, once, reply } => self.void(attempt, once.as_ref(), reply),
-            Command::Hold(hold, reply) => drop(reply.send(self.hold(hold))),
-            Command::Fill(span, filling, reply) => drop(reply.send(self.scheduler.fill(span, filling, util::now()))),
-            Command::GiveUp(span) => self.give_up(span),
-            Command::Owns(name, reply) => drop(reply.send(self.scheduler.owns(name))),
-            Command::Freed(span) => self.freed(span),
-            Command::Leave { idle } => self.leave(idle),
-            Command::Drain(drained) => self.drain(drained),
-            Command::Health(healthy) => self.health(healthy),
+            Command::Offer { work, transcript, reply } => drop(reply.send(self.offer_job(*work, transcript))),
+            Command::FirstToken(attempt) => self.record_first_token(attempt),
+            Command::Finish { attempt, output_tokens, not_run } => self.finish_attempt(attempt, output_tokens, not_run),
+            Command::Void { attempt, once, reply } => self.void_attempt(attempt, once.as_ref(), reply),
+            Command::HoldSpan(hold, reply) => drop(reply.send(self.hold_span(hold))),
+            Command::SetSpanFilling(span, filling, reply) => {
+                drop(reply.send(self.scheduler.fill(span, filling, util::now())))
+            }
+            Command::ReleaseSpan(span) => self.release_span(span),
+            Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
+            Command::SpanFreed(span) => self.span_freed(span),
+            Command::Shutdown { idle } => self.start_shutdown(idle),
+            Command::SetDrained(drained) => self.set_drained(drained),
+            Command::SetHealthy(healthy) => self.set_healthy(healthy),
             Command::Status(reply) => drop(reply.send(self.status())),
         }
     }
 
-    fn job(&self, attempt: Attempt, ask: &Ask, now: Moment) -> Job {
+    fn make_job(&self, attempt: Attempt, ask: &Ask, now: Moment) -> Job {
         let cached = Chain::bytes(self.cache.shared(&ask.chain)) as f64 / ask.bytes_per_token;
         let prefill_tokens = ask.prompt_tokens.saturating_sub(cached as u64);
         let cost = match self.settings.kind {
@@ -225,7 +231,7 @@
     fn quote(&self, ask: &Ask) -> Quoted {
         let now = util::now();
         // Placeholder id: a quote is not recorded.
-        let job = self.job(Attempt(0), ask, now);
+        let job = self.make_job(Attempt(0), ask, now);
         Quoted {
             incarnation: util::incarnation(),
             leaving: self.scheduler.is_leaving(),
@@ -233,77 +239,77 @@
         }
     }
 
-    fn offer(&mut self, open: Open, transcript: Option<Transcript>) -> Answer {
+    fn offer_job(&mut self, work: Open, transcript: Option<Transcript>) -> OfferOutcome {
         let now = util::now();
-        let attempt = open.attempt;
-        if let (Some(key), Some(transcript)) = (&open.once, transcript) {
+        let attempt = work.attempt;
+        if let (Some(key), Some(transcript)) = (&work.once, transcript) {
             match self.scheduler.once(key, attempt, now) {
                 Once::First => {
-                    self.once.insert(key.clone(), transcript);
-                    self.once_attempts.insert(attempt, key.clone());
+                    self.transcripts.insert(key.clone(), transcript);
+                    self.keys.insert(attempt, key.clone());
                 }
-                Once::Running(_) | Once::Done(_) => return self.seen(key, transcript),
+                Once::Running(_) | Once::Done(_) => return self.duplicate(key, transcript),
             }
         }
-        let job = self.job(attempt, &open.ask, now);
+        let job = self.make_job(attempt, &work.ask, now);
         if let Err(refused) = self.scheduler.offer(job, now) {
-            self.unbind(attempt);
-            event!("refuse", request = %open.request, attempt = %attempt, peer = %open.entry, reason = ?refused.reason);
-            return Answer::Refused(refused);
+            self.unbind_key(attempt);
+            event!("refuse", request = %work.request, attempt = %attempt, peer = %work.entry, reason = ?refused.reason);
+            return OfferOutcome::Refused(refused);
         }
         let (sender, receiver) = mpsc::unbounded_channel();
         self.signals.insert(attempt, sender);
-        self.chains.insert(attempt, open.ask.chain);
-        event!("accept", request = %open.request, attempt = %attempt, peer = %open.entry, waiting = self.scheduler.waiting());
-        Answer::Accepted(receiver)
+        self.chains.insert(attempt, work.ask.chain);
+        event!("accept", request = %work.request, attempt = %attempt, peer = %work.entry, waiting = self.scheduler.waiting());
+        OfferOutcome::Accepted(receiver)
     }
 
     /// Returns the transcript of the key's first attempt, or the empty `fresh` one if the first is no longer kept.
-    fn seen(&self, key: &Key, fresh: Transcript) -> Answer {
-        Answer::Seen(self.once.get(key).cloned().unwrap_or(fresh))
+    fn duplicate(&self, key: &Key, fresh: Transcript) -> OfferOutcome {
+        OfferOutcome::Duplicate(self.transcripts.get(key).cloned().unwrap_or(fresh))
     }
 
     /// Makes a key available again, as its attempt is proven not to have run.
-    fn unbind(&mut self, attempt: Attempt) {
-        if let Some(key) = self.once_attempts.remove(&attempt) {
+    fn unbind_key(&mut self, attempt: Attempt) {
+        if let Some(key) = self.keys.remove(&attempt) {
             self.scheduler.once_not_run(&key, attempt);
-            self.once.remove(&key);
+            self.transcripts.remove(&key);
         }
     }
 
-    fn first_token(&mut self, attempt: Attempt) {
+    fn record_first_token(&mut self, attempt: Attempt) {
         self.scheduler.first_token(attempt, util::now());
         if let Some(chain) = self.chains.remove(&attempt) {
             self.cache.insert(&chain);
         }
     }
 
-    fn finish(&mut self, attempt: Attempt, output_tokens: u64, not_run: bool) {
+    fn finish_attempt(&mut self, attempt: Attempt, output_tokens: u64, not_run: bool) {
         self.scheduler.finish(attempt, output_tokens, util::now());
-        self.forget(attempt);
+        self.remove_attempt(attempt);
         if not_run {
-            self.unbind(attempt);
+            self.unbind_key(attempt);
         }
-        if let Some(key) = self.once_attempts.remove(&attempt) {
+        if let Some(key) = self.keys.remove(&attempt) {
             self.scheduler.once_done(&key, attempt);
         }
     }
 
-    fn forget(&mut self, attempt: Attempt) {
+    fn remove_attempt(&mut self, attempt: Attempt) {
         self.signals.remove(&attempt);
         self.chains.remove(&attempt);
     }
 
-    fn void(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
+    fn void_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
         let voided = self.scheduler.void(attempt, once, util::now());
         match voided {
             Voided::NotRun => {
-                self.signal(attempt, Signal::Voided);
-                self.forget(attempt);
-                self.unbind(attempt);
+                self.send_signal(attempt, Signal::Voided);
+                self.remove_attempt(attempt);
+                self.unbind_key(attempt);
             }
             // A call that may run at most once is not cancelled, so that its outcome becomes known.
-            Voided::Started if !self.once_attempts.contains_key(&attempt) => self.signal(attempt, Signal::Cancel),
+            Voided::Started if !self.keys.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
             Voided::Started => {}
         }
         event!("void", attempt = %attempt, voided = ?voided);
@@ -312,19 +318,19 @@
         }
     }
 
-    fn signal(&self, attempt: Attempt, signal: Signal) {
+    fn send_signal(&self, attempt: Attempt, signal: Signal) {
         if let Some(sender) = self.signals.get(&attempt) {
             let _ = sender.send(signal);
         }
     }
 
-    fn hold(&mut self, hold: Hold) -> Held {
+    fn hold_span(&mut self, hold: Hold) -> Held {
         let now = util::now();
-        let until = now + Duration::from_micros(hold.lease_micros);
+        let lease_end = now + Duration::from_micros(hold.lease_micros);
         if hold.renew {
-            return if self.scheduler.renew(hold.span, until) { Held::Yes } else { Held::No };
+            return if self.scheduler.renew(hold.span, lease_end) { Held::Yes } else { Held::No };
         }
-        match self.scheduler.reserve(hold.span, hold.tokens, until, now) {
+        match self.scheduler.reserve(hold.span, hold.tokens, lease_end, now) {
             Ok(()) => {
                 event!("hold-span", span = %hold.span, tokens = hold.tokens);
                 Held::Yes
@@ -336,33 +342,33 @@
 
     /// Releases a span. The `control` thread frees it on the engine, since the entry that requested the
     /// release may be gone by then.
-    fn give_up(&mut self, span: Attempt) {
+    fn release_span(&mut self, span: Attempt) {
         if self.scheduler.give_up(span) {
-            let _ = self.lapsed.send(span);
+            let _ = self.expired_spans.send(span);
         }
     }
 
-    fn freed(&mut self, span: Attempt) {
+    fn span_freed(&mut self, span: Attempt) {
         event!("free-span", span = %span);
         self.scheduler.freed(span);
     }
 
-    fn leave(&mut self, idle: oneshot::Sender<()>) {
+    fn start_shutdown(&mut self, idle: oneshot::Sender<()>) {
         event!("leave", waiting = self.scheduler.waiting(), running = self.scheduler.running());
-        self.stopping = true;
+        self.is_stopping = true;
         self.scheduler.leave();
-        self.leaving.push(idle);
+        self.idle_waiters.push(idle);
     }
 
-    fn drain(&mut self, drained: bool) {
-        if self.stopping || drained == self.scheduler.is_leaving() {
+    fn set_drained(&mut self, drained: bool) {
+        if self.is_stopping || drained == self.scheduler.is_leaving() {
             return;
         }
         event!("drain", drained, running = self.scheduler.running());
         if drained { self.scheduler.leave() } else { self.scheduler.stay() }
     }
 
-    fn health(&mut self, healthy: bool) {
+    fn set_healthy(&mut self, healthy: bool) {
         self.scheduler.set_unhealthy(!healthy);
         if healthy {
             event!("endpoint-up", endpoint = %self.settings.endpoint);
@@ -373,56 +379,56 @@
         let running: Vec<Attempt> =
             self.signals.keys().copied().filter(|attempt| self.scheduler.is_running(*attempt)).collect();
         for attempt in running {
-            if !self.once_attempts.contains_key(&attempt) {
-                self.signal(attempt, Signal::Cancel);
+            if !self.keys.contains_key(&attempt) {
+                self.send_signal(attempt, Signal::Cancel);
             }
         }
     }
 
     /// Drops the transcripts of keys that are past the idempotency window.
-    fn prune(&mut self) {
+    fn prune_transcripts(&mut self) {
         let scheduler = &self.scheduler;
-        self.once.retain(|key, _| scheduler.knows(key));
+        self.transcripts.retain(|key, _| scheduler.knows(key));
     }
 
     fn advance(&mut self) {
         for action in self.scheduler.advance(util::now()) {
             match action {
-                Action::Start(attempt, level) => self.start(attempt, level),
+                Action::Start(attempt, level) => self.start_job(attempt, level),
                 Action::Expire(attempt) => {
                     event!("expire", attempt = %attempt);
-                    self.signal(attempt, Signal::Expired);
-                    self.forget(attempt);
-                    self.unbind(attempt);
+                    self.send_signal(attempt, Signal::Expired);
+                    self.remove_attempt(attempt);
+                    self.unbind_key(attempt);
                 }
-                Action::Cancel(attempt) => self.signal(attempt, Signal::Cancel),
+                Action::Cancel(attempt) => self.send_signal(attempt, Signal::Cancel),
                 Action::Evict(attempt) => {
                     event!("evict", attempt = %attempt);
-                    self.signal(attempt, Signal::Evicted);
-                    self.forget(attempt);
-                    self.unbind(attempt);
+                    self.send_signal(attempt, Signal::Evicted);
+                    self.remove_attempt(attempt);
+                    self.unbind_key(attempt);
                 }
                 Action::FreeSpan(span) => {
                     event!("lapse-span", span = %span);
-                    let _ = self.lapsed.send(span);
+                    let _ = self.expired_spans.send(span);
                 }
             }
         }
         metric::scheduler(self.scheduler.waiting(), self.scheduler.running(), self.scheduler.memory_held());
         if self.scheduler.is_idle() {
-            for idle in self.leaving.drain(..) {
+            for idle in self.idle_waiters.drain(..) {
                 let _ = idle.send(());
             }
         }
     }
 
-    fn start(&mut self, attempt: Attempt, level: Level) {
-        let told = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
-        if !told {
+    fn start_job(&mut self, attempt: Attempt, level: Level) {
+        let is_running = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
+        if !is_running {
             // The job's task has ended, so nothing was sent to the endpoint.
             self.scheduler.finish(attempt, 0, util::now());
-            self.forget(attempt);
-            self.unbind(attempt);
+            self.remove_attempt(attempt);
+            self.unbind_key(attempt);
         }
     }
 
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -9,40 +9,40 @@
 use coord::scheduler::{Level, Refusal};
 use tokio::sync::mpsc;
 
-use super::kernel::{Command, Signal};
+use super::event_loop::{Command, Signal};
 use super::transcript::Transcript;
 use super::{Shared, engine, plain};
 use crate::event;
 use crate::wire::{self, Frame, Open, Usage};
 
 /// A request body: the bytes that have been read, and the stream of the rest.
-pub struct Upload {
-    start: Bytes,
+pub struct RequestBody {
+    read: Bytes,
     rest: Body,
 }
 
-impl Upload {
+impl RequestBody {
     /// Creates a body from the bytes that have been read and the rest.
-    pub fn new(start: Bytes, rest: Body) -> Self {
-        Self { start, rest }
+    pub fn new(read: Bytes, rest: Body) -> Self {
+        Self { read, rest }
     }
 
     /// Converts it to a stream; the rest is read as the stream is polled.
     pub fn into_body(self) -> Body {
         use futures_util::StreamExt;
-        let start = futures_util::stream::iter([Ok::<Bytes, axum::Error>(self.start)]);
-        Body::from_stream(start.chain(self.rest.into_data_stream()))
+        let read = futures_util::stream::iter([Ok::<Bytes, axum::Error>(self.read)]);
+        Body::from_stream(read.chain(self.rest.into_data_stream()))
     }
 }
 
 /// Destination of a job's frames.
 pub enum Output {
     /// An entry, through a bounded channel.
-    Ring {
+    Channel {
         /// Sender of the encoded frames.
-        frames: mpsc::Sender<Bytes>,
+        sender: mpsc::Sender<Bytes>,
         /// Longest wait for space in a full channel.
-        patience: Duration,
+        full_timeout: Duration,
     },
     /// A transcript that any attempt under the same key may read.
     Transcript(Transcript),
@@ -50,18 +50,18 @@
 
 /// Error: the destination accepts no more frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct OutputClosed;
 
 impl Output {
     /// Sends a frame. Fails if the entry has disconnected or does not read in time.
-    pub async fn send(&self, frame: &Frame) -> Result<(), Gone> {
+    pub async fn send(&self, frame: &Frame) -> Result<(), OutputClosed> {
         match self {
-            Output::Ring { frames, patience } => match frames.try_send(wire::encode_delimited(frame)) {
+            Output::Channel { sender, full_timeout } => match sender.try_send(wire::encode_delimited(frame)) {
                 Ok(()) => Ok(()),
-                Err(mpsc::error::TrySendError::Closed(_)) => Err(Gone),
+                Err(mpsc::error::TrySendError::Closed(_)) => Err(OutputClosed),
                 Err(mpsc::error::TrySendError::Full(bytes)) => {
-                    let sent = tokio::time::timeout(*patience, frames.send(bytes)).await;
-                    sent.map_err(|_| Gone)?.map_err(|_| Gone)
+                    let sent = tokio::time::timeout(*full_timeout, sender.send(bytes)).await;
+                    sent.map_err(|_| OutputClosed)?.map_err(|_| OutputClosed)
                 }
             },
             Output::Transcript(transcript) => {
@@ -72,9 +72,9 @@
     }
 
     /// Resolves when the destination accepts no more frames; never for a transcript.
-    async fn gone(&self) {
+    async fn closed(&self) {
         match self {
-            Output::Ring { frames, .. } => frames.closed().await,
+            Output::Channel { sender, .. } => sender.closed().await,
             Output::Transcript(_) => std::future::pending().await,
         }
     }
@@ -88,7 +88,7 @@
 }
 
 /// Numbers the pieces of an answer and sends them.
-pub struct Writer<'a> {
+pub struct AnswerWriter<'a> {
     /// Destination of the frames.
     pub output: &'a Output,
     attempt: Attempt,
@@ -96,20 +96,20 @@
     /// Number of output tokens sent.
     pub tokens: u64,
     /// Whether any piece was sent.
-    pub begun: bool,
+    pub has_pieces: bool,
 }
 
-impl Writer<'_> {
+impl AnswerWriter<'_> {
     /// Sends a piece of the answer.
-    pub async fn piece(&mut self, bytes: Bytes, tokens: u32) -> Result<(), Gone> {
+    pub async fn send_piece(&mut self, bytes: Bytes, tokens: u32) -> Result<(), OutputClosed> {
         let number = self.tally.add(&bytes);
         self.tokens += u64::from(tokens);
-        self.begun = true;
+        self.has_pieces = true;
         self.output.send(&Frame::Piece { attempt: self.attempt, number, tokens, bytes }).await
     }
 
     /// Sends the end of a complete answer, with the piece count and digest.
-    pub async fn end(&mut self, usage: Usage, finish: String) -> Result<(), Gone> {
+    pub async fn send_end(&mut self, usage: Usage, finish: String) -> Result<(), OutputClosed> {
         let seal = self.tally.seal();
         let end = Frame::End { attempt: self.attempt, count: seal.count, digest: seal.digest, usage, finish };
         self.output.send(&end).await
@@ -118,7 +118,7 @@
 
 /// Reason why a call to an endpoint gave no complete answer.
 #[derive(Clone, Debug)]
-pub struct Failure {
+pub struct CallError {
     /// Whether the call ran.
     pub ran: Ran,
     /// Step that failed.
@@ -129,15 +129,15 @@
     pub status: Option<u16>,
 }
 
-impl Failure {
+impl CallError {
     /// Creates an error of a call that may have run.
     pub fn unknown(step: &'static str, message: impl Into<String>) -> Self {
         Self { ran: Ran::Unknown, step, message: message.into(), status: None }
     }
 }
 
-impl From<Gone> for Failure {
-    fn from(_: Gone) -> Self {
+impl From<OutputClosed> for CallError {
+    fn from(_: OutputClosed) -> Self {
         Self::unknown("pass-on", "nobody takes the answer any more")
     }
 }
@@ -145,82 +145,85 @@
 /// Runs a job that the event loop has accepted.
 pub async fn run(
     shared: Arc<Shared>,
-    open: Open,
-    upload: Upload,
+    work: Open,
+    request_body: RequestBody,
     mut signals: mpsc::UnboundedReceiver<Signal>,
     output: Output,
 ) {
-    let level = match wait(&shared, &open, &mut signals, &output).await {
+    let level = match wait_for_start(&shared, &work, &mut signals, &output).await {
         Some(level) => level,
         None => return output.close(),
     };
-    event!("start-job", request = %open.request, attempt = %open.attempt, level = ?level);
+    event!("start-job", request = %work.request, attempt = %work.attempt, level = ?level);
     let _ = output.send(&Frame::Started).await;
-    let mut writer = Writer { output: &output, attempt: open.attempt, tally: Tally::new(), tokens: 0, begun: false };
+    let mut writer =
+        AnswerWriter { output: &output, attempt: work.attempt, tally: Tally::new(), tokens: 0, has_pieces: false };
     let result = tokio::select! {
-        result = call(&shared, &open, upload, level, &mut writer) => result,
-        failure = cancelled(&mut signals) => Err(failure),
-        () = output.gone() => Err(Gone.into()),
+        result = call_endpoint(&shared, &work, request_body, level, &mut writer) => result,
+        error = wait_for_cancel(&mut signals) => Err(error),
+        () = output.closed() => Err(OutputClosed.into()),
     };
     let tokens = writer.tokens;
-    let begun = writer.begun;
+    let has_pieces = writer.has_pieces;
     match &result {
-        Ok(()) => event!("end-job", request = %open.request, attempt = %open.attempt, tokens),
-        Err(failure) => {
-            event!("fail-job", request = %open.request, attempt = %open.attempt, tokens, at = failure.step,
-                ran = failure.ran.as_str(), reason = %failure.message);
+        Ok(()) => event!("end-job", request = %work.request, attempt = %work.attempt, tokens),
+        Err(error) => {
+            event!("fail-job", request = %work.request, attempt = %work.attempt, tokens, at = error.step,
+                ran = error.ran.as_str(), reason = %error.message);
         }
     }
     let mut not_run = false;
-    if let Err(failure) = result {
-        not_run = failure.ran == Ran::No && failure.status.is_none();
-        let ran = if begun { Ran::Partial } else { failure.ran };
-        let step = failure.step.to_owned();
-        let _ = output.send(&Frame::Failed { ran, step, message: failure.message, status: failure.status }).await;
+    if let Err(error) = result {
+        not_run = error.ran == Ran::No && error.status.is_none();
+        let ran = if has_pieces { Ran::Partial } else { error.ran };
+        let step = error.step.to_owned();
+        let _ = output.send(&Frame::Failed { ran, step, message: error.message, status: error.status }).await;
     }
     output.close();
-    shared.kernel.send_detached(Command::Finish { attempt: open.attempt, output_tokens: tokens, not_run });
+    shared.event_loop.send_detached(Command::Finish { attempt: work.attempt, output_tokens: tokens, not_run });
 }
 
 /// Waits for the event loop to start the job; `None` if it never starts.
-async fn wait(
+async fn wait_for_start(
     shared: &Shared,
-    open: &Open,
+    work: &Open,
     signals: &mut mpsc::UnboundedReceiver<Signal>,
     output: &Output,
 ) -> Option<Level> {
     let signal = tokio::select! {
         signal = signals.recv() => signal,
-        () = output.gone() => {
-            shared.kernel.send_detached(Command::Void { attempt: open.attempt, once: None, reply: None });
+        () = output.closed() => {
+            shared.event_loop.send_detached(Command::Void { attempt: work.attempt, once: None, reply: None });
             // The event loop may have started the job concurrently; the job then occupies a slot until it
             // is finished.
             if let Some(Signal::Start(_)) = signals.recv().await {
-                let finish = Command::Finish { attempt: open.attempt, output_tokens: 0, not_run: true };
-                shared.kernel.send_detached(finish);
+                let finish = Command::Finish { attempt: work.attempt, output_tokens: 0, not_run: true };
+                shared.event_loop.send_detached(finish);
             }
             return None;
         }
     };
     match signal {
         Some(Signal::Start(level)) => Some(level),
-        Some(Signal::Expired) => refuse(output, wire::Refused::Expired).await,
-        Some(Signal::Evicted) => refuse(output, wire::Refused::Scheduler(Refusal::Evicted)).await,
-        Some(Signal::Voided | Signal::Cancel) | None => refuse(output, wire::Refused::Scheduler(Refusal::Voided)).await,
+        Some(Signal::Expired) => send_refusal(output, wire::Refused::Expired).await,
+        Some(Signal::Evicted) => send_refusal(output, wire::Refused::Scheduler(Refusal::Evicted)).await,
+        Some(Signal::Voided | Signal::Cancel) | None => {
+            send_refusal(output, wire::Refused::Scheduler(Refusal::Voided)).await
+        }
     }
 }
 
 /// Tells the entry that the job did not start and never will.
-async fn refuse(output: &Output, reason: wire::Refused) -> Option<Level> {
+async fn send_refusal(output: &Output, reason: wire::Refused) -> Option<Level> {
     let _ = output.send(&Frame::Refused { reason, retry_after_micros: 0 }).await;
     None
 }
 
-async fn cancelled(signals: &mut mpsc::UnboundedReceiver<Signal>) -> Failure {
+async fn wait_for_cancel(signals: &mut mpsc::UnboundedReceiver<Signal>) -> CallError {
     loop {
         match signals.recv().await {
             Some(Signal::Cancel) => {
-                return Failure::unknown("cancel", "stopped: its time ran out or its endpoint is dead");
+                return CallError::unknown("cancel", "stopped: its time ran out or its endpoint is dead");
             }
             Some(_) => {}
             None => std::future::pending().await,
@@ -228,16 +231,16 @@
     }
 }
 
-async fn call(
+async fn call_endpoint(
     shared: &Shared,
-    open: &Open,
-    upload: Upload,
+    work: &Open,
+    request_body: RequestBody,
     level: Level,
-    writer: &mut Writer<'_>,
-) -> Result<(), Failure> {
-    if open.call.prompt {
-        engine::prompt(shared, open, upload, level, writer).await
+    writer: &mut AnswerWriter<'_>,
+) -> Result<(), CallError> {
+    if work.call.prompt {
+        engine::run_prompt(shared, work, request_body, level, writer).await
     } else {
-        plain::call(shared, open, upload, writer).await
+        plain::call_service(shared, work, request_body, writer).await
     }
 }
--- a/sorrelpass/src/sidecar/mod.rs
+++ b/sorrelpass/src/sidecar/mod.rs
@@ -5,13 +5,13 @@
 
 mod control;
 mod engine;
+mod event_loop;
 mod job;
-mod kernel;
 mod order;
 pub mod plain;
+mod server;
 mod span;
 mod transcript;
-mod work;
 
 use std::sync::Arc;
 
@@ -22,14 +22,14 @@
 use crate::{event, http, metric, ring, timeline, util};
 
 /// Capacity of the event loop's command queue, in commands.
-const KERNEL_RING: usize = 4_096;
+const EVENT_LOOP_QUEUE_CAPACITY: usize = 4_096;
 
 /// State shared by the threads of a sidecar. It holds no state that decisions are based on.
 pub struct Shared {
     /// Settings of this sidecar.
     pub settings: Sidecar,
     /// Command queue of the event loop.
-    pub kernel: ring::Sender<kernel::Command>,
+    pub event_loop: ring::Sender<event_loop::Command>,
 }
 
 /// Runs a sidecar until it receives a termination signal and its jobs are finished.
@@ -38,35 +38,35 @@
     metric::init()?;
     let termination = util::Termination::watch()?;
     let listener_address = settings.listen;
-    let (commands, receiver) = ring::pair("kernel", KERNEL_RING);
-    let shared = Arc::new(Shared { settings, kernel: commands });
+    let (commands, receiver) = ring::pair("kernel", EVENT_LOOP_QUEUE_CAPACITY);
+    let shared = Arc::new(Shared { settings, event_loop: commands });
     let (stop, stopped) = watch::channel(false);
-    let (lapsed, lapsed_spans) = tokio::sync::mpsc::unbounded_channel();
+    let (expired_spans, expired_span_receiver) = tokio::sync::mpsc::unbounded_channel();
 
-    let kernel = util::duty("kernel", {
+    let event_loop = util::duty("kernel", {
         let settings = shared.settings.clone();
-        move || kernel::run(settings, receiver, lapsed)
+        move || event_loop::run(settings, receiver, expired_spans)
     })?;
     let std_listener = bind(listener_address)?;
-    let work = util::duty("work", {
+    let server = util::duty("work", {
         let shared = shared.clone();
         let stopped = stopped.clone();
         move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(std_listener) else { return };
-            let patience = shared.settings.slow_entry;
-            http::serve(listener, work::router(shared), patience, stopped).await;
+            let entry_timeout = shared.settings.slow_entry;
+            http::serve(listener, server::router(shared), entry_timeout, stopped).await;
         }
     })?;
     let control = util::duty("control", {
         let shared = shared.clone();
-        move || control::run(shared, lapsed_spans, stopped)
+        move || control::run(shared, expired_span_receiver, stopped)
     })?;
     event!("start", role = "sidecar", endpoint = %shared.settings.endpoint, listen = %listener_address);
 
     termination.wait();
     event!("stop", role = "sidecar", reason = "signal");
     close(shared, &stop)?;
-    for thread in [work, control, kernel] {
+    for thread in [server, control, event_loop] {
         let _ = thread.join();
     }
     event!("stopped", role = "sidecar");
@@ -80,8 +80,8 @@
 /// Refuses new work, waits until no job waits or runs and no span is held, then stops the threads.
 fn close(shared: Arc<Shared>, stop: &watch::Sender<bool>) -> Result<()> {
     util::with_runtime(async {
-        let (done, idle) = tokio::sync::oneshot::channel();
-        let _ = shared.kernel.send(kernel::Command::Leave { idle: done }).await;
+        let (sender, idle) = tokio::sync::oneshot::channel();
+        let _ = shared.event_loop.send(event_loop::Command::Shutdown { idle: sender }).await;
         let _ = idle.await;
         Ok(())
     })?;
--- a/sorrelpass/src/sidecar/order.rs
+++ b/sorrelpass/src/sidecar/order.rs
@@ -15,14 +15,14 @@
 use crate::{event, http, util, warn_event};
 
 /// Timeout of an order. The connection is closed at the timeout, so that a late order cannot take effect.
-pub const ORDER_LIFE: Duration = Duration::from_secs(1);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sends placement orders to the endpoint, and reads back its load.
-pub struct Orders {
-    caller: http::Caller,
+pub struct OrderSender {
+    client: http::Caller,
     newest: Option<Order>,
     /// Earliest time at which this incarnation may send orders.
-    quiet_until: coord::time::Moment,
+    send_from: coord::time::Moment,
 }
 
 #[derive(Deserialize)]
@@ -36,29 +36,30 @@
     adapters: Vec<Name>,
 }
 
-impl Orders {
+impl OrderSender {
     /// Creates a sender that sends no order until those of the previous incarnation have timed out.
     pub fn new() -> Self {
-        Self { caller: http::caller_h1(), newest: None, quiet_until: util::now() + ORDER_LIFE }
+        Self { client: http::caller_h1(), newest: None, send_from: util::now() + ORDER_TIMEOUT }
     }
 
     /// Stores an order if it is newer than the stored one.
-    pub fn take(&mut self, order: Order) {
-        let newer = self.newest.as_ref().is_none_or(|known| (order.fence, order.offset) > (known.fence, known.offset));
-        if newer {
+    pub fn store(&mut self, order: Order) {
+        let is_newer =
+            self.newest.as_ref().is_none_or(|known| (order.fence, order.offset) > (known.fence, known.offset));
+        if is_newer {
             self.newest = Some(order);
         }
     }
 
     /// Sends the newest order if the endpoint's load differs from it. Returns whether the endpoint already
     /// has that load.
-    pub async fn converge(&self, shared: &Shared) -> bool {
+    pub async fn reconcile(&self, shared: &Shared) -> bool {
         let Some(order) = &self.newest else { return true };
-        let Some(holds) = holds(&self.caller, shared).await else { return false };
-        if holds == order.load {
+        let Some(load) = query_load(&self.client, shared).await else { return false };
+        if load == order.load {
             return true;
         }
-        if util::now() >= self.quiet_until {
+        if util::now() >= self.send_from {
             self.send(shared, order).await;
         }
         false
@@ -67,8 +68,8 @@
     async fn send(&self, shared: &Shared, order: &Order) {
         let body = json!({ "fence": order.fence, "version": order.load.version, "adapters": order.load.adapters,
             "role": "" });
-        let call = http::post_json(&self.caller, &shared.settings.endpoint_address, "/orders", &body);
-        match tokio::time::timeout(ORDER_LIFE, call).await {
+        let call = http::post_json(&self.client, &shared.settings.endpoint_address, "/orders", &body);
+        match tokio::time::timeout(ORDER_TIMEOUT, call).await {
             Ok(Ok(204)) => event!("order", fence = order.fence.0, version = %order.load.version),
             Ok(Ok(409)) => {
                 warn_event!("order-refused", fence = order.fence.0, reason = "the endpoint knows a newer fence")
@@ -81,8 +82,8 @@
 }
 
 /// Asks the endpoint for its load; `None` if it does not answer.
-pub async fn holds(caller: &http::Caller, shared: &Shared) -> Option<Load> {
-    let call = http::exchange_json(caller, &shared.settings.endpoint_address, "GET", "/loaded", None);
-    let loaded: Loaded = tokio::time::timeout(ORDER_LIFE, call).await.ok()?.ok()?;
+pub async fn query_load(client: &http::Caller, shared: &Shared) -> Option<Load> {
+    let call = http::exchange_json(client, &shared.settings.endpoint_address, "GET", "/loaded", None);
+    let loaded: Loaded = tokio::time::timeout(ORDER_TIMEOUT, call).await.ok()?.ok()?;
     Some(Load { version: loaded.loaded.version, adapters: loaded.loaded.adapters })
 }
--- a/sorrelpass/src/sidecar/plain.rs
+++ b/sorrelpass/src/sidecar/plain.rs
@@ -6,7 +6,7 @@
 
 use super::Shared;
 use super::engine::send;
-use super::job::{Failure, Upload, Writer};
+use super::job::{AnswerWriter, CallError, RequestBody};
 use crate::wire::{Frame, Open, Usage};
 
 /// Hop-by-hop headers, which apply to a single connection and are not forwarded.
@@ -22,28 +22,33 @@
 ];
 
 /// Calls the service and forwards its response.
-pub async fn call(shared: &Shared, open: &Open, upload: Upload, writer: &mut Writer<'_>) -> Result<(), Failure> {
+pub async fn call_service(
+    shared: &Shared,
+    work: &Open,
+    request_body: RequestBody,
+    writer: &mut AnswerWriter<'_>,
+) -> Result<(), CallError> {
     let mut request = Request::builder()
-        .method(open.call.method.as_str())
-        .uri(format!("http://{}{}", shared.settings.endpoint_address, open.call.path));
-    for (name, value) in &open.call.headers {
+        .method(work.call.method.as_str())
+        .uri(format!("http://{}{}", shared.settings.endpoint_address, work.call.path));
+    for (name, value) in &work.call.headers {
         request = request.header(name, value);
     }
-    let response = send(request, upload).await?;
+    let response = send(request, request_body).await?;
     let (head, mut body) = response.into_parts();
-    let frame = Frame::Head { status: head.status.as_u16(), headers: passed_on(&head.headers) };
+    let frame = Frame::Head { status: head.status.as_u16(), headers: forwarded_headers(&head.headers) };
     writer.output.send(&frame).await?;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| Failure::unknown("read", error.to_string()))?;
+        let frame = frame.map_err(|error| CallError::unknown("read", error.to_string()))?;
         if let Ok(data) = frame.into_data() {
-            writer.piece(data, 0).await?;
+            writer.send_piece(data, 0).await?;
         }
     }
-    Ok(writer.end(Usage::default(), "stop".to_owned()).await?)
+    Ok(writer.send_end(Usage::default(), "stop".to_owned()).await?)
 }
 
 /// Returns the headers to forward: all but the hop-by-hop headers, `content-length` and `host`.
-pub fn passed_on(headers: &HeaderMap) -> Vec<(String, String)> {
+pub fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, String)> {
     headers
         .iter()
         .filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()) && *name != "content-length" && *name != "host")
--- /dev/null
+++ b/sorrelpass/src/sidecar/server.rs
@@ -0,0 +1,171 @@
+//! HTTP server of a sidecar: quotes, work and voiding for entries, health and metrics for operators.
+
+use std::convert::Infallible;
+use std::sync::Arc;
+
+use axum::Router;
+use axum::body::{Body, Bytes};
+use axum::extract::State;
+use axum::http::{HeaderMap, StatusCode};
+use axum::response::{IntoResponse, Response};
+use axum::routing::{get, post};
+use futures_util::stream;
+use http_body_util::BodyExt;
+use serde::de::DeserializeOwned;
+use tokio::sync::{mpsc, oneshot};
+
+use super::Shared;
+use super::event_loop::{Command, OfferOutcome};
+use super::transcript::Transcript;
+use super::{job, order, span};
+use crate::wire::{self, Frame, Open, Splitter};
+use crate::{http, metric, timeline, util};
+
+/// Number of frames that are buffered for an entry that reads slowly.
+const FRAME_QUEUE_CAPACITY: usize = 256;
+/// Maximum body size of a call that may run at most once; its body is buffered before the job is offered.
+const MAX_ONCE_BODY_BYTES: usize = 16 * 1_024 * 1_024;
+
+/// Builds the router of a sidecar.
+pub fn router(shared: Arc<Shared>) -> Router {
+    Router::new()
+        .route(wire::QUOTE, post(get_quote))
+        .route(wire::WORK, post(run_work))
+        .route(wire::VOID, post(void_attempt))
+        .route(wire::SPAN_HOLD, post(span::reserve_span))
+        .route(wire::SPAN_FILL, post(span::fill_span))
+        .route(wire::SPAN_FREE, post(span::release_span))
+        .route(wire::HOLDS, get(get_load))
+        .route("/status", get(get_status))
+        .route("/healthz", get(|| async { "ok\n" }))
+        .route("/readyz", get(|| async { "ok\n" }))
+        .route("/metrics", get(|| async { metric::text() }))
+        .with_state(shared)
+}
+
+fn observe_clock(headers: &HeaderMap) {
+    if let Some(stamp) = headers.get(timeline::HEADER).and_then(|value| value.to_str().ok()) {
+        timeline::observe(stamp);
+    }
+}
+
+/// Adds the clock stamp of this process to a response.
+pub fn with_clock_stamp(body: impl IntoResponse) -> Response {
+    ([(timeline::HEADER, timeline::stamp())], body).into_response()
+}
+
+/// Sends a command to the event loop and waits for its reply. Fails with 503 if the event loop has stopped.
+pub async fn ask<T>(shared: &Shared, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, StatusCode> {
+    let (reply, answer) = oneshot::channel();
+    shared.event_loop.send(command(reply)).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+    answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
+}
+
+async fn get_quote(State(shared): State<Arc<Shared>>, headers: HeaderMap, body: Bytes) -> Result<Response, StatusCode> {
+    observe_clock(&headers);
+    let request: wire::Ask = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let quoted = ask(&shared, |reply| Command::Quote(request, reply)).await?;
+    Ok(with_clock_stamp(wire::encode(&quoted)))
+}
+
+async fn void_attempt(
+    State(shared): State<Arc<Shared>>,
+    headers: HeaderMap,
+    body: Bytes,
+) -> Result<Response, StatusCode> {
+    observe_clock(&headers);
+    let void: wire::Void = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let voided =
+        ask(&shared, |reply| Command::Void { attempt: void.attempt, once: void.once, reply: Some(reply) }).await?;
+    Ok(with_clock_stamp(wire::encode(&wire::VoidAnswer { incarnation: util::incarnation(), voided })))
+}
+
+async fn get_load(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
+    let load = order::query_load(&http::caller_h1(), &shared).await.ok_or(StatusCode::BAD_GATEWAY)?;
+    Ok(axum::Json(load).into_response())
+}
+
+async fn get_status(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
+    let status = ask(&shared, Command::Status).await?;
+    Ok(axum::Json(status).into_response())
+}
+
+/// Reads the message at the start of a body. Also returns the bytes of the body that were read beyond it.
+pub async fn read_delimited<T: DeserializeOwned>(body: &mut Body) -> Result<(T, Bytes), StatusCode> {
+    let mut splitter = Splitter::new();
+    loop {
+        if let Some(message) = splitter.next().map_err(|_| StatusCode::BAD_REQUEST)? {
+            return Ok((message, splitter.rest()));
+        }
+        let frame = body.frame().await.ok_or(StatusCode::BAD_REQUEST)?.map_err(|_| StatusCode::BAD_REQUEST)?;
+        if let Ok(data) = frame.into_data() {
+            splitter.push(&data);
+        }
+    }
+}
+
+async fn run_work(
+    State(shared): State<Arc<Shared>>,
+    headers: HeaderMap,
+    mut body: Body,
+) -> Result<Response, StatusCode> {
+    observe_clock(&headers);
+    let (work, start) = read_delimited::<Open>(&mut body).await?;
+    if work.incarnation.is_some_and(|wanted| wanted != util::incarnation()) {
+        let reason = wire::Refused::OtherIncarnation;
+        return Ok(single_frame_response(&Frame::Refused { reason, retry_after_micros: 0 }));
+    }
+    if work.once.is_some() {
+        return run_work_once(shared, work, start, body).await;
+    }
+    let outcome =
+        ask(&shared, |reply| Command::Offer { work: Box::new(work.clone()), transcript: None, reply }).await?;
+    let signals = match outcome {
+        OfferOutcome::Accepted(signals) => signals,
+        OfferOutcome::Refused(refused) => return Ok(single_frame_response(&refusal_frame(refused))),
+        OfferOutcome::Duplicate(_) => return Err(StatusCode::CONFLICT),
+    };
+    let (sender, receiver) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+    let output = job::Output::Channel { sender, full_timeout: shared.settings.slow_entry };
+    tokio::spawn(job::run(shared, work, job::RequestBody::new(start, body), signals, output));
+    Ok(with_clock_stamp(Body::from_stream(stream::unfold(receiver, |mut receiver| async move {
+        receiver.recv().await.map(|frame| (Ok::<Bytes, Infallible>(frame), receiver))
+    }))))
+}
+
+/// Runs a call that may run at most once: buffers its body first, and records its answer.
+async fn run_work_once(shared: Arc<Shared>, work: Open, start: Bytes, body: Body) -> Result<Response, StatusCode> {
+    let rest = http_body_util::Limited::new(body, MAX_ONCE_BODY_BYTES);
+    let rest = rest.collect().await.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes();
+    let whole = Bytes::from([start, rest].concat());
+    let transcript = Transcript::new();
+    let recording = transcript.clone();
+    let attempt = work.attempt;
+    let outcome =
+        ask(&shared, |reply| Command::Offer { work: Box::new(work.clone()), transcript: Some(recording), reply })
+            .await?;
+    let source = match outcome {
+        OfferOutcome::Refused(refused) => return Ok(single_frame_response(&refusal_frame(refused))),
+        OfferOutcome::Duplicate(earlier) => earlier,
+        OfferOutcome::Accepted(signals) => {
+            let output = job::Output::Transcript(transcript.clone());
+            tokio::spawn(job::run(shared, work, job::RequestBody::new(whole, Body::empty()), signals, output));
+            transcript
+        }
+    };
+    Ok(with_clock_stamp(Body::from_stream(stream::unfold((source, 0), move |(source, index)| async move {
+        let frame = source.frame(index, attempt).await?;
+        Some((Ok::<Bytes, Infallible>(wire::encode_delimited(&frame)), (source, index + 1)))
+    }))))
+}
+
+fn refusal_frame(refused: coord::scheduler::Refused) -> Frame {
+    Frame::Refused {
+        reason: wire::Refused::Scheduler(refused.reason),
+        retry_after_micros: coord::time::micros(refused.retry_after),
+    }
+}
+
+fn single_frame_response(frame: &Frame) -> Response {
+    with_clock_stamp(wire::encode_delimited(frame))
+}
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -13,39 +13,39 @@
 use serde::Deserialize;
 
 use super::Shared;
-use super::engine::client;
-use super::job::Upload;
-use super::kernel::Command;
-use super::work::{ask, read_delimited, stamped};
+use super::engine::thread_client;
+use super::event_loop::Command;
+use super::job::RequestBody;
+use super::server::{ask, read_delimited, with_clock_stamp};
 use crate::wire::{self, Fill, Filled, Hold};
 use crate::{event, util, warn_event};
 
 /// Delay before a failed request to the engine is repeated.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Timeout for the engine to free a span or cancel a request.
 const FREE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Handles `POST /span/hold`: reserves memory for a span, or renews its lease.
-pub async fn hold(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
+pub async fn reserve_span(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
     let hold: Hold = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let held = ask(&shared, |reply| Command::Hold(hold, reply)).await?;
-    Ok(stamped(wire::encode(&held)))
+    let held = ask(&shared, |reply| Command::HoldSpan(hold, reply)).await?;
+    Ok(with_clock_stamp(wire::encode(&held)))
 }
 
 /// Handles `POST /span/fill`: prefills a reserved span, and answers once the prefill is complete.
-pub async fn fill(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
+pub async fn fill_span(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
     let (fill, start) = read_delimited::<Fill>(&mut body).await?;
-    if !ask(&shared, |reply| Command::Fill(fill.span, true, reply)).await? {
+    if !ask(&shared, |reply| Command::SetSpanFilling(fill.span, true, reply)).await? {
         return Err(StatusCode::GONE);
     }
-    let filled = prefill(&shared, fill, Upload::new(start, body)).await;
-    ask(&shared, |reply| Command::Fill(fill.span, false, reply)).await?;
+    let filled = prefill_on_engine(&shared, fill, RequestBody::new(start, body)).await;
+    ask(&shared, |reply| Command::SetSpanFilling(fill.span, false, reply)).await?;
     let filled = filled.map_err(|error| {
         warn_event!("fill-failed", span = %fill.span, reason = %error);
         StatusCode::BAD_GATEWAY
     })?;
     event!("fill-span", span = %fill.span, tokens = filled.tokens);
-    Ok(stamped(wire::encode(&filled)))
+    Ok(with_clock_stamp(wire::encode(&filled)))
 }
 
 #[derive(Deserialize)]
@@ -54,9 +54,9 @@
     digest: u64,
 }
 
-async fn prefill(shared: &Shared, fill: Fill, upload: Upload) -> eyre::Result<Filled> {
+async fn prefill_on_engine(shared: &Shared, fill: Fill, body: RequestBody) -> eyre::Result<Filled> {
     let uri = format!("http://{}/spans/{}?digest={}", shared.settings.endpoint_address, fill.span, fill.digest);
-    let response = client().request(Request::post(uri).body(upload.into_body())?).await?;
+    let response = thread_client().request(Request::post(uri).body(body.into_body())?).await?;
     let status = response.status();
     let bytes = response.into_body().collect().await?.to_bytes();
     eyre::ensure!(status.is_success(), "step=fill-span status={status}");
@@ -65,27 +65,27 @@
 }
 
 /// Handles `POST /span/free`: releases a span.
-pub async fn free(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
+pub async fn release_span(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
     let span: Attempt = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    shared.kernel.send(Command::GiveUp(span)).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
-    Ok(stamped(Bytes::new()))
+    shared.event_loop.send(Command::ReleaseSpan(span)).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+    Ok(with_clock_stamp(Bytes::new()))
 }
 
 /// Frees a span on the engine, retrying until the engine confirms it.
 pub async fn free_on_engine(shared: &Shared, span: Attempt) {
     loop {
-        if delete(shared, &span.to_string()).await {
-            let _ = shared.kernel.send(Command::Freed(span)).await;
+        if delete_on_engine(shared, &span.to_string()).await {
+            let _ = shared.event_loop.send(Command::SpanFreed(span)).await;
             return;
         }
-        tokio::time::sleep(util::jitter(RETRY)).await;
+        tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
     }
 }
 
-async fn delete(shared: &Shared, span: &str) -> bool {
+async fn delete_on_engine(shared: &Shared, span: &str) -> bool {
     let uri = format!("http://{}/spans/{span}", shared.settings.endpoint_address);
     let Ok(request) = Request::delete(uri).body(Body::empty()) else { return true };
-    let answer = tokio::time::timeout(FREE_TIMEOUT, client().request(request)).await;
+    let answer = tokio::time::timeout(FREE_TIMEOUT, thread_client().request(request)).await;
     matches!(answer, Ok(Ok(response)) if response.status().is_success())
 }
 
@@ -97,27 +97,27 @@
 
 /// Frees the spans and cancels the requests that a previous incarnation of this sidecar left on the engine.
 pub async fn reconcile(shared: &Shared) {
-    let caller = crate::http::caller_h1();
+    let client = crate::http::caller_h1();
     let found: EngineMemory = loop {
-        let listed = crate::http::exchange_json(&caller, &shared.settings.endpoint_address, "GET", "/kv", None).await;
+        let listed = crate::http::exchange_json(&client, &shared.settings.endpoint_address, "GET", "/kv", None).await;
         match listed {
             Ok(found) => break found,
-            Err(_) => tokio::time::sleep(util::jitter(RETRY)).await,
+            Err(_) => tokio::time::sleep(util::jitter(RETRY_DELAY)).await,
         }
     };
     for span in found.spans {
-        if !owned(shared, &span).await {
+        if !is_owned(shared, &span).await {
             event!("reconcile-span", span = %span);
-            while !delete(shared, &span).await {
-                tokio::time::sleep(util::jitter(RETRY)).await;
+            while !delete_on_engine(shared, &span).await {
+                tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
             }
         }
     }
     for request in found.requests {
-        if !owned(shared, &request).await {
+        if !is_owned(shared, &request).await {
             event!("reconcile-request", attempt = %request);
             let path = format!("/cancel/{request}");
-            let call = crate::http::exchange(&caller, &shared.settings.endpoint_address, "POST", &path, Bytes::new());
+            let call = crate::http::exchange(&client, &shared.settings.endpoint_address, "POST", &path, Bytes::new());
             let _ = tokio::time::timeout(FREE_TIMEOUT, call).await;
         }
     }
@@ -125,7 +125,7 @@
 
 /// Returns whether this incarnation owns the job or span with the id `name`. Ids that this system did not
 /// generate count as owned, so that they are left alone.
-async fn owned(shared: &Shared, name: &str) -> bool {
+async fn is_owned(shared: &Shared, name: &str) -> bool {
     let Ok(number) = u128::from_str_radix(name, 16) else { return true };
-    ask(shared, |reply| Command::Owns(Attempt(number), reply)).await.unwrap_or(true)
+    ask(shared, |reply| Command::IsOwned(Attempt(number), reply)).await.unwrap_or(true)
 }
