--- a/sorrelpass/src/entry/body.rs
+++ b/sorrelpass/src/entry/body.rs
@@ -16,10 +16,10 @@
 use crate::ring;
 
 /// Initial buffer capacity for a body without `Content-Length`.
-const INITIAL_CAPACITY: usize = 4 * 1_024;
+const INITIAL_CAPACITY_BYTES: usize = 4 * 1_024;
 /// Larger bodies are parsed on the `parse` thread, so that they do not delay short ones.
 const MAX_INLINE_PARSE_BYTES: usize = 64 * 1_024;
-/// Longest wait for the next part of a body.
+/// Maximum wait for the next part of a body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A buffered body and its reservation in the memory budget.
@@ -47,8 +47,8 @@
     if content_length.is_some_and(|length| length > settings.max_body_bytes) {
         return Err(too_large());
     }
-    let mut reservation = budget.reserve(content_length.unwrap_or(INITIAL_CAPACITY)).await?;
-    let mut bytes = BytesMut::with_capacity(content_length.unwrap_or(INITIAL_CAPACITY));
+    let mut reservation = budget.reserve(content_length.unwrap_or(INITIAL_CAPACITY_BYTES)).await?;
+    let mut bytes = BytesMut::with_capacity(content_length.unwrap_or(INITIAL_CAPACITY_BYTES));
     loop {
         let frame = match tokio::time::timeout(READ_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
@@ -77,13 +77,13 @@
 }
 
 /// Parses a prompt body; a large one is parsed on the `parse` thread.
-pub async fn parse(parse_queue: &ring::Sender<ParseJob>, format: ApiFormat, body: &Bytes) -> Result<Prompt, Failure> {
+pub async fn parse(parse_sender: &ring::Sender<ParseJob>, format: ApiFormat, body: &Bytes) -> Result<Prompt, Failure> {
     if body.len() <= MAX_INLINE_PARSE_BYTES {
         return prompt::parse(format, body);
     }
     let entry_stopping = || Failure::busy("stopping", "the entry is stopping", memory_budget::RETRY_AFTER);
     let (reply, answer) = oneshot::channel();
-    parse_queue.send(ParseJob { format, body: body.clone(), reply }).await.map_err(|_| entry_stopping())?;
+    parse_sender.send(ParseJob { format, body: body.clone(), reply }).await.map_err(|_| entry_stopping())?;
     answer.await.map_err(|_| entry_stopping())?
 }
 
--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -26,12 +26,12 @@
 use crate::{event, metric, util};
 
 /// Number of parts of an answer that are buffered for a caller that reads slowly.
-const PART_QUEUE_CAPACITY: usize = 64;
+const PART_CHANNEL_CAPACITY: usize = 64;
 /// Header with the key of a call that may run at most once.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Maximum length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 512;
-/// Header with the time allowed for the whole answer, in milliseconds.
+/// Header with the time allowed for the complete answer, in milliseconds.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
 /// Maximum length of a request id that is accepted from a caller.
 const MAX_REQUEST_ID_BYTES: usize = 128;
@@ -46,8 +46,8 @@
         .route("/v1/models", get(list_models))
         .route("/v1/models/{model}", get(get_model))
         .route("/v1/tickets", post(issue_ticket))
-        .route("/services/{service}", any(service_root))
-        .route("/services/{service}/{*path}", any(service))
+        .route("/services/{service}", any(handle_service_root))
+        .route("/services/{service}/{*path}", any(handle_service_path))
         .route("/v1/intents", post(operator_api::submit_plan).get(operator_api::get_intents))
         .route("/v1/plans/{id}/confirm", post(operator_api::confirm_plan))
         .route("/v1/status", get(operator_api::get_status))
@@ -65,7 +65,7 @@
 }
 
 /// Returns the request id sent by the caller if it is safe to log, otherwise a new one.
-fn request_id(headers: &HeaderMap) -> Name {
+fn choose_request_id(headers: &HeaderMap) -> Name {
     let given = headers.get(&reply::REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
     let is_loggable = |id: &&str| {
         !id.is_empty()
@@ -118,7 +118,7 @@
     app: &App,
     request: impl FnOnce(mpsc::Sender<Result<upstream::AnswerPart, Failure>>) -> Request,
 ) -> AnswerParts {
-    let (parts, receiver) = mpsc::channel(PART_QUEUE_CAPACITY);
+    let (parts, receiver) = mpsc::channel(PART_CHANNEL_CAPACITY);
     tokio::spawn(route::run(app.clone(), request(parts)));
     receiver
 }
@@ -132,12 +132,12 @@
 }
 
 async fn chat_completions(State(app): State<App>, headers: HeaderMap, body: Body) -> Response {
-    let id = request_id(&headers);
+    let id = choose_request_id(&headers);
     finish_response(&id, run_prompt(&app, &id, ApiFormat::Chat, &headers, body).await)
 }
 
 async fn completions(State(app): State<App>, headers: HeaderMap, body: Body) -> Response {
-    let id = request_id(&headers);
+    let id = choose_request_id(&headers);
     finish_response(&id, run_prompt(&app, &id, ApiFormat::Text, &headers, body).await)
 }
 
@@ -165,7 +165,7 @@
     let run_policy = requested_run_policy(app, headers, &admitted)?.unwrap_or(RunPolicy::Repeatable);
     let parts = spawn_request(app, |parts| Request {
         id: id.clone(),
-        call: prompt_call(&prompt),
+        call: make_prompt_call(&prompt),
         body: prompt.body.clone(),
         gang_prompt: Some(GangPrompt { text: prompt.text.clone(), body_without_text: prompt.body_without_text() }),
         chain: prompt.chain.clone(),
@@ -179,7 +179,7 @@
     reply::prompt_response(id, &prompt, parts).await
 }
 
-fn prompt_call(prompt: &Prompt) -> Call {
+fn make_prompt_call(prompt: &Prompt) -> Call {
     Call {
         method: "POST".to_owned(),
         path: prompt.format.path().to_owned(),
@@ -217,12 +217,16 @@
     Failure::new(StatusCode::NOT_IMPLEMENTED, "no_tickets", "this entry has no ticket secret in its settings")
 }
 
-async fn service_root(state: State<App>, Path(name): Path<String>, request: HttpRequest) -> Response {
-    service(state, Path((name, String::new())), request).await
+async fn handle_service_root(state: State<App>, Path(name): Path<String>, request: HttpRequest) -> Response {
+    handle_service_path(state, Path((name, String::new())), request).await
 }
 
-async fn service(State(app): State<App>, Path((name, path)): Path<(String, String)>, request: HttpRequest) -> Response {
-    let id = request_id(request.headers());
+async fn handle_service_path(
+    State(app): State<App>,
+    Path((name, path)): Path<(String, String)>,
+    request: HttpRequest,
+) -> Response {
+    let id = choose_request_id(request.headers());
     finish_response(&id, call_service(&app, &id, &name, &path, request).await)
 }
 
@@ -341,7 +345,7 @@
         prefix_hash: None,
         excluded: Vec::new(),
     };
-    let found = app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(|_| no_endpoint())?;
+    let candidates = app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(|_| no_endpoint())?;
     let ask = Ask {
         workspace: admitted.workspace.name.clone(),
         weight: admitted.workspace.weight,
@@ -352,7 +356,7 @@
         bytes_per_token: 1.0,
         chain: Chain::default(),
     };
-    let quoted = upstream::request_quotes(app, found.targets, &ask).await;
+    let quoted = upstream::request_quotes(app, candidates.targets, &ask).await;
     let best = quoted.into_iter().find(|quoted| quoted.offer.quote.open).ok_or_else(no_endpoint)?;
     Ok(Binding { endpoint: best.target.endpoint, incarnation: best.incarnation })
 }
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -29,9 +29,9 @@
 const FOLLOWERS_PER_PARTITION: usize = 2;
 /// Maximum number of entries that are queried for a key while the log is unavailable.
 const MAX_PEERS_QUERIED: usize = 16;
-/// Longest time that a read waits for new records, in milliseconds.
+/// Maximum time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 2_000;
-/// Shortest interval between two appends to a partition; claims that arrive in between share the next
+/// Minimum interval between two appends to a partition; claims that arrive in between share the next
 /// append.
 const APPEND_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of claims in one append.
@@ -301,7 +301,7 @@
             return Ok(bound);
         }
     }
-    event!("claims-out", workspace = %key.workspace);
+    event!("claims-unavailable", workspace = %key.workspace);
     let (known, ran) = query_peers(shared, &key).await;
     if let Some(bound) = known {
         return Ok(bound);
--- a/sorrelpass/src/entry/config_log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -25,7 +25,7 @@
 const CONFIG_STREAM: &str = "config";
 /// Stream of snapshots.
 const SNAPSHOT_STREAM: &str = "config-snapshots";
-/// Longest time that a read waits for new records, in milliseconds.
+/// Maximum time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 2_000;
 /// Delay after a failed log call.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -39,11 +39,11 @@
 /// Commands to the `log` thread.
 pub enum Command {
     /// Appends a plan; replies once the plan has been replayed.
-    Plan(Record, oneshot::Sender<Result<()>>),
+    AppendPlan(Record, oneshot::Sender<Result<()>>),
     /// Confirms a plan; replies with its verdict once the confirmation has been replayed.
-    Confirm(Name, oneshot::Sender<Result<Verdict>>),
+    ConfirmPlan(Name, oneshot::Sender<Result<Verdict>>),
     /// Returns a snapshot of the replayed state if its next offset is above the given one.
-    Snapshot(u64, oneshot::Sender<Option<Snapshot>>),
+    GetSnapshot(u64, oneshot::Sender<Option<Snapshot>>),
 }
 
 /// A part of a snapshot; a snapshot that does not fit into one record has several parts.
@@ -60,7 +60,7 @@
     log: Box<dyn Log>,
     replay: RefCell<Replay>,
     /// Offset of the next record to replay; appends that wait to be replayed subscribe to it.
-    position: watch::Sender<u64>,
+    next_offset: watch::Sender<u64>,
     config_sender: watch::Sender<Arc<Config>>,
     last_snapshot: RefCell<(coord::time::Moment, u64)>,
 }
@@ -76,7 +76,7 @@
         shared,
         log,
         replay: RefCell::new(Replay::new()),
-        position: watch::channel(0).0,
+        next_offset: watch::channel(0).0,
         config_sender,
         last_snapshot: RefCell::new((util::now(), 0)),
     });
@@ -91,9 +91,9 @@
 impl Follower {
     async fn handle(&self, command: Command) {
         match command {
-            Command::Plan(record, reply) => drop(reply.send(self.append_plan(&record).await)),
-            Command::Confirm(plan, reply) => drop(reply.send(self.append_confirm(&plan).await)),
-            Command::Snapshot(next, reply) => {
+            Command::AppendPlan(record, reply) => drop(reply.send(self.append_plan(&record).await)),
+            Command::ConfirmPlan(plan, reply) => drop(reply.send(self.append_confirm(&plan).await)),
+            Command::GetSnapshot(next, reply) => {
                 let replay = self.replay.borrow();
                 let is_newer = replay.next() > next;
                 let _ = reply.send(is_newer.then(|| replay.snapshot()));
@@ -110,7 +110,7 @@
             match self.log.read(CONFIG_STREAM, next, READ_WAIT_MS).await {
                 Ok(batch) => {
                     if !is_reachable {
-                        event!("log-back", stream = CONFIG_STREAM);
+                        event!("log-reachable", stream = CONFIG_STREAM);
                     }
                     is_reachable = true;
                     self.apply_batch(&batch).await;
@@ -118,7 +118,7 @@
                 }
                 Err(error) => {
                     if is_reachable {
-                        warn_event!("log-out", stream = CONFIG_STREAM, reason = %error);
+                        warn_event!("log-unreachable", stream = CONFIG_STREAM, reason = %error);
                     }
                     is_reachable = false;
                     self.restore_from_peers().await;
@@ -158,16 +158,16 @@
             let _ = self.shared.event_loop.send(event_loop::Command::UpdateConfig(config.clone())).await;
             self.config_sender.send_replace(config);
         }
-        self.position.send_replace(next);
+        self.next_offset.send_replace(next);
     }
 
-    async fn restore(&self, snapshot: &Snapshot, from: &str) {
-        let before = self.replay.borrow().config().revision;
+    async fn restore(&self, snapshot: &Snapshot, source: &str) {
+        let previous_revision = self.replay.borrow().config().revision;
         if !self.replay.borrow_mut().restore(snapshot) {
             return;
         }
-        event!("restored", peer = from, next = snapshot.next, revision = snapshot.config.revision);
-        self.publish(snapshot.config.revision != before).await;
+        event!("restored", peer = source, next = snapshot.next, revision = snapshot.config.revision);
+        self.publish(snapshot.config.revision != previous_revision).await;
     }
 
     /// Restores the newest state that any peer has.
@@ -264,7 +264,7 @@
     /// Appends a record repeatedly until `is_replayed` reports that it has been replayed.
     async fn append_until(&self, record: &Record, is_replayed: impl Fn(&Replay) -> bool) -> Result<()> {
         let payload = Bytes::from(serde_json::to_vec(record).wrap_err("step=encode-record")?);
-        let mut position = self.position.subscribe();
+        let mut next_offset = self.next_offset.subscribe();
         let append = async {
             while !is_replayed(&self.replay.borrow()) {
                 // A failed append may have taken effect, so a record can be appended twice; replay ignores
@@ -272,7 +272,7 @@
                 if self.log.append(CONFIG_STREAM, payload.clone()).await.is_err() {
                     tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
                 }
-                let read_back = position.wait_for(|_| is_replayed(&self.replay.borrow()));
+                let read_back = next_offset.wait_for(|_| is_replayed(&self.replay.borrow()));
                 let _ = tokio::time::timeout(Duration::from_millis(500), read_back).await;
             }
         };
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -23,7 +23,7 @@
 
 /// Stream of lease claims and placement records.
 const CONTROL_STREAM: &str = "control";
-/// Longest time that a read waits for new records, in milliseconds.
+/// Maximum time that a read waits for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 500;
 /// Duration of a lease; the holder renews it after half of this time.
 const LEASE_DURATION: Duration = Duration::from_secs(4);
@@ -37,11 +37,11 @@
 struct Controller {
     shared: Arc<Shared>,
     log: Box<dyn Log>,
-    control_state: Board,
+    placements: Board,
     /// Timestamp of the newest record and the local time when it was read. Leases are judged by the log's
     /// clock.
     log_clock: Option<(Moment, Moment)>,
-    /// Load that each endpoint was last seen to have.
+    /// Load (model version and adapters) that each endpoint was last seen to have.
     observed_loads: HashMap<Name, Load>,
     client: Caller,
     orders: watch::Sender<Arc<HashMap<Name, Order>>>,
@@ -52,7 +52,7 @@
     let mut controller = Controller {
         shared,
         log,
-        control_state: Board::new(),
+        placements: Board::new(),
         log_clock: None,
         observed_loads: HashMap::new(),
         client: http::caller_h2(),
@@ -60,7 +60,7 @@
     };
     loop {
         if let Err(error) = controller.run_cycle().await {
-            warn_event!("control-out", stream = CONTROL_STREAM, reason = %error);
+            warn_event!("control-log-unavailable", stream = CONTROL_STREAM, reason = %error);
             tokio::time::sleep(util::jitter(RETRY_DELAY)).await;
         }
     }
@@ -71,33 +71,32 @@
         self.read_stream().await?;
         match self.fence() {
             Some(fence) => {
-                if self.lease_left() < LEASE_DURATION / 2 {
+                if self.lease_time_left() < LEASE_DURATION / 2 {
                     self.claim_lease().await?;
                 }
                 self.place_loads(fence).await
             }
-            None if self.lease_left().is_zero() => self.claim_lease().await,
+            None if self.lease_time_left().is_zero() => self.claim_lease().await,
             None => Ok(()),
         }
     }
 
     async fn read_stream(&mut self) -> eyre::Result<()> {
-        let batch = self.log.read(CONTROL_STREAM, self.control_state.next(), READ_WAIT_MS).await?;
-        self.control_state.skip_to(batch.oldest);
+        let batch = self.log.read(CONTROL_STREAM, self.placements.next(), READ_WAIT_MS).await?;
+        self.placements.skip_to(batch.oldest);
         let mut has_changed = false;
         for entry in batch.entries {
             self.log_clock = Some((entry.at, util::now()));
             match serde_json::from_slice(&entry.payload) {
-                Ok(record) => has_changed |= self.control_state.replay(entry.offset, entry.at, record),
+                Ok(record) => has_changed |= self.placements.replay(entry.offset, entry.at, record),
                 Err(error) => {
                     warn_event!("record-unreadable", stream = CONTROL_STREAM, offset = entry.offset, reason = %error);
-                    self.control_state.skip_to(entry.offset + 1);
+                    self.placements.skip_to(entry.offset + 1);
                 }
             }
         }
         if has_changed {
-            let orders =
-                self.control_state.orders().iter().map(|(name, order)| (name.clone(), order.clone())).collect();
+            let orders = self.placements.orders().iter().map(|(name, order)| (name.clone(), order.clone())).collect();
             self.orders.send_replace(Arc::new(orders));
         }
         Ok(())
@@ -113,17 +112,17 @@
     }
 
     /// Returns the remaining duration of the domain's lease, whichever process holds it.
-    fn lease_left(&self) -> Duration {
-        let holder = self.control_state.lease(self.failure_domain()).and_then(|lease| lease.holder());
+    fn lease_time_left(&self) -> Duration {
+        let holder = self.placements.lease(self.failure_domain()).and_then(|lease| lease.holder());
         holder.map_or(Duration::ZERO, |holder| holder.until.since(self.log_time()))
     }
 
     /// Returns this process's fence if it holds the lease. The process may have been paused past the end of
     /// the lease without noticing; replay then discards the records that it appends.
     fn fence(&self) -> Option<Fence> {
-        let holder = self.control_state.lease(self.failure_domain())?.holder()?;
+        let holder = self.placements.lease(self.failure_domain())?.holder()?;
         let is_own = holder.process == self.shared.settings.process.name && holder.incarnation == util::incarnation();
-        (is_own && !self.lease_left().is_zero()).then_some(holder.fence)
+        (is_own && !self.lease_time_left().is_zero()).then_some(holder.fence)
     }
 
     async fn claim_lease(&mut self) -> eyre::Result<()> {
@@ -146,9 +145,9 @@
         self.log.append(CONTROL_STREAM, Bytes::from(serde_json::to_vec(record)?)).await
     }
 
-    /// Asks the sidecars of `unsettled` endpoints which load their endpoint has.
-    async fn query_loads(&mut self, unsettled: &[Vm]) {
-        for vm in unsettled {
+    /// Asks the sidecars of `pending` endpoints, which have not reached their ordered load, for their load.
+    async fn query_loads(&mut self, pending: &[Vm]) {
+        for vm in pending {
             let call = http::exchange_json(&self.client, &vm.address, "GET", wire::HOLDS, None);
             if let Ok(Ok(load)) = tokio::time::timeout(LOAD_QUERY_TIMEOUT, call).await {
                 self.observed_loads.insert(vm.name.clone(), load);
@@ -162,11 +161,11 @@
         let vms = self.shared.vms.borrow().clone();
         let is_ours = |vm: &&Vm| vm.role == Role::Endpoint && vm.failure_domain == *self.failure_domain();
         let listed: Vec<Vm> = vms.iter().filter(is_ours).cloned().collect();
-        let order = |vm: &Vm| self.control_state.order_to(&vm.name);
-        let is_unsettled =
+        let order = |vm: &Vm| self.placements.order_to(&vm.name);
+        let is_pending =
             |vm: &&Vm| order(vm).is_some_and(|order| self.observed_loads.get(&vm.name) != Some(&order.load));
-        let unsettled: Vec<Vm> = listed.iter().filter(is_unsettled).cloned().collect();
-        self.query_loads(&unsettled).await;
+        let pending: Vec<Vm> = listed.iter().filter(is_pending).cloned().collect();
+        self.query_loads(&pending).await;
         let with_load =
             |vm: Vm| Endpoint { holds: self.observed_loads.get(&vm.name).cloned(), name: vm.name, service: vm.service };
         listed.into_iter().map(with_load).collect()
@@ -175,7 +174,7 @@
     async fn place_loads(&mut self, fence: Fence) -> eyre::Result<()> {
         let config = self.shared.config.borrow().clone();
         let endpoints = self.endpoints_with_loads().await;
-        let loads = roll_out(&config, &endpoints, self.control_state.orders(), MAX_ROLLOUT_SHARE);
+        let loads = roll_out(&config, &endpoints, self.placements.orders(), MAX_ROLLOUT_SHARE);
         if loads.is_empty() {
             return Ok(());
         }
--- a/sorrelpass/src/entry/event_loop/message.rs
+++ b/sorrelpass/src/entry/event_loop/message.rs
@@ -65,9 +65,9 @@
     pub prompt_tokens: u64,
     /// Bytes of prompt text per token, used for estimates.
     pub bytes_per_token: f64,
-    /// Time allowed for the whole answer if the caller sets no deadline.
+    /// Time allowed for the complete answer if the caller sets no deadline.
     pub deadline: Duration,
-    /// Longest deadline that the caller may set.
+    /// Maximum deadline that the caller may set.
     pub max_deadline: Duration,
     /// Whether the request may be run more than once without harm.
     pub is_repeatable: bool,
@@ -150,7 +150,7 @@
     pub tokens_per_s: Option<f64>,
 }
 
-/// Rates at which a workspace sent requests to one entry, refused requests included.
+/// Rates at which a workspace sent requests to one entry, including refused ones.
 #[derive(Clone, Debug, PartialEq, Serialize, serde::Deserialize)]
 pub struct WorkspaceDemand {
     /// Name of the workspace.
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -23,7 +23,7 @@
 use crate::plugin::{self, PickerPlugin};
 use crate::{event, metric, ring, util};
 
-/// Largest number of unused retries that the retry budget accumulates.
+/// Maximum number of unused retries that the retry budget accumulates.
 const MAX_SAVED_RETRIES: f64 = 100.0;
 /// `Retry-After` for requests that arrive before the configuration has been read.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
 pub async fn run(settings: Entry, mut commands: ring::Receiver<Command>) {
     let mut event_loop = EventLoop::new(settings);
     while let Some(command) = commands.recv().await {
-        event_loop.handle(command);
+        event_loop.handle_command(command);
     }
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    fn handle(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Admit(admission, reply) => drop(reply.send(self.admit(&admission))),
             Command::FindTargets(query, reply) => drop(reply.send(self.find_targets(&query))),
@@ -111,8 +111,8 @@
         if self.config.revision == 0 {
             return Err(Failure::busy("not_ready", "no configuration has been read yet", NOT_READY_RETRY_AFTER));
         }
-        let unknown = || Failure::new(StatusCode::UNAUTHORIZED, "invalid_key", "the bearer key names no workspace");
-        self.workspace_by_key.get(key_digest).ok_or_else(unknown)
+        let unknown_key = || Failure::new(StatusCode::UNAUTHORIZED, "invalid_key", "the bearer key names no workspace");
+        self.workspace_by_key.get(key_digest).ok_or_else(unknown_key)
     }
 
     fn admit(&mut self, admission: &AdmissionRequest) -> Result<AdmittedRequest, Failure> {
@@ -135,12 +135,16 @@
         prompt_bytes: u64,
         output_tokens: u64,
     ) -> Result<AdmittedRequest, Failure> {
-        let unknown = || {
+        let unknown_model = || {
             let message = format!("no model {model:?} serves this workspace");
             Failure::new(StatusCode::NOT_FOUND, "model_not_found", message)
         };
-        let intent =
-            self.config.intents.get(model).filter(|intent| allows_workspace(intent, &workspace)).ok_or_else(unknown)?;
+        let intent = self
+            .config
+            .intents
+            .get(model)
+            .filter(|intent| allows_workspace(intent, &workspace))
+            .ok_or_else(unknown_model)?;
         let prompt_tokens = (prompt_bytes as f64 / intent.bytes_per_token).ceil() as u64;
         if prompt_tokens + output_tokens > intent.context_tokens {
             let message = format!(
@@ -163,9 +167,9 @@
     }
 
     fn admit_call(&self, workspace: Arc<Workspace>, service: &Name) -> Result<AdmittedRequest, Failure> {
-        let unknown =
+        let unknown_service =
             || Failure::new(StatusCode::NOT_FOUND, "service_not_found", format!("there is no service {service:?}"));
-        let service = self.config.services.get(service).ok_or_else(unknown)?;
+        let service = self.config.services.get(service).ok_or_else(unknown_service)?;
         let deadline = Duration::from_millis(service.deadline_ms);
         Ok(AdmittedRequest {
             workspace,
--- a/sorrelpass/src/entry/gang.rs
+++ b/sorrelpass/src/entry/gang.rs
@@ -26,9 +26,9 @@
 const SPAN_ALIGN_BYTES: usize = 64 * 1_024;
 /// Duration of a span's lease.
 const LEASE_DURATION: Duration = Duration::from_secs(2);
-/// Interval at which leases are renewed; also the timeout of a hold request.
+/// Interval at which leases are renewed; also the timeout of a reservation request.
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest and longest delay before memory is requested again from a member that is full.
+/// Minimum and maximum delay before memory is requested again from a member that is full.
 const RETRY_DELAY_RANGE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(500));
 
 /// Header that gives the leader's engine the digest of the spans.
@@ -36,7 +36,7 @@
 /// Header that gives the leader's engine the number of tokens in the spans.
 pub const SPAN_TOKENS_HEADER: &str = "x-span-tokens";
 
-/// Splits a prompt's text into spans for engines with a memory of `capacity` tokens.
+/// Splits a prompt's text into spans for engines with a memory of `capacity_tokens` tokens.
 pub fn split_prompt(text: &Bytes, bytes_per_token: f64, capacity_tokens: u64) -> Vec<Bytes> {
     let max_bytes = (capacity_tokens as f64 * MAX_SPAN_SHARE * bytes_per_token) as usize;
     let max_bytes = (max_bytes / SPAN_ALIGN_BYTES * SPAN_ALIGN_BYTES).max(SPAN_ALIGN_BYTES);
@@ -81,7 +81,7 @@
 
 impl SpanLeases {
     /// Reserves memory at all members, waiting up to `timeout` for members that are full.
-    pub async fn acquire(app: &App, mut members: Vec<Member>, timeout: Duration) -> Result<Self, GangError> {
+    pub async fn reserve(app: &App, mut members: Vec<Member>, timeout: Duration) -> Result<Self, GangError> {
         members.sort_by(|a, b| a.target.endpoint.cmp(&b.target.endpoint));
         let deadline = util::now() + timeout;
         let renewal_task = tokio::spawn(renew_leases(app.clone(), members.clone()));
@@ -90,14 +90,14 @@
         for member in &leases.members {
             let error = |step| GangError { target: member.target.clone(), step };
             loop {
-                match request_hold(app, member, false).await {
+                match request_reservation(app, member, false).await {
                     Some(Held::Yes) => break,
                     Some(Held::Wait(_)) if util::now() >= deadline => return Err(error("wait-for-memory")),
                     Some(Held::Wait(wait)) => {
                         let wait = Duration::from_micros(wait).clamp(RETRY_DELAY_RANGE.0, RETRY_DELAY_RANGE.1);
                         tokio::time::sleep(util::jitter(wait)).await;
                     }
-                    Some(Held::No) => return Err(error("hold-span")),
+                    Some(Held::No) => return Err(error("reserve-span")),
                     None => {
                         upstream::report_unreachable(app, &member.target);
                         return Err(error("reach-member"));
@@ -113,7 +113,7 @@
         let mut total = Filled { tokens: 0, digest: 0 };
         for (span, text) in texts {
             let Some(member) = self.members.iter().find(|member| member.span == *span) else { continue };
-            let error = || GangError { target: member.target.clone(), step: "fill-span" };
+            let error = || GangError { target: member.target.clone(), step: "prefill-span" };
             let filled = request_prefill(&self.app, member, total.digest, text).await.ok_or_else(error)?;
             total = Filled { tokens: total.tokens + filled.tokens, digest: filled.digest };
         }
@@ -146,7 +146,7 @@
     }
 }
 
-async fn request_hold(app: &App, member: &Member, renew: bool) -> Option<Held> {
+async fn request_reservation(app: &App, member: &Member, renew: bool) -> Option<Held> {
     let hold = Hold { span: member.span, tokens: member.tokens, lease_micros: micros(LEASE_DURATION), renew };
     let call = http::exchange(&app.client, &member.target.address, "POST", wire::SPAN_HOLD, wire::encode(&hold));
     match tokio::time::timeout(RENEW_INTERVAL, call).await {
@@ -160,7 +160,7 @@
 async fn renew_leases(app: App, members: Vec<Member>) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
-        futures_util::future::join_all(members.iter().map(|member| request_hold(&app, member, true))).await;
+        futures_util::future::join_all(members.iter().map(|member| request_reservation(&app, member, true))).await;
     }
 }
 
--- a/sorrelpass/src/entry/limit_sharing.rs
+++ b/sorrelpass/src/entry/limit_sharing.rs
@@ -45,11 +45,11 @@
     reports: &HashMap<Name, (Moment, WorkspaceDemand)>,
     entry: &Name,
 ) -> LimitShare {
-    let names: Vec<&Name> = reports.keys().collect();
-    let own_index = names.iter().position(|name| *name == entry).unwrap_or(0);
+    let reporters: Vec<&Name> = reports.keys().collect();
+    let entry_index = reporters.iter().position(|name| *name == entry).unwrap_or(0);
     let share_of = |rate: f64, demand: fn(&WorkspaceDemand) -> f64| {
-        let demands: Vec<f64> = names.iter().map(|name| demand(&reports[*name].1)).collect();
-        quota::shares(rate, &demands)[own_index]
+        let demands: Vec<f64> = reporters.iter().map(|name| demand(&reports[*name].1)).collect();
+        quota::shares(rate, &demands)[entry_index]
     };
     LimitShare {
         workspace: workspace.name.clone(),
--- a/sorrelpass/src/entry/memory_budget.rs
+++ b/sorrelpass/src/entry/memory_budget.rs
@@ -10,7 +10,7 @@
 
 /// Bytes per semaphore permit.
 const PERMIT_BYTES: usize = 1_024;
-/// Longest time that a body waits for memory before it is refused: half of [`RETRY_AFTER`], the delay after
+/// Maximum time that a body waits for memory before it is refused: half of [`RETRY_AFTER`], the delay after
 /// which its caller would send the whole body again.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(250);
 /// `Retry-After` for bodies that do not fit into the memory budget.
--- a/sorrelpass/src/entry/mod.rs
+++ b/sorrelpass/src/entry/mod.rs
@@ -41,24 +41,24 @@
 use crate::plugin::{self, LogPlugin, VmListPlugin};
 use crate::{event, metric, ring, timeline, util};
 
-/// Capacity of each thread's command queue, in commands.
-const QUEUE_CAPACITY: usize = 4_096;
+/// Capacity of each thread's command channel, in commands.
+const CHANNEL_CAPACITY: usize = 4_096;
 /// Time during which `/readyz` reports not ready before the listener closes, so that load balancers stop
 /// sending requests first.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(500);
 
-/// State shared by the threads of an entry: settings, command queues and published views. It holds no state
+/// State shared by the threads of an entry: settings, command channels and published views. It holds no state
 /// that decisions are based on.
 pub struct Shared {
     /// Settings of this entry.
     pub settings: Entry,
-    /// Command queue of the event loop.
+    /// Command channel of the event loop.
     pub event_loop: ring::Sender<event_loop::Command>,
-    /// Command queue of the `log` thread.
+    /// Command channel of the `log` thread.
     pub log: ring::Sender<config_log::Command>,
-    /// Command queue of the `claims` thread.
+    /// Command channel of the `claims` thread.
     pub claims: ring::Sender<claims::Command>,
-    /// Queue of large bodies to be parsed on the `parse` thread.
+    /// Channel of large bodies to be parsed on the `parse` thread.
     pub parse: ring::Sender<body::ParseJob>,
     /// Newest configuration that this entry has replayed.
     pub config: watch::Receiver<Arc<Config>>,
@@ -106,10 +106,10 @@
     timeline::init(&settings.process.name, &settings.process.log_level);
     metric::init()?;
     let termination = util::Termination::watch()?;
-    let (event_loop_queue, event_loop_commands) = ring::pair("kernel", QUEUE_CAPACITY);
-    let (log_queue, log_commands) = ring::pair("log", QUEUE_CAPACITY);
-    let (claims_queue, claims_commands) = ring::pair("claims", QUEUE_CAPACITY);
-    let (parse_queue, parse_commands) = ring::pair("parse", QUEUE_CAPACITY);
+    let (event_loop_sender, event_loop_commands) = ring::pair("kernel", CHANNEL_CAPACITY);
+    let (log_sender, log_commands) = ring::pair("log", CHANNEL_CAPACITY);
+    let (claims_sender, claims_commands) = ring::pair("claims", CHANNEL_CAPACITY);
+    let (parse_sender, parse_commands) = ring::pair("parse", CHANNEL_CAPACITY);
     let (config_sender, config) = watch::channel(Arc::new(Config::default()));
     let (vms_sender, vms) = watch::channel(Arc::new(Vec::new()));
     let (orders_sender, orders) = watch::channel(Arc::default());
@@ -118,10 +118,10 @@
     let body_budget = MemoryBudget::new(settings.body_budget_bytes);
     let shared = Arc::new(Shared {
         settings,
-        event_loop: event_loop_queue,
-        log: log_queue,
-        claims: claims_queue,
-        parse: parse_queue,
+        event_loop: event_loop_sender,
+        log: log_sender,
+        claims: claims_sender,
+        parse: parse_sender,
         config,
         vms,
         orders,
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -70,7 +70,7 @@
     let id = Name::from(format!("plan-{:032x}", rand::random::<u128>()));
     let record = Record::Plan { id: id.clone(), base, changes: request.changes.clone() };
     let (reply, answer) = oneshot::channel();
-    app.shared.log.send(config_log::Command::Plan(record, reply)).await.map_err(|_| entry_stopping())?;
+    app.shared.log.send(config_log::Command::AppendPlan(record, reply)).await.map_err(|_| entry_stopping())?;
     answer.await.map_err(|_| entry_stopping())?.map_err(|error| log_unavailable(&error))?;
     event!("plan", plan = %id, base, changes = request.changes.len());
     let plan = PlanResponse {
@@ -148,7 +148,7 @@
     authorize(&app.shared, &headers)?;
     let plan = Name::from(id);
     let (reply, answer) = oneshot::channel();
-    app.shared.log.send(config_log::Command::Confirm(plan.clone(), reply)).await.map_err(|_| entry_stopping())?;
+    app.shared.log.send(config_log::Command::ConfirmPlan(plan.clone(), reply)).await.map_err(|_| entry_stopping())?;
     let verdict = answer.await.map_err(|_| entry_stopping())?.map_err(|error| log_unavailable(&error))?;
     event!("confirm", plan = %plan, verdict = ?verdict);
     Ok(match verdict {
@@ -171,7 +171,7 @@
     Failure::busy("stopping", "the entry is stopping", LOG_RETRY_AFTER)
 }
 
-/// The outcome of the append is unknown; the call can be repeated without harm.
+/// Returns the failure of an append whose outcome is unknown. The call can be repeated without harm.
 fn log_unavailable(error: &eyre::Report) -> Failure {
     Failure::busy("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).ran(Ran::Unknown)
 }
--- a/sorrelpass/src/entry/peer.rs
+++ b/sorrelpass/src/entry/peer.rs
@@ -46,7 +46,7 @@
     pub endpoint: Name,
     /// Newest revision received.
     pub revision: u64,
-    /// Whether the sidecar has been told that the endpoint is drained.
+    /// Whether the sidecar knows that the endpoint is drained.
     pub drained: bool,
     /// Offset of the newest placement order received.
     pub order: Option<u64>,
@@ -109,7 +109,7 @@
 
     async fn snapshot(&self, next: u64) -> RpcResult<Option<Snapshot>> {
         let (reply, answer) = oneshot::channel();
-        if self.0.log.send(config_log::Command::Snapshot(next, reply)).await.is_err() {
+        if self.0.log.send(config_log::Command::GetSnapshot(next, reply)).await.is_err() {
             return Ok(None);
         }
         Ok(answer.await.unwrap_or_default())
@@ -153,7 +153,7 @@
     static CLIENTS: RefCell<HashMap<Name, HttpClient>> = RefCell::default();
 }
 
-fn client(peer: &Name) -> Result<HttpClient> {
+fn client_for(peer: &Name) -> Result<HttpClient> {
     if let Some(client) = CLIENTS.with_borrow(|clients| clients.get(peer).cloned()) {
         return Ok(client);
     }
@@ -179,31 +179,31 @@
 
 /// Requests the configuration of an endpoint from an entry, waiting up to `wait` for a change.
 pub async fn fetch_endpoint_config(peer: &Name, known: KnownConfig, wait: Duration) -> Result<EndpointConfig> {
-    let client = client(peer)?;
+    let client = client_for(peer)?;
     let wait_ms = crate::util::millis_up(wait);
     with_timeout(peer, wait + CALL_TIMEOUT, PeerClient::endpoint_config(&client, known, wait_ms)).await
 }
 
 /// Requests a snapshot from an entry; `None` if its next offset is not above `next`.
 pub async fn fetch_snapshot(peer: &Name, next: u64) -> Result<Option<Snapshot>> {
-    let client = client(peer)?;
+    let client = client_for(peer)?;
     with_timeout(peer, 5 * CALL_TIMEOUT, PeerClient::snapshot(&client, next)).await
 }
 
 /// Asks an entry for the binding of an idempotency key.
 pub async fn fetch_binding(peer: &Name, key: &Key) -> Result<Option<Binding>> {
-    let client = client(peer)?;
+    let client = client_for(peer)?;
     with_timeout(peer, CALL_TIMEOUT / 2, PeerClient::binding(&client, key.clone())).await
 }
 
 /// Asks the writer of a partition to bind an idempotency key; `None` if the log is unavailable.
 pub async fn request_claim(peer: &Name, key: &Key, binding: &Binding) -> Result<Option<Binding>> {
-    let client = client(peer)?;
+    let client = client_for(peer)?;
     with_timeout(peer, 2 * CALL_TIMEOUT, PeerClient::claim(&client, key.clone(), binding.clone())).await
 }
 
 /// Reports demand to the owner of rate limits and returns this entry's shares.
 pub async fn report_demand(peer: &Name, entry: &Name, demands: &[WorkspaceDemand]) -> Result<Vec<LimitShare>> {
-    let client = client(peer)?;
+    let client = client_for(peer)?;
     with_timeout(peer, CALL_TIMEOUT, PeerClient::report_demand(&client, entry.clone(), demands.to_vec())).await
 }
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -114,7 +114,7 @@
     Ok((headers, Body::from_stream(events)).into_response())
 }
 
-/// Encodes a part as server-sent events; the flag tells whether it is the last part.
+/// Encodes a part as server-sent events; the flag is true if it is the last part.
 fn encode_part(encoder: &ChunkEncoder, part: Result<AnswerPart, Failure>) -> (Bytes, bool) {
     match part {
         Ok(AnswerPart::Piece { bytes, .. }) => (encoder.encode_choices(&bytes), false),
--- a/sorrelpass/src/entry/route/gang_attempt.rs
+++ b/sorrelpass/src/entry/route/gang_attempt.rs
@@ -28,7 +28,7 @@
 
     /// Forms gangs until one gives a complete answer.
     pub(super) async fn run_on_gang(&mut self) -> Result<(), Failure> {
-        self.tried.clear();
+        self.tried_endpoints.clear();
         for _ in 0..MAX_GANGS {
             if self.time_left().is_zero() {
                 return Err(self.deadline_failure(Ran::No));
@@ -41,11 +41,11 @@
                     event!("gang-failed", request = %self.request.id, peer = %error.target.endpoint, at = error.step);
                     // A member that was only full may be used by the next gang.
                     if error.step != "wait-for-memory" {
-                        self.tried.push(error.target.endpoint);
+                        self.tried_endpoints.push(error.target.endpoint);
                     }
                 }
             }
-            self.spans = None;
+            self.prefilled_spans = None;
         }
         Err(self.no_endpoint_failure())
     }
@@ -73,16 +73,16 @@
         };
         event!("gang", request = %self.request.id, members = members.len(), peer = %leader.endpoint);
         let texts: Vec<_> = members.iter().map(|member| member.span).zip(texts).collect();
-        let leases = SpanLeases::acquire(self.app, members, self.time_left() / 4).await?;
+        let leases = SpanLeases::reserve(self.app, members, self.time_left() / 4).await?;
         let filled = match tokio::time::timeout(self.time_left(), leases.prefill(&texts)).await {
             Ok(filled) => filled?,
             Err(_) => return Ok(AttemptOutcome::Fail(self.deadline_failure(Ran::Unknown))),
         };
         event!("gang-filled", request = %self.request.id, tokens = filled.tokens);
-        self.spans = Some(filled);
-        let next = self.attempt(&leader, None, None, false).await;
+        self.prefilled_spans = Some(filled);
+        let outcome = self.attempt(&leader, None, None, false).await;
         leases.release();
-        Ok(next)
+        Ok(outcome)
     }
 
     /// Selects members for a gang in the nearest failure domain that has enough suitable endpoints.
@@ -92,7 +92,7 @@
             service: admitted.service.clone(),
             domains: admitted.domains.clone(),
             prefix_hash: None,
-            excluded: self.tried.clone(),
+            excluded: self.tried_endpoints.clone(),
         };
         let domains = self.app.shared.ask(|reply| Command::TargetsByDomain(query, reply)).await.ok()?;
         let ask = Ask { prompt_tokens: span_tokens, output_tokens: 0, chain: Chain::default(), ..self.quote_request() };
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -99,8 +99,8 @@
 struct RequestTask<'a> {
     app: &'a App,
     request: Request,
-    tried: Vec<Name>,
-    attempts: u32,
+    tried_endpoints: Vec<Name>,
+    attempt_count: u32,
     /// Number of output tokens that were sent to the caller.
     sent_tokens: u64,
     /// Whether any part of the answer was sent to the caller.
@@ -110,7 +110,7 @@
     /// Largest engine memory reported in a quote, in tokens.
     max_capacity_tokens: u64,
     /// Digest and token count of the prompt's spans, once a gang has prefilled them.
-    spans: Option<Filled>,
+    prefilled_spans: Option<Filled>,
     started_at: Moment,
 }
 
@@ -121,14 +121,14 @@
     let mut task = RequestTask {
         app: &app,
         request,
-        tried: Vec::new(),
-        attempts: 0,
+        tried_endpoints: Vec::new(),
+        attempt_count: 0,
         sent_tokens: 0,
         is_answer_started: false,
         retry_after: None,
         last_refusal: None,
         max_capacity_tokens: 0,
-        spans: None,
+        prefilled_spans: None,
         started_at: util::now(),
     };
     let outcome = tokio::select! {
@@ -145,7 +145,7 @@
             metric::request("ok");
         }
         Err(failure) => {
-            event!("give-up", request = %id, code = failure.code, ran = failure.ran.as_str(), reason = %failure.message);
+            event!("request-failed", request = %id, code = failure.code, ran = failure.ran.as_str(), reason = %failure.message);
             metric::request(failure.code);
             let _ = parts.send(Err(failure)).await;
         }
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Returns the time left for attempts, which excludes the reserve for voiding.
+    /// Returns the time left for attempts, which excludes the time reserved for cancelling the last one.
     fn time_left(&self) -> Duration {
-        upstream::time_left(self.request.deadline).saturating_sub(self.void_reserve())
+        upstream::time_left(self.request.deadline).saturating_sub(self.cancel_reserve())
     }
 
-    fn void_reserve(&self) -> Duration {
+    fn cancel_reserve(&self) -> Duration {
         let allowed = self.request.deadline.since(self.started_at);
         self.app.shared.settings.void_reserve.min(allowed / 10)
     }
@@ -189,7 +189,7 @@
         Ask {
             workspace: admitted.workspace.name.clone(),
             weight: admitted.workspace.weight,
-            prompt_tokens: if self.spans.is_some() { 0 } else { admitted.prompt_tokens } + self.sent_tokens,
+            prompt_tokens: if self.prefilled_spans.is_some() { 0 } else { admitted.prompt_tokens } + self.sent_tokens,
             output_tokens: self.request.output_tokens.saturating_sub(self.sent_tokens),
             priority: admitted.priority,
             left_micros: micros(self.time_left()),
@@ -209,15 +209,15 @@
             service: admitted.service.clone(),
             domains: admitted.domains.clone(),
             prefix_hash: self.request.chain.head(),
-            excluded: self.tried.clone(),
+            excluded: self.tried_endpoints.clone(),
         };
-        let found = self.app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(entry_stopping)?;
-        if !found.needs_quotes && !needs_incarnation {
-            return Ok(found.targets.into_iter().map(|target| (target, None)).collect());
+        let selected = self.app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(entry_stopping)?;
+        if !selected.needs_quotes && !needs_incarnation {
+            return Ok(selected.targets.into_iter().map(|target| (target, None)).collect());
         }
-        let names: Vec<Name> = found.targets.iter().map(|target| target.endpoint.clone()).collect();
-        let quoted = upstream::request_quotes(self.app, found.targets, &self.quote_request()).await;
-        self.tried
+        let names: Vec<Name> = selected.targets.iter().map(|target| target.endpoint.clone()).collect();
+        let quoted = upstream::request_quotes(self.app, selected.targets, &self.quote_request()).await;
+        self.tried_endpoints
             .extend(names.into_iter().filter(|name| !quoted.iter().any(|quoted| quoted.target.endpoint == *name)));
         let mut candidates = Vec::new();
         for quoted in quoted {
@@ -226,22 +226,22 @@
                 candidates.push((quoted.target, Some(quoted.incarnation)));
                 continue;
             }
-            self.tried.push(quoted.target.endpoint);
-            self.note_retry_after(quoted.offer.quote.retry_after);
+            self.tried_endpoints.push(quoted.target.endpoint);
+            self.record_retry_after(quoted.offer.quote.retry_after);
         }
         Ok(candidates)
     }
 
-    fn note_retry_after(&mut self, wait: Duration) {
+    fn record_retry_after(&mut self, wait: Duration) {
         if wait > Duration::ZERO {
             self.retry_after = Some(self.retry_after.map_or(wait, |earlier| earlier.min(wait)));
         }
     }
 
     /// Tries endpoints until one gives a complete answer.
-    async fn run_on_any_endpoint(&mut self, once: Option<Key>) -> Result<(), Failure> {
+    async fn run_on_any_endpoint(&mut self, idempotency_key: Option<Key>) -> Result<(), Failure> {
         for _ in 0..MAX_ROUNDS {
-            let targets = self.select_candidates(once.is_some()).await?;
+            let targets = self.select_candidates(idempotency_key.is_some()).await?;
             if self.exceeds_one_engine() {
                 return self.run_on_gang().await;
             }
@@ -249,26 +249,26 @@
                 if self.time_left().is_zero() {
                     return Err(self.deadline_failure(Ran::No));
                 }
-                self.tried.push(target.endpoint.clone());
+                self.tried_endpoints.push(target.endpoint.clone());
                 // A call that may run at most once is retried only at the sidecar that may have accepted
                 // it.
-                let next = match (&once, incarnation) {
+                let outcome = match (&idempotency_key, incarnation) {
                     (Some(key), Some(incarnation)) => {
                         let binding = Binding { endpoint: target.endpoint.clone(), incarnation };
                         self.run_once_on_sidecar(key, &target, &binding).await
                     }
                     _ => self.attempt(&target, incarnation, None, false).await,
                 };
-                match next {
+                match outcome {
                     AttemptOutcome::Finished => return Ok(()),
                     AttemptOutcome::TryAnother => {}
                     AttemptOutcome::Fail(failure) => return Err(failure),
                 }
-                if self.attempts >= MAX_ATTEMPTS {
+                if self.attempt_count >= MAX_ATTEMPTS {
                     return Err(self.no_endpoint_failure());
                 }
             }
-            if self.retry_after.is_some() && self.attempts == 0 {
+            if self.retry_after.is_some() && self.attempt_count == 0 {
                 break;
             }
         }
@@ -330,14 +330,14 @@
     async fn run_once_on_sidecar(&mut self, key: &Key, target: &Target, binding: &Binding) -> AttemptOutcome {
         for round in 0..MAX_ATTEMPTS {
             let may_run_already = round > 0;
-            let next = self.attempt(target, Some(binding.incarnation), Some(key), may_run_already).await;
-            let AttemptOutcome::Fail(failure) = next else {
+            let outcome = self.attempt(target, Some(binding.incarnation), Some(key), may_run_already).await;
+            let AttemptOutcome::Fail(failure) = outcome else {
                 // This attempt did not run, but an earlier one may have been accepted before its answer was
                 // lost.
-                return if may_run_already && matches!(next, AttemptOutcome::TryAnother) {
+                return if may_run_already && matches!(outcome, AttemptOutcome::TryAnother) {
                     AttemptOutcome::Fail(outcome_unknown(binding))
                 } else {
-                    next
+                    outcome
                 };
             };
             let is_retryable = failure.ran == Ran::Unknown && failure.code == LOST_CODE && !self.is_answer_started;
@@ -355,13 +355,13 @@
         &mut self,
         target: &Target,
         incarnation: Option<Incarnation>,
-        once: Option<&Key>,
+        idempotency_key: Option<&Key>,
         may_run_already: bool,
     ) -> AttemptOutcome {
-        self.attempts += 1;
+        self.attempt_count += 1;
         let mut call = self.request.call.clone();
         call.resume_after = self.sent_tokens;
-        if let Some(spans) = &self.spans {
+        if let Some(spans) = &self.prefilled_spans {
             call.headers.push((gang::SPAN_DIGEST_HEADER.to_owned(), spans.digest.to_string()));
             call.headers.push((gang::SPAN_TOKENS_HEADER.to_owned(), spans.tokens.to_string()));
         }
@@ -370,30 +370,34 @@
             request: self.request.id.clone(),
             entry: self.app.shared.settings.process.name.clone(),
             incarnation,
-            once: once.cloned(),
+            once: idempotency_key.cloned(),
             ask: self.quote_request(),
             call,
         };
-        event!("attempt", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint, number = self.attempts);
+        event!("attempt", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint, number = self.attempt_count);
         let tokens = work.ask.prompt_tokens + work.ask.output_tokens;
         let _outstanding = OutstandingAttempt::start(self.app, target, tokens);
         let timeout = self.time_left();
         let mut is_started = false;
-        let relayed = tokio::time::timeout(timeout, self.relay_answer(target, &work, &mut is_started)).await;
-        match relayed {
+        let result = tokio::time::timeout(timeout, self.relay_answer(target, &work, &mut is_started)).await;
+        match result {
             Ok(Ok(())) => AttemptOutcome::Finished,
-            Ok(Err(error)) => self.handle_attempt_error(error, once.is_some()).await,
+            Ok(Err(error)) => self.handle_attempt_error(error, idempotency_key.is_some()).await,
             Err(_) => {
-                let voided = upstream::void_attempt(self.app, target, &work).await;
-                let ran = if is_started || may_run_already { Ran::Unknown } else { voided };
+                let cancelled_ran = upstream::cancel_attempt(self.app, target, &work).await;
+                let ran = if is_started || may_run_already { Ran::Unknown } else { cancelled_ran };
                 AttemptOutcome::Fail(self.deadline_failure(ran))
             }
         }
     }
 
     async fn relay_answer(&mut self, target: &Target, work: &Open, is_started: &mut bool) -> Result<(), AttemptError> {
-        let body_without_text =
-            self.request.gang_prompt.as_ref().filter(|_| self.spans.is_some()).map(|prompt| &prompt.body_without_text);
+        let body_without_text = self
+            .request
+            .gang_prompt
+            .as_ref()
+            .filter(|_| self.prefilled_spans.is_some())
+            .map(|prompt| &prompt.body_without_text);
         let body = body_without_text.unwrap_or(&self.request.body);
         let mut frames: FrameStream = upstream::send_work(self.app, target, work, body).await?;
         loop {
@@ -448,12 +452,12 @@
     }
 
     /// Decides how the request continues after a failed attempt.
-    async fn handle_attempt_error(&mut self, error: AttemptError, once: bool) -> AttemptOutcome {
+    async fn handle_attempt_error(&mut self, error: AttemptError, is_keyed: bool) -> AttemptOutcome {
         match error {
             AttemptError::NotRun { refused, retry_after } => {
-                self.note_retry_after(retry_after);
+                self.record_retry_after(retry_after);
                 self.last_refusal = refused;
-                if refused == Some(Refused::OtherIncarnation) && once {
+                if refused == Some(Refused::OtherIncarnation) && is_keyed {
                     return AttemptOutcome::Fail(
                         attempt_lost(Ran::Unknown, "the sidecar that held this call was restarted")
                             .with_code(UNKNOWN_CODE),
@@ -466,7 +470,7 @@
             }
             AttemptError::Rejected { status, message } => AttemptOutcome::Fail(rejected_by_endpoint(status, message)),
             AttemptError::Lost { ran, step, message } => {
-                event!("lost", request = %self.request.id, at = %step, ran = ran.as_str(), reason = %message);
+                event!("attempt-lost", request = %self.request.id, at = %step, ran = ran.as_str(), reason = %message);
                 if step == CALLER_STEP {
                     return AttemptOutcome::Fail(attempt_lost(Ran::Partial, message).with_code("caller_too_slow"));
                 }
@@ -474,7 +478,7 @@
                 if self.time_left() <= MAX_CLOCK_SKEW {
                     return AttemptOutcome::Fail(self.deadline_failure(ran));
                 }
-                if once {
+                if is_keyed {
                     let ran = if self.is_answer_started { Ran::Partial } else { Ran::Unknown };
                     return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}")));
                 }
--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -15,7 +15,7 @@
 const PREFIX: &str = "st_";
 /// Length of the MAC, in bytes.
 const MAC_BYTES: usize = 32;
-/// Longest lifetime of a ticket.
+/// Maximum lifetime of a ticket.
 pub const MAX_LIFETIME: Duration = Duration::from_secs(3_600);
 
 /// Reason why a ticket is rejected.
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -1,4 +1,4 @@
-//! HTTP client side of the entry-to-sidecar protocol: quotes, work and voiding of attempts.
+//! Client side of the protocol between entries and sidecars: quotes, work and cancellation.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -226,9 +226,9 @@
     }
 }
 
-/// Voids an attempt, so that it never starts. Returns `Ran::No` only if the sidecar proves that it did not
+/// Cancels an attempt. Returns `Ran::No` only if the sidecar proves that it did not
 /// and will not run.
-pub async fn void_attempt(app: &App, target: &Target, work: &Open) -> Ran {
+pub async fn cancel_attempt(app: &App, target: &Target, work: &Open) -> Ran {
     let Open { attempt, incarnation, ref once, .. } = *work;
     let bytes = wire::encode(&wire::Void { attempt, once: once.clone() });
     let call = http::exchange(&app.client, &target.address, "POST", wire::VOID, bytes);
--- a/sorrelpass/src/sidecar/control.rs
+++ b/sorrelpass/src/sidecar/control.rs
@@ -16,9 +16,9 @@
 
 /// Number of consecutive failed health checks after which the endpoint counts as unhealthy.
 const MAX_FAILED_PROBES: u32 = 3;
-/// Longest time that an entry may hold a request until the configuration changes.
+/// Maximum time that an entry may hold a request until the configuration changes.
 const CONFIG_WAIT: Duration = Duration::from_secs(5);
-/// Delay after a failed request to an entry, and longest wait for a change while the endpoint does not have
+/// Delay after a failed request to an entry, and maximum wait for a change while the endpoint does not have
 /// its ordered load.
 const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Number of entries that a sidecar follows, selected by rendezvous hashing.
@@ -63,8 +63,8 @@
             tokio::time::sleep(util::jitter(CONFIG_RETRY_DELAY)).await;
             continue;
         };
-        let is_settled = shared.settings.kind == Kind::Plain || orders.reconcile(shared).await;
-        let wait = if is_settled { CONFIG_WAIT } else { CONFIG_RETRY_DELAY };
+        let has_ordered_load = shared.settings.kind == Kind::Plain || orders.reconcile(shared).await;
+        let wait = if has_ordered_load { CONFIG_WAIT } else { CONFIG_RETRY_DELAY };
         match peer::fetch_endpoint_config(entry, known_config.clone(), wait).await {
             Ok(endpoint_config) => {
                 apply(shared, entry, &endpoint_config, &mut known_config).await;
@@ -77,7 +77,7 @@
                 }
             }
             Err(error) => {
-                warn_event!("brief-failed", peer = %entry, reason = %error);
+                warn_event!("endpoint-config-failed", peer = %entry, reason = %error);
                 failures += 1;
                 // The assigned entries may be gone for good, so those in the settings are used again.
                 if failures.is_multiple_of(2 * ASSIGNED_ENTRIES) {
@@ -112,9 +112,9 @@
         let probe = http::exchange(&client, &shared.settings.endpoint_address, "GET", "/health", bytes::Bytes::new());
         let is_alive = matches!(tokio::time::timeout(shared.settings.probe, probe).await, Ok(Ok((200, _))));
         failed_probes = if is_alive { 0 } else { failed_probes + 1 };
-        let is_now_healthy = failed_probes < MAX_FAILED_PROBES;
-        if is_now_healthy != is_healthy {
-            is_healthy = is_now_healthy;
+        let is_healthy_now = failed_probes < MAX_FAILED_PROBES;
+        if is_healthy_now != is_healthy {
+            is_healthy = is_healthy_now;
             let _ = shared.event_loop.send(Command::SetHealthy(is_healthy)).await;
         }
     }
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to a model engine: streams the prompt to it and reads the tokens as server-sent decoder.
+//! Calls to a model engine: streams the prompt to it and reads the tokens as server-sent events.
 
 use std::cell::RefCell;
 
@@ -188,7 +188,7 @@
     }
 }
 
-/// Decoder for the data of server-sent decoder.
+/// Decoder for the data of server-sent events.
 #[derive(Default)]
 struct SseDecoder {
     buffer: BytesMut,
@@ -202,7 +202,7 @@
 
     /// Returns the data of the next event that has any; `None` if more bytes are needed.
     fn next(&mut self) -> Option<Bytes> {
-        while let Some(end) = self.line_end() {
+        while let Some(end) = self.find_line_end() {
             let line = self.buffer.split_to(end + 1).freeze();
             self.searched_bytes = 0;
             let text = line.trim_ascii_end();
@@ -213,7 +213,7 @@
         None
     }
 
-    fn line_end(&mut self) -> Option<usize> {
+    fn find_line_end(&mut self) -> Option<usize> {
         let found = self.buffer[self.searched_bytes..].iter().position(|byte| *byte == b'\n');
         let end = found.map(|at| self.searched_bytes + at);
         if end.is_none() {
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -33,9 +33,9 @@
     Expired,
     /// The scheduler removed the job from its queue, as it could not start here for a long time; it never starts.
     Evicted,
-    /// The job was voided before it started; it never starts.
-    Voided,
-    /// Stop the running job: its deadline has passed or its endpoint is unhealthy.
+    /// The job was cancelled before it started; it never starts.
+    CancelledBeforeStart,
+    /// Stop the running job: its deadline has passed, its endpoint is unhealthy, or its entry has cancelled it.
     Cancel,
 }
 
@@ -71,21 +71,22 @@
         /// Number of output tokens generated.
         output_tokens: u64,
         /// Whether the attempt is proven not to have run; its key may then be used again.
-        not_run: bool,
+        has_not_run: bool,
     },
-    /// Voids an attempt, because the entry has disconnected or given it up.
-    Void {
+    /// Cancels an attempt, because the entry has disconnected or given it up. A running attempt with an
+    /// idempotency key goes on.
+    CancelAttempt {
         /// Id of the attempt.
         attempt: Attempt,
         /// Idempotency key of the attempt, if it has one.
         once: Option<Key>,
-        /// Receives whether the attempt had started.
+        /// Receives whether the attempt had started; one that had not never will.
         reply: Option<oneshot::Sender<Voided>>,
     },
     /// Reserves memory for a span, or renews the span's lease.
-    HoldSpan(Hold, oneshot::Sender<Held>),
+    ReserveSpan(Hold, oneshot::Sender<Held>),
     /// Marks the start (`true`) or end (`false`) of a span's prefill; replies whether the span is held.
-    SetSpanFilling(Attempt, bool, oneshot::Sender<bool>),
+    Prefill(Attempt, bool, oneshot::Sender<bool>),
     /// Releases a span and has the engine free it.
     ReleaseSpan(Attempt),
     /// Returns whether a job or span of this incarnation has the given id at the engine.
@@ -133,7 +134,7 @@
     signals: HashMap<Attempt, mpsc::UnboundedSender<Signal>>,
     chains: HashMap<Attempt, Chain>,
     transcripts: HashMap<Key, Transcript>,
-    keys: HashMap<Attempt, Key>,
+    key_by_attempt: HashMap<Attempt, Key>,
     idle_waiters: Vec<oneshot::Sender<()>>,
     /// Spans that the `control` thread has to free on the engine.
     expired_spans: mpsc::UnboundedSender<Attempt>,
@@ -150,7 +151,7 @@
     loop {
         let interval = if event_loop.scheduler.is_idle() { IDLE_INTERVAL } else { ACTIVE_INTERVAL };
         match tokio::time::timeout(interval, commands.recv()).await {
-            Ok(Some(command)) => event_loop.handle(command),
+            Ok(Some(command)) => event_loop.handle_command(command),
             Ok(None) => return,
             Err(_) if event_loop.scheduler.is_idle() => event_loop.prune_transcripts(),
             Err(_) => {}
@@ -159,7 +160,7 @@
         if event_loop.is_stopping && event_loop.idle_waiters.is_empty() {
             // Replies to the commands that arrive while the other threads end.
             while let Some(command) = commands.recv().await {
-                event_loop.handle(command);
+                event_loop.handle_command(command);
             }
             return;
         }
@@ -178,7 +179,7 @@
             signals: HashMap::new(),
             chains: HashMap::new(),
             transcripts: HashMap::new(),
-            keys: HashMap::new(),
+            key_by_attempt: HashMap::new(),
             idle_waiters: Vec::new(),
             expired_spans,
             is_stopping: false,
@@ -186,17 +187,17 @@
         }
     }
 
-    fn handle(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Quote(ask, reply) => drop(reply.send(self.quote(&ask))),
             Command::Offer { work, transcript, reply } => drop(reply.send(self.offer_job(*work, transcript))),
             Command::FirstToken(attempt) => self.record_first_token(attempt),
-            Command::Finish { attempt, output_tokens, not_run } => self.finish_attempt(attempt, output_tokens, not_run),
-            Command::Void { attempt, once, reply } => self.void_attempt(attempt, once.as_ref(), reply),
-            Command::HoldSpan(hold, reply) => drop(reply.send(self.hold_span(hold))),
-            Command::SetSpanFilling(span, filling, reply) => {
-                drop(reply.send(self.scheduler.fill(span, filling, util::now())))
+            Command::Finish { attempt, output_tokens, has_not_run } => {
+                self.finish_attempt(attempt, output_tokens, has_not_run)
             }
+            Command::CancelAttempt { attempt, once, reply } => self.cancel_attempt(attempt, once.as_ref(), reply),
+            Command::ReserveSpan(hold, reply) => drop(reply.send(self.reserve_span(hold))),
+            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.fill(span, active, util::now()))),
             Command::ReleaseSpan(span) => self.release_span(span),
             Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
             Command::SpanFreed(span) => self.span_freed(span),
@@ -246,7 +247,7 @@
             match self.scheduler.once(key, attempt, now) {
                 Once::First => {
                     self.transcripts.insert(key.clone(), transcript);
-                    self.keys.insert(attempt, key.clone());
+                    self.key_by_attempt.insert(attempt, key.clone());
                 }
                 Once::Running(_) | Once::Done(_) => return self.duplicate(key, transcript),
             }
@@ -271,7 +272,7 @@
 
     /// Makes a key available again, as its attempt is proven not to have run.
     fn unbind_key(&mut self, attempt: Attempt) {
-        if let Some(key) = self.keys.remove(&attempt) {
+        if let Some(key) = self.key_by_attempt.remove(&attempt) {
             self.scheduler.once_not_run(&key, attempt);
             self.transcripts.remove(&key);
         }
@@ -284,13 +285,13 @@
         }
     }
 
-    fn finish_attempt(&mut self, attempt: Attempt, output_tokens: u64, not_run: bool) {
+    fn finish_attempt(&mut self, attempt: Attempt, output_tokens: u64, has_not_run: bool) {
         self.scheduler.finish(attempt, output_tokens, util::now());
         self.remove_attempt(attempt);
-        if not_run {
+        if has_not_run {
             self.unbind_key(attempt);
         }
-        if let Some(key) = self.keys.remove(&attempt) {
+        if let Some(key) = self.key_by_attempt.remove(&attempt) {
             self.scheduler.once_done(&key, attempt);
         }
     }
@@ -300,21 +301,21 @@
         self.chains.remove(&attempt);
     }
 
-    fn void_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
-        let voided = self.scheduler.void(attempt, once, util::now());
-        match voided {
+    fn cancel_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
+        let outcome = self.scheduler.void(attempt, once, util::now());
+        match outcome {
             Voided::NotRun => {
-                self.send_signal(attempt, Signal::Voided);
+                self.send_signal(attempt, Signal::CancelledBeforeStart);
                 self.remove_attempt(attempt);
                 self.unbind_key(attempt);
             }
             // A call that may run at most once is not cancelled, so that its outcome becomes known.
-            Voided::Started if !self.keys.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
+            Voided::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
             Voided::Started => {}
         }
-        event!("void", attempt = %attempt, voided = ?voided);
+        event!("void", attempt = %attempt, voided = ?outcome);
         if let Some(reply) = reply {
-            let _ = reply.send(voided);
+            let _ = reply.send(outcome);
         }
     }
 
@@ -324,7 +325,7 @@
         }
     }
 
-    fn hold_span(&mut self, hold: Hold) -> Held {
+    fn reserve_span(&mut self, hold: Hold) -> Held {
         let now = util::now();
         let lease_end = now + Duration::from_micros(hold.lease_micros);
         if hold.renew {
@@ -332,7 +333,7 @@
         }
         match self.scheduler.reserve(hold.span, hold.tokens, lease_end, now) {
             Ok(()) => {
-                event!("hold-span", span = %hold.span, tokens = hold.tokens);
+                event!("reserve-span", span = %hold.span, tokens = hold.tokens);
                 Held::Yes
             }
             Err(refused) if refused.reason == Refusal::QueueFull => Held::Wait(micros(refused.retry_after)),
@@ -354,7 +355,7 @@
     }
 
     fn start_shutdown(&mut self, idle: oneshot::Sender<()>) {
-        event!("leave", waiting = self.scheduler.waiting(), running = self.scheduler.running());
+        event!("shutdown", waiting = self.scheduler.waiting(), running = self.scheduler.running());
         self.is_stopping = true;
         self.scheduler.leave();
         self.idle_waiters.push(idle);
@@ -379,7 +380,7 @@
         let running: Vec<Attempt> =
             self.signals.keys().copied().filter(|attempt| self.scheduler.is_running(*attempt)).collect();
         for attempt in running {
-            if !self.keys.contains_key(&attempt) {
+            if !self.key_by_attempt.contains_key(&attempt) {
                 self.send_signal(attempt, Signal::Cancel);
             }
         }
@@ -409,7 +410,7 @@
                     self.unbind_key(attempt);
                 }
                 Action::FreeSpan(span) => {
-                    event!("lapse-span", span = %span);
+                    event!("expire-span", span = %span);
                     let _ = self.expired_spans.send(span);
                 }
             }
@@ -423,8 +424,8 @@
     }
 
     fn start_job(&mut self, attempt: Attempt, level: Level) {
-        let is_running = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
-        if !is_running {
+        let is_notified = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
+        if !is_notified {
             // The job's task has ended, so nothing was sent to the endpoint.
             self.scheduler.finish(attempt, 0, util::now());
             self.remove_attempt(attempt);
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -41,7 +41,7 @@
     Channel {
         /// Sender of the encoded frames.
         sender: mpsc::Sender<Bytes>,
-        /// Longest wait for space in a full channel.
+        /// Maximum wait for space in a full channel.
         full_timeout: Duration,
     },
     /// A transcript that any attempt under the same key may read.
@@ -92,7 +92,7 @@
     /// Destination of the frames.
     pub output: &'a Output,
     attempt: Attempt,
-    tally: Tally,
+    frame_digest: Tally,
     /// Number of output tokens sent.
     pub tokens: u64,
     /// Whether any piece was sent.
@@ -102,7 +102,7 @@
 impl AnswerWriter<'_> {
     /// Sends a piece of the answer.
     pub async fn send_piece(&mut self, bytes: Bytes, tokens: u32) -> Result<(), OutputClosed> {
-        let number = self.tally.add(&bytes);
+        let number = self.frame_digest.add(&bytes);
         self.tokens += u64::from(tokens);
         self.has_pieces = true;
         self.output.send(&Frame::Piece { attempt: self.attempt, number, tokens, bytes }).await
@@ -110,7 +110,7 @@
 
     /// Sends the end of a complete answer, with the piece count and digest.
     pub async fn send_end(&mut self, usage: Usage, finish: String) -> Result<(), OutputClosed> {
-        let seal = self.tally.seal();
+        let seal = self.frame_digest.seal();
         let end = Frame::End { attempt: self.attempt, count: seal.count, digest: seal.digest, usage, finish };
         self.output.send(&end).await
     }
@@ -156,8 +156,13 @@
     };
     event!("start-job", request = %work.request, attempt = %work.attempt, level = ?level);
     let _ = output.send(&Frame::Started).await;
-    let mut writer =
-        AnswerWriter { output: &output, attempt: work.attempt, tally: Tally::new(), tokens: 0, has_pieces: false };
+    let mut writer = AnswerWriter {
+        output: &output,
+        attempt: work.attempt,
+        frame_digest: Tally::new(),
+        tokens: 0,
+        has_pieces: false,
+    };
     let result = tokio::select! {
         result = call_endpoint(&shared, &work, request_body, level, &mut writer) => result,
         error = wait_for_cancel(&mut signals) => Err(error),
@@ -172,15 +177,15 @@
                 ran = error.ran.as_str(), reason = %error.message);
         }
     }
-    let mut not_run = false;
+    let mut has_not_run = false;
     if let Err(error) = result {
-        not_run = error.ran == Ran::No && error.status.is_none();
+        has_not_run = error.ran == Ran::No && error.status.is_none();
         let ran = if has_pieces { Ran::Partial } else { error.ran };
         let step = error.step.to_owned();
         let _ = output.send(&Frame::Failed { ran, step, message: error.message, status: error.status }).await;
     }
     output.close();
-    shared.event_loop.send_detached(Command::Finish { attempt: work.attempt, output_tokens: tokens, not_run });
+    shared.event_loop.send_detached(Command::Finish { attempt: work.attempt, output_tokens: tokens, has_not_run });
 }
 
 /// Waits for the event loop to start the job; `None` if it never starts.
@@ -193,11 +198,11 @@
     let signal = tokio::select! {
         signal = signals.recv() => signal,
         () = output.closed() => {
-            shared.event_loop.send_detached(Command::Void { attempt: work.attempt, once: None, reply: None });
+            shared.event_loop.send_detached(Command::CancelAttempt { attempt: work.attempt, once: None, reply: None });
             // The event loop may have started the job concurrently; the job then occupies a slot until it
             // is finished.
             if let Some(Signal::Start(_)) = signals.recv().await {
-                let finish = Command::Finish { attempt: work.attempt, output_tokens: 0, not_run: true };
+                let finish = Command::Finish { attempt: work.attempt, output_tokens: 0, has_not_run: true };
                 shared.event_loop.send_detached(finish);
             }
             return None;
@@ -207,13 +212,13 @@
         Some(Signal::Start(level)) => Some(level),
         Some(Signal::Expired) => send_refusal(output, wire::Refused::Expired).await,
         Some(Signal::Evicted) => send_refusal(output, wire::Refused::Scheduler(Refusal::Evicted)).await,
-        Some(Signal::Voided | Signal::Cancel) | None => {
+        Some(Signal::CancelledBeforeStart | Signal::Cancel) | None => {
             send_refusal(output, wire::Refused::Scheduler(Refusal::Voided)).await
         }
     }
 }
 
-/// Tells the entry that the job did not start and never will.
+/// Notifies the entry that the job did not start and never will.
 async fn send_refusal(output: &Output, reason: wire::Refused) -> Option<Level> {
     let _ = output.send(&Frame::Refused { reason, retry_after_micros: 0 }).await;
     None
--- a/sorrelpass/src/sidecar/mod.rs
+++ b/sorrelpass/src/sidecar/mod.rs
@@ -21,14 +21,14 @@
 use crate::config::Sidecar;
 use crate::{event, http, metric, ring, timeline, util};
 
-/// Capacity of the event loop's command queue, in commands.
-const EVENT_LOOP_QUEUE_CAPACITY: usize = 4_096;
+/// Capacity of the event loop's command channel, in commands.
+const EVENT_LOOP_CHANNEL_CAPACITY: usize = 4_096;
 
 /// State shared by the threads of a sidecar. It holds no state that decisions are based on.
 pub struct Shared {
     /// Settings of this sidecar.
     pub settings: Sidecar,
-    /// Command queue of the event loop.
+    /// Command channel of the event loop.
     pub event_loop: ring::Sender<event_loop::Command>,
 }
 
@@ -38,14 +38,14 @@
     metric::init()?;
     let termination = util::Termination::watch()?;
     let listener_address = settings.listen;
-    let (commands, receiver) = ring::pair("kernel", EVENT_LOOP_QUEUE_CAPACITY);
-    let shared = Arc::new(Shared { settings, event_loop: commands });
+    let (command_sender, command_receiver) = ring::pair("kernel", EVENT_LOOP_CHANNEL_CAPACITY);
+    let shared = Arc::new(Shared { settings, event_loop: command_sender });
     let (stop, stopped) = watch::channel(false);
     let (expired_spans, expired_span_receiver) = tokio::sync::mpsc::unbounded_channel();
 
     let event_loop = util::duty("kernel", {
         let settings = shared.settings.clone();
-        move || event_loop::run(settings, receiver, expired_spans)
+        move || event_loop::run(settings, command_receiver, expired_spans)
     })?;
     let std_listener = bind(listener_address)?;
     let server = util::duty("work", {
--- a/sorrelpass/src/sidecar/order.rs
+++ b/sorrelpass/src/sidecar/order.rs
@@ -26,12 +26,12 @@
 }
 
 #[derive(Deserialize)]
-struct Loaded {
-    loaded: LoadedParts,
+struct LoadedResponse {
+    loaded: LoadedModel,
 }
 
 #[derive(Deserialize)]
-struct LoadedParts {
+struct LoadedModel {
     version: Name,
     adapters: Vec<Name>,
 }
@@ -72,11 +72,11 @@
         match tokio::time::timeout(ORDER_TIMEOUT, call).await {
             Ok(Ok(204)) => event!("order", fence = order.fence.0, version = %order.load.version),
             Ok(Ok(409)) => {
-                warn_event!("order-refused", fence = order.fence.0, reason = "the endpoint knows a newer fence")
+                warn_event!("order-refused", fence = order.fence.0, reason = "the endpoint has a newer fence")
             }
             Ok(Ok(status)) => warn_event!("order-failed", fence = order.fence.0, status),
             Ok(Err(error)) => warn_event!("order-failed", fence = order.fence.0, reason = %error),
-            Err(_) => warn_event!("order-failed", fence = order.fence.0, reason = "no answer within its life"),
+            Err(_) => warn_event!("order-failed", fence = order.fence.0, reason = "no answer within the timeout"),
         }
     }
 }
@@ -84,6 +84,6 @@
 /// Asks the endpoint for its load; `None` if it does not answer.
 pub async fn query_load(client: &http::Caller, shared: &Shared) -> Option<Load> {
     let call = http::exchange_json(client, &shared.settings.endpoint_address, "GET", "/loaded", None);
-    let loaded: Loaded = tokio::time::timeout(ORDER_TIMEOUT, call).await.ok()?.ok()?;
+    let loaded: LoadedResponse = tokio::time::timeout(ORDER_TIMEOUT, call).await.ok()?.ok()?;
     Some(Load { version: loaded.loaded.version, adapters: loaded.loaded.adapters })
 }
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server of a sidecar: quotes, work and voiding for entries, health and metrics for operators.
+//! HTTP server of a sidecar: quotes, work and cancellation for entries, health and metrics for operators.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::{http, metric, timeline, util};
 
 /// Number of frames that are buffered for an entry that reads slowly.
-const FRAME_QUEUE_CAPACITY: usize = 256;
+const FRAME_CHANNEL_CAPACITY: usize = 256;
 /// Maximum body size of a call that may run at most once; its body is buffered before the job is offered.
 const MAX_ONCE_BODY_BYTES: usize = 16 * 1_024 * 1_024;
 
@@ -31,7 +31,7 @@
     Router::new()
         .route(wire::QUOTE, post(get_quote))
         .route(wire::WORK, post(run_work))
-        .route(wire::VOID, post(void_attempt))
+        .route(wire::VOID, post(cancel_attempt))
         .route(wire::SPAN_HOLD, post(span::reserve_span))
         .route(wire::SPAN_FILL, post(span::fill_span))
         .route(wire::SPAN_FREE, post(span::release_span))
@@ -68,16 +68,20 @@
     Ok(with_clock_stamp(wire::encode(&quoted)))
 }
 
-async fn void_attempt(
+async fn cancel_attempt(
     State(shared): State<Arc<Shared>>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Result<Response, StatusCode> {
     observe_clock(&headers);
-    let void: wire::Void = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let voided =
-        ask(&shared, |reply| Command::Void { attempt: void.attempt, once: void.once, reply: Some(reply) }).await?;
-    Ok(with_clock_stamp(wire::encode(&wire::VoidAnswer { incarnation: util::incarnation(), voided })))
+    let request: wire::Void = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let outcome = ask(&shared, |reply| Command::CancelAttempt {
+        attempt: request.attempt,
+        once: request.once,
+        reply: Some(reply),
+    })
+    .await?;
+    Ok(with_clock_stamp(wire::encode(&wire::VoidAnswer { incarnation: util::incarnation(), voided: outcome })))
 }
 
 async fn get_load(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
@@ -110,13 +114,13 @@
     mut body: Body,
 ) -> Result<Response, StatusCode> {
     observe_clock(&headers);
-    let (work, start) = read_delimited::<Open>(&mut body).await?;
+    let (work, read) = read_delimited::<Open>(&mut body).await?;
     if work.incarnation.is_some_and(|wanted| wanted != util::incarnation()) {
         let reason = wire::Refused::OtherIncarnation;
         return Ok(single_frame_response(&Frame::Refused { reason, retry_after_micros: 0 }));
     }
     if work.once.is_some() {
-        return run_work_once(shared, work, start, body).await;
+        return run_work_once(shared, work, read, body).await;
     }
     let outcome =
         ask(&shared, |reply| Command::Offer { work: Box::new(work.clone()), transcript: None, reply }).await?;
@@ -125,19 +129,19 @@
         OfferOutcome::Refused(refused) => return Ok(single_frame_response(&refusal_frame(refused))),
         OfferOutcome::Duplicate(_) => return Err(StatusCode::CONFLICT),
     };
-    let (sender, receiver) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+    let (sender, receiver) = mpsc::channel(FRAME_CHANNEL_CAPACITY);
     let output = job::Output::Channel { sender, full_timeout: shared.settings.slow_entry };
-    tokio::spawn(job::run(shared, work, job::RequestBody::new(start, body), signals, output));
+    tokio::spawn(job::run(shared, work, job::RequestBody::new(read, body), signals, output));
     Ok(with_clock_stamp(Body::from_stream(stream::unfold(receiver, |mut receiver| async move {
         receiver.recv().await.map(|frame| (Ok::<Bytes, Infallible>(frame), receiver))
     }))))
 }
 
 /// Runs a call that may run at most once: buffers its body first, and records its answer.
-async fn run_work_once(shared: Arc<Shared>, work: Open, start: Bytes, body: Body) -> Result<Response, StatusCode> {
+async fn run_work_once(shared: Arc<Shared>, work: Open, read: Bytes, body: Body) -> Result<Response, StatusCode> {
     let rest = http_body_util::Limited::new(body, MAX_ONCE_BODY_BYTES);
     let rest = rest.collect().await.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes();
-    let whole = Bytes::from([start, rest].concat());
+    let complete_body = Bytes::from([read, rest].concat());
     let transcript = Transcript::new();
     let recording = transcript.clone();
     let attempt = work.attempt;
@@ -149,7 +153,7 @@
         OfferOutcome::Duplicate(earlier) => earlier,
         OfferOutcome::Accepted(signals) => {
             let output = job::Output::Transcript(transcript.clone());
-            tokio::spawn(job::run(shared, work, job::RequestBody::new(whole, Body::empty()), signals, output));
+            tokio::spawn(job::run(shared, work, job::RequestBody::new(complete_body, Body::empty()), signals, output));
             transcript
         }
     };
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -28,28 +28,28 @@
 /// Handles `POST /span/hold`: reserves memory for a span, or renews its lease.
 pub async fn reserve_span(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
     let hold: Hold = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let held = ask(&shared, |reply| Command::HoldSpan(hold, reply)).await?;
+    let held = ask(&shared, |reply| Command::ReserveSpan(hold, reply)).await?;
     Ok(with_clock_stamp(wire::encode(&held)))
 }
 
 /// Handles `POST /span/fill`: prefills a reserved span, and answers once the prefill is complete.
 pub async fn fill_span(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
-    let (fill, start) = read_delimited::<Fill>(&mut body).await?;
-    if !ask(&shared, |reply| Command::SetSpanFilling(fill.span, true, reply)).await? {
+    let (fill, read) = read_delimited::<Fill>(&mut body).await?;
+    if !ask(&shared, |reply| Command::Prefill(fill.span, true, reply)).await? {
         return Err(StatusCode::GONE);
     }
-    let filled = prefill_on_engine(&shared, fill, RequestBody::new(start, body)).await;
-    ask(&shared, |reply| Command::SetSpanFilling(fill.span, false, reply)).await?;
+    let filled = prefill_on_engine(&shared, fill, RequestBody::new(read, body)).await;
+    ask(&shared, |reply| Command::Prefill(fill.span, false, reply)).await?;
     let filled = filled.map_err(|error| {
-        warn_event!("fill-failed", span = %fill.span, reason = %error);
+        warn_event!("prefill-failed", span = %fill.span, reason = %error);
         StatusCode::BAD_GATEWAY
     })?;
-    event!("fill-span", span = %fill.span, tokens = filled.tokens);
+    event!("prefill-span", span = %fill.span, tokens = filled.tokens);
     Ok(with_clock_stamp(wire::encode(&filled)))
 }
 
 #[derive(Deserialize)]
-struct EngineFilled {
+struct EnginePrefill {
     tokens: u64,
     digest: u64,
 }
@@ -59,8 +59,8 @@
     let response = thread_client().request(Request::post(uri).body(body.into_body())?).await?;
     let status = response.status();
     let bytes = response.into_body().collect().await?.to_bytes();
-    eyre::ensure!(status.is_success(), "step=fill-span status={status}");
-    let filled: EngineFilled = serde_json::from_slice(&bytes)?;
+    eyre::ensure!(status.is_success(), "step=prefill-span status={status}");
+    let filled: EnginePrefill = serde_json::from_slice(&bytes)?;
     Ok(Filled { tokens: filled.tokens, digest: filled.digest })
 }
 
--- a/sorrelpass/src/sidecar/transcript.rs
+++ b/sorrelpass/src/sidecar/transcript.rs
@@ -16,8 +16,8 @@
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct Progress {
-    frames: usize,
-    closed: bool,
+    frame_count: usize,
+    is_closed: bool,
 }
 
 impl Transcript {
@@ -32,19 +32,19 @@
         frames.push(frame);
         let count = frames.len();
         drop(frames);
-        self.progress.send_modify(|progress| progress.frames = count);
+        self.progress.send_modify(|progress| progress.frame_count = count);
     }
 
     /// Marks the end of the frames.
     pub fn close(self) {
-        self.progress.send_modify(|progress| progress.closed = true);
+        self.progress.send_modify(|progress| progress.is_closed = true);
     }
 
     /// Waits for the frame with the given index and returns it, addressed to `attempt`; `None` after the
     /// last frame.
     pub async fn frame(&self, index: usize, attempt: Attempt) -> Option<Frame> {
         let mut progress = self.progress.subscribe();
-        let ready = progress.wait_for(|progress| progress.frames > index || progress.closed).await;
+        let ready = progress.wait_for(|progress| progress.frame_count > index || progress.is_closed).await;
         drop(ready);
         let frame = self.lock().get(index).cloned()?;
         Some(frame.told_to(attempt))
