--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -20,7 +20,7 @@
 use super::prompt::{ApiFormat, Prompt};
 use super::reply::{self, AnswerParts};
 use super::route::{self, GangPrompt, Request, RunPolicy};
-use super::{App, body, operator_api, ticket, upstream};
+use super::{HandlerState, body, operator_api, ticket, upstream};
 use crate::failure::Failure;
 use crate::wire::{Ask, Call};
 use crate::{event, metric, util};
@@ -39,7 +39,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Builds the router of an entry's public listener: the APIs for callers and for operators.
-pub fn router(app: App) -> Router {
+pub fn router(app: HandlerState) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(chat_completions))
         .route("/v1/completions", post(completions))
@@ -107,15 +107,15 @@
     }
 }
 
-async fn admit(app: &App, headers: &HeaderMap, kind: RequestKind) -> Result<AdmittedRequest, Failure> {
+async fn admit(app: &HandlerState, headers: &HeaderMap, kind: RequestKind) -> Result<AdmittedRequest, Failure> {
     let admission = AdmissionRequest { key_digest: bearer_key_digest(headers)?, kind };
-    let admitted = app.shared.ask(|reply| Command::Admit(admission, reply)).await;
+    let admitted = app.shared.call_event_loop(|reply| Command::Admit(admission, reply)).await;
     admitted.map_err(|error| Failure::busy("stopping", error.to_string(), RETRY_AFTER))?
 }
 
 /// Spawns the task that runs a request, and returns the receiver of its answer.
 fn spawn_request(
-    app: &App,
+    app: &HandlerState,
     request: impl FnOnce(mpsc::Sender<Result<upstream::AnswerPart, Failure>>) -> Request,
 ) -> AnswerParts {
     let (parts, receiver) = mpsc::channel(PART_CHANNEL_CAPACITY);
@@ -131,18 +131,18 @@
     reply::with_request_id(id, answer.map_err(IntoResponse::into_response).unwrap_or_else(|response| response))
 }
 
-async fn chat_completions(State(app): State<App>, headers: HeaderMap, body: Body) -> Response {
+async fn chat_completions(State(app): State<HandlerState>, headers: HeaderMap, body: Body) -> Response {
     let id = choose_request_id(&headers);
     finish_response(&id, run_prompt(&app, &id, ApiFormat::Chat, &headers, body).await)
 }
 
-async fn completions(State(app): State<App>, headers: HeaderMap, body: Body) -> Response {
+async fn completions(State(app): State<HandlerState>, headers: HeaderMap, body: Body) -> Response {
     let id = choose_request_id(&headers);
     finish_response(&id, run_prompt(&app, &id, ApiFormat::Text, &headers, body).await)
 }
 
 async fn run_prompt(
-    app: &App,
+    app: &HandlerState,
     id: &Name,
     format: ApiFormat,
     headers: &HeaderMap,
@@ -191,7 +191,7 @@
 
 /// Returns the run policy that the caller's idempotency key or ticket asks for; `None` without the header.
 fn requested_run_policy(
-    app: &App,
+    app: &HandlerState,
     headers: &HeaderMap,
     admitted: &AdmittedRequest,
 ) -> Result<Option<RunPolicy>, Failure> {
@@ -217,12 +217,12 @@
     Failure::new(StatusCode::NOT_IMPLEMENTED, "no_tickets", "this entry has no ticket secret in its settings")
 }
 
-async fn handle_service_root(state: State<App>, Path(name): Path<String>, request: HttpRequest) -> Response {
+async fn handle_service_root(state: State<HandlerState>, Path(name): Path<String>, request: HttpRequest) -> Response {
     handle_service_path(state, Path((name, String::new())), request).await
 }
 
 async fn handle_service_path(
-    State(app): State<App>,
+    State(app): State<HandlerState>,
     Path((name, path)): Path<(String, String)>,
     request: HttpRequest,
 ) -> Response {
@@ -231,7 +231,7 @@
 }
 
 async fn call_service(
-    app: &App,
+    app: &HandlerState,
     id: &Name,
     service: &str,
     path: &str,
@@ -280,14 +280,14 @@
     reply::service_response(parts).await
 }
 
-async fn list_models(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
+async fn list_models(State(app): State<HandlerState>, headers: HeaderMap) -> Result<Response, Failure> {
     let names = fetch_models(&app, &headers).await?;
     let data: Vec<_> = names.iter().map(|name| model_json(name)).collect();
     Ok(Json(json!({ "object": "list", "data": data })).into_response())
 }
 
 async fn get_model(
-    State(app): State<App>,
+    State(app): State<HandlerState>,
     Path(requested): Path<String>,
     headers: HeaderMap,
 ) -> Result<Response, Failure> {
@@ -302,9 +302,9 @@
     json!({ "id": name, "object": "model", "created": 0, "owned_by": "sorrelpass" })
 }
 
-async fn fetch_models(app: &App, headers: &HeaderMap) -> Result<Vec<Name>, Failure> {
+async fn fetch_models(app: &HandlerState, headers: &HeaderMap) -> Result<Vec<Name>, Failure> {
     let digest = bearer_key_digest(headers)?;
-    let names = app.shared.ask(|reply| Command::ListModels(digest, reply)).await;
+    let names = app.shared.call_event_loop(|reply| Command::ListModels(digest, reply)).await;
     names.map_err(|error| Failure::busy("stopping", error.to_string(), RETRY_AFTER))?
 }
 
@@ -320,7 +320,7 @@
 /// Handles `POST /v1/tickets`: issues an idempotency key that guarantees at-most-once execution even while
 /// the log is unavailable.
 async fn issue_ticket(
-    State(app): State<App>,
+    State(app): State<HandlerState>,
     headers: HeaderMap,
     body: axum::body::Bytes,
 ) -> Result<Response, Failure> {
@@ -337,7 +337,7 @@
     Ok((StatusCode::CREATED, Json(body)).into_response())
 }
 
-async fn select_endpoint(app: &App, admitted: &AdmittedRequest) -> Result<Binding, Failure> {
+async fn select_endpoint(app: &HandlerState, admitted: &AdmittedRequest) -> Result<Binding, Failure> {
     let no_endpoint = || Failure::busy("overloaded", "no endpoint takes calls now", RETRY_AFTER);
     let query = TargetQuery {
         service: admitted.service.clone(),
@@ -345,7 +345,8 @@
         prefix_hash: None,
         excluded: Vec::new(),
     };
-    let candidates = app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(|_| no_endpoint())?;
+    let candidates =
+        app.shared.call_event_loop(|reply| Command::FindTargets(query, reply)).await.map_err(|_| no_endpoint())?;
     let ask = Ask {
         workspace: admitted.workspace.name.clone(),
         weight: admitted.workspace.weight,
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -124,13 +124,13 @@
             Command::Lookup(key, _) | Command::Claim(key, ..) => partition_of(key),
         };
         match (command, partitions.get(&index)) {
-            (command, Some(partition)) => drop(tokio::task::spawn_local(partition.clone().handle(command))),
+            (command, Some(partition)) => drop(tokio::task::spawn_local(partition.clone().handle_command(command))),
             // This entry cannot have bound a key of a partition that it does not follow.
             (Command::Lookup(_, reply), None) => drop(reply.send(None)),
             (command, None) => {
                 let partition = Partition::start(&shared, index, make_log());
                 partitions.insert(index, partition.clone());
-                tokio::task::spawn_local(partition.handle(command));
+                tokio::task::spawn_local(partition.handle_command(command));
             }
         }
     }
@@ -153,7 +153,7 @@
         partition
     }
 
-    async fn handle(self: Rc<Self>, command: Command) {
+    async fn handle_command(self: Rc<Self>, command: Command) {
         // Nothing is answered before the stream has been replayed. If the log is unavailable, the reply is
         // dropped at once instead.
         let mut replay_state = self.replay_state.subscribe();
--- a/sorrelpass/src/entry/config_log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -83,13 +83,13 @@
     let follow_task = tokio::task::spawn_local(follower.clone().follow());
     while let Some(command) = commands.recv().await {
         let follower = follower.clone();
-        tokio::task::spawn_local(async move { follower.handle(command).await });
+        tokio::task::spawn_local(async move { follower.handle_command(command).await });
     }
     follow_task.abort();
 }
 
 impl Follower {
-    async fn handle(&self, command: Command) {
+    async fn handle_command(&self, command: Command) {
         match command {
             Command::AppendPlan(record, reply) => drop(reply.send(self.append_plan(&record).await)),
             Command::ConfirmPlan(plan, reply) => drop(reply.send(self.append_confirm(&plan).await)),
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -117,7 +117,7 @@
         holder.map_or(Duration::ZERO, |holder| holder.until.since(self.log_time()))
     }
 
-    /// Returns this process's fence if it holds the lease. The process may have been paused past the end of
+    /// Returns this process's fence if it holds the lease. The process may have been suspended past the end of
     /// the lease without noticing; replay then discards the records that it appends.
     fn fence(&self) -> Option<Fence> {
         let holder = self.placements.lease(self.failure_domain())?.holder()?;
--- a/sorrelpass/src/entry/gang.rs
+++ b/sorrelpass/src/entry/gang.rs
@@ -13,7 +13,7 @@
 use http_body_util::BodyExt;
 use tokio::task::JoinHandle;
 
-use super::App;
+use super::HandlerState;
 use super::event_loop::Target;
 use super::upstream;
 use crate::http;
@@ -66,7 +66,7 @@
 /// Spans reserved at their members. Their leases are renewed until this value is dropped, which frees the
 /// spans.
 pub struct SpanLeases {
-    app: App,
+    app: HandlerState,
     members: Vec<Member>,
     renewal_task: JoinHandle<()>,
 }
@@ -81,7 +81,7 @@
 
 impl SpanLeases {
     /// Reserves memory at all members, waiting up to `timeout` for members that are full.
-    pub async fn reserve(app: &App, mut members: Vec<Member>, timeout: Duration) -> Result<Self, GangError> {
+    pub async fn reserve(app: &HandlerState, mut members: Vec<Member>, timeout: Duration) -> Result<Self, GangError> {
         members.sort_by(|a, b| a.target.endpoint.cmp(&b.target.endpoint));
         let deadline = util::now() + timeout;
         let renewal_task = tokio::spawn(renew_leases(app.clone(), members.clone()));
@@ -146,7 +146,7 @@
     }
 }
 
-async fn request_reservation(app: &App, member: &Member, renew: bool) -> Option<Held> {
+async fn request_reservation(app: &HandlerState, member: &Member, renew: bool) -> Option<Held> {
     let hold = Hold { span: member.span, tokens: member.tokens, lease_micros: micros(LEASE_DURATION), renew };
     let call = http::exchange(&app.client, &member.target.address, "POST", wire::SPAN_HOLD, wire::encode(&hold));
     match tokio::time::timeout(RENEW_INTERVAL, call).await {
@@ -157,14 +157,14 @@
 
 /// Renews the leases of all members until the task is aborted. A member that does not hold its span yet
 /// refuses the renewal, which is harmless.
-async fn renew_leases(app: App, members: Vec<Member>) {
+async fn renew_leases(app: HandlerState, members: Vec<Member>) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
         futures_util::future::join_all(members.iter().map(|member| request_reservation(&app, member, true))).await;
     }
 }
 
-async fn request_prefill(app: &App, member: &Member, digest: u64, text: &Bytes) -> Option<Filled> {
+async fn request_prefill(app: &HandlerState, member: &Member, digest: u64, text: &Bytes) -> Option<Filled> {
     let header = wire::encode_delimited(&Fill { span: member.span, digest });
     let body = upstream::body_from_pieces(vec![header, text.clone()]);
     let response = http::call(&app.client, &member.target.address, "POST", wire::SPAN_FILL, body).await.ok()?;
--- a/sorrelpass/src/entry/limit_sharing.rs
+++ b/sorrelpass/src/entry/limit_sharing.rs
@@ -71,7 +71,7 @@
     let own_address = Name::from(shared.settings.peer_listen.to_string());
     loop {
         tokio::time::sleep(util::jitter(REPORT_INTERVAL)).await;
-        let Ok(demands) = shared.ask(Command::TakeDemands).await else { return };
+        let Ok(demands) = shared.call_event_loop(Command::TakeDemands).await else { return };
         if demands.is_empty() {
             continue;
         }
--- a/sorrelpass/src/entry/mod.rs
+++ b/sorrelpass/src/entry/mod.rs
@@ -76,7 +76,10 @@
 
 impl Shared {
     /// Sends a command to the event loop and waits for its reply. Fails if the event loop has stopped.
-    pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> event_loop::Command) -> Result<T> {
+    pub async fn call_event_loop<T>(
+        &self,
+        command: impl FnOnce(oneshot::Sender<T>) -> event_loop::Command,
+    ) -> Result<T> {
         let (reply, answer) = oneshot::channel();
         self.event_loop.send(command(reply)).await.map_err(|_| eyre!("step=ask-kernel: the kernel has stopped"))?;
         answer.await.map_err(|_| eyre!("step=ask-kernel: the kernel has stopped"))
@@ -94,7 +97,7 @@
 
 /// State of the HTTP handlers of one `callers-N` thread.
 #[derive(Clone)]
-pub struct App {
+pub struct HandlerState {
     /// State shared by all threads.
     pub shared: Arc<Shared>,
     /// HTTP client of this thread for calls to sidecars.
@@ -173,7 +176,7 @@
         let (shared, closed) = (shared.clone(), closed.clone());
         server_threads.push(util::duty(&format!("callers-{number}"), move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-            let app = App { shared, client: http::caller_h2() };
+            let app = HandlerState { shared, client: http::caller_h2() };
             let caller_timeout = app.shared.settings.slow_caller;
             http::serve(listener, caller_api::router(app), caller_timeout, closed).await;
         })?);
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 
 use super::event_loop::Command;
-use super::{App, Shared, config_log};
+use super::{HandlerState, Shared, config_log};
 use crate::failure::Failure;
 use crate::{event, util};
 
@@ -58,7 +58,7 @@
 }
 
 /// Handles `POST /v1/intents`: appends a plan and returns its id and its effects.
-pub async fn submit_plan(State(app): State<App>, headers: HeaderMap, body: Body) -> Result<Response, Failure> {
+pub async fn submit_plan(State(app): State<HandlerState>, headers: HeaderMap, body: Body) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let too_large = |_| Failure::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", "the plan exceeds 4 MiB");
     let bytes: Bytes = axum::body::to_bytes(body, MAX_PLAN_BYTES).await.map_err(too_large)?;
@@ -141,7 +141,7 @@
 
 /// Handles `POST /v1/plans/{id}/confirm`: confirms a plan and returns the verdict.
 pub async fn confirm_plan(
-    State(app): State<App>,
+    State(app): State<HandlerState>,
     Path(id): Path<String>,
     headers: HeaderMap,
 ) -> Result<Response, Failure> {
@@ -177,29 +177,29 @@
 }
 
 /// Handles `GET /v1/intents`: returns the configuration in use.
-pub async fn get_intents(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
+pub async fn get_intents(State(app): State<HandlerState>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
     let config: Arc<Config> = app.shared.config.borrow().clone();
     Ok(Json(&*config).into_response())
 }
 
 /// Handles `GET /v1/status`: returns the state of this entry.
-pub async fn get_status(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
+pub async fn get_status(State(app): State<HandlerState>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
-    let status = app.shared.ask(Command::Status).await.map_err(|_| entry_stopping())?;
+    let status = app.shared.call_event_loop(Command::Status).await.map_err(|_| entry_stopping())?;
     Ok(Json(status).into_response())
 }
 
 /// Handles `GET /v1/endpoints`: returns the endpoints known to this entry.
-pub async fn get_endpoints(State(app): State<App>, headers: HeaderMap) -> Result<Response, Failure> {
+pub async fn get_endpoints(State(app): State<HandlerState>, headers: HeaderMap) -> Result<Response, Failure> {
     authorize(&app.shared, &headers)?;
-    let endpoints = app.shared.ask(Command::ListEndpoints).await.map_err(|_| entry_stopping())?;
+    let endpoints = app.shared.call_event_loop(Command::ListEndpoints).await.map_err(|_| entry_stopping())?;
     Ok(Json(endpoints).into_response())
 }
 
 /// Handles `GET /readyz`: succeeds once a configuration and a VM list have been read, until shutdown
 /// begins.
-pub async fn get_readiness(State(app): State<App>) -> Response {
+pub async fn get_readiness(State(app): State<HandlerState>) -> Response {
     let revision = app.shared.config.borrow().revision;
     let members = app.shared.vms.borrow().len();
     if *app.shared.stopping.borrow() || revision == 0 || members == 0 {
--- a/sorrelpass/src/entry/route/gang_attempt.rs
+++ b/sorrelpass/src/entry/route/gang_attempt.rs
@@ -94,7 +94,7 @@
             prefix_hash: None,
             excluded: self.tried_endpoints.clone(),
         };
-        let domains = self.app.shared.ask(|reply| Command::TargetsByDomain(query, reply)).await.ok()?;
+        let domains = self.app.shared.call_event_loop(|reply| Command::TargetsByDomain(query, reply)).await.ok()?;
         let ask = Ask { prompt_tokens: span_tokens, output_tokens: 0, chain: Chain::default(), ..self.quote_request() };
         for targets in domains.into_iter().filter(|targets| targets.len() >= count) {
             let sample = targets.into_iter().take(MAX_MEMBERS_SAMPLED).collect();
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -18,7 +18,7 @@
     CALLER_STEP, DEFAULT_RETRY_AFTER, LOST_CODE, UNKNOWN_CODE, attempt_lost, entry_stopping, outcome_unknown,
     rejected_by_endpoint,
 };
-use super::App;
+use super::HandlerState;
 use super::claims;
 use super::event_loop::{AdmittedRequest, Command, Target, TargetQuery};
 use super::gang;
@@ -97,7 +97,7 @@
 }
 
 struct RequestTask<'a> {
-    app: &'a App,
+    app: &'a HandlerState,
     request: Request,
     tried_endpoints: Vec<Name>,
     attempt_count: u32,
@@ -115,7 +115,7 @@
 }
 
 /// Runs a request. The last item sent to the caller is the end of the answer or a failure.
-pub async fn run(app: App, request: Request) {
+pub async fn run(app: HandlerState, request: Request) {
     let id = request.id.clone();
     let parts = request.parts.clone();
     let mut task = RequestTask {
@@ -211,7 +211,12 @@
             prefix_hash: self.request.chain.head(),
             excluded: self.tried_endpoints.clone(),
         };
-        let selected = self.app.shared.ask(|reply| Command::FindTargets(query, reply)).await.map_err(entry_stopping)?;
+        let selected = self
+            .app
+            .shared
+            .call_event_loop(|reply| Command::FindTargets(query, reply))
+            .await
+            .map_err(entry_stopping)?;
         if !selected.needs_quotes && !needs_incarnation {
             return Ok(selected.targets.into_iter().map(|target| (target, None)).collect());
         }
@@ -316,7 +321,8 @@
     /// Runs a call at the sidecar incarnation that its key is bound to.
     async fn run_on_bound_sidecar(&mut self, key: Key, binding: Binding) -> Result<(), Failure> {
         let endpoint = binding.endpoint.clone();
-        let located = self.app.shared.ask(|reply| Command::Locate(endpoint, reply)).await.map_err(entry_stopping)?;
+        let located =
+            self.app.shared.call_event_loop(|reply| Command::Locate(endpoint, reply)).await.map_err(entry_stopping)?;
         let Some(target) = located else { return Err(outcome_unknown(&binding)) };
         match self.run_once_on_sidecar(&key, &target, &binding).await {
             AttemptOutcome::Finished => Ok(()),
@@ -489,7 +495,7 @@
 
     /// Continues a repeatable request on another endpoint if the retry budget allows it.
     async fn retry_within_budget(&mut self, ran: Ran, step: &str, message: &str) -> AttemptOutcome {
-        let is_allowed = self.app.shared.ask(Command::TakeRetry).await.unwrap_or(false);
+        let is_allowed = self.app.shared.call_event_loop(Command::TakeRetry).await.unwrap_or(false);
         if !is_allowed {
             let ran = if self.is_answer_started { Ran::Partial } else { ran };
             return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}; the retry budget is spent")));
@@ -501,13 +507,13 @@
 
 /// Counts an attempt as outstanding at its endpoint until it is dropped.
 struct OutstandingAttempt<'a> {
-    app: &'a App,
+    app: &'a HandlerState,
     endpoint: Name,
     tokens: u64,
 }
 
 impl<'a> OutstandingAttempt<'a> {
-    fn start(app: &'a App, target: &Target, tokens: u64) -> Self {
+    fn start(app: &'a HandlerState, target: &Target, tokens: u64) -> Self {
         app.shared.event_loop.send_detached(Command::AttemptStarted(target.endpoint.clone(), tokens));
         Self { app, endpoint: target.endpoint.clone(), tokens }
     }
--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -12,7 +12,7 @@
 use crate::{util, wire};
 
 /// Prefix that distinguishes tickets from other idempotency keys.
-const PREFIX: &str = "st_";
+const TICKET_PREFIX: &str = "st_";
 /// Length of the MAC, in bytes.
 const MAC_BYTES: usize = 32;
 /// Maximum lifetime of a ticket.
@@ -40,7 +40,7 @@
 
 /// Returns whether an idempotency key has the prefix of a ticket.
 pub fn is_ticket(key: &str) -> bool {
-    key.starts_with(PREFIX)
+    key.starts_with(TICKET_PREFIX)
 }
 
 /// Issues a ticket that is valid for `lifetime`, at most [`MAX_LIFETIME`].
@@ -49,12 +49,12 @@
     let ticket = Ticket { workspace: workspace.clone(), binding, number: rand::random(), expires };
     let payload = wire::encode(&ticket);
     let tag = compute_mac(secret, &payload).finalize().into_bytes();
-    format!("{PREFIX}{}{}", encode_hex(&tag), encode_hex(&payload))
+    format!("{TICKET_PREFIX}{}{}", encode_hex(&tag), encode_hex(&payload))
 }
 
 /// Decodes a ticket and verifies its MAC, workspace and lifetime.
 pub fn verify(secret: &Secret, workspace: &Name, key: &str) -> Result<Ticket, TicketError> {
-    let bytes = key.strip_prefix(PREFIX).and_then(decode_hex).ok_or(TicketError::Forged)?;
+    let bytes = key.strip_prefix(TICKET_PREFIX).and_then(decode_hex).ok_or(TicketError::Forged)?;
     let (tag, payload) = bytes.split_at_checked(MAC_BYTES).ok_or(TicketError::Forged)?;
     compute_mac(secret, payload).verify_slice(tag).map_err(|_| TicketError::Forged)?;
     let ticket: Ticket = wire::decode(payload).map_err(|_| TicketError::Forged)?;
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -13,7 +13,7 @@
 use hyper::Request;
 use hyper::body::{Frame as BodyFrame, Incoming};
 
-use super::App;
+use super::HandlerState;
 use super::event_loop::{Command, Target};
 use crate::http::{self, Sent};
 use crate::wire::{self, Ask, Frame, Open, Quoted, Refused, Splitter, Usage};
@@ -32,7 +32,7 @@
 
 /// Requests quotes from all `targets` concurrently and returns them best first. Targets that do not answer
 /// in time are left out and reported as unreachable.
-pub async fn request_quotes(app: &App, targets: Vec<Target>, ask: &Ask) -> Vec<QuotedTarget> {
+pub async fn request_quotes(app: &HandlerState, targets: Vec<Target>, ask: &Ask) -> Vec<QuotedTarget> {
     let bytes = wire::encode(ask);
     let requests = targets.into_iter().map(|target| request_quote(app, target, bytes.clone()));
     let answers = futures_util::future::join_all(requests).await;
@@ -42,7 +42,7 @@
     quoted
 }
 
-async fn request_quote(app: &App, target: Target, ask: Bytes) -> Option<QuotedTarget> {
+async fn request_quote(app: &HandlerState, target: Target, ask: Bytes) -> Option<QuotedTarget> {
     let call = http::exchange(&app.client, &target.address, "POST", wire::QUOTE, ask);
     let answer = tokio::time::timeout(app.shared.settings.quote_timeout, call).await;
     let quoted: Quoted = match answer {
@@ -63,7 +63,7 @@
 }
 
 /// Reports to the event loop that a sidecar could not be reached.
-pub fn report_unreachable(app: &App, target: &Target) {
+pub fn report_unreachable(app: &HandlerState, target: &Target) {
     event!("unreachable", peer = %target.endpoint);
     app.shared.event_loop.send_detached(Command::SidecarUnreachable(target.endpoint.clone()));
 }
@@ -144,7 +144,12 @@
 }
 
 /// Sends work to a sidecar and returns its stream of frames.
-pub async fn send_work(app: &App, target: &Target, work: &Open, body: &[Bytes]) -> Result<FrameStream, AttemptError> {
+pub async fn send_work(
+    app: &HandlerState,
+    target: &Target,
+    work: &Open,
+    body: &[Bytes],
+) -> Result<FrameStream, AttemptError> {
     let mut pieces = vec![wire::encode_delimited(work)];
     pieces.extend(body.iter().cloned());
     let body = body_from_pieces(pieces);
@@ -228,7 +233,7 @@
 
 /// Cancels an attempt. Returns `Ran::No` only if the sidecar proves that it did not
 /// and will not run.
-pub async fn cancel_attempt(app: &App, target: &Target, work: &Open) -> Ran {
+pub async fn cancel_attempt(app: &HandlerState, target: &Target, work: &Open) -> Ran {
     let Open { attempt, incarnation, ref once, .. } = *work;
     let bytes = wire::encode(&wire::Void { attempt, once: once.clone() });
     let call = http::exchange(&app.client, &target.address, "POST", wire::VOID, bytes);
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -59,9 +59,9 @@
 ) -> Result<hyper::Response<hyper::body::Incoming>, CallError> {
     let request = request
         .body(request_body.into_body())
-        .map_err(|error| CallError::unknown("build-request", error.to_string()))?;
+        .map_err(|error| CallError::outcome_unknown("build-request", error.to_string()))?;
     thread_client().request(request).await.map_err(|error| {
-        let call_error = CallError::unknown("call", error.to_string());
+        let call_error = CallError::outcome_unknown("call", error.to_string());
         if error.is_connect() { CallError { ran: Ran::No, step: "connect", ..call_error } } else { call_error }
     })
 }
@@ -127,7 +127,7 @@
     let mut decoder = SseDecoder::default();
     let mut answer = AnswerState::default();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| CallError::unknown("read", error.to_string()))?;
+        let frame = frame.map_err(|error| CallError::outcome_unknown("read", error.to_string()))?;
         let Ok(data) = frame.into_data() else { continue };
         decoder.push(&data);
         while let Some(event) = decoder.next() {
@@ -136,7 +136,7 @@
             }
         }
     }
-    Err(CallError::unknown("read", "the engine's stream broke off"))
+    Err(CallError::outcome_unknown("read", "the engine's stream broke off"))
 }
 
 #[derive(Default)]
@@ -158,13 +158,13 @@
             return Ok(false);
         }
         let event: StreamEvent =
-            serde_json::from_slice(data).map_err(|error| CallError::unknown("decode", error.to_string()))?;
+            serde_json::from_slice(data).map_err(|error| CallError::outcome_unknown("decode", error.to_string()))?;
         if let Some(usage) = event.usage {
             self.usage = Usage { prompt_tokens: usage.prompt_tokens, output_tokens: usage.completion_tokens };
         }
         let Some(raw) = event.choices else { return Ok(true) };
         let choices: Vec<Choice> =
-            serde_json::from_str(raw.get()).map_err(|error| CallError::unknown("decode", error.to_string()))?;
+            serde_json::from_str(raw.get()).map_err(|error| CallError::outcome_unknown("decode", error.to_string()))?;
         let Some(choice) = choices.first() else { return Ok(true) };
         if let Some(reason) = &choice.finish_reason {
             self.finish_reason.clone_from(reason);
@@ -179,7 +179,7 @@
 
     async fn finish(mut self, writer: &mut AnswerWriter<'_>) -> Result<(), CallError> {
         if self.finish_reason.is_empty() {
-            return Err(CallError::unknown("read", "the engine closed its stream without a finish"));
+            return Err(CallError::outcome_unknown("read", "the engine closed its stream without a finish"));
         }
         if self.usage.output_tokens == 0 {
             self.usage.output_tokens = writer.tokens;
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -27,7 +27,7 @@
 /// Signals from the event loop to the task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Pass the job to the endpoint, at a priority level.
+    /// The job starts, at the given priority level.
     Start(Level),
     /// The deadline passed before the job started; it never starts.
     Expired,
@@ -35,7 +35,7 @@
     Evicted,
     /// The job was cancelled before it started; it never starts.
     CancelledBeforeStart,
-    /// Stop the running job: its deadline has passed, its endpoint is unhealthy, or its entry has cancelled it.
+    /// The running job is stopped: its deadline has passed, its endpoint is unhealthy, or its entry has cancelled it.
     Cancel,
 }
 
@@ -200,7 +200,7 @@
             Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.fill(span, active, util::now()))),
             Command::ReleaseSpan(span) => self.release_span(span),
             Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
-            Command::SpanFreed(span) => self.span_freed(span),
+            Command::SpanFreed(span) => self.record_span_freed(span),
             Command::Shutdown { idle } => self.start_shutdown(idle),
             Command::SetDrained(drained) => self.set_drained(drained),
             Command::SetHealthy(healthy) => self.set_healthy(healthy),
@@ -249,7 +249,7 @@
                     self.transcripts.insert(key.clone(), transcript);
                     self.key_by_attempt.insert(attempt, key.clone());
                 }
-                Once::Running(_) | Once::Done(_) => return self.duplicate(key, transcript),
+                Once::Running(_) | Once::Done(_) => return self.make_duplicate(key, transcript),
             }
         }
         let job = self.make_job(attempt, &work.ask, now);
@@ -266,7 +266,7 @@
     }
 
     /// Returns the transcript of the key's first attempt, or the empty `fresh` one if the first is no longer kept.
-    fn duplicate(&self, key: &Key, fresh: Transcript) -> OfferOutcome {
+    fn make_duplicate(&self, key: &Key, fresh: Transcript) -> OfferOutcome {
         OfferOutcome::Duplicate(self.transcripts.get(key).cloned().unwrap_or(fresh))
     }
 
@@ -349,7 +349,7 @@
         }
     }
 
-    fn span_freed(&mut self, span: Attempt) {
+    fn record_span_freed(&mut self, span: Attempt) {
         event!("free-span", span = %span);
         self.scheduler.freed(span);
     }
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -131,14 +131,14 @@
 
 impl CallError {
     /// Creates an error of a call that may have run.
-    pub fn unknown(step: &'static str, message: impl Into<String>) -> Self {
+    pub fn outcome_unknown(step: &'static str, message: impl Into<String>) -> Self {
         Self { ran: Ran::Unknown, step, message: message.into(), status: None }
     }
 }
 
 impl From<OutputClosed> for CallError {
     fn from(_: OutputClosed) -> Self {
-        Self::unknown("pass-on", "nobody takes the answer any more")
+        Self::outcome_unknown("pass-on", "nobody takes the answer any more")
     }
 }
 
@@ -228,7 +228,7 @@
     loop {
         match signals.recv().await {
             Some(Signal::Cancel) => {
-                return CallError::unknown("cancel", "stopped: its time ran out or its endpoint is dead");
+                return CallError::outcome_unknown("cancel", "stopped: its time ran out or its endpoint is dead");
             }
             Some(_) => {}
             None => std::future::pending().await,
--- a/sorrelpass/src/sidecar/plain.rs
+++ b/sorrelpass/src/sidecar/plain.rs
@@ -10,7 +10,7 @@
 use crate::wire::{Frame, Open, Usage};
 
 /// Hop-by-hop headers, which apply to a single connection and are not forwarded.
-const HOP_BY_HOP: [&str; 8] = [
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -39,7 +39,7 @@
     let frame = Frame::Head { status: head.status.as_u16(), headers: forwarded_headers(&head.headers) };
     writer.output.send(&frame).await?;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| CallError::unknown("read", error.to_string()))?;
+        let frame = frame.map_err(|error| CallError::outcome_unknown("read", error.to_string()))?;
         if let Ok(data) = frame.into_data() {
             writer.send_piece(data, 0).await?;
         }
@@ -51,7 +51,9 @@
 pub fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, String)> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()) && *name != "content-length" && *name != "host")
+        .filter(|(name, _)| {
+            !HOP_BY_HOP_HEADERS.contains(&name.as_str()) && *name != "content-length" && *name != "host"
+        })
         .filter_map(|(name, value)| Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned())))
         .collect()
 }
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -55,7 +55,10 @@
 }
 
 /// Sends a command to the event loop and waits for its reply. Fails with 503 if the event loop has stopped.
-pub async fn ask<T>(shared: &Shared, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, StatusCode> {
+pub async fn call_event_loop<T>(
+    shared: &Shared,
+    command: impl FnOnce(oneshot::Sender<T>) -> Command,
+) -> Result<T, StatusCode> {
     let (reply, answer) = oneshot::channel();
     shared.event_loop.send(command(reply)).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     answer.await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
@@ -64,7 +67,7 @@
 async fn get_quote(State(shared): State<Arc<Shared>>, headers: HeaderMap, body: Bytes) -> Result<Response, StatusCode> {
     observe_clock(&headers);
     let request: wire::Ask = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let quoted = ask(&shared, |reply| Command::Quote(request, reply)).await?;
+    let quoted = call_event_loop(&shared, |reply| Command::Quote(request, reply)).await?;
     Ok(with_clock_stamp(wire::encode(&quoted)))
 }
 
@@ -75,7 +78,7 @@
 ) -> Result<Response, StatusCode> {
     observe_clock(&headers);
     let request: wire::Void = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let outcome = ask(&shared, |reply| Command::CancelAttempt {
+    let outcome = call_event_loop(&shared, |reply| Command::CancelAttempt {
         attempt: request.attempt,
         once: request.once,
         reply: Some(reply),
@@ -90,7 +93,7 @@
 }
 
 async fn get_status(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
-    let status = ask(&shared, Command::Status).await?;
+    let status = call_event_loop(&shared, Command::Status).await?;
     Ok(axum::Json(status).into_response())
 }
 
@@ -123,7 +126,8 @@
         return run_work_once(shared, work, read, body).await;
     }
     let outcome =
-        ask(&shared, |reply| Command::Offer { work: Box::new(work.clone()), transcript: None, reply }).await?;
+        call_event_loop(&shared, |reply| Command::Offer { work: Box::new(work.clone()), transcript: None, reply })
+            .await?;
     let signals = match outcome {
         OfferOutcome::Accepted(signals) => signals,
         OfferOutcome::Refused(refused) => return Ok(single_frame_response(&refusal_frame(refused))),
@@ -145,9 +149,12 @@
     let transcript = Transcript::new();
     let recording = transcript.clone();
     let attempt = work.attempt;
-    let outcome =
-        ask(&shared, |reply| Command::Offer { work: Box::new(work.clone()), transcript: Some(recording), reply })
-            .await?;
+    let outcome = call_event_loop(&shared, |reply| Command::Offer {
+        work: Box::new(work.clone()),
+        transcript: Some(recording),
+        reply,
+    })
+    .await?;
     let source = match outcome {
         OfferOutcome::Refused(refused) => return Ok(single_frame_response(&refusal_frame(refused))),
         OfferOutcome::Duplicate(earlier) => earlier,
@@ -158,7 +165,7 @@
         }
     };
     Ok(with_clock_stamp(Body::from_stream(stream::unfold((source, 0), move |(source, index)| async move {
-        let frame = source.frame(index, attempt).await?;
+        let frame = source.wait_for_frame(index, attempt).await?;
         Some((Ok::<Bytes, Infallible>(wire::encode_delimited(&frame)), (source, index + 1)))
     }))))
 }
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -16,7 +16,7 @@
 use super::engine::thread_client;
 use super::event_loop::Command;
 use super::job::RequestBody;
-use super::server::{ask, read_delimited, with_clock_stamp};
+use super::server::{call_event_loop, read_delimited, with_clock_stamp};
 use crate::wire::{self, Fill, Filled, Hold};
 use crate::{event, util, warn_event};
 
@@ -28,18 +28,18 @@
 /// Handles `POST /span/hold`: reserves memory for a span, or renews its lease.
 pub async fn reserve_span(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
     let hold: Hold = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let held = ask(&shared, |reply| Command::ReserveSpan(hold, reply)).await?;
+    let held = call_event_loop(&shared, |reply| Command::ReserveSpan(hold, reply)).await?;
     Ok(with_clock_stamp(wire::encode(&held)))
 }
 
 /// Handles `POST /span/fill`: prefills a reserved span, and answers once the prefill is complete.
 pub async fn fill_span(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
     let (fill, read) = read_delimited::<Fill>(&mut body).await?;
-    if !ask(&shared, |reply| Command::Prefill(fill.span, true, reply)).await? {
+    if !call_event_loop(&shared, |reply| Command::Prefill(fill.span, true, reply)).await? {
         return Err(StatusCode::GONE);
     }
     let filled = prefill_on_engine(&shared, fill, RequestBody::new(read, body)).await;
-    ask(&shared, |reply| Command::Prefill(fill.span, false, reply)).await?;
+    call_event_loop(&shared, |reply| Command::Prefill(fill.span, false, reply)).await?;
     let filled = filled.map_err(|error| {
         warn_event!("prefill-failed", span = %fill.span, reason = %error);
         StatusCode::BAD_GATEWAY
@@ -127,5 +127,5 @@
 /// generate count as owned, so that they are left alone.
 async fn is_owned(shared: &Shared, name: &str) -> bool {
     let Ok(number) = u128::from_str_radix(name, 16) else { return true };
-    ask(shared, |reply| Command::IsOwned(Attempt(number), reply)).await.unwrap_or(true)
+    call_event_loop(shared, |reply| Command::IsOwned(Attempt(number), reply)).await.unwrap_or(true)
 }
--- a/sorrelpass/src/sidecar/transcript.rs
+++ b/sorrelpass/src/sidecar/transcript.rs
@@ -42,7 +42,7 @@
 
     /// Waits for the frame with the given index and returns it, addressed to `attempt`; `None` after the
     /// last frame.
-    pub async fn frame(&self, index: usize, attempt: Attempt) -> Option<Frame> {
+    pub async fn wait_for_frame(&self, index: usize, attempt: Attempt) -> Option<Frame> {
         let mut progress = self.progress.subscribe();
         let ready = progress.wait_for(|progress| progress.frame_count > index || progress.is_closed).await;
         drop(ready);
