--- a/sorrelpass/src/entry/vm_list.rs
+++ b/sorrelpass/src/entry/vm_list.rs
@@ -39,7 +39,7 @@
     sender.send_replace(Arc::new(list));
 }
 
-/// Returns the peer addresses of the listed entries that are not leaving.
+/// Returns the peer addresses of the listed entries that are not draining.
 pub fn entry_addresses(vms: &[Vm]) -> Vec<Name> {
     vms.iter().filter(|vm| vm.role == Role::Entry && !vm.leaving).map(|vm| vm.address.clone()).collect()
 }
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -33,7 +33,7 @@
         .route(wire::WORK, post(run_work))
         .route(wire::VOID, post(cancel_attempt))
         .route(wire::SPAN_HOLD, post(span::reserve_span))
-        .route(wire::SPAN_FILL, post(span::fill_span))
+        .route(wire::SPAN_FILL, post(span::prefill_span))
         .route(wire::SPAN_FREE, post(span::release_span))
         .route(wire::HOLDS, get(get_load))
         .route("/status", get(get_status))
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -33,7 +33,7 @@
 }
 
 /// Handles `POST /span/fill`: prefills a reserved span, and answers once the prefill is complete.
-pub async fn fill_span(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
+pub async fn prefill_span(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
     let (fill, read) = read_delimited::<Fill>(&mut body).await?;
     if !call_event_loop(&shared, |reply| Command::Prefill(fill.span, true, reply)).await? {
         return Err(StatusCode::GONE);
