--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets on the wire: a MAC and a payload, in hexadecimal after a prefix.
+//! Encoding of tickets: a prefix, then a MAC and the payload in hexadecimal.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::secret::Secret;
 use crate::{util, wire};
 
-/// What marks a key as a ticket.
-const PREFIX: &str = "st_";
-/// Bytes of the MAC.
+/// Prefix that distinguishes tickets from other idempotency keys.
+const TICKET_PREFIX: &str = "st_";
+/// Length of the MAC, in bytes.
 const MAC_BYTES: usize = 32;
-/// Longest life of a ticket.
-pub const MOST_LIFE: Duration = Duration::from_secs(3_600);
+/// Maximum lifetime of a ticket.
+pub const MAX_LIFETIME: Duration = Duration::from_secs(3_600);
 
-/// Why a ticket is not good.
+/// Reason why a ticket is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Not ours, or changed on the way.
+pub enum TicketError {
+    /// The ticket was not issued by this system, or was altered.
     Forged,
-    /// Another workspace's.
+    /// The ticket belongs to another workspace.
     OtherWorkspace,
-    /// Its time is over.
+    /// The lifetime of the ticket has ended.
     Expired,
 }
 
-fn mac(secret: &Secret, payload: &[u8]) -> Hmac<Sha256> {
+fn compute_mac(secret: &Secret, payload: &[u8]) -> Hmac<Sha256> {
     let mut mac = match Hmac::<Sha256>::new_from_slice(secret.bytes()) {
         Ok(mac) => mac,
         Err(_) => unreachable!("HMAC takes keys of any length"),
@@ -38,40 +38,40 @@
     mac
 }
 
-/// Whether a key looks like a ticket.
+/// Returns whether an idempotency key has the prefix of a ticket.
 pub fn is_ticket(key: &str) -> bool {
-    key.starts_with(PREFIX)
+    key.starts_with(TICKET_PREFIX)
 }
 
-/// Mints a ticket.
-pub fn mint(secret: &Secret, workspace: &Name, binding: Binding, life: Duration) -> String {
-    let expires = util::wall() + life.min(MOST_LIFE);
+/// Issues a ticket that is valid for `lifetime`, at most [`MAX_LIFETIME`].
+pub fn issue(secret: &Secret, workspace: &Name, binding: Binding, lifetime: Duration) -> String {
+    let expires = util::wall() + lifetime.min(MAX_LIFETIME);
     let ticket = Ticket { workspace: workspace.clone(), binding, number: rand::random(), expires };
     let payload = wire::encode(&ticket);
-    let code = mac(secret, &payload).finalize().into_bytes();
-    format!("{PREFIX}{}{}", hex(&code), hex(&payload))
+    let tag = compute_mac(secret, &payload).finalize().into_bytes();
+    format!("{TICKET_PREFIX}{}{}", encode_hex(&tag), encode_hex(&payload))
 }
 
-/// Reads a ticket and checks that `workspace` may use it now.
-pub fn open(secret: &Secret, workspace: &Name, key: &str) -> Result<Ticket, Fault> {
-    let bytes = key.strip_prefix(PREFIX).and_then(unhex).ok_or(Fault::Forged)?;
-    let (code, payload) = bytes.split_at_checked(MAC_BYTES).ok_or(Fault::Forged)?;
-    mac(secret, payload).verify_slice(code).map_err(|_| Fault::Forged)?;
-    let ticket: Ticket = wire::decode(payload).map_err(|_| Fault::Forged)?;
+/// Decodes a ticket and verifies its MAC, workspace and lifetime.
+pub fn verify(secret: &Secret, workspace: &Name, key: &str) -> Result<Ticket, TicketError> {
+    let bytes = key.strip_prefix(TICKET_PREFIX).and_then(decode_hex).ok_or(TicketError::Forged)?;
+    let (tag, payload) = bytes.split_at_checked(MAC_BYTES).ok_or(TicketError::Forged)?;
+    compute_mac(secret, payload).verify_slice(tag).map_err(|_| TicketError::Forged)?;
+    let ticket: Ticket = wire::decode(payload).map_err(|_| TicketError::Forged)?;
     if ticket.workspace != *workspace {
-        return Err(Fault::OtherWorkspace);
+        return Err(TicketError::OtherWorkspace);
     }
     if !ticket.is_live(util::wall()) {
-        return Err(Fault::Expired);
+        return Err(TicketError::Expired);
     }
     Ok(ticket)
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let digits: Option<Vec<u8>> = text.chars().map(|digit| digit.to_digit(16).map(|digit| digit as u8)).collect();
     let digits = digits.filter(|digits| digits.len().is_multiple_of(2))?;
     Some(digits.chunks_exact(2).map(|pair| pair[0] << 4 | pair[1]).collect())
--- /dev/null
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -0,0 +1,448 @@
+//! The event loop of a sidecar: it owns the scheduler and makes all decisions.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use coord::claim::Key;
+use coord::estimate::Estimate;
+use coord::name::{Attempt, Name};
+use coord::prefix::{Cache, Chain};
+use coord::queue::Job;
+use coord::scheduler::{Action, Level, Once, Refusal, Refused, Scheduler, Voided};
+use coord::time::{Moment, micros};
+use serde::Serialize;
+use tokio::sync::{mpsc, oneshot};
+
+use super::transcript::Transcript;
+use crate::config::{Kind, Sidecar};
+use crate::plugin::{self, OrderPlugin};
+use crate::wire::{Ask, Held, Hold, Open, Quoted};
+use crate::{event, metric, ring, util, warn_event};
+
+/// Interval at which the scheduler advances while jobs wait or run.
+const ACTIVE_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which the scheduler advances while it is idle.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Signals from the event loop to the task of a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Signal {
+    /// The job starts, at the given priority level.
+    Start(Level),
+    /// The deadline passed before the job started; it never starts.
+    Expired,
+    /// The scheduler removed the job from its queue, as it could not start here for a long time; it never starts.
+    Evicted,
+    /// The job was cancelled before it started; it never starts.
+    CancelledBeforeStart,
+    /// The running job is stopped: its deadline has passed, its endpoint is unhealthy, or its entry has cancelled it.
+    Cancel,
+}
+
+/// Outcome of an offered job.
+pub enum OfferOutcome {
+    /// The job is accepted; the receiver gets its signals.
+    Accepted(mpsc::UnboundedReceiver<Signal>),
+    /// The job is refused: it did not run and will not.
+    Refused(Refused),
+    /// A job with the same key ran or runs here; the transcript is its answer.
+    Duplicate(Transcript),
+}
+
+/// Commands to the event loop.
+pub enum Command {
+    /// Returns a quote for a prompt or call.
+    Quote(Ask, oneshot::Sender<Quoted>),
+    /// Offers a job.
+    Offer {
+        /// Header of the work request.
+        work: Box<Open>,
+        /// Transcript for the answer of a call that may run at most once.
+        transcript: Option<Transcript>,
+        /// Receives the outcome.
+        reply: oneshot::Sender<OfferOutcome>,
+    },
+    /// Records that the endpoint generated the first token of an attempt.
+    FirstToken(Attempt),
+    /// Records the end of an attempt.
+    Finish {
+        /// Id of the attempt.
+        attempt: Attempt,
+        /// Number of output tokens generated.
+        output_tokens: u64,
+        /// Whether the attempt is proven not to have run; its key may then be used again.
+        has_not_run: bool,
+    },
+    /// Cancels an attempt, because the entry has disconnected or given it up. A running attempt with an
+    /// idempotency key goes on.
+    CancelAttempt {
+        /// Id of the attempt.
+        attempt: Attempt,
+        /// Idempotency key of the attempt, if it has one.
+        once: Option<Key>,
+        /// Receives whether the attempt had started; one that had not never will.
+        reply: Option<oneshot::Sender<Voided>>,
+    },
+    /// Reserves memory for a span, or renews the span's lease.
+    ReserveSpan(Hold, oneshot::Sender<Held>),
+    /// Marks the start (`true`) or end (`false`) of a span's prefill; replies whether the span is held.
+    Prefill(Attempt, bool, oneshot::Sender<bool>),
+    /// Releases a span and has the engine free it.
+    ReleaseSpan(Attempt),
+    /// Returns whether a job or span of this incarnation has the given id at the engine.
+    IsOwned(Attempt, oneshot::Sender<bool>),
+    /// Records that the engine has freed a span.
+    SpanFreed(Attempt),
+    /// Refuses new work from now on, and reports when the sidecar is idle.
+    Shutdown {
+        /// Notified when no job waits or runs and no span is held.
+        idle: oneshot::Sender<()>,
+    },
+    /// Sets whether an operator has drained the endpoint.
+    SetDrained(bool),
+    /// Sets whether the endpoint is healthy.
+    SetHealthy(bool),
+    /// Returns the state shown by `/status`.
+    Status(oneshot::Sender<Status>),
+}
+
+/// JSON body of `/status`.
+#[derive(Clone, Debug, Serialize)]
+pub struct Status {
+    /// Name of the endpoint.
+    pub endpoint: Name,
+    /// Service that the endpoint belongs to.
+    pub service: Name,
+    /// Incarnation of the sidecar process.
+    pub incarnation: String,
+    /// Whether new work is refused.
+    pub leaving: bool,
+    /// Number of jobs in the queue.
+    pub waiting: usize,
+    /// Number of running jobs.
+    pub running: usize,
+    /// KV cache memory held by running jobs and spans, in tokens.
+    pub memory_held_tokens: u64,
+    /// Number of invariant violations in this process.
+    pub breaches: u64,
+}
+
+struct EventLoop {
+    settings: Sidecar,
+    scheduler: Scheduler,
+    cache: Cache,
+    signals: HashMap<Attempt, mpsc::UnboundedSender<Signal>>,
+    chains: HashMap<Attempt, Chain>,
+    transcripts: HashMap<Key, Transcript>,
+    key_by_attempt: HashMap<Attempt, Key>,
+    idle_waiters: Vec<oneshot::Sender<()>>,
+    /// Spans that the `control` thread has to free on the engine.
+    expired_spans: mpsc::UnboundedSender<Attempt>,
+    is_stopping: bool,
+}
+
+/// Runs the event loop until all command senders are dropped, or until shutdown is complete.
+pub async fn run(
+    settings: Sidecar,
+    mut commands: ring::Receiver<Command>,
+    expired_spans: mpsc::UnboundedSender<Attempt>,
+) {
+    let mut event_loop = EventLoop::new(settings, expired_spans);
+    loop {
+        let interval = if event_loop.scheduler.is_idle() { IDLE_INTERVAL } else { ACTIVE_INTERVAL };
+        match tokio::time::timeout(interval, commands.recv()).await {
+            Ok(Some(command)) => event_loop.handle_command(command),
+            Ok(None) => return,
+            Err(_) if event_loop.scheduler.is_idle() => event_loop.prune_transcripts(),
+            Err(_) => {}
+        }
+        event_loop.advance();
+        if event_loop.is_stopping && event_loop.idle_waiters.is_empty() {
+            // Replies to the commands that arrive while the other threads end.
+            while let Some(command) = commands.recv().await {
+                event_loop.handle_command(command);
+            }
+            return;
+        }
+    }
+}
+
+impl EventLoop {
+    fn new(settings: Sidecar, expired_spans: mpsc::UnboundedSender<Attempt>) -> Self {
+        let order = plugin::find::<OrderPlugin>(settings.order, |plugin| plugin.name);
+        let order =
+            order.map_or_else(|| Box::new(coord::queue::Fifo) as Box<_>, |plugin| (plugin.make)(settings.weights));
+        let estimate = Estimate::new(settings.prefill_rate, settings.gap);
+        Self {
+            scheduler: Scheduler::new(settings.limits.clone(), estimate, order),
+            cache: Cache::new(settings.cache_blocks),
+            signals: HashMap::new(),
+            chains: HashMap::new(),
+            transcripts: HashMap::new(),
+            key_by_attempt: HashMap::new(),
+            idle_waiters: Vec::new(),
+            expired_spans,
+            is_stopping: false,
+            settings,
+        }
+    }
+
+    fn handle_command(&mut self, command: Command) {
+        match command {
+            Command::Quote(ask, reply) => drop(reply.send(self.quote(&ask))),
+            Command::Offer { work, transcript, reply } => drop(reply.send(self.offer_job(*work, transcript))),
+            Command::FirstToken(attempt) => self.record_first_token(attempt),
+            Command::Finish { attempt, output_tokens, has_not_run } => {
+                self.finish_attempt(attempt, output_tokens, has_not_run)
+            }
+            Command::CancelAttempt { attempt, once, reply } => self.cancel_attempt(attempt, once.as_ref(), reply),
+            Command::ReserveSpan(hold, reply) => drop(reply.send(self.reserve_span(hold))),
+            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.fill(span, active, util::now()))),
+            Command::ReleaseSpan(span) => self.release_span(span),
+            Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
+            Command::SpanFreed(span) => self.record_span_freed(span),
+            Command::Shutdown { idle } => self.start_shutdown(idle),
+            Command::SetDrained(drained) => self.set_drained(drained),
+            Command::SetHealthy(healthy) => self.set_healthy(healthy),
+            Command::Status(reply) => drop(reply.send(self.status())),
+        }
+    }
+
+    fn make_job(&self, attempt: Attempt, ask: &Ask, now: Moment) -> Job {
+        let cached = Chain::bytes(self.cache.shared(&ask.chain)) as f64 / ask.bytes_per_token;
+        let prefill_tokens = ask.prompt_tokens.saturating_sub(cached as u64);
+        let cost = match self.settings.kind {
+            Kind::Engine => self.scheduler.cost(prefill_tokens),
+            Kind::Plain => Duration::ZERO,
+        };
+        Job {
+            attempt,
+            workspace: ask.workspace.clone(),
+            weight: ask.weight,
+            prefill_tokens,
+            memory_tokens: ask.prompt_tokens + ask.output_tokens,
+            output_tokens: ask.output_tokens,
+            priority: ask.priority,
+            arrived: now,
+            deadline: now + Duration::from_micros(ask.left_micros),
+            cost,
+        }
+    }
+
+    fn quote(&self, ask: &Ask) -> Quoted {
+        let now = util::now();
+        // Placeholder id: a quote is not recorded.
+        let job = self.make_job(Attempt(0), ask, now);
+        Quoted {
+            incarnation: util::incarnation(),
+            leaving: self.scheduler.is_leaving(),
+            quote: self.scheduler.quote(&job, now),
+        }
+    }
+
+    fn offer_job(&mut self, work: Open, transcript: Option<Transcript>) -> OfferOutcome {
+        let now = util::now();
+        let attempt = work.attempt;
+        if let (Some(key), Some(transcript)) = (&work.once, transcript) {
+            match self.scheduler.once(key, attempt, now) {
+                Once::First => {
+                    self.transcripts.insert(key.clone(), transcript);
+                    self.key_by_attempt.insert(attempt, key.clone());
+                }
+                Once::Running(_) | Once::Done(_) => return self.make_duplicate(key, transcript),
+            }
+        }
+        let job = self.make_job(attempt, &work.ask, now);
+        if let Err(refused) = self.scheduler.offer(job, now) {
+            self.unbind_key(attempt);
+            event!("refuse", request = %work.request, attempt = %attempt, peer = %work.entry, reason = ?refused.reason);
+            return OfferOutcome::Refused(refused);
+        }
+        let (sender, receiver) = mpsc::unbounded_channel();
+        self.signals.insert(attempt, sender);
+        self.chains.insert(attempt, work.ask.chain);
+        event!("accept", request = %work.request, attempt = %attempt, peer = %work.entry, waiting = self.scheduler.waiting());
+        OfferOutcome::Accepted(receiver)
+    }
+
+    /// Returns the transcript of the key's first attempt, or the empty `fresh` one if the first is no longer kept.
+    fn make_duplicate(&self, key: &Key, fresh: Transcript) -> OfferOutcome {
+        OfferOutcome::Duplicate(self.transcripts.get(key).cloned().unwrap_or(fresh))
+    }
+
+    /// Makes a key available again, as its attempt is proven not to have run.
+    fn unbind_key(&mut self, attempt: Attempt) {
+        if let Some(key) = self.key_by_attempt.remove(&attempt) {
+            self.scheduler.once_not_run(&key, attempt);
+            self.transcripts.remove(&key);
+        }
+    }
+
+    fn record_first_token(&mut self, attempt: Attempt) {
+        self.scheduler.first_token(attempt, util::now());
+        if let Some(chain) = self.chains.remove(&attempt) {
+            self.cache.insert(&chain);
+        }
+    }
+
+    fn finish_attempt(&mut self, attempt: Attempt, output_tokens: u64, has_not_run: bool) {
+        self.scheduler.finish(attempt, output_tokens, util::now());
+        self.remove_attempt(attempt);
+        if has_not_run {
+            self.unbind_key(attempt);
+        }
+        if let Some(key) = self.key_by_attempt.remove(&attempt) {
+            self.scheduler.once_done(&key, attempt);
+        }
+    }
+
+    fn remove_attempt(&mut self, attempt: Attempt) {
+        self.signals.remove(&attempt);
+        self.chains.remove(&attempt);
+    }
+
+    fn cancel_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
+        let outcome = self.scheduler.void(attempt, once, util::now());
+        match outcome {
+            Voided::NotRun => {
+                self.send_signal(attempt, Signal::CancelledBeforeStart);
+                self.remove_attempt(attempt);
+                self.unbind_key(attempt);
+            }
+            // A call that may run at most once is not cancelled, so that its outcome becomes known.
+            Voided::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
+            Voided::Started => {}
+        }
+        event!("void", attempt = %attempt, voided = ?outcome);
+        if let Some(reply) = reply {
+            let _ = reply.send(outcome);
+        }
+    }
+
+    fn send_signal(&self, attempt: Attempt, signal: Signal) {
+        if let Some(sender) = self.signals.get(&attempt) {
+            let _ = sender.send(signal);
+        }
+    }
+
+    fn reserve_span(&mut self, hold: Hold) -> Held {
+        let now = util::now();
+        let lease_end = now + Duration::from_micros(hold.lease_micros);
+        if hold.renew {
+            return if self.scheduler.renew(hold.span, lease_end) { Held::Yes } else { Held::No };
+        }
+        match self.scheduler.reserve(hold.span, hold.tokens, lease_end, now) {
+            Ok(()) => {
+                event!("reserve-span", span = %hold.span, tokens = hold.tokens);
+                Held::Yes
+            }
+            Err(refused) if refused.reason == Refusal::QueueFull => Held::Wait(micros(refused.retry_after)),
+            Err(_) => Held::No,
+        }
+    }
+
+    /// Releases a span. The `control` thread frees it on the engine, since the entry that requested the
+    /// release may be gone by then.
+    fn release_span(&mut self, span: Attempt) {
+        if self.scheduler.give_up(span) {
+            let _ = self.expired_spans.send(span);
+        }
+    }
+
+    fn record_span_freed(&mut self, span: Attempt) {
+        event!("free-span", span = %span);
+        self.scheduler.freed(span);
+    }
+
+    fn start_shutdown(&mut self, idle: oneshot::Sender<()>) {
+        event!("shutdown", waiting = self.scheduler.waiting(), running = self.scheduler.running());
+        self.is_stopping = true;
+        self.scheduler.leave();
+        self.idle_waiters.push(idle);
+    }
+
+    fn set_drained(&mut self, drained: bool) {
+        if self.is_stopping || drained == self.scheduler.is_leaving() {
+            return;
+        }
+        event!("drain", drained, running = self.scheduler.running());
+        if drained { self.scheduler.leave() } else { self.scheduler.stay() }
+    }
+
+    fn set_healthy(&mut self, healthy: bool) {
+        self.scheduler.set_unhealthy(!healthy);
+        if healthy {
+            event!("endpoint-up", endpoint = %self.settings.endpoint);
+            return;
+        }
+        warn_event!("endpoint-down", endpoint = %self.settings.endpoint, running = self.scheduler.running());
+        self.cache.clear();
+        let running: Vec<Attempt> =
+            self.signals.keys().copied().filter(|attempt| self.scheduler.is_running(*attempt)).collect();
+        for attempt in running {
+            if !self.key_by_attempt.contains_key(&attempt) {
+                self.send_signal(attempt, Signal::Cancel);
+            }
+        }
+    }
+
+    /// Drops the transcripts of keys that are past the idempotency window.
+    fn prune_transcripts(&mut self) {
+        let scheduler = &self.scheduler;
+        self.transcripts.retain(|key, _| scheduler.knows(key));
+    }
+
+    fn advance(&mut self) {
+        for action in self.scheduler.advance(util::now()) {
+            match action {
+                Action::Start(attempt, level) => self.start_job(attempt, level),
+                Action::Expire(attempt) => {
+                    event!("expire", attempt = %attempt);
+                    self.send_signal(attempt, Signal::Expired);
+                    self.remove_attempt(attempt);
+                    self.unbind_key(attempt);
+                }
+                Action::Cancel(attempt) => self.send_signal(attempt, Signal::Cancel),
+                Action::Evict(attempt) => {
+                    event!("evict", attempt = %attempt);
+                    self.send_signal(attempt, Signal::Evicted);
+                    self.remove_attempt(attempt);
+                    self.unbind_key(attempt);
+                }
+                Action::FreeSpan(span) => {
+                    event!("expire-span", span = %span);
+                    let _ = self.expired_spans.send(span);
+                }
+            }
+        }
+        metric::scheduler(self.scheduler.waiting(), self.scheduler.running(), self.scheduler.memory_held());
+        if self.scheduler.is_idle() {
+            for idle in self.idle_waiters.drain(..) {
+                let _ = idle.send(());
+            }
+        }
+    }
+
+    fn start_job(&mut self, attempt: Attempt, level: Level) {
+        let is_notified = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
+        if !is_notified {
+            // The job's task has ended, so nothing was sent to the endpoint.
+            self.scheduler.finish(attempt, 0, util::now());
+            self.remove_attempt(attempt);
+            self.unbind_key(attempt);
+        }
+    }
+
+    fn status(&self) -> Status {
+        Status {
+            endpoint: self.settings.endpoint.clone(),
+            service: self.settings.service.clone(),
+            incarnation: util::incarnation().to_string(),
+            leaving: self.scheduler.is_leaving(),
+            waiting: self.scheduler.waiting(),
+            running: self.scheduler.running(),
+            memory_held_tokens: self.scheduler.memory_held(),
+            breaches: coord::invariant::breaches(),
+        }
+    }
+}
--- a/sorrelpass/src/sidecar/order.rs
+++ b/sorrelpass/src/sidecar/order.rs
@@ -1,8 +1,8 @@
-//! Orders to the endpoint: the sidecar alone sends them, and only the newest.
+//! Placement orders for the endpoint: only its sidecar sends them, and only the newest one.
 //!
-//! Endpoints that check fences refuse old ones themselves. For those that do not, this
-//! process sends orders one at a time, newest fence first known, and a new run of it waits
-//! out the longest life of an order before it sends any.
+//! Endpoints that check fences refuse outdated orders themselves. For those that do not, the sidecar sends
+//! one order at a time, the one with the highest known fence. After a restart it first waits
+//! [`ORDER_TIMEOUT`], so that no order of the previous incarnation is still in flight.
 
 use std::time::Duration;
 
@@ -14,50 +14,52 @@
 use super::Shared;
 use crate::{event, http, util, warn_event};
 
-/// An order that the endpoint has not answered by then is dead: its connection is closed.
-pub const ORDER_LIFE: Duration = Duration::from_secs(1);
+/// Timeout of an order. The connection is closed at the timeout, so that a late order cannot take effect.
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends orders and reads back what the endpoint holds.
-pub struct Orders {
-    caller: http::Caller,
+/// Sends placement orders to the endpoint, and reads back its load.
+pub struct OrderSender {
+    client: http::Caller,
     newest: Option<Order>,
-    /// From when on this run may send orders.
-    quiet_until: coord::time::Moment,
+    /// Earliest time at which this incarnation may send orders.
+    send_from: coord::time::Moment,
 }
 
 #[derive(Deserialize)]
-struct Loaded {
-    loaded: LoadedParts,
+struct LoadedResponse {
+    loaded: LoadedModel,
 }
 
 #[derive(Deserialize)]
-struct LoadedParts {
+struct LoadedModel {
     version: Name,
     adapters: Vec<Name>,
 }
 
-impl Orders {
-    /// No orders yet; none is sent before those of an earlier run are dead.
+impl OrderSender {
+    /// Creates a sender that sends no order until those of the previous incarnation have timed out.
     pub fn new() -> Self {
-        Self { caller: http::caller_h1(), newest: None, quiet_until: util::now() + ORDER_LIFE }
+        Self { client: http::caller_h1(), newest: None, send_from: util::now() + ORDER_TIMEOUT }
     }
 
-    /// Takes an order if it is newer than all before.
-    pub fn take(&mut self, order: Order) {
-        let newer = self.newest.as_ref().is_none_or(|known| (order.fence, order.offset) > (known.fence, known.offset));
-        if newer {
+    /// Stores an order if it is newer than the stored one.
+    pub fn store(&mut self, order: Order) {
+        let is_newer =
+            self.newest.as_ref().is_none_or(|known| (order.fence, order.offset) > (known.fence, known.offset));
+        if is_newer {
             self.newest = Some(order);
         }
     }
 
-    /// Brings the endpoint to what the newest order says; whether it is there already.
-    pub async fn converge(&self, shared: &Shared) -> bool {
+    /// Sends the newest order if the endpoint's load differs from it. Returns whether the endpoint already
+    /// has that load.
+    pub async fn reconcile(&self, shared: &Shared) -> bool {
         let Some(order) = &self.newest else { return true };
-        let Some(holds) = holds(&self.caller, shared).await else { return false };
-        if holds == order.load {
+        let Some(load) = query_load(&self.client, shared).await else { return false };
+        if load == order.load {
             return true;
         }
-        if util::now() >= self.quiet_until {
+        if util::now() >= self.send_from {
             self.send(shared, order).await;
         }
         false
@@ -66,22 +68,22 @@
     async fn send(&self, shared: &Shared, order: &Order) {
         let body = json!({ "fence": order.fence, "version": order.load.version, "adapters": order.load.adapters,
             "role": "" });
-        let call = http::post_json(&self.caller, &shared.settings.endpoint_address, "/orders", &body);
-        match tokio::time::timeout(ORDER_LIFE, call).await {
+        let call = http::post_json(&self.client, &shared.settings.endpoint_address, "/orders", &body);
+        match tokio::time::timeout(ORDER_TIMEOUT, call).await {
             Ok(Ok(204)) => event!("order", fence = order.fence.0, version = %order.load.version),
             Ok(Ok(409)) => {
-                warn_event!("order-refused", fence = order.fence.0, reason = "the endpoint knows a newer fence")
+                warn_event!("order-refused", fence = order.fence.0, reason = "the endpoint has a newer fence")
             }
             Ok(Ok(status)) => warn_event!("order-failed", fence = order.fence.0, status),
             Ok(Err(error)) => warn_event!("order-failed", fence = order.fence.0, reason = %error),
-            Err(_) => warn_event!("order-failed", fence = order.fence.0, reason = "no answer within its life"),
+            Err(_) => warn_event!("order-failed", fence = order.fence.0, reason = "no answer within the timeout"),
         }
     }
 }
 
-/// What the endpoint holds, as it says itself.
-pub async fn holds(caller: &http::Caller, shared: &Shared) -> Option<Load> {
-    let call = http::exchange_json(caller, &shared.settings.endpoint_address, "GET", "/loaded", None);
-    let loaded: Loaded = tokio::time::timeout(ORDER_LIFE, call).await.ok()?.ok()?;
+/// Asks the endpoint for its load; `None` if it does not answer.
+pub async fn query_load(client: &http::Caller, shared: &Shared) -> Option<Load> {
+    let call = http::exchange_json(client, &shared.settings.endpoint_address, "GET", "/loaded", None);
+    let loaded: LoadedResponse = tokio::time::timeout(ORDER_TIMEOUT, call).await.ok()?.ok()?;
     Some(Load { version: loaded.loaded.version, adapters: loaded.loaded.adapters })
 }
--- a/sorrelpass/src/sidecar/transcript.rs
+++ b/sorrelpass/src/sidecar/transcript.rs
@@ -1,4 +1,4 @@
-//! The answer of a call that runs once, kept so that every later attempt gets the same.
+//! The recorded answer of a call that may run at most once, from which each later attempt is served.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -7,7 +7,7 @@
 
 use crate::wire::Frame;
 
-/// Frames as they were sent; clones share them.
+/// Recorded frames of an answer; clones share them.
 #[derive(Clone)]
 pub struct Transcript {
     frames: Arc<Mutex<Vec<Frame>>>,
@@ -16,34 +16,35 @@
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct Progress {
-    frames: usize,
-    closed: bool,
+    frame_count: usize,
+    is_closed: bool,
 }
 
 impl Transcript {
-    /// An empty transcript.
+    /// Creates an empty transcript.
     pub fn new() -> Self {
         Self { frames: Arc::default(), progress: Arc::new(watch::channel(Progress::default()).0) }
     }
 
-    /// Adds a frame.
+    /// Appends a frame.
     pub fn push(&self, frame: Frame) {
         let mut frames = self.lock();
         frames.push(frame);
         let count = frames.len();
         drop(frames);
-        self.progress.send_modify(|progress| progress.frames = count);
+        self.progress.send_modify(|progress| progress.frame_count = count);
     }
 
-    /// No frame follows.
+    /// Marks the end of the frames.
     pub fn close(self) {
-        self.progress.send_modify(|progress| progress.closed = true);
+        self.progress.send_modify(|progress| progress.is_closed = true);
     }
 
-    /// The frame number `index` as told to `attempt`, waiting for it; `None` after the last.
-    pub async fn frame(&self, index: usize, attempt: Attempt) -> Option<Frame> {
+    /// Waits for the frame with the given index and returns it, addressed to `attempt`; `None` after the
+    /// last frame.
+    pub async fn wait_for_frame(&self, index: usize, attempt: Attempt) -> Option<Frame> {
         let mut progress = self.progress.subscribe();
-        let ready = progress.wait_for(|progress| progress.frames > index || progress.closed).await;
+        let ready = progress.wait_for(|progress| progress.frame_count > index || progress.is_closed).await;
         drop(ready);
         let frame = self.lock().get(index).cloned()?;
         Some(frame.told_to(attempt))
