--- a/sorrelpass/src/cmd/check.rs
+++ b/sorrelpass/src/cmd/check.rs
@@ -1,9 +1,9 @@
-//! Checks settings files and names every fault.
+//! Validates settings files and reports every fault.
 //!
 //! Usage: sorrelpass check FILE...
 //!
-//! Prints one line per fault with file, line, key and reason, and ends with
-//! status 1 if there was any. Secrets are read, never printed.
+//! Prints one line per fault with file, line, key and reason. The exit status is 1
+//! if any file has a fault. Secrets are read and validated, but never printed.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 
 use crate::config::Settings;
 
-/// Arguments of `check`.
+/// Command-line arguments of `check`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
@@ -22,13 +22,14 @@
     files: Vec<PathBuf>,
 }
 
-/// Runs the subcommand.
+/// Validates each file; the exit code is a failure if any file has a fault.
 pub fn run(args: &Args) -> Result<ExitCode> {
-    let faulty = args.files.iter().filter(|file| !check(file)).count();
-    Ok(if faulty == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let faulty_files = args.files.iter().filter(|file| !check_file(file)).count();
+    Ok(if faulty_files == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn check(file: &Path) -> bool {
+/// Prints the outcome for one file and returns whether the file is valid.
+fn check_file(file: &Path) -> bool {
     match Settings::load(file) {
         Ok(settings) => {
             let role = match settings {
--- a/sorrelpass/src/cmd/entry.rs
+++ b/sorrelpass/src/cmd/entry.rs
@@ -1,12 +1,12 @@
-//! Serves callers and operators on an entry VM.
+//! Runs an entry: the process on an entry VM that serves callers and operators.
 //!
 //! Usage: sorrelpass entry \[FILE\]
 //!
 //! FILE is an INI settings file with the sections `[process]`, `[entry]` and
 //! `[platform]`, or `[process]`, `[gateway]` and `[bounds]` where replicas are
-//! served directly, without sidecars. Without FILE, the environment variable
-//! that the users' platform sets names it. The process logs to standard output,
-//! one logfmt line per event, and ends on SIGTERM once no request is in flight.
+//! served directly, without sidecars. Without FILE, the path is taken from the
+//! environment variable that the users' platform sets. The process logs to standard
+//! output, one logfmt line per event, and exits on SIGTERM once no request is in flight.
 
 use std::path::PathBuf;
 
@@ -15,7 +15,7 @@
 
 use crate::config::Settings;
 
-/// Arguments of `entry`.
+/// Command-line arguments of `entry`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
@@ -24,19 +24,24 @@
     file: Option<PathBuf>,
 }
 
-/// Runs the subcommand.
+/// Loads the settings and serves until the process is told to stop.
 pub fn run(args: &Args) -> Result<()> {
-    let file = file(args)?;
+    let file = settings_path(args)?;
     match Settings::load(&file)? {
         Settings::Entry(settings) => crate::entry::run(*settings),
         Settings::Gateway(settings) => crate::gateway::run(*settings, file),
-        Settings::Sidecar(_) => bail!("step=start file={}: these are a sidecar's settings", file.display()),
+        Settings::Sidecar(_) => {
+            bail!("step=start file={}: these are a sidecar's settings, not an entry's", file.display())
+        }
     }
 }
 
-/// The settings file that the command line names, else the environment.
-fn file(args: &Args) -> Result<PathBuf> {
+/// Returns the settings file from the command line or, without one there, from the environment.
+fn settings_path(args: &Args) -> Result<PathBuf> {
     let variable = ::platform::SETTINGS_VARIABLE;
-    let named = || std::env::var_os(variable).map(PathBuf::from);
-    args.file.clone().or_else(named).ok_or_else(|| eyre!("step=start: name a FILE, or set {variable}"))
+    let from_environment = || std::env::var_os(variable).map(PathBuf::from);
+    args.file
+        .clone()
+        .or_else(from_environment)
+        .ok_or_else(|| eyre!("step=start: no settings file: give FILE or set {variable}"))
 }
--- a/sorrelpass/src/cmd/mod.rs
+++ b/sorrelpass/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file per subcommand; this one only dispatches.
+//! Command line of the binary: parses the arguments and dispatches to the subcommands, one module for each.
 
 mod check;
 mod client;
@@ -24,10 +24,10 @@
     /// Serves callers and operators on an entry VM
     Entry(#[bpaf(external(entry::args))] entry::Args),
     #[bpaf(command)]
-    /// Stands beside an endpoint and hands it its work
+    /// Runs beside an endpoint, and queues and forwards its requests
     Sidecar(#[bpaf(external(sidecar::args))] sidecar::Args),
     #[bpaf(command)]
-    /// Checks settings files
+    /// Validates settings files
     Check(#[bpaf(external(check::args))] check::Args),
     #[bpaf(command)]
     /// Proposes changes and prints the plan
@@ -36,24 +36,24 @@
     /// Confirms a plan
     Confirm(#[bpaf(external(confirm::args))] confirm::Args),
     #[bpaf(command)]
-    /// Drains an endpoint, or takes a drain back
+    /// Drains an endpoint or ends its draining
     Drain(#[bpaf(external(drain::args))] drain::Args),
     #[bpaf(command)]
     /// Shows an entry's state
     Status(#[bpaf(external(status::args))] status::Args),
     #[bpaf(command)]
-    /// Shows requests that are sent no more, or lifts one
+    /// Shows quarantined requests, or lifts the quarantine of one
     Quarantine(#[bpaf(external(quarantine::args))] quarantine::Args),
     #[bpaf(command)]
-    /// Merges logs into one order
+    /// Merges the logs of several processes in causal order
     Timeline(#[bpaf(external(timeline::args))] timeline::Args),
 }
 
-/// Runs the subcommand that the command line names.
+/// Parses the command line, runs the subcommand and returns the exit code of the process.
 pub fn main() -> ExitCode {
-    let outcome = run(command().run());
+    let result = run(command().run());
     crate::timeline::close();
-    match outcome {
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("sorrelpass: {error:#}");
@@ -63,16 +63,16 @@
 }
 
 fn run(command: Command) -> Result<ExitCode> {
-    let done = |()| ExitCode::SUCCESS;
+    let to_success = |()| ExitCode::SUCCESS;
     match command {
-        Command::Entry(args) => entry::run(&args).map(done),
-        Command::Sidecar(args) => sidecar::run(&args).map(done),
+        Command::Entry(args) => entry::run(&args).map(to_success),
+        Command::Sidecar(args) => sidecar::run(&args).map(to_success),
         Command::Check(args) => check::run(&args),
-        Command::Plan(args) => plan::run(&args).map(done),
-        Command::Confirm(args) => confirm::run(&args).map(done),
-        Command::Drain(args) => drain::run(&args).map(done),
-        Command::Status(args) => status::run(&args).map(done),
-        Command::Quarantine(args) => quarantine::run(&args).map(done),
-        Command::Timeline(args) => timeline::run(&args).map(done),
+        Command::Plan(args) => plan::run(&args).map(to_success),
+        Command::Confirm(args) => confirm::run(&args).map(to_success),
+        Command::Drain(args) => drain::run(&args).map(to_success),
+        Command::Status(args) => status::run(&args).map(to_success),
+        Command::Quarantine(args) => quarantine::run(&args).map(to_success),
+        Command::Timeline(args) => timeline::run(&args).map(to_success),
     }
 }
--- a/sorrelpass/src/cmd/quarantine.rs
+++ b/sorrelpass/src/cmd/quarantine.rs
@@ -1,10 +1,11 @@
-//! Shows the requests that are sent no more, or lifts what stands against one.
+//! Shows the quarantined requests, or lifts the quarantine of one.
 //!
 //! Usage: sorrelpass quarantine --store IP:PORT [--lift WORK]
 //!
-//! Prints one line per piece of work under which replicas ended, as the platform's store has it: its fingerprint, as
-//! `work=` in the entries' log lines, whether it is condemned, and the replicas that ended. With --lift, entries send it
-//! again once they have read that, within two seconds; a fingerprint that is not there is an error.
+//! Prints one line per request fingerprint in the quarantine records of the platform's store, that is, per request during
+//! which replicas terminated: the fingerprint (`work=`, as in the entries' log lines), whether it is condemned (entries
+//! no longer send it) or only suspect, and the runs that terminated. --lift removes the record of a fingerprint; entries
+//! read the change and send such requests again within two seconds. Lifting a fingerprint without a record is an error.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,52 +18,52 @@
 use crate::gateway::quarantine::record::{self, Entry};
 use crate::util;
 
-/// Time for an answer of the store, which takes a few milliseconds.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a call to the store, which normally answers within a few milliseconds.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Arguments of `quarantine`.
+/// Command-line arguments of `quarantine`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// The platform's store
+    /// Address of the platform's store
     #[bpaf(argument("IP:PORT"))]
     store: SocketAddr,
-    /// Fingerprint of the work to be sent again
+    /// Fingerprint of the requests to send again
     #[bpaf(argument("WORK"))]
     lift: Option<Work>,
 }
 
-/// Runs the subcommand.
+/// Lifts the quarantine of the given fingerprint or, without one, prints all records.
 pub fn run(args: &Args) -> Result<()> {
     util::with_runtime(async {
         let mut client = Client::new(args.store);
-        let known = client.newest(QUARANTINE, PATIENCE).await?.records;
+        let records = client.newest(QUARANTINE, STORE_TIMEOUT).await?.records;
         match args.lift {
-            Some(work) => lift(&mut client, &known, work).await?,
-            None => known.iter().for_each(show),
+            Some(fingerprint) => lift(&mut client, &records, fingerprint).await?,
+            None => records.iter().for_each(print_record),
         }
         client.close();
         Ok(())
     })
 }
 
-/// Takes the record of one piece of work back.
-async fn lift(client: &mut Client, known: &[Keyed], work: Work) -> Result<()> {
-    let key = work.to_string();
-    if !known.iter().any(|record| *record.key == *key) {
-        return Err(eyre!("step=lift work={work}: nothing stands against it"));
+/// Removes the record of a fingerprint from the store.
+async fn lift(client: &mut Client, records: &[Keyed], fingerprint: Work) -> Result<()> {
+    let key = fingerprint.to_string();
+    if !records.iter().any(|record| *record.key == *key) {
+        return Err(eyre!("step=lift work={fingerprint}: the store has no record of this fingerprint"));
     }
-    client.put(QUARANTINE, &key, &[], PATIENCE).await?;
-    println!("work={work} lifted");
+    client.put(QUARANTINE, &key, &[], STORE_TIMEOUT).await?;
+    println!("work={fingerprint} lifted");
     Ok(())
 }
 
-fn show(record: &Keyed) {
+fn print_record(record: &Keyed) {
     match record::decode(record) {
-        Ok((work, Some(Entry { condemned, ends }))) => {
+        Ok((fingerprint, Some(Entry { condemned, ends }))) => {
             let runs: Vec<&str> = ends.iter().map(|end| &*end.run).collect();
-            let standing = if condemned { "condemned" } else { "suspect" };
-            println!("work={work} standing={standing} ends={}", runs.join(","));
+            let status = if condemned { "condemned" } else { "suspect" };
+            println!("work={fingerprint} standing={status} ends={}", runs.join(","));
         }
         Ok((_, None)) => {}
         Err(error) => println!("{error:#}"),
--- a/sorrelpass/src/cmd/sidecar.rs
+++ b/sorrelpass/src/cmd/sidecar.rs
@@ -1,10 +1,10 @@
-//! Stands beside an endpoint and hands it its work.
+//! Runs a sidecar: the process beside an endpoint that queues and forwards its requests.
 //!
 //! Usage: sorrelpass sidecar FILE
 //!
 //! FILE is an INI settings file with the sections `[process]` and `[sidecar]`. The
 //! process logs to standard output, one logfmt line per event. On SIGTERM it
-//! refuses new work, lets what runs finish, and ends.
+//! refuses new requests, lets the running ones finish, and exits.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 
 use crate::config::Settings;
 
-/// Arguments of `sidecar`.
+/// Command-line arguments of `sidecar`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
@@ -22,12 +22,12 @@
     file: PathBuf,
 }
 
-/// Runs the subcommand.
+/// Loads the settings and serves until the process is told to stop.
 pub fn run(args: &Args) -> Result<()> {
     match Settings::load(&args.file)? {
         Settings::Sidecar(settings) => crate::sidecar::run(*settings),
         Settings::Entry(_) | Settings::Gateway(_) => {
-            bail!("step=start file={}: these are an entry's settings", args.file.display())
+            bail!("step=start file={}: these are an entry's settings, not a sidecar's", args.file.display())
         }
     }
 }
