--- a/sorrelpass/src/cmd/entry.rs
+++ b/sorrelpass/src/cmd/entry.rs
@@ -31,7 +31,7 @@
         Settings::Entry(settings) => crate::entry::run(*settings),
         Settings::Gateway(settings) => crate::gateway::run(*settings, file),
         Settings::Sidecar(_) => {
-            bail!("step=start file={}: these are a sidecar's settings, not an entry's", file.display())
+            bail!("step=start file={}: found a sidecar's settings", file.display())
         }
     }
 }
--- a/sorrelpass/src/cmd/sidecar.rs
+++ b/sorrelpass/src/cmd/sidecar.rs
@@ -27,7 +27,7 @@
     match Settings::load(&args.file)? {
         Settings::Sidecar(settings) => crate::sidecar::run(*settings),
         Settings::Entry(_) | Settings::Gateway(_) => {
-            bail!("step=start file={}: these are an entry's settings, not a sidecar's", args.file.display())
+            bail!("step=start file={}: found an entry's settings", args.file.display())
         }
     }
 }
--- a/sorrelpass/src/failure.rs
+++ b/sorrelpass/src/failure.rs
@@ -1,4 +1,4 @@
-//! Failures as callers and operators see them.
+//! Failure responses to callers and operators.
 
 use std::time::Duration;
 
@@ -9,62 +9,63 @@
 
 use crate::util;
 
-/// Header that says whether a failed request ran.
+/// Header of a failure response that says whether the request ran.
 pub const RAN: HeaderName = HeaderName::from_static("x-sorrelpass-ran");
 
-/// A request that came to no whole answer.
+/// Failure of a request that got no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Stable code for programs.
+    /// Stable machine-readable error code.
     pub code: &'static str,
-    /// What happened, for people.
+    /// Human-readable description.
     pub message: String,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, if coming back may help.
+    /// Time after which the caller may retry; `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure of a request that did not run.
+    /// Creates a failure of a request that did not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self { status, code, message: message.into(), ran: Ran::No, retry_after: None }
     }
 
-    /// The caller's own fault.
+    /// Creates a failure with status 400, for a request that is invalid.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// The system is short of something; come back after `wait`.
+    /// Creates a failure with status 503, for a temporary lack of a resource; the caller may retry after `wait`.
     pub fn busy(code: &'static str, message: impl Into<String>, wait: Duration) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, code, message).after(wait)
     }
 
-    /// Says when to come back.
+    /// Sets the time after which the caller may retry.
     pub fn after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Says whether it ran.
+    /// Sets whether the request ran.
     pub fn ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
     }
 
-    /// The failure's JSON body.
+    /// Returns the JSON body of the response.
     pub fn body(&self) -> Value {
         json!({
-            "error": { "code": self.code, "message": self.message, "type": self.kind() },
+            "error": { "code": self.code, "message": self.message, "type": self.error_type() },
             "ran": self.ran,
             "retry_after_ms": self.retry_after.map(util::millis_up),
         })
     }
 
-    fn kind(&self) -> &'static str {
+    /// Returns the `type` of the error, which follows from the status.
+    fn error_type(&self) -> &'static str {
         match self.status {
             StatusCode::UNAUTHORIZED => "authentication_error",
             StatusCode::FORBIDDEN => "permission_error",
--- a/sorrelpass/src/main.rs
+++ b/sorrelpass/src/main.rs
@@ -1,4 +1,4 @@
-//! The `sorrelpass` binary: dispatches to one subcommand.
+//! The `sorrelpass` binary: the entries, the sidecars and the operators' tools, each as a subcommand.
 
 #![recursion_limit = "256"]
 
--- a/sorrelpass/src/platform/http.rs
+++ b/sorrelpass/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! Clients that speak the platform's HTTP/JSON form.
+//! Clients of the platform's HTTP/JSON interface.
 
 use std::time::Duration;
 
@@ -10,42 +10,42 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 
-use super::{Batch, Entry, Log, Pending, VmList};
+use super::{Batch, BoxFuture, Log, Record, VmList};
 use crate::http::{self, Caller};
 use crate::plugin::{LogPlugin, VmListPlugin};
 
-/// An answer of the platform that takes longer is given up.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a call to the platform, without the time that a read waits for records.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 inventory::submit! { LogPlugin { name: "http", make: |address| Box::new(HttpLog::new(address)) } }
 inventory::submit! { VmListPlugin { name: "http", make: |address| Box::new(HttpVmList::new(address)) } }
 
-/// The log over HTTP.
+/// Client of the log over HTTP.
 pub struct HttpLog {
     address: String,
-    caller: Caller,
+    client: Caller,
 }
 
-/// The VM list over HTTP.
+/// Client of the VM list over HTTP.
 pub struct HttpVmList {
     address: String,
-    caller: Caller,
+    client: Caller,
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
 #[derive(Deserialize)]
-struct Read {
-    entries: Vec<ReadEntry>,
+struct ReadResponse {
+    entries: Vec<ReadRecord>,
     oldest: u64,
     end: u64,
 }
 
 #[derive(Deserialize)]
-struct ReadEntry {
+struct ReadRecord {
     offset: u64,
     at_ms: u64,
     payload: Box<RawValue>,
@@ -53,57 +53,59 @@
 
 impl HttpLog {
     fn new(address: &str) -> Self {
-        Self { address: address.to_owned(), caller: http::caller_h1() }
+        Self { address: address.to_owned(), client: http::caller_h1() }
     }
 
     async fn append_record(&self, stream: &str, payload: Bytes) -> Result<u64> {
         let payload: Box<RawValue> = serde_json::from_slice(&payload)?;
         let body = json!({ "payload": payload });
         let path = format!("/streams/{stream}");
-        let call = http::exchange_json(&self.caller, &self.address, "POST", &path, Some(&body));
-        let appended: Appended = timed(&self.address, TIMEOUT, call).await?;
-        Ok(appended.offset)
+        let call = http::exchange_json(&self.client, &self.address, "POST", &path, Some(&body));
+        let response: AppendResponse = with_timeout(&self.address, CALL_TIMEOUT, call).await?;
+        Ok(response.offset)
     }
 
     async fn read_records(&self, stream: &str, offset: u64, wait_ms: u64) -> Result<Batch> {
         let path = format!("/streams/{stream}?from={offset}&wait_ms={wait_ms}");
-        let call = http::exchange_json(&self.caller, &self.address, "GET", &path, None);
-        let read: Read = timed(&self.address, TIMEOUT + Duration::from_millis(wait_ms), call).await?;
-        let entries = read.entries.into_iter().map(|entry| Entry {
-            offset: entry.offset,
-            at: Moment::from_millis(entry.at_ms),
-            payload: Bytes::copy_from_slice(entry.payload.get().as_bytes()),
+        let call = http::exchange_json(&self.client, &self.address, "GET", &path, None);
+        let response: ReadResponse =
+            with_timeout(&self.address, CALL_TIMEOUT + Duration::from_millis(wait_ms), call).await?;
+        let records = response.entries.into_iter().map(|record| Record {
+            offset: record.offset,
+            at: Moment::from_millis(record.at_ms),
+            payload: Bytes::copy_from_slice(record.payload.get().as_bytes()),
         });
-        Ok(Batch { entries: entries.collect(), oldest: read.oldest, end: read.end })
+        Ok(Batch { entries: records.collect(), oldest: response.oldest, end: response.end })
     }
 }
 
 impl Log for HttpLog {
-    fn append<'a>(&'a self, stream: &'a str, payload: Bytes) -> Pending<'a, u64> {
+    fn append<'a>(&'a self, stream: &'a str, payload: Bytes) -> BoxFuture<'a, u64> {
         Box::pin(self.append_record(stream, payload))
     }
 
-    fn read<'a>(&'a self, stream: &'a str, offset: u64, wait_ms: u64) -> Pending<'a, Batch> {
+    fn read<'a>(&'a self, stream: &'a str, offset: u64, wait_ms: u64) -> BoxFuture<'a, Batch> {
         Box::pin(self.read_records(stream, offset, wait_ms))
     }
 }
 
 impl HttpVmList {
     fn new(address: &str) -> Self {
-        Self { address: address.to_owned(), caller: http::caller_h1() }
+        Self { address: address.to_owned(), client: http::caller_h1() }
     }
 }
 
 impl VmList for HttpVmList {
-    fn list(&self) -> Pending<'_, Vec<Vm>> {
-        let call = http::exchange_json(&self.caller, &self.address, "GET", "/vms", None);
-        Box::pin(timed(&self.address, TIMEOUT, call))
+    fn list(&self) -> BoxFuture<'_, Vec<Vm>> {
+        let call = http::exchange_json(&self.client, &self.address, "GET", "/vms", None);
+        Box::pin(with_timeout(&self.address, CALL_TIMEOUT, call))
     }
 }
 
-async fn timed<T>(peer: &str, limit: Duration, call: impl Future<Output = Result<T>>) -> Result<T> {
-    match tokio::time::timeout(limit, call).await {
+/// Awaits `call` for at most `timeout`.
+async fn with_timeout<T>(peer: &str, timeout: Duration, call: impl Future<Output = Result<T>>) -> Result<T> {
+    match tokio::time::timeout(timeout, call).await {
         Ok(result) => result,
-        Err(_) => Err(eyre!("step=platform peer={peer}: no answer within {} ms", limit.as_millis())),
+        Err(_) => Err(eyre!("step=platform peer={peer}: no response within {} ms", timeout.as_millis())),
     }
 }
--- a/sorrelpass/src/platform/mod.rs
+++ b/sorrelpass/src/platform/mod.rs
@@ -1,6 +1,6 @@
 //! The platform's services behind traits: the append-only log and the VM list.
 //!
-//! Clients register themselves as plug-ins. What may not live here: decisions.
+//! Clients register themselves as plug-ins. This module only transports data; it must not hold any serving logic.
 
 pub mod http;
 
@@ -12,42 +12,42 @@
 use coord::time::Moment;
 use eyre::Result;
 
-/// A future that a trait object returns; each duty runs on its own thread, so it need not be `Send`.
-pub type Pending<'a, T> = Pin<Box<dyn Future<Output = Result<T>> + 'a>>;
+/// Future that a trait object returns. It need not be `Send`, since each client is used on one thread only.
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T>> + 'a>>;
 
-/// A record read from the log.
+/// Record read from the log.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    /// Its offset.
+pub struct Record {
+    /// Offset of the record in its stream.
     pub offset: u64,
-    /// When the log took it.
+    /// Time at which the log accepted the record, on the log's clock.
     pub at: Moment,
-    /// What was appended.
+    /// Bytes that were appended.
     pub payload: Bytes,
 }
 
-/// Records read from the log.
+/// Result of one read from the log.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// The records, by offset.
-    pub entries: Vec<Entry>,
-    /// Oldest offset that the log still keeps.
+    /// Records in order of offset.
+    pub entries: Vec<Record>,
+    /// Oldest offset that the log still retains.
     pub oldest: u64,
-    /// Offset after the newest record.
+    /// Offset that follows the newest record.
     pub end: u64,
 }
 
-/// The platform's append-only log.
+/// Client of the platform's append-only log.
 pub trait Log: Send {
-    /// Appends to `stream`. An error does not say that the record is not there.
-    fn append<'a>(&'a self, stream: &'a str, payload: Bytes) -> Pending<'a, u64>;
+    /// Appends to `stream` and returns the offset. The record may have been stored even if an error is returned.
+    fn append<'a>(&'a self, stream: &'a str, payload: Bytes) -> BoxFuture<'a, u64>;
 
-    /// Reads `stream` from `offset`, waiting up to `wait_ms` for a record.
-    fn read<'a>(&'a self, stream: &'a str, offset: u64, wait_ms: u64) -> Pending<'a, Batch>;
+    /// Reads `stream` from `offset` on; waits up to `wait_ms` if there is no record yet.
+    fn read<'a>(&'a self, stream: &'a str, offset: u64, wait_ms: u64) -> BoxFuture<'a, Batch>;
 }
 
-/// The platform's list of VMs.
+/// Client of the platform's VM list.
 pub trait VmList: Send {
-    /// All VMs; the list lags.
-    fn list(&self) -> Pending<'_, Vec<Vm>>;
+    /// Returns all VMs. The list lags behind the actual state.
+    fn list(&self) -> BoxFuture<'_, Vec<Vm>>;
 }
--- a/sorrelpass/src/plugin.rs
+++ b/sorrelpass/src/plugin.rs
@@ -1,48 +1,48 @@
-//! The registry: plug-ins submit themselves and are chosen by name in the settings.
+//! Plug-in registry: plug-ins register themselves at link time, and the settings select them by name.
 
 use coord::pick::Picker;
 use coord::queue::Order;
 
 use crate::platform::{Log, VmList};
 
-/// Weights of the deployment's measures, given to queue orders.
+/// Weights of the goals between which a queue order balances.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// What slowdown of short requests weighs.
+    /// Weight of the slowdown of short requests.
     pub slowdown: f64,
-    /// What time to first token weighs.
+    /// Weight of the time to first token.
     pub ttft: f64,
 }
 
-/// A way of picking endpoints.
+/// Strategy that picks an endpoint for a request.
 pub struct PickerPlugin {
-    /// Name in the settings.
+    /// Name that selects the plug-in in the settings.
     pub name: &'static str,
-    /// Makes one.
+    /// Creates a picker.
     pub make: fn() -> Box<dyn Picker>,
 }
 
-/// An order of the queue.
+/// Order in which a sidecar serves its queue.
 pub struct OrderPlugin {
-    /// Name in the settings.
+    /// Name that selects the plug-in in the settings.
     pub name: &'static str,
-    /// Makes one.
+    /// Creates a queue order with the given weights.
     pub make: fn(Weights) -> Box<dyn Order>,
 }
 
-/// A client of the platform's log.
+/// Client of the platform's log.
 pub struct LogPlugin {
-    /// Name in the settings.
+    /// Name that selects the plug-in in the settings.
     pub name: &'static str,
-    /// Makes one for an address.
+    /// Creates a client for an address, `ip:port`.
     pub make: fn(&str) -> Box<dyn Log>,
 }
 
-/// A client of the platform's VM list.
+/// Client of the platform's VM list.
 pub struct VmListPlugin {
-    /// Name in the settings.
+    /// Name that selects the plug-in in the settings.
     pub name: &'static str,
-    /// Makes one for an address.
+    /// Creates a client for an address, `ip:port`.
     pub make: fn(&str) -> Box<dyn VmList>,
 }
 
@@ -63,14 +63,14 @@
     }
 }
 
-/// Names of all plug-ins of a kind, sorted, for messages and settings checks.
+/// Returns the sorted names of all plug-ins of a kind, for error messages and the validation of settings.
 pub fn names<T: inventory::Collect>(name: impl Fn(&T) -> &'static str) -> Vec<&'static str> {
     let mut names: Vec<&'static str> = inventory::iter::<T>.into_iter().map(name).collect();
     names.sort_unstable();
     names
 }
 
-/// The plug-in named `wanted`.
-pub fn find<T: inventory::Collect>(wanted: &str, name: impl Fn(&T) -> &'static str) -> Option<&'static T> {
-    inventory::iter::<T>.into_iter().find(|plugin| name(plugin) == wanted)
+/// Returns the plug-in whose name is `plugin_name`, or `None` if no such plug-in is registered.
+pub fn find<T: inventory::Collect>(plugin_name: &str, name: impl Fn(&T) -> &'static str) -> Option<&'static T> {
+    inventory::iter::<T>.into_iter().find(|plugin| name(plugin) == plugin_name)
 }
--- a/sorrelpass/src/ring.rs
+++ b/sorrelpass/src/ring.rs
@@ -1,10 +1,10 @@
-//! Bounded rings that join the threads of a process. A full ring is back-pressure, and is counted.
+//! Bounded channels between the threads of a process. A full channel makes its senders wait, and a metric counts it.
 
 use tokio::sync::mpsc;
 
 use crate::metric;
 
-/// The sending end of a ring; clones send into the same ring.
+/// Sending half of a channel. Clones send into the same channel.
 pub struct Sender<T> {
     name: &'static str,
     inner: mpsc::Sender<T>,
@@ -16,21 +16,21 @@
     }
 }
 
-/// The receiving end of a ring.
+/// Receiving half of a channel.
 pub struct Receiver<T>(mpsc::Receiver<T>);
 
-/// The other end of the ring is gone: its thread has stopped.
+/// Error of a send whose receiver was dropped because its thread has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed;
 
-/// A ring that holds `capacity` items.
+/// Creates a channel that holds up to `capacity` items; `name` is its label in the metrics.
 pub fn pair<T>(name: &'static str, capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (inner, receiver) = mpsc::channel(capacity);
     (Sender { name, inner }, Receiver(receiver))
 }
 
 impl<T> Sender<T> {
-    /// Sends, and waits while the ring is full.
+    /// Sends an item; waits while the channel is full.
     pub async fn send(&self, item: T) -> Result<(), Closed> {
         match self.inner.try_send(item) {
             Ok(()) => Ok(()),
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Sends from a drop handler or a plain thread; if the ring is full a task waits in its place.
+    /// Sends an item from a `Drop` implementation or a thread without a runtime. If the channel is full, a spawned task
+    /// waits on behalf of the sender, or the thread blocks where there is no runtime. An error is ignored.
     pub fn send_detached(&self, item: T)
     where
         T: Send + 'static,
@@ -58,7 +59,7 @@
 }
 
 impl<T> Receiver<T> {
-    /// The next item; `None` once all senders are gone.
+    /// Returns the next item, or `None` once the channel is empty and all senders were dropped.
     pub async fn recv(&mut self) -> Option<T> {
         self.0.recv().await
     }
--- a/sorrelpass/src/secret.rs
+++ b/sorrelpass/src/secret.rs
@@ -1,19 +1,19 @@
-//! Secrets: read from a file or an environment variable, never echoed.
+//! Secrets, which come from a file or an environment variable and are never printed.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes that must not be shown.
+/// Secret bytes. The `Debug` form omits them, so that they do not get into logs.
 #[derive(Clone)]
 pub struct Secret(Arc<[u8]>);
 
 impl Secret {
-    /// Wraps secret bytes.
+    /// Copies the bytes of a secret.
     pub fn new(bytes: &[u8]) -> Self {
         Self(Arc::from(bytes))
     }
 
-    /// The bytes, for a MAC.
+    /// Returns the bytes, for use as the key of a MAC.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
