--- a/sorrelpass/src/cmd/entry.rs
+++ b/sorrelpass/src/cmd/entry.rs
@@ -30,9 +30,7 @@
     match Settings::load(&file)? {
         Settings::Entry(settings) => crate::entry::run(*settings),
         Settings::Gateway(settings) => crate::gateway::run(*settings, file),
-        Settings::Sidecar(_) => {
-            bail!("step=start file={}: found a sidecar's settings", file.display())
-        }
+        Settings::Sidecar(_) => bail!("step=start file={}: found a sidecar's settings", file.display()),
     }
 }
 
--- a/sorrelpass/src/cmd/quarantine.rs
+++ b/sorrelpass/src/cmd/quarantine.rs
@@ -2,10 +2,10 @@
 //!
 //! Usage: sorrelpass quarantine --store IP:PORT [--lift WORK]
 //!
-//! Prints one line per request fingerprint in the quarantine records of the platform's store, that is, per request during
-//! which replicas terminated: the fingerprint (`work=`, as in the entries' log lines), whether it is condemned (entries
-//! no longer send it) or only suspect, and the runs that terminated. --lift removes the record of a fingerprint; entries
-//! read the change and send such requests again within two seconds. Lifting a fingerprint without a record is an error.
+//! The platform's store has a record for each request during which replicas terminated. Prints one line per record: the
+//! fingerprint of the request (`work=`, as in the entries' log lines), whether it is condemned (entries no longer send
+//! it) or only suspect, and the runs that terminated. --lift removes the record of a fingerprint; entries read the
+//! change and send such requests again within two seconds. Lifting a fingerprint without a record is an error.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/sorrelpass/src/cmd/timeline.rs
+++ b/sorrelpass/src/cmd/timeline.rs
@@ -68,12 +68,12 @@
 
 /// Returns the event of a log line, or `None` if the line has no timestamp.
 fn parse_event(line: &str) -> Option<Event> {
-    let timestamp = field_value(line, "hlc")?;
+    let timestamp = value_of(line, "hlc")?;
     Some(Event { timestamp: timestamp.to_owned(), line: line.to_owned() })
 }
 
 /// Returns the value of a key in a logfmt line, without its quotes.
-fn field_value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
+fn value_of<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let mut rest = line;
     loop {
         let position = rest.find(key)?;
@@ -97,20 +97,21 @@
 /// Returns the ids of the attempts of a request.
 fn attempts_of<'a>(events: &'a [Event], request: Option<&str>) -> BTreeSet<&'a str> {
     let Some(request) = request else { return BTreeSet::new() };
-    let request_events = events.iter().filter(|event| field_value(&event.line, "request") == Some(request));
-    request_events.filter_map(|event| field_value(&event.line, "attempt")).collect()
+    let request_events = events.iter().filter(|event| value_of(&event.line, "request") == Some(request));
+    request_events.filter_map(|event| value_of(&event.line, "attempt")).collect()
 }
 
 /// Returns whether an event passes all filters of the command line.
 fn is_selected(args: &Args, attempts: &BTreeSet<&str>, event: &Event) -> bool {
     let line = &event.line;
     let matches_request = args.request.as_deref().is_none_or(|request| {
-        field_value(line, "request") == Some(request)
-            || field_value(line, "attempt").is_some_and(|attempt| attempts.contains(attempt))
-    });
-    let matches_endpoint = args.endpoint.as_deref().is_none_or(|endpoint| {
-        ["peer", "endpoint", "process"].iter().any(|key| field_value(line, key) == Some(endpoint))
+        value_of(line, "request") == Some(request)
+            || value_of(line, "attempt").is_some_and(|attempt| attempts.contains(attempt))
     });
+    let matches_endpoint = args
+        .endpoint
+        .as_deref()
+        .is_none_or(|endpoint| ["peer", "endpoint", "process"].iter().any(|key| value_of(line, key) == Some(endpoint)));
     let is_after_start = args.from.as_ref().is_none_or(|from| event.timestamp >= *from);
     let is_before_end = args.until.as_ref().is_none_or(|until| event.timestamp <= *until);
     matches_request && matches_endpoint && is_after_start && is_before_end
--- a/sorrelpass/src/http.rs
+++ b/sorrelpass/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing shared by all roles: clients, bodies, listening.
+//! HTTP clients, request bodies and listeners that all roles use.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Request, Response, Version};
-use hyper_util::client::legacy::Client;
+use hyper_util::client::legacy::Client as HyperClient;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto;
@@ -24,30 +24,30 @@
 use crate::timeline;
 use crate::unread::Watched;
 
-/// A body that we send.
+/// Body of a request that this process sends.
 pub type Sent = BoxBody<Bytes, Infallible>;
-/// A client; each thread has its own.
-pub type Caller = Client<HttpConnector, Sent>;
-
-/// HTTP/2 window of one stream: what a waiting body may occupy at a sidecar, in bytes.
-const STREAM_WINDOW: u32 = 128 * 1_024;
-/// HTTP/2 window of a connection: wide, so that waiting bodies do not hold up other streams.
-const CONNECTION_WINDOW: u32 = 64 * 1_024 * 1_024;
-/// Most streams of one connection.
-const MOST_STREAMS: u32 = 4_096;
-/// A silent HTTP/2 peer is asked for a sign of life this often …
-const KEEP_ALIVE: Duration = Duration::from_millis(500);
-/// … and given up after this long.
+/// HTTP client with a connection pool; each thread has its own.
+pub type Caller = HyperClient<HttpConnector, Sent>;
+
+/// HTTP/2 flow-control window of a stream: bounds the bytes that a body may occupy at a sidecar while it waits.
+const STREAM_WINDOW_BYTES: u32 = 128 * 1_024;
+/// HTTP/2 flow-control window of a connection. It is large so that waiting bodies do not block other streams.
+const CONNECTION_WINDOW_BYTES: u32 = 64 * 1_024 * 1_024;
+/// Limit on concurrent HTTP/2 streams of a connection.
+const MAX_STREAMS_PER_CONNECTION: u32 = 4_096;
+/// Interval of HTTP/2 keep-alive pings to a peer from which nothing is received.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time without an answer to a keep-alive ping after which the connection is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A caller that has not sent its headers by then is cut off.
+/// Time in which a caller must send all request headers before its connection is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes that the kernel may hold for a peer that does not read; unbounded tuning would keep
-/// megabytes for each, and hide for seconds that nobody reads.
-const SEND_BUFFER: u32 = 128 * 1_024;
-/// Bytes that an HTTP/1 connection buffers; also the most that headers may take.
-const CONNECTION_BUFFER: usize = 64 * 1_024;
-/// Connections waiting to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Size of the kernel's send buffer of a connection. Without it, the kernel's automatic sizing would buffer megabytes
+/// for each peer that does not read, and the write timeout would notice such a peer only seconds later.
+const SEND_BUFFER_BYTES: u32 = 128 * 1_024;
+/// Size of the read buffer of an HTTP/1 connection, which also bounds the size of the request headers.
+const CONNECTION_BUFFER_BYTES: usize = 64 * 1_024;
+/// Length of the queue of connections that wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1_024;
 
 fn connector() -> HttpConnector {
     let mut connector = HttpConnector::new();
@@ -56,75 +56,76 @@
     connector
 }
 
-/// A client for our own wires: HTTP/2 without TLS.
+/// Creates a client for calls between processes of the system: HTTP/2 without TLS.
 pub fn caller_h2() -> Caller {
-    Client::builder(TokioExecutor::new())
+    HyperClient::builder(TokioExecutor::new())
         .timer(TokioTimer::new())
         .http2_only(true)
-        .http2_initial_stream_window_size(STREAM_WINDOW)
-        .http2_initial_connection_window_size(CONNECTION_WINDOW)
-        .http2_keep_alive_interval(KEEP_ALIVE)
+        .http2_initial_stream_window_size(STREAM_WINDOW_BYTES)
+        .http2_initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+        .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
         .http2_keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .http2_keep_alive_while_idle(false)
         .build(connector())
 }
 
-/// A client for outside systems: HTTP/1.1.
+/// Creates a client for other systems and for operators' calls to an entry: HTTP/1.1.
 pub fn caller_h1() -> Caller {
-    Client::builder(TokioExecutor::new())
+    HyperClient::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(Duration::from_secs(10))
         .build(connector())
 }
 
-/// A body of known bytes.
+/// Creates a body from bytes in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Sent {
     Full::new(bytes.into()).boxed()
 }
 
-/// Sends a request to `address`, with our clock's stamp, and takes notice of the stamp that comes back.
-pub async fn call(caller: &Caller, address: &str, method: &str, path: &str, body: Sent) -> Result<Response<Incoming>> {
+/// Sends a request to `address` with a timestamp of the hybrid logical clock, and advances the clock by the response's
+/// timestamp.
+pub async fn call(client: &Caller, address: &str, method: &str, path: &str, body: Sent) -> Result<Response<Incoming>> {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
         .header(timeline::HEADER, timeline::stamp())
         .body(body)
         .wrap_err_with(|| format!("step=build-request peer={address}"))?;
-    send(caller, address, request).await
+    send(client, address, request).await
 }
 
-/// Sends a ready request.
-pub async fn send(caller: &Caller, address: &str, request: Request<Sent>) -> Result<Response<Incoming>> {
+/// Sends a complete request, and advances the hybrid logical clock by the timestamp of the response if it has one.
+pub async fn send(client: &Caller, address: &str, request: Request<Sent>) -> Result<Response<Incoming>> {
     let response =
-        caller.request(request).await.map_err(|error| eyre!("step=call peer={address}: {}", chain(&error)))?;
+        client.request(request).await.map_err(|error| eyre!("step=call peer={address}: {}", error_chain(&error)))?;
     if let Some(stamp) = response.headers().get(timeline::HEADER).and_then(|value| value.to_str().ok()) {
         timeline::observe(stamp);
     }
     Ok(response)
 }
 
-/// Sends a small request and reads its whole small answer.
-pub async fn exchange(caller: &Caller, address: &str, method: &str, path: &str, body: Bytes) -> Result<(u16, Bytes)> {
-    let response = call(caller, address, method, path, full(body)).await?;
+/// Sends a request and reads the response to its end; returns status and body. For small bodies only.
+pub async fn exchange(client: &Caller, address: &str, method: &str, path: &str, body: Bytes) -> Result<(u16, Bytes)> {
+    let response = call(client, address, method, path, full(body)).await?;
     let status = response.status().as_u16();
     let bytes = response.into_body().collect().await.wrap_err_with(|| format!("step=read peer={address}"))?.to_bytes();
     Ok((status, bytes))
 }
 
-/// Sends JSON to be acted upon; returns the status.
-pub async fn post_json(caller: &Caller, address: &str, path: &str, body: &serde_json::Value) -> Result<u16> {
+/// Sends JSON in a POST request, discards the response body and returns the status.
+pub async fn post_json(client: &Caller, address: &str, path: &str, body: &serde_json::Value) -> Result<u16> {
     let request = Request::post(format!("http://{address}{path}")).header("content-type", "application/json");
     let request =
         request.body(full(body.to_string())).wrap_err_with(|| format!("step=build-request peer={address}"))?;
-    let response = send(caller, address, request).await?;
+    let response = send(client, address, request).await?;
     let status = response.status().as_u16();
     response.into_body().collect().await.wrap_err_with(|| format!("step=read peer={address}"))?;
     Ok(status)
 }
 
-/// Sends JSON and reads JSON; a status that is not a success is an error.
+/// Sends a request with an optional JSON body and decodes the JSON response; a status outside 2xx is an error.
 pub async fn exchange_json<T: serde::de::DeserializeOwned>(
-    caller: &Caller,
+    client: &Caller,
     address: &str,
     method: &str,
     path: &str,
@@ -136,7 +137,7 @@
         request = request.header("content-type", "application/json");
     }
     let request = request.body(full(body)).wrap_err_with(|| format!("step=build-request peer={address}"))?;
-    let response = send(caller, address, request).await?;
+    let response = send(client, address, request).await?;
     let status = response.status();
     let bytes = response.into_body().collect().await.wrap_err_with(|| format!("step=read peer={address}"))?.to_bytes();
     if !status.is_success() {
@@ -145,90 +146,93 @@
     serde_json::from_slice(&bytes).wrap_err_with(|| format!("step=decode peer={address}"))
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+/// Formats an error and all its sources, separated by colons.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
-    while let Some(inner) = source {
+    while let Some(cause) = source {
         text.push_str(": ");
-        text.push_str(&inner.to_string());
-        source = inner.source();
+        text.push_str(&cause.to_string());
+        source = cause.source();
     }
     text
 }
 
-/// Listens on `address`; several threads may listen on one.
+/// Listens on `address`. Several threads may listen on the same address, and the kernel distributes the connections.
 pub fn listen(address: SocketAddr) -> Result<TcpListener> {
     let bind = || -> std::io::Result<TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         socket.set_reuseport(true)?;
-        // Accepted connections inherit it.
-        socket.set_send_buffer_size(SEND_BUFFER)?;
+        // Accepted connections inherit the buffer size.
+        socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(ACCEPT_BACKLOG)
     };
     bind().wrap_err_with(|| format!("step=listen address={address}"))
 }
 
-/// Serves `router` on `listener` until `stop` says so, then lets open calls finish.
+/// Serves `router` on `listener` until `shutdown` becomes true, then waits for the requests in flight to finish.
 ///
-/// A connection whose peer does not read for `patience` is cut off.
+/// A connection whose peer does not read for `write_timeout` is closed.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
-    patience: Duration,
-    mut stop: tokio::sync::watch::Receiver<bool>,
+    write_timeout: Duration,
+    mut shutdown: tokio::sync::watch::Receiver<bool>,
 ) {
     let graceful = hyper_util::server::graceful::GracefulShutdown::new();
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
-                // Out of descriptors, most likely: let some close.
+                // The process has most likely run out of file descriptors; during the delay some connections close.
                 Err(_) => { tokio::time::sleep(Duration::from_millis(20)).await; continue; }
             },
-            _ = stop.wait_for(|stop| *stop) => break,
+            _ = shutdown.wait_for(|is_set| *is_set) => break,
         };
-        tokio::spawn(connection(stream, router.clone(), patience, graceful.watcher()));
+        tokio::spawn(serve_connection(stream, router.clone(), write_timeout, graceful.watcher()));
     }
     drop(listener);
     graceful.shutdown().await;
 }
 
-/// Answers one request. Where its body was not read to the end, the connection ends with the answer, and the answer says
-/// so: a caller that sent its next request on it would lose that one.
-async fn answer(router: Router, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
-    let closes = request.version() <= Version::HTTP_11;
+/// Responds to one request. If the body of an HTTP/1 request was not read to its end, hyper closes the connection after
+/// the response. The response then has `connection: close`, so that the caller does not send another request on the
+/// connection and lose it.
+async fn respond(router: Router, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
+    let is_http1 = request.version() <= Version::HTTP_11;
     let request = request.map(Watched::new);
-    let unread = request.body().unread();
+    let body_state = request.body().unread();
     let mut response = router.oneshot(request.map(Body::new)).await?;
-    if closes && unread.get() {
+    if is_http1 && body_state.get() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-async fn connection(
+/// Serves the requests of one accepted connection, over HTTP/1 or HTTP/2.
+async fn serve_connection(
     stream: TcpStream,
     router: Router,
-    patience: Duration,
+    write_timeout: Duration,
     watcher: hyper_util::server::graceful::Watcher,
 ) {
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
-    stream.set_write_timeout(Some(patience));
-    let service = hyper::service::service_fn(move |request: Request<Incoming>| answer(router.clone(), request));
+    stream.set_write_timeout(Some(write_timeout));
+    let service = hyper::service::service_fn(move |request: Request<Incoming>| respond(router.clone(), request));
     let mut builder = auto::Builder::new(TokioExecutor::new());
-    builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(CONNECTION_BUFFER);
+    builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(CONNECTION_BUFFER_BYTES);
     builder
         .http2()
         .timer(TokioTimer::new())
-        .initial_stream_window_size(STREAM_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
-        .max_concurrent_streams(MOST_STREAMS)
-        .keep_alive_interval(KEEP_ALIVE)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+        .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
+        .keep_alive_interval(KEEP_ALIVE_INTERVAL)
         .keep_alive_timeout(KEEP_ALIVE_TIMEOUT);
     let connection = builder.serve_connection(TokioIo::new(Linger::new(Box::pin(stream))), service).into_owned();
-    // A caller that goes away mid-request is no fault of ours.
+    // An error here means that the caller closed the connection during a request, which is not a fault of this process.
     let _ = watcher.watch(connection).await;
 }
--- a/sorrelpass/src/linger.rs
+++ b/sorrelpass/src/linger.rs
@@ -1,9 +1,10 @@
-//! Closing a caller's connection without taking back the refusal that was just written to it.
+//! Lingering close: closes a caller's connection such that the refusal just written to it still arrives.
 //!
-//! A refusal may be written while its caller still sends: a head or a body that is too large is not
-//! read to its end. Closing a socket with unread bytes resets it, and the reset can reach the caller
-//! before the refusal does. So what still comes is read and thrown away for a while. Only behind a
-//! refusal: a request that crosses any other close must stay unread, so that its caller may repeat it.
+//! A refusal may be written while the caller is still sending, since headers or a body that are too large are not
+//! read to their end. Closing a socket with unread bytes resets the connection, and the reset can reach the caller
+//! before the refusal does. Therefore incoming bytes are read and discarded for a while before the socket is closed.
+//! This happens only after a refusal: a request that arrives during any other close must stay unread, so that its
+//! caller may retry it.
 
 use std::io::{IoSlice, Result};
 use std::pin::Pin;
@@ -13,63 +14,65 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Sleep;
 
-/// Longest time for which bytes are thrown away: some ways across a continent, and far below any grace.
-const LINGER: Duration = Duration::from_secs(1);
-/// Most bytes that are thrown away: four times the largest body seen in a configuration.
-const MOST_BYTES: usize = 16 << 20;
-/// Bytes read at once.
-const SCRATCH: usize = 8 * 1_024;
-/// How an HTTP/1 answer that refuses its request begins.
-const REFUSAL: &[u8] = b"HTTP/1.1 4";
-/// How any HTTP/1 answer begins.
-const ANSWER: &[u8] = b"HTTP/1.1 ";
+/// Time for which incoming bytes are discarded at most: several round trips across a continent, and far below any grace
+/// period of a shutdown.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes that are discarded at most: four times the largest body limit seen in a configuration.
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
+/// Size of the buffer into which discarded bytes are read.
+const DISCARD_BUFFER_BYTES: usize = 8 * 1_024;
+/// Start of an HTTP/1 response with a 4xx status, which refuses the request.
+const REFUSAL_PREFIX: &[u8] = b"HTTP/1.1 4";
+/// Start of any HTTP/1 response.
+const RESPONSE_PREFIX: &[u8] = b"HTTP/1.1 ";
 
-/// A connection that lingers when it is shut down behind a refusal.
+/// Connection that discards incoming bytes for a while when it is shut down after a refusal.
 pub struct Linger<S> {
     inner: S,
-    /// Whether the last answer written refused its request.
-    refused: bool,
-    /// Bytes that may still be thrown away; none before the connection is shut down.
-    left: Option<usize>,
-    /// Ends the wait for more.
-    until: Option<Pin<Box<Sleep>>>,
+    /// Whether the last response written refused its request.
+    is_refused: bool,
+    /// Number of bytes that may still be discarded; `None` until the connection is shut down.
+    remaining: Option<usize>,
+    /// Fires when bytes are no longer discarded; `None` until the first wait for more bytes.
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> Linger<S> {
-    /// A connection over `inner`.
+    /// Wraps the stream of a connection.
     pub fn new(inner: S) -> Self {
-        Self { inner, refused: false, left: None, until: None }
+        Self { inner, is_refused: false, remaining: None, timer: None }
     }
 
-    /// Takes notice of an answer's beginning; the server writes each answer's head at the start of a write.
-    fn note(&mut self, written: &[u8]) {
-        if written.starts_with(ANSWER) {
-            self.refused = written.starts_with(REFUSAL);
+    /// Records whether a response refuses its request. The server writes the head of each response at the start of a
+    /// write.
+    fn record_response(&mut self, written: &[u8]) {
+        if written.starts_with(RESPONSE_PREFIX) {
+            self.is_refused = written.starts_with(REFUSAL_PREFIX);
         }
     }
 }
 
 impl<S: AsyncRead + Unpin> Linger<S> {
-    /// Throws away what comes, until the caller closes or the wait is over.
-    fn poll_discard(&mut self, left: usize, cx: &mut Context<'_>) -> Poll<()> {
-        let mut left = left;
-        while left > 0 {
-            let mut scratch = [0; SCRATCH];
-            let mut buffer = ReadBuf::new(&mut scratch);
+    /// Discards incoming bytes until the caller closes the connection, `limit` bytes were read, or the timer fires.
+    fn poll_discard(&mut self, limit: usize, cx: &mut Context<'_>) -> Poll<()> {
+        let mut remaining = limit;
+        while remaining > 0 {
+            let mut bytes = [0; DISCARD_BUFFER_BYTES];
+            let mut buffer = ReadBuf::new(&mut bytes);
             match Pin::new(&mut self.inner).poll_read(cx, &mut buffer) {
                 Poll::Pending => break,
-                // The caller is gone, one way or the other.
+                // The caller has reset or closed the connection.
                 Poll::Ready(Err(_)) => return Poll::Ready(()),
                 Poll::Ready(Ok(())) if buffer.filled().is_empty() => return Poll::Ready(()),
-                Poll::Ready(Ok(())) => left = left.saturating_sub(buffer.filled().len()),
+                Poll::Ready(Ok(())) => remaining = remaining.saturating_sub(buffer.filled().len()),
             }
         }
-        self.left = Some(left);
-        if left == 0 {
+        self.remaining = Some(remaining);
+        if remaining == 0 {
             return Poll::Ready(());
         }
-        let until = self.until.get_or_insert_with(|| Box::pin(tokio::time::sleep(LINGER)));
-        until.as_mut().poll(cx)
+        let timer = self.timer.get_or_insert_with(|| Box::pin(tokio::time::sleep(DISCARD_TIMEOUT)));
+        timer.as_mut().poll(cx)
     }
 }
 
@@ -81,7 +84,7 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for Linger<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
-        self.note(bytes);
+        self.record_response(bytes);
         Pin::new(&mut self.inner).poll_write(cx, bytes)
     }
 
@@ -91,7 +94,7 @@
         bytes: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         if let Some(first) = bytes.first() {
-            self.note(first);
+            self.record_response(first);
         }
         Pin::new(&mut self.inner).poll_write_vectored(cx, bytes)
     }
@@ -105,13 +108,13 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
-        let left = match self.left {
-            Some(left) => left,
+        let limit = match self.remaining {
+            Some(remaining) => remaining,
             None => {
                 ready!(Pin::new(&mut self.inner).poll_shutdown(cx))?;
-                if self.refused { MOST_BYTES } else { 0 }
+                if self.is_refused { MAX_DISCARDED_BYTES } else { 0 }
             }
         };
-        self.poll_discard(left, cx).map(Ok)
+        self.poll_discard(limit, cx).map(Ok)
     }
 }
--- a/sorrelpass/src/metric.rs
+++ b/sorrelpass/src/metric.rs
@@ -1,4 +1,4 @@
-//! Metrics by opentelemetry, shown in the Prometheus text form at `/metrics`.
+//! Metrics of the process, recorded with OpenTelemetry and exposed in the Prometheus text format at `/metrics`.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, OnceLock, PoisonError};
@@ -12,37 +12,37 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// All instruments of a process.
+/// Metric instruments of the process.
 struct Instruments {
     registry: Registry,
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     retries: Counter<u64>,
-    rings_full: Counter<u64>,
-    old_proofs: Counter<u64>,
-    replicas_ended: Counter<u64>,
-    condemned: Counter<u64>,
-    refused_condemned: Counter<u64>,
-    quarantine: Gauge<u64>,
+    full_channels: Counter<u64>,
+    stale_verifications: Counter<u64>,
+    replica_terminations: Counter<u64>,
+    condemned_fingerprints: Counter<u64>,
+    condemned_refusals: Counter<u64>,
+    quarantine_size: Gauge<u64>,
     store_calls: Counter<u64>,
     peer_bytes: Counter<u64>,
     peer_messages: Counter<u64>,
-    emptied: Gauge<u64>,
-    /// Failure domains that the gauge has named.
-    emptied_shown: Mutex<BTreeSet<Name>>,
+    evacuated_domains: Gauge<u64>,
+    /// Failure domains for which the gauge has a value, so that it can be reset to 0.
+    reported_domains: Mutex<BTreeSet<Name>>,
     last_send: Gauge<f64>,
-    limited: Gauge<u64>,
+    limited_replicas: Gauge<u64>,
     limit_waits: Counter<u64>,
     limit_refusals: Counter<u64>,
-    leaving_told: Counter<u64>,
-    rests_asked: Counter<u64>,
+    draining_responses: Counter<u64>,
+    backoff_requests: Counter<u64>,
     ttft: Histogram<f64>,
     first_event: Histogram<f64>,
-    revision: Gauge<u64>,
-    waiting: Gauge<u64>,
-    running: Gauge<u64>,
-    memory: Gauge<u64>,
-    breaches: Gauge<u64>,
+    config_revision: Gauge<u64>,
+    waiting_jobs: Gauge<u64>,
+    running_jobs: Gauge<u64>,
+    reserved_memory: Gauge<u64>,
+    invariant_breaches: Gauge<u64>,
 }
 
 static INSTRUMENTS: OnceLock<Instruments> = OnceLock::new();
@@ -50,7 +50,7 @@
 /// Upper bounds of the buckets for time to first token, in seconds.
 const TTFT_BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.7, 1.5, 3.0, 10.0, 30.0, 120.0];
 
-/// Sets up the instruments; without this call the others do nothing.
+/// Creates the instruments. Until this is called, the other functions have no effect.
 pub fn init() -> Result<()> {
     let registry = Registry::new();
     let exporter =
@@ -61,173 +61,174 @@
         registry,
         requests: meter.u64_counter("sorrelpass_requests").build(),
         retries: meter.u64_counter("sorrelpass_retries").build(),
-        rings_full: meter.u64_counter("sorrelpass_ring_full").build(),
-        old_proofs: meter.u64_counter("sorrelpass_served_on_old_proof").build(),
-        replicas_ended: meter.u64_counter("sorrelpass_replicas_ended").build(),
-        condemned: meter.u64_counter("sorrelpass_work_condemned").build(),
-        refused_condemned: meter.u64_counter("sorrelpass_refused_condemned").build(),
-        quarantine: meter.u64_gauge("sorrelpass_quarantine").build(),
+        full_channels: meter.u64_counter("sorrelpass_ring_full").build(),
+        stale_verifications: meter.u64_counter("sorrelpass_served_on_old_proof").build(),
+        replica_terminations: meter.u64_counter("sorrelpass_replicas_ended").build(),
+        condemned_fingerprints: meter.u64_counter("sorrelpass_work_condemned").build(),
+        condemned_refusals: meter.u64_counter("sorrelpass_refused_condemned").build(),
+        quarantine_size: meter.u64_gauge("sorrelpass_quarantine").build(),
         peer_bytes: meter.u64_counter("sorrelpass_peer_bytes").build(),
         peer_messages: meter.u64_counter("sorrelpass_peer_messages").build(),
         store_calls: meter.u64_counter("sorrelpass_store_calls").build(),
-        emptied_shown: Mutex::default(),
-        emptied: meter.u64_gauge("sorrelpass_domain_emptied").build(),
+        reported_domains: Mutex::default(),
+        evacuated_domains: meter.u64_gauge("sorrelpass_domain_emptied").build(),
         last_send: meter.f64_gauge("sorrelpass_last_send_seconds").build(),
-        limited: meter.u64_gauge("sorrelpass_replicas_limited").build(),
+        limited_replicas: meter.u64_gauge("sorrelpass_replicas_limited").build(),
         limit_waits: meter.u64_counter("sorrelpass_limit_waits").build(),
         limit_refusals: meter.u64_counter("sorrelpass_limit_refusals").build(),
-        leaving_told: meter.u64_counter("sorrelpass_leaving_told").build(),
-        rests_asked: meter.u64_counter("sorrelpass_rests_asked").build(),
+        draining_responses: meter.u64_counter("sorrelpass_leaving_told").build(),
+        backoff_requests: meter.u64_counter("sorrelpass_rests_asked").build(),
         ttft: meter.f64_histogram("sorrelpass_ttft_seconds").with_boundaries(TTFT_BOUNDS.to_vec()).build(),
         first_event: meter
             .f64_histogram("sorrelpass_first_event_seconds")
             .with_boundaries(TTFT_BOUNDS.to_vec())
             .build(),
-        revision: meter.u64_gauge("sorrelpass_config_revision").build(),
-        waiting: meter.u64_gauge("sorrelpass_jobs_waiting").build(),
-        running: meter.u64_gauge("sorrelpass_jobs_running").build(),
-        memory: meter.u64_gauge("sorrelpass_memory_held_tokens").build(),
-        breaches: meter.u64_gauge("sorrelpass_invariant_breaches").build(),
+        config_revision: meter.u64_gauge("sorrelpass_config_revision").build(),
+        waiting_jobs: meter.u64_gauge("sorrelpass_jobs_waiting").build(),
+        running_jobs: meter.u64_gauge("sorrelpass_jobs_running").build(),
+        reserved_memory: meter.u64_gauge("sorrelpass_memory_held_tokens").build(),
+        invariant_breaches: meter.u64_gauge("sorrelpass_invariant_breaches").build(),
         _provider: provider,
     };
     let _ = INSTRUMENTS.set(instruments);
     Ok(())
 }
 
+/// Calls `record` with the instruments, if they exist.
 fn with(record: impl FnOnce(&Instruments)) {
     if let Some(instruments) = INSTRUMENTS.get() {
         record(instruments);
     }
 }
 
-/// A request ended with `outcome`: `ok` or an error code.
+/// Counts a request that ended with `outcome`: `ok` or an error code.
 pub fn request(outcome: &str) {
-    with(|on| on.requests.add(1, &[KeyValue::new("outcome", outcome.to_owned())]));
+    with(|metrics| metrics.requests.add(1, &[KeyValue::new("outcome", outcome.to_owned())]));
 }
 
-/// A request was tried again.
+/// Counts a retry of a request.
 pub fn retry() {
-    with(|on| on.retries.add(1, &[]));
+    with(|metrics| metrics.retries.add(1, &[]));
 }
 
-/// A ring was full.
-pub fn ring_full(ring: &'static str) {
-    with(|on| on.rings_full.add(1, &[KeyValue::new("ring", ring)]));
+/// Counts a send into a full channel; `channel` is its name.
+pub fn ring_full(channel: &'static str) {
+    with(|metrics| metrics.full_channels.add(1, &[KeyValue::new("ring", channel)]));
 }
 
-/// A request was taken on a proof of its key that is older than the bound on keys that were taken away.
+/// Counts a request that was accepted although its key was last verified longer ago than a revoked key may be accepted.
 pub fn old_proof() {
-    with(|on| on.old_proofs.add(1, &[]));
+    with(|metrics| metrics.stale_verifications.add(1, &[]));
 }
 
-/// The process of a replica ended under a request.
+/// Counts the termination of a replica's process while it served a request.
 pub fn replica_ended() {
-    with(|on| on.replicas_ended.add(1, &[]));
+    with(|metrics| metrics.replica_terminations.add(1, &[]));
 }
 
-/// Work was condemned, here or elsewhere.
+/// Counts a request fingerprint that was condemned, by this entry or another.
 pub fn condemned() {
-    with(|on| on.condemned.add(1, &[]));
+    with(|metrics| metrics.condemned_fingerprints.add(1, &[]));
 }
 
-/// A request was not sent, or not sent again, since its work is condemned.
+/// Counts a request that was not sent, or not retried, because its fingerprint is condemned.
 pub fn refused_condemned() {
-    with(|on| on.refused_condemned.add(1, &[]));
+    with(|metrics| metrics.condemned_refusals.add(1, &[]));
 }
 
-/// Pieces of work that are suspected, and condemned.
+/// Sets the numbers of suspect and of condemned fingerprints.
 pub fn quarantine(suspects: usize, condemned: usize) {
-    with(|on| {
-        on.quarantine.record(suspects as u64, &[KeyValue::new("standing", "suspect")]);
-        on.quarantine.record(condemned as u64, &[KeyValue::new("standing", "condemned")]);
+    with(|metrics| {
+        metrics.quarantine_size.record(suspects as u64, &[KeyValue::new("standing", "suspect")]);
+        metrics.quarantine_size.record(condemned as u64, &[KeyValue::new("standing", "condemned")]);
     });
 }
 
-/// So many calls were made to the store, of one kind and for one topic.
+/// Counts calls to the store, by kind of call and by topic.
 pub fn store_calls(kind: &'static str, topic: &'static str, calls: u64) {
-    with(|on| on.store_calls.add(calls, &[KeyValue::new("kind", kind), KeyValue::new("topic", topic)]));
+    with(|metrics| metrics.store_calls.add(calls, &[KeyValue::new("kind", kind), KeyValue::new("topic", topic)]));
 }
 
-/// A message of so many bytes went to another entry.
+/// Counts a message to another entry, and its bytes.
 pub fn peer_bytes(bytes: u64) {
-    with(|on| {
-        on.peer_bytes.add(bytes, &[]);
-        on.peer_messages.add(1, &[]);
+    with(|metrics| {
+        metrics.peer_bytes.add(bytes, &[]);
+        metrics.peer_messages.add(1, &[]);
     });
 }
 
-/// The failure domains that operators have emptied; one that was named before and is not any more shows 0.
+/// Sets the gauge to 1 for each evacuated failure domain, and to 0 for each domain that was evacuated before.
 pub fn emptied(domains: &BTreeSet<Name>) {
-    let named = |domain: &Name| [KeyValue::new("failure_domain", domain.to_string())];
-    with(|on| {
-        let mut shown = on.emptied_shown.lock().unwrap_or_else(PoisonError::into_inner);
-        shown.difference(domains).for_each(|domain| on.emptied.record(0, &named(domain)));
-        domains.iter().for_each(|domain| on.emptied.record(1, &named(domain)));
-        shown.extend(domains.iter().cloned());
+    let label = |domain: &Name| [KeyValue::new("failure_domain", domain.to_string())];
+    with(|metrics| {
+        let mut reported = metrics.reported_domains.lock().unwrap_or_else(PoisonError::into_inner);
+        reported.difference(domains).for_each(|domain| metrics.evacuated_domains.record(0, &label(domain)));
+        domains.iter().for_each(|domain| metrics.evacuated_domains.record(1, &label(domain)));
+        reported.extend(domains.iter().cloned());
     });
 }
 
-/// A request was sent to a replica of a failure domain, at this time of day.
-pub fn sent(failure_domain: &str, at: Moment) {
-    let seconds = at.as_micros() as f64 / 1e6;
-    with(|on| on.last_send.record(seconds, &[KeyValue::new("failure_domain", failure_domain.to_owned())]));
+/// Records the wall-clock time of the last request that was sent to a replica of a failure domain.
+pub fn sent(failure_domain: &str, time: Moment) {
+    let seconds = time.as_micros() as f64 / 1e6;
+    with(|metrics| metrics.last_send.record(seconds, &[KeyValue::new("failure_domain", failure_domain.to_owned())]));
 }
 
-/// Replicas that name a limit of their own.
+/// Sets the number of replicas that report a rate limit of their own.
 pub fn limited(replicas: usize) {
-    with(|on| on.limited.record(replicas as u64, &[]));
+    with(|metrics| metrics.limited_replicas.record(replicas as u64, &[]));
 }
 
-/// A call waits for its turn at a replica that names a limit.
+/// Counts a request that waits for a permit of a replica with a rate limit.
 pub fn limit_wait() {
-    with(|on| on.limit_waits.add(1, &[]));
+    with(|metrics| metrics.limit_waits.add(1, &[]));
 }
 
-/// A call was refused since all replicas of its service name limits, and more comes than these allow.
+/// Counts a request that was refused because all replicas of its service report rate limits and the load exceeds them.
 pub fn limit_refusal() {
-    with(|on| on.limit_refusals.add(1, &[]));
+    with(|metrics| metrics.limit_refusals.add(1, &[]));
 }
 
-/// An answer said that its replica is leaving.
+/// Counts a response by which a replica announced that it is draining.
 pub fn leaving_told() {
-    with(|on| on.leaving_told.add(1, &[]));
+    with(|metrics| metrics.draining_responses.add(1, &[]));
 }
 
-/// A replica turned a request away and named a time in which it wants nothing from this process.
+/// Counts a refusal by which a replica asked this process to back off for a time.
 pub fn rest_asked() {
-    with(|on| on.rests_asked.add(1, &[]));
+    with(|metrics| metrics.backoff_requests.add(1, &[]));
 }
 
-/// A first token came after `ttft`, for a prompt of length class `class`.
+/// Records the time to first token of a prompt of length class `class`.
 pub fn ttft(class: usize, ttft: Duration) {
-    with(|on| on.ttft.record(ttft.as_secs_f64(), &[KeyValue::new("class", class as i64)]));
+    with(|metrics| metrics.ttft.record(ttft.as_secs_f64(), &[KeyValue::new("class", class as i64)]));
 }
 
-/// A stream's first event was passed on `after` its request came, on route `route`.
-pub fn first_event(route: &str, after: Duration) {
-    with(|on| on.first_event.record(after.as_secs_f64(), &[KeyValue::new("route", route.to_owned())]));
+/// Records the time from the arrival of a request on `route` until the first event of its stream was forwarded.
+pub fn first_event(route: &str, delay: Duration) {
+    with(|metrics| metrics.first_event.record(delay.as_secs_f64(), &[KeyValue::new("route", route.to_owned())]));
 }
 
-/// The configuration's revision in force here.
+/// Sets the revision of the configuration that is in force in this process.
 pub fn revision(revision: u64) {
-    with(|on| on.revision.record(revision, &[]));
+    with(|metrics| metrics.config_revision.record(revision, &[]));
 }
 
-/// What an endpoint's scheduler holds.
+/// Sets the load of an endpoint's scheduler: waiting and running jobs, and reserved memory in tokens.
 pub fn scheduler(waiting: usize, running: usize, memory: u64) {
-    with(|on| {
-        on.waiting.record(waiting as u64, &[]);
-        on.running.record(running as u64, &[]);
-        on.memory.record(memory, &[]);
+    with(|metrics| {
+        metrics.waiting_jobs.record(waiting as u64, &[]);
+        metrics.running_jobs.record(running as u64, &[]);
+        metrics.reserved_memory.record(memory, &[]);
     });
 }
 
-/// All metrics in the Prometheus text form.
+/// Returns all metrics in the Prometheus text format.
 pub fn text() -> Vec<u8> {
-    let mut out = Vec::new();
-    with(|on| {
-        on.breaches.record(coord::invariant::breaches(), &[]);
-        let _ = TextEncoder::new().encode(&on.registry.gather(), &mut out);
+    let mut output = Vec::new();
+    with(|metrics| {
+        metrics.invariant_breaches.record(coord::invariant::breaches(), &[]);
+        let _ = TextEncoder::new().encode(&metrics.registry.gather(), &mut output);
     });
-    out
+    output
 }
--- a/sorrelpass/src/unread.rs
+++ b/sorrelpass/src/unread.rs
@@ -1,7 +1,8 @@
-//! Request bodies that tell whether they were read to their end.
+//! Request body that records whether it was read to its end.
 //!
-//! An HTTP/1 connection ends behind an answer whose request was not read, since the rest of the body would pass for the
-//! next request. The answer has to say so: a caller that sends its next request there loses that one.
+//! If the body of an HTTP/1 request was not read to its end, the connection is closed after the response, since the
+//! rest of the body would be taken for the next request. The response has to announce this, as a caller would otherwise
+//! send its next request on the connection and lose it.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -10,37 +11,37 @@
 
 use hyper::body::{Body, Frame, SizeHint};
 
-/// A body that notes when its end was read.
+/// Body that records when its end was read.
 pub struct Watched<B> {
     inner: B,
-    unread: Unread,
+    read_state: ReadState,
 }
 
-/// Whether a body still has parts that were not read.
+/// Shared flag: whether a body still has data that was not read.
 #[derive(Clone, Debug)]
-pub struct Unread(Arc<AtomicBool>);
+pub struct ReadState(Arc<AtomicBool>);
 
-impl Unread {
-    /// Whether it has.
+impl ReadState {
+    /// Returns whether the body still has data that was not read.
     pub fn get(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
-    fn over(&self) {
+    fn set_read(&self) {
         self.0.store(false, Ordering::Relaxed);
     }
 }
 
 impl<B: Body> Watched<B> {
-    /// Watches `inner`.
+    /// Wraps `inner`.
     pub fn new(inner: B) -> Self {
-        let unread = Unread(Arc::new(AtomicBool::new(!inner.is_end_stream())));
-        Self { inner, unread }
+        let read_state = ReadState(Arc::new(AtomicBool::new(!inner.is_end_stream())));
+        Self { inner, read_state }
     }
 
-    /// Tells whether the body was read, also once it is gone.
-    pub fn unread(&self) -> Unread {
-        self.unread.clone()
+    /// Returns the flag of this body. It remains valid after the body was dropped.
+    pub fn unread(&self) -> ReadState {
+        self.read_state.clone()
     }
 }
 
@@ -52,11 +53,11 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Self::Data>, Self::Error>>> {
-        let polled = Pin::new(&mut self.inner).poll_frame(cx);
-        if matches!(polled, Poll::Ready(None)) || self.inner.is_end_stream() {
-            self.unread.over();
+        let frame = Pin::new(&mut self.inner).poll_frame(cx);
+        if matches!(frame, Poll::Ready(None)) || self.inner.is_end_stream() {
+            self.read_state.set_read();
         }
-        polled
+        frame
     }
 
     fn is_end_stream(&self) -> bool {
--- a/sorrelpass/src/util.rs
+++ b/sorrelpass/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers without a better home: clocks, threads with a runtime, identities.
+//! Helpers that all roles use: clocks, threads with a runtime, ids of processes and attempts, shutdown signals.
 
 use std::future::Future;
 use std::sync::OnceLock;
@@ -11,31 +11,32 @@
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-static START: OnceLock<Duration> = OnceLock::new();
+static FIRST_CALL: OnceLock<Duration> = OnceLock::new();
 static INCARNATION: OnceLock<Incarnation> = OnceLock::new();
 
-/// Time since this process first asked, on a clock that never goes back and also counts while the VM is suspended: on
-/// [`std::time::Instant`], which does not, a proof of a key that was taken away meanwhile would look young after it.
+/// Returns the time on a monotonic clock that also advances while the VM is suspended, counted from one hour before the
+/// first call. [`std::time::Instant`] stands still during a suspension: after it, the verification of a key that was
+/// revoked meanwhile would look recent.
 pub fn now() -> Moment {
     let now = since_boot();
-    let elapsed = now.saturating_sub(*START.get_or_init(|| now));
-    // An hour's head start keeps moments before the start representable.
+    let elapsed = now.saturating_sub(*FIRST_CALL.get_or_init(|| now));
+    // The offset of one hour keeps moments before the start of the process representable.
     Moment::from_micros(coord::time::micros(elapsed)) + Duration::from_secs(3_600)
 }
 
-/// Time since the VM was booted, suspension included.
+/// Returns the time since the VM was booted, including suspension.
 fn since_boot() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// Wall-clock time since the Unix epoch.
+/// Returns the wall-clock time since the Unix epoch.
 pub fn wall() -> Moment {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Moment::from_micros(coord::time::micros(since))
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Moment::from_micros(coord::time::micros(since_epoch))
 }
 
-/// This process's incarnation: start time in milliseconds and some chance.
+/// Returns the incarnation of this process: the wall-clock time of the first call in milliseconds, and 20 random bits.
 pub fn incarnation() -> Incarnation {
     *INCARNATION.get_or_init(|| {
         let millis = wall().as_micros() / 1_000;
@@ -43,17 +44,17 @@
     })
 }
 
-/// A new attempt number.
+/// Returns a new random attempt id.
 pub fn attempt() -> Attempt {
     Attempt(rand::random())
 }
 
-/// Milliseconds in `span`, rounded up, so that a client never comes back too early.
-pub fn millis_up(span: Duration) -> u64 {
-    u64::try_from(span.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
+/// Returns a duration in milliseconds, rounded up, so that a client never retries too early.
+pub fn millis_up(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
 }
 
-/// Starts a thread for one duty with its own single-threaded runtime.
+/// Starts a named thread that runs a future to its end on a single-threaded runtime of its own.
 pub fn duty<F, Fut>(name: &str, run: F) -> Result<JoinHandle<()>>
 where
     F: FnOnce() -> Fut + Send + 'static,
@@ -62,22 +63,22 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err_with(|| format!("step=start-thread duty={name}"))?;
+        .wrap_err_with(|| format!("step=start-thread thread={name}"))?;
     std::thread::Builder::new()
         .name(name.to_owned())
         .spawn(move || {
-            let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, run());
+            let local_set = tokio::task::LocalSet::new();
+            local_set.block_on(&runtime, run());
         })
-        .wrap_err_with(|| format!("step=start-thread duty={name}"))
+        .wrap_err_with(|| format!("step=start-thread thread={name}"))
 }
 
-/// A span of up to half of `base` more than `base`, so that many processes do not act in step.
+/// Returns a random duration between `base` and 1.5 times `base`, so that processes do not act in lockstep.
 pub fn jitter(base: Duration) -> Duration {
     base.mul_f64(1.0 + rand::random::<f64>() / 2.0)
 }
 
-/// Runs a future to its end on a runtime of its own, for a plain thread.
+/// Runs a future to its end on a new runtime, for use in a thread without a runtime.
 pub fn with_runtime<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
     runtime()?.block_on(future)
 }
@@ -86,7 +87,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().wrap_err("step=start-runtime")
 }
 
-/// SIGTERM and SIGINT, noted from the moment this is made: before it, either ends the process where it stands.
+/// Handlers of SIGTERM and SIGINT. Until they are registered, either signal kills the process at once.
 pub struct Termination {
     runtime: Runtime,
     terminate: Signal,
@@ -94,17 +95,17 @@
 }
 
 impl Termination {
-    /// Watches for both signals. To be made before anyone can reach the process.
+    /// Registers the handlers of both signals. Must be called before the process accepts connections.
     pub fn watch() -> Result<Self> {
         let runtime = runtime()?;
-        let entered = runtime.enter();
+        let runtime_guard = runtime.enter();
         let terminate = signal(SignalKind::terminate()).wrap_err("step=watch-signals")?;
         let interrupt = signal(SignalKind::interrupt()).wrap_err("step=watch-signals")?;
-        drop(entered);
+        drop(runtime_guard);
         Ok(Self { runtime, terminate, interrupt })
     }
 
-    /// Waits for one of them; one that has come already counts.
+    /// Waits for either signal. Returns at once if one arrived since the handlers were registered.
     pub fn wait(mut self) {
         self.runtime.block_on(async {
             tokio::select! {
