--- a/sorrelpass/src/config/gateway.rs
+++ b/sorrelpass/src/config/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry that serves replicas directly, without sidecars.
+//! Settings of an entry that serves replicas directly, without sidecars (role `gateway`).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,116 +7,118 @@
 use coord::standing::Power;
 
 use super::reader::Reader;
-use super::{DAY_MS, Process, address, process};
+use super::{MAX_DURATION_MS, Process, read_address, read_process};
 
-/// Part of the time to free memory for which it is held at once: it ends by itself in time, with room for the way.
-const HOLD_SHARE: f64 = 0.75;
-/// Longest grace and windows that settings may give, in seconds.
-const HOUR_S: f64 = 3_600.0;
-/// Most cores that settings may give a process.
-const MOST_CORES: f64 = 1_024.0;
-/// Fastest link that settings may give, in Mbit/s.
-const MOST_MBPS: f64 = 1e7;
+/// Share of the memory bounds for which engine memory is reserved at once. A reservation that is not renewed then
+/// expires within the bounds; the remainder covers the latency of the reservation call.
+const RESERVATION_SHARE: f64 = 0.75;
+/// Largest grace period or window that a bound may set, in seconds.
+const MAX_BOUND_S: f64 = 3_600.0;
+/// Largest number of cores that a setting may give.
+const MAX_CORES: f64 = 1_024.0;
+/// Largest link bandwidth that a setting may give, in Mbit/s.
+const MAX_LINK_MBPS: f64 = 1e7;
 
-/// Settings of such an entry.
+/// Settings of an entry that serves replicas directly.
 #[derive(Clone, Debug)]
 pub struct Gateway {
-    /// What every role has.
+    /// Settings that every role has.
     pub process: Process,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where the balancer asks for readiness and operators for metrics.
+    /// Listen address for the load balancer's readiness probe and for operators' metrics requests.
     pub ready_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where other entries connect; without it, this entry plans for itself alone.
+    /// Listen address for other entries; `None` makes this entry plan for itself only.
     pub peer_listen: Option<SocketAddr>,
-    /// Where some other entries listen for that, maybe stale: whom to ask while the store does not answer.
+    /// Peer addresses of some other entries, possibly outdated, which are contacted while the store does not answer.
     pub seeds: Vec<SocketAddr>,
-    /// How much the process can take on.
+    /// Capacity of the process, by which the leader of the entries is chosen.
     pub power: Power,
-    /// What the machine's link carries, in Mbit/s; 0 if it is not told.
+    /// Bandwidth of the VM's network link, in Mbit/s; 0 if it is unknown.
     pub link_mbps: f64,
-    /// Bounds that the deployment sets.
+    /// Time and retry bounds that the deployment sets.
     pub bounds: Bounds,
-    /// How requests are placed.
+    /// Placement policy.
     pub policy: Policy,
 }
 
-/// How requests are placed: every mechanism can be switched off, every weight be set. The defaults were found by
-/// measured rounds; see `docs/design/10-deciding.md`.
+/// Placement policy. Every mechanism can be switched off and every weight can be set. For the reasons behind the
+/// defaults, see `docs/design/10-deciding.md`.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// How prompts get engines.
+    /// Policy of the planner, which assigns engines to prompts.
     pub planner: planner::Policy,
-    /// Part of its caller's patience for which a prompt waits for an engine; then it is refused while its caller has
-    /// time left to come back in.
+    /// Share of the caller's timeout for which a prompt waits for an engine. The prompt is then refused, so that its
+    /// caller still has time for a retry.
     pub patience_share: f64,
-    /// Whether an entry that has just begun lets requests wait for what it will know.
+    /// Whether an entry that has just started holds requests until it has received configuration and replicas.
     pub learning: bool,
-    /// Whether one entry reads the store for all.
+    /// Whether one entry reads the store on behalf of all entries.
     pub passing_on: bool,
-    /// Whether plain replicas that fail are left alone for a while.
+    /// Whether circuit breakers eject plain replicas, which run no engine, for a time after failures.
     pub plain_breakers: bool,
-    /// Whether plain replicas in the entry's own failure domain are preferred among equals.
+    /// Whether, among equally good plain replicas, those in the entry's own failure domain are preferred.
     pub near: bool,
 }
 
-/// Bounds that the deployment sets.
+/// Time and retry bounds that the deployment sets.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// A replica that announced its end gets no request later than this.
+    /// Time after a replica's announcement that it drains from which on it receives no new requests.
     pub drain: Duration,
-    /// Time from SIGTERM to SIGKILL.
+    /// Grace period of a shutdown, from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// A key that was taken away is refused after this.
+    /// Time after the revocation of a key from which on requests with the key are refused.
     pub revoke: Duration,
-    /// Whether that holds also for entries that the store does not reach: then they refuse all keys in time.
+    /// Whether `revoke` also binds entries that cannot reach the store; if so, these refuse all keys once they can no
+    /// longer rule out a revocation.
     pub revoke_strict: bool,
-    /// A configuration is in force everywhere this long after the store has taken it.
+    /// Time after the store accepted a configuration within which it is in force on all entries.
     pub config_apply: Duration,
-    /// Nothing goes to the replicas of a failure domain this long after the store has taken that it is to be emptied.
+    /// Time after the store accepted the evacuation of a failure domain from which on its replicas get no requests.
     pub evacuate: Duration,
-    /// Retries per first try that all entries may make together.
+    /// Retries per first attempt that all entries together may make.
     pub retry_share: f64,
-    /// Window over which retries are counted.
+    /// Length of the window in which retries are counted.
     pub retry_window: Duration,
-    /// Retries that all entries may make in a window beyond that share.
+    /// Retries that all entries together may make in a window in addition to `retry_share`.
     pub retry_allowance: f64,
-    /// Engine memory must be free this long after the last request that used it.
-    pub free: Duration,
-    /// Engine memory must not be held unused for this long.
-    pub idle: Duration,
-    /// Longest hold that engines grant.
-    pub hold_max: Duration,
+    /// Time after the last request that used engine memory within which the memory must be released.
+    pub memory_release: Duration,
+    /// Time for which engine memory may be reserved without being used.
+    pub max_idle: Duration,
+    /// Longest reservation that engines grant.
+    pub max_reservation: Duration,
 }
 
 impl Bounds {
-    /// Within this time what operators say must be in force everywhere.
+    /// Returns the time within which every change by an operator must be in force on all entries.
     pub fn apply(&self) -> Duration {
         self.config_apply.min(self.evacuate)
     }
 
-    /// For how long engine memory is held at once.
+    /// Returns the duration for which engine memory is reserved at once.
     pub fn hold(&self) -> Duration {
-        self.free.min(self.idle).mul_f64(HOLD_SHARE).min(self.hold_max)
+        self.memory_release.min(self.max_idle).mul_f64(RESERVATION_SHARE).min(self.max_reservation)
     }
 }
 
-/// Reads the sections `[gateway]` and `[bounds]`.
-pub(super) fn gateway(reader: &mut Reader) -> Option<Gateway> {
-    let process = process(reader);
-    let listen = address(reader, "gateway", "listen");
-    let ready_listen = address(reader, "gateway", "ready_listen");
-    let store = address(reader, "gateway", "store");
+/// Reads the settings of the role `gateway`. Returns `None` if a required value is missing or invalid.
+pub(super) fn read(reader: &mut Reader) -> Option<Gateway> {
+    let process = read_process(reader);
+    let listen = read_address(reader, "gateway", "listen");
+    let ready_listen = read_address(reader, "gateway", "ready_listen");
+    let store = read_address(reader, "gateway", "store");
     let peer_port = reader.ports("gateway", "peer_ports").first().copied();
     let peer_address = reader.sockets("gateway", "peer_listen").first().copied();
     let seeds = reader.sockets("gateway", "seeds");
-    let cores = reader.number("gateway", "cores", 0.0..=MOST_CORES, 0.0);
-    let link_mbps = reader.number("gateway", "link_mbps", 0.0..=MOST_MBPS, 0.0);
+    let cores = reader.number("gateway", "cores", 0.0..=MAX_CORES, 0.0);
+    let link_mbps = reader.number("gateway", "link_mbps", 0.0..=MAX_LINK_MBPS, 0.0);
     let power = Power::of(cores, link_mbps);
-    let bounds = bounds(reader);
-    let policy = policy(reader);
+    let bounds = read_bounds(reader);
+    let policy = read_policy(reader);
     let listen = listen?;
     Some(Gateway {
         process: process?,
@@ -132,12 +134,12 @@
     })
 }
 
-/// Most milliseconds that a weight of the policy may be.
-const MOST_MS: f64 = 60_000.0;
+/// Largest value of a policy setting in milliseconds.
+const MAX_POLICY_MS: f64 = 60_000.0;
 
-fn policy(reader: &mut Reader) -> Policy {
+fn read_policy(reader: &mut Reader) -> Policy {
     Policy {
-        planner: planner_policy(reader),
+        planner: read_planner_policy(reader),
         patience_share: reader.number("policy", "patience_share", 0.0..=1.0, 0.45),
         learning: reader.flag("policy", "learning", true),
         passing_on: reader.flag("policy", "passing_on", true),
@@ -146,59 +148,60 @@
     }
 }
 
-fn planner_policy(reader: &mut Reader) -> planner::Policy {
-    let base = planner::Policy::default();
+fn read_planner_policy(reader: &mut Reader) -> planner::Policy {
+    let defaults = planner::Policy::default();
     let share = |reader: &mut Reader, key, default| reader.number("policy", key, 0.0..=1.0, default);
-    let millis = |reader: &mut Reader, key, default| reader.number("policy", key, 0.0..=MOST_MS, default);
+    let millis = |reader: &mut Reader, key, default| reader.number("policy", key, 0.0..=MAX_POLICY_MS, default);
     let flag = |reader: &mut Reader, key, default| reader.flag("policy", key, default);
     planner::Policy {
-        pause_share: share(reader, "pause_share", base.pause_share),
-        least_part_ms: millis(reader, "least_part_ms", base.least_part_ms),
-        most_parts: reader.number("policy", "most_parts", 1..=base.most_parts, base.most_parts),
-        start_pending_ms: millis(reader, "start_pending_ms", base.start_pending_ms),
-        slot_share: share(reader, "slot_share", base.slot_share),
-        memory_share: share(reader, "memory_share", base.memory_share),
-        long_share: share(reader, "long_share", base.long_share),
-        late_share: share(reader, "late_share", base.late_share),
-        least_usable: share(reader, "least_usable", base.least_usable),
-        in_time_share: share(reader, "in_time_share", base.in_time_share),
-        spare_writers: flag(reader, "spare_writers", base.spare_writers),
-        join_pending_ms: millis(reader, "join_pending_ms", base.join_pending_ms),
-        gather: flag(reader, "gather", base.gather),
-        cheapest_first: flag(reader, "cheapest_first", base.cheapest_first),
-        late_last: flag(reader, "late_last", base.late_last),
-        late_shared: flag(reader, "late_shared", base.late_shared),
-        refuse_early: flag(reader, "refuse_early", base.refuse_early),
-        packing: flag(reader, "packing", base.packing),
-        shared_memory: flag(reader, "shared_memory", base.shared_memory),
-        breakers: flag(reader, "breakers", base.breakers),
-        suspicion: flag(reader, "suspicion", base.suspicion),
-        few_left: flag(reader, "few_left", base.few_left),
-        mute_only: flag(reader, "mute_only", base.mute_only),
-        ask_pace: flag(reader, "ask_pace", base.ask_pace),
-        second_sends: flag(reader, "second_sends", base.second_sends),
-        settling: flag(reader, "settling", base.settling),
-        salt: flag(reader, "salt", base.salt),
+        pause_share: share(reader, "pause_share", defaults.pause_share),
+        least_part_ms: millis(reader, "least_part_ms", defaults.least_part_ms),
+        most_parts: reader.number("policy", "most_parts", 1..=defaults.most_parts, defaults.most_parts),
+        start_pending_ms: millis(reader, "start_pending_ms", defaults.start_pending_ms),
+        slot_share: share(reader, "slot_share", defaults.slot_share),
+        memory_share: share(reader, "memory_share", defaults.memory_share),
+        long_share: share(reader, "long_share", defaults.long_share),
+        late_share: share(reader, "late_share", defaults.late_share),
+        least_usable: share(reader, "least_usable", defaults.least_usable),
+        in_time_share: share(reader, "in_time_share", defaults.in_time_share),
+        spare_writers: flag(reader, "spare_writers", defaults.spare_writers),
+        join_pending_ms: millis(reader, "join_pending_ms", defaults.join_pending_ms),
+        gather: flag(reader, "gather", defaults.gather),
+        cheapest_first: flag(reader, "cheapest_first", defaults.cheapest_first),
+        late_last: flag(reader, "late_last", defaults.late_last),
+        late_shared: flag(reader, "late_shared", defaults.late_shared),
+        refuse_early: flag(reader, "refuse_early", defaults.refuse_early),
+        packing: flag(reader, "packing", defaults.packing),
+        shared_memory: flag(reader, "shared_memory", defaults.shared_memory),
+        breakers: flag(reader, "breakers", defaults.breakers),
+        suspicion: flag(reader, "suspicion", defaults.suspicion),
+        few_left: flag(reader, "few_left", defaults.few_left),
+        mute_only: flag(reader, "mute_only", defaults.mute_only),
+        ask_pace: flag(reader, "ask_pace", defaults.ask_pace),
+        second_sends: flag(reader, "second_sends", defaults.second_sends),
+        settling: flag(reader, "settling", defaults.settling),
+        salt: flag(reader, "salt", defaults.salt),
     }
 }
 
-/// The defaults are those of the users' first deployments; the platform always gives its own.
-fn bounds(reader: &mut Reader) -> Bounds {
+/// Reads the section `[bounds]`. The defaults are those of the users' first deployments; the platform always sets the
+/// values explicitly.
+fn read_bounds(reader: &mut Reader) -> Bounds {
     let seconds = |reader: &mut Reader, key, default| {
-        Duration::from_secs_f64(reader.number("bounds", key, 0.0..=HOUR_S, default))
+        Duration::from_secs_f64(reader.number("bounds", key, 0.0..=MAX_BOUND_S, default))
     };
     Bounds {
-        drain: reader.millis("bounds", "drain_ms", 1..=DAY_MS, 2_000),
+        drain: reader.millis("bounds", "drain_ms", 1..=MAX_DURATION_MS, 2_000),
         grace: seconds(reader, "grace_s", 8.0),
-        revoke: reader.millis("bounds", "revoke_ms", 1..=DAY_MS, 5_000),
+        revoke: reader.millis("bounds", "revoke_ms", 1..=MAX_DURATION_MS, 5_000),
         revoke_strict: reader.flag("bounds", "revoke_strict", true),
-        config_apply: reader.millis("bounds", "config_apply_ms", 1..=DAY_MS, 2_000),
-        evacuate: reader.millis("bounds", "evacuate_ms", 1..=DAY_MS, 5_000),
+        config_apply: reader.millis("bounds", "config_apply_ms", 1..=MAX_DURATION_MS, 2_000),
+        evacuate: reader.millis("bounds", "evacuate_ms", 1..=MAX_DURATION_MS, 5_000),
         retry_share: reader.number("bounds", "retry_share", 0.0..=1.0, 0.2),
         retry_window: seconds(reader, "retry_window_s", 10.0),
         retry_allowance: reader.number("bounds", "retry_allowance", 0.0..=1e9, 0.0),
-        free: reader.millis("bounds", "free_ms", 1..=DAY_MS, 4_000),
-        idle: reader.millis("bounds", "idle_max_ms", 1..=DAY_MS, 9_000),
-        hold_max: reader.millis("bounds", "hold_max_ms", 1..=DAY_MS, 20_000),
+        memory_release: reader.millis("bounds", "free_ms", 1..=MAX_DURATION_MS, 4_000),
+        max_idle: reader.millis("bounds", "idle_max_ms", 1..=MAX_DURATION_MS, 9_000),
+        max_reservation: reader.millis("bounds", "hold_max_ms", 1..=MAX_DURATION_MS, 20_000),
     }
 }
--- a/sorrelpass/src/config/mod.rs
+++ b/sorrelpass/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! Settings: INI files, read with every fault found at once.
+//! Settings of all roles, from INI files. All faults of a file are reported together.
 //!
-//! A [`Reader`] hands out typed values section by section and remembers what was
-//! asked for; [`Reader::finish`] reports what was wrong and what nobody asked for.
+//! A [`Reader`] returns typed values by section and key and records the requested keys; [`Reader::finish`] reports
+//! invalid values and keys of the file that were not requested.
 
 mod gateway;
 mod reader;
@@ -22,141 +22,141 @@
 /// Settings that every role has.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// The process's name.
+    /// Name of the process.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain in which the process runs.
     pub failure_domain: Name,
-    /// Log level, as `tracing` filters have it.
+    /// Log level, in the syntax of a `tracing` filter.
     pub log_level: String,
 }
 
-/// Where the platform's services are.
+/// Clients and addresses of the platform's services.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// Name of the log plug-in.
     pub log: &'static str,
-    /// The log's address.
+    /// Address of the log.
     pub log_address: Name,
     /// Name of the VM list plug-in.
     pub vms: &'static str,
-    /// The VM list's address.
+    /// Address of the VM list.
     pub vms_address: Name,
-    /// How often the VM list is read.
+    /// Interval at which the VM list is read.
     pub vms_poll: Duration,
 }
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What every role has.
+    /// Settings that every role has.
     pub process: Process,
-    /// Where the platform is.
+    /// Settings of the platform's services.
     pub platform: Platform,
-    /// Where callers and operators connect.
+    /// Listen address for callers and operators.
     pub listen: SocketAddr,
-    /// Where other processes of the system connect.
+    /// Listen address for other processes of the system.
     pub peer_listen: SocketAddr,
-    /// Peer addresses of other entries, for a start without the VM list.
+    /// Peer addresses of other entries, for a start while the VM list is unavailable.
     pub peers: Vec<Name>,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub threads: usize,
-    /// Name of the picker.
+    /// Name of the picker plug-in.
     pub picker: &'static str,
-    /// Endpoints asked for each request.
+    /// Number of candidate endpoints per request from which a quote is requested.
     pub candidates: usize,
-    /// Most endpoints of one service that this entry uses.
+    /// Limit on the endpoints of a service that this entry uses; of more, the entry uses a sample.
     pub sample: usize,
-    /// Largest body, in bytes.
+    /// Limit on the size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of bodies held at once.
+    /// Limit on the total size of the request bodies in memory, in bytes.
     pub body_budget_bytes: usize,
-    /// An endpoint that has not quoted by then is not waited for.
+    /// Timeout of a quote request to an endpoint.
     pub quote_timeout: Duration,
-    /// Time kept before a deadline to settle what ran.
+    /// Time reserved before a request's deadline for cancelling an attempt and finding out whether it ran.
     pub void_reserve: Duration,
-    /// A caller that does not read for so long is cut off.
+    /// Time without reading after which a caller's connection is closed.
     pub slow_caller: Duration,
-    /// Extra time to reach another failure domain.
+    /// Additional latency to an endpoint in another failure domain.
     pub distance: Duration,
-    /// Retries per first try.
+    /// Retries per first attempt.
     pub retry_share: f64,
-    /// How long an idempotency key is remembered.
+    /// Time for which an idempotency key is retained.
     pub once_window: Duration,
-    /// How often a snapshot of the configuration is due on the log.
+    /// Interval at which a snapshot of the configuration is appended to the log.
     pub snapshot_every: Duration,
-    /// Key that authenticates tickets.
+    /// Key that authenticates tickets; `None` disables tickets.
     pub ticket_secret: Option<Secret>,
-    /// Key that authenticates operators; none lets anyone in.
+    /// Key that authenticates operators; `None` admits everyone.
     pub operator_secret: Option<Secret>,
 }
 
-/// What kind of endpoint a sidecar stands beside.
+/// Kind of the endpoint that a sidecar serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A model engine.
+    /// Inference engine of a model.
     Engine,
-    /// A plain service.
+    /// HTTP service without an engine.
     Plain,
 }
 
 /// Settings of a sidecar.
 #[derive(Clone, Debug)]
 pub struct Sidecar {
-    /// What every role has.
+    /// Settings that every role has.
     pub process: Process,
-    /// Where entries connect.
+    /// Listen address for entries.
     pub listen: SocketAddr,
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub endpoint: Name,
-    /// The endpoint's address.
+    /// Address of the endpoint.
     pub endpoint_address: Name,
-    /// The service it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: Name,
-    /// What kind it is.
+    /// Kind of the endpoint.
     pub kind: Kind,
-    /// Peer addresses of entries to learn configuration from.
+    /// Peer addresses of the entries that provide the configuration.
     pub entries: Vec<Name>,
-    /// Name of the queue order.
+    /// Name of the queue order plug-in.
     pub order: &'static str,
-    /// Weights of the deployment's measures.
+    /// Weights for the queue order.
     pub weights: Weights,
-    /// Sizes and limits.
+    /// Limits of the scheduler.
     pub limits: Limits,
-    /// Prefill tokens a second to start the estimates from.
+    /// Initial estimate of the prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// Gap between tokens to start the estimates from.
+    /// Initial estimate of the gap between two output tokens.
     pub gap: Duration,
-    /// Blocks of the prefix cache's picture.
+    /// Number of blocks in the sidecar's model of the engine's prefix cache.
     pub cache_blocks: usize,
-    /// A caller's entry that does not read for so long is cut off.
+    /// Time without reading after which an entry's connection is closed.
     pub slow_entry: Duration,
-    /// How often the endpoint's health is checked.
+    /// Interval of the endpoint's health checks.
     pub probe: Duration,
 }
 
 /// Settings of any role.
 #[derive(Clone, Debug)]
 pub enum Settings {
-    /// Of an entry that serves replicas directly, as on the users' platform.
+    /// Settings of an entry that serves replicas directly, as on the users' platform.
     Gateway(Box<Gateway>),
-    /// Of an entry.
+    /// Settings of an entry.
     Entry(Box<Entry>),
-    /// Of a sidecar.
+    /// Settings of a sidecar.
     Sidecar(Box<Sidecar>),
 }
 
-/// Longest time settings may give, in milliseconds.
-const DAY_MS: u64 = 24 * 3_600 * 1_000;
+/// Largest value of most settings in milliseconds.
+const MAX_DURATION_MS: u64 = 24 * 3_600 * 1_000;
 
 impl Settings {
-    /// Reads and checks a settings file of any role.
+    /// Reads and validates a settings file. The role follows from the section that the file contains.
     pub fn load(file: &Path) -> Result<Self> {
         let mut reader = Reader::open(file)?;
-        let roles = ["entry", "gateway", "sidecar"].map(|section| reader.has(section));
-        let settings = match roles {
-            [true, false, false] => entry(&mut reader).map(|entry| Settings::Entry(Box::new(entry))),
-            [false, true, false] => gateway::gateway(&mut reader).map(|gateway| Settings::Gateway(Box::new(gateway))),
-            [false, false, true] => sidecar(&mut reader).map(|sidecar| Settings::Sidecar(Box::new(sidecar))),
+        let has_section = ["entry", "gateway", "sidecar"].map(|section| reader.has_section(section));
+        let settings = match has_section {
+            [true, false, false] => read_entry(&mut reader).map(|entry| Settings::Entry(Box::new(entry))),
+            [false, true, false] => gateway::read(&mut reader).map(|gateway| Settings::Gateway(Box::new(gateway))),
+            [false, false, true] => read_sidecar(&mut reader).map(|sidecar| Settings::Sidecar(Box::new(sidecar))),
             _ => {
                 let reason = "the file must have exactly one of the sections [entry], [gateway] and [sidecar]";
                 reader.fault("entry", "-", reason);
@@ -168,7 +168,7 @@
     }
 }
 
-fn process(reader: &mut Reader) -> Option<Process> {
+fn read_process(reader: &mut Reader) -> Option<Process> {
     let name = reader.name("process", "name");
     let failure_domain = reader.name("process", "failure_domain");
     let levels = ["error", "warn", "info", "debug", "trace"];
@@ -176,25 +176,25 @@
     Some(Process { name: name?, failure_domain: failure_domain?, log_level })
 }
 
-fn address(reader: &mut Reader, section: &str, key: &str) -> Option<SocketAddr> {
+fn read_address(reader: &mut Reader, section: &str, key: &str) -> Option<SocketAddr> {
     reader.required(section, key, "an address ip:port")
 }
 
-fn platform(reader: &mut Reader) -> Option<Platform> {
+fn read_platform(reader: &mut Reader) -> Option<Platform> {
     let log = reader.choice("platform", "log", &plugin::names::<LogPlugin>(|plugin| plugin.name), "http");
     let vms = reader.choice("platform", "vms", &plugin::names::<VmListPlugin>(|plugin| plugin.name), "http");
-    let log_address = address(reader, "platform", "log_address");
-    let vms_address = address(reader, "platform", "vms_address");
-    let vms_poll = reader.millis("platform", "vms_poll_ms", 50..=DAY_MS, 1_000);
-    let name = |address: SocketAddr| Name::from(address.to_string());
-    Some(Platform { log, log_address: name(log_address?), vms, vms_address: name(vms_address?), vms_poll })
+    let log_address = read_address(reader, "platform", "log_address");
+    let vms_address = read_address(reader, "platform", "vms_address");
+    let vms_poll = reader.millis("platform", "vms_poll_ms", 50..=MAX_DURATION_MS, 1_000);
+    let to_name = |address: SocketAddr| Name::from(address.to_string());
+    Some(Platform { log, log_address: to_name(log_address?), vms, vms_address: to_name(vms_address?), vms_poll })
 }
 
-fn entry(reader: &mut Reader) -> Option<Entry> {
-    let process = process(reader);
-    let platform = platform(reader);
-    let listen = address(reader, "entry", "listen");
-    let peer_listen = address(reader, "entry", "peer_listen");
+fn read_entry(reader: &mut Reader) -> Option<Entry> {
+    let process = read_process(reader);
+    let platform = read_platform(reader);
+    let listen = read_address(reader, "entry", "listen");
+    let peer_listen = read_address(reader, "entry", "peer_listen");
     let peers = reader.addresses("entry", "peers");
     let threads = reader.number("entry", "threads", 1..=64, 2);
     let pickers = plugin::names::<PickerPlugin>(|plugin| plugin.name);
@@ -205,11 +205,11 @@
     let body_budget_bytes = reader.number("entry", "body_budget_bytes", 1_024..=1 << 36, 256 << 20);
     let quote_timeout = reader.millis("entry", "quote_timeout_ms", 1..=60_000, 100);
     let void_reserve = reader.millis("entry", "void_reserve_ms", 1..=60_000, 200);
-    let slow_caller = reader.millis("entry", "slow_caller_ms", 10..=DAY_MS, 10_000);
+    let slow_caller = reader.millis("entry", "slow_caller_ms", 10..=MAX_DURATION_MS, 10_000);
     let distance = reader.millis("entry", "distance_ms", 0..=10_000, 2);
     let retry_share = reader.number("entry", "retry_share", 0.0..=1.0, 0.1);
-    let once_window = reader.millis("entry", "once_window_ms", 1_000..=DAY_MS, 3_600_000);
-    let snapshot_every = reader.millis("entry", "snapshot_every_ms", 100..=DAY_MS, 600_000);
+    let once_window = reader.millis("entry", "once_window_ms", 1_000..=MAX_DURATION_MS, 3_600_000);
+    let snapshot_every = reader.millis("entry", "snapshot_every_ms", 100..=MAX_DURATION_MS, 600_000);
     let ticket_secret = reader.secret("entry", "ticket_secret");
     let operator_secret = reader.secret("entry", "operator_secret");
     if body_budget_bytes < max_body_bytes {
@@ -239,7 +239,7 @@
     })
 }
 
-fn limits(reader: &mut Reader) -> Limits {
+fn read_limits(reader: &mut Reader) -> Limits {
     Limits {
         slots: reader.number("sidecar", "slots", 1..=65_536, 64),
         memory_tokens: reader.number("sidecar", "memory_tokens", 1..=1 << 40, 400_000),
@@ -247,15 +247,15 @@
         short_tokens: reader.number("sidecar", "short_tokens", 1..=1 << 40, 4_000),
         short_share: reader.number("sidecar", "short_share", 0.0..=0.9, 0.2),
         grade_long: reader.choice("sidecar", "grade_long", &["yes", "no"], "yes") == "yes",
-        window: reader.millis("sidecar", "once_window_ms", 1_000..=DAY_MS, 3_600_000),
+        window: reader.millis("sidecar", "once_window_ms", 1_000..=MAX_DURATION_MS, 3_600_000),
     }
 }
 
-fn sidecar(reader: &mut Reader) -> Option<Sidecar> {
-    let process = process(reader);
-    let listen = address(reader, "sidecar", "listen");
+fn read_sidecar(reader: &mut Reader) -> Option<Sidecar> {
+    let process = read_process(reader);
+    let listen = read_address(reader, "sidecar", "listen");
     let endpoint = reader.name("sidecar", "endpoint");
-    let endpoint_address = address(reader, "sidecar", "endpoint_address");
+    let endpoint_address = read_address(reader, "sidecar", "endpoint_address");
     let service = reader.name("sidecar", "service");
     let kind = match reader.choice("sidecar", "kind", &["engine", "plain"], "engine") {
         "plain" => Kind::Plain,
@@ -266,12 +266,12 @@
     let order = reader.choice("sidecar", "order", &orders, "slack");
     let slowdown = reader.number("sidecar", "slowdown_weight", 0.0..=1_000.0, 1.0);
     let ttft = reader.number("sidecar", "ttft_weight", 0.0..=1_000.0, 1.0);
-    let limits = limits(reader);
+    let limits = read_limits(reader);
     let prefill_rate = reader.number("sidecar", "prefill_tokens_per_s", 1.0..=1e12, 60_000.0);
     let gap = reader.millis("sidecar", "gap_ms", 1..=60_000, 20);
     let cache_blocks = reader.number("sidecar", "cache_blocks", 1..=1 << 24, 65_536);
-    let slow_entry = reader.millis("sidecar", "slow_entry_ms", 10..=DAY_MS, 10_000);
-    let probe = reader.millis("sidecar", "probe_ms", 20..=DAY_MS, 1_000);
+    let slow_entry = reader.millis("sidecar", "slow_entry_ms", 10..=MAX_DURATION_MS, 10_000);
+    let probe = reader.millis("sidecar", "probe_ms", 20..=MAX_DURATION_MS, 1_000);
     Some(Sidecar {
         process: process?,
         listen: listen?,
--- a/sorrelpass/src/config/reader.rs
+++ b/sorrelpass/src/config/reader.rs
@@ -1,4 +1,4 @@
-//! A reader of INI files that finds every fault at once.
+//! Reader of INI files that collects all faults instead of stopping at the first.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -13,16 +13,16 @@
 
 use crate::secret::Secret;
 
-/// One fault of a settings file.
+/// Fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// The line of the key, or of the section if the key is missing.
+    /// Line of the key, or of its section if the key is missing; `None` if the file has no such section.
     pub line: Option<usize>,
-    /// `section.key`.
+    /// Section and key, as `section.key`; `-` if the fault concerns the syntax of the file.
     pub key: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub reason: String,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// All faults of a settings file.
+/// All faults of a settings file, which are displayed one per line.
 #[derive(Clone, Debug)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -46,24 +46,24 @@
 
 impl std::error::Error for Faults {}
 
-/// Reads one settings file.
+/// Reads the values of a settings file and collects its faults.
 pub struct Reader {
     file: PathBuf,
     text: String,
     ini: Ini,
-    asked: BTreeSet<(String, String)>,
+    requested_keys: BTreeSet<(String, String)>,
     faults: Vec<Fault>,
 }
 
 impl Reader {
-    /// Reads `file`; a file that is no INI is a single fault.
+    /// Reads `file`. Returns an error if the file cannot be read or is not valid INI.
     pub fn open(file: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(file)
             .map_err(|error| eyre!("step=read-settings file={}: {error}", file.display()))?;
         Self::parse(file, text)
     }
 
-    /// Reads `text` as the content of `file`.
+    /// Parses `text` as the content of `file`.
     pub fn parse(file: &Path, text: String) -> Result<Self> {
         let ini = Ini::load_from_str(&text).map_err(|error| {
             let fault = Fault {
@@ -74,65 +74,69 @@
             };
             eyre!(Faults(vec![fault]))
         })?;
-        Ok(Self { file: file.to_owned(), text, ini, asked: BTreeSet::new(), faults: Vec::new() })
+        Ok(Self { file: file.to_owned(), text, ini, requested_keys: BTreeSet::new(), faults: Vec::new() })
     }
 
-    /// Whether the file has a section.
-    pub fn has(&self, section: &str) -> bool {
+    /// Returns whether the file has a section with at least its header.
+    pub fn has_section(&self, section: &str) -> bool {
         self.ini.section(Some(section)).is_some()
     }
 
-    fn raw(&mut self, section: &str, key: &str) -> Option<String> {
-        self.asked.insert((section.to_owned(), key.to_owned()));
+    /// Returns the text of a value, trimmed, and records that the key was requested.
+    fn raw_value(&mut self, section: &str, key: &str) -> Option<String> {
+        self.requested_keys.insert((section.to_owned(), key.to_owned()));
         self.ini.get_from(Some(section), key).map(|value| value.trim().to_owned())
     }
 
-    /// Notes a fault at a key.
+    /// Records a fault of a key.
     pub fn fault(&mut self, section: &str, key: &str, reason: impl Into<String>) {
-        let line = self.line(section, key);
+        let line = self.line_number(section, key);
         let fault = Fault { file: self.file.clone(), line, key: format!("{section}.{key}"), reason: reason.into() };
         self.faults.push(fault);
     }
 
-    fn line(&self, section: &str, key: &str) -> Option<usize> {
+    /// Returns the line of a key, counted from 1, or the line of its section if the section lacks the key.
+    fn line_number(&self, section: &str, key: &str) -> Option<usize> {
         let header = format!("[{section}]");
-        let start = self.text.lines().position(|line| line.trim() == header)?;
-        let inside =
-            self.text.lines().enumerate().skip(start + 1).take_while(|(_, line)| !line.trim().starts_with('['));
-        let found =
-            inside.into_iter().find(|(_, line)| line.split(['=', ':']).next().is_some_and(|name| name.trim() == key));
-        Some(found.map_or(start, |(index, _)| index) + 1)
+        let header_index = self.text.lines().position(|line| line.trim() == header)?;
+        let section_lines =
+            self.text.lines().enumerate().skip(header_index + 1).take_while(|(_, line)| !line.trim().starts_with('['));
+        let key_line = section_lines
+            .into_iter()
+            .find(|(_, line)| line.split(['=', ':']).next().is_some_and(|name| name.trim() == key));
+        Some(key_line.map_or(header_index, |(index, _)| index) + 1)
     }
 
-    /// A value that must be there.
-    pub fn required<T: FromStr>(&mut self, section: &str, key: &str, what: &str) -> Option<T> {
-        let Some(raw) = self.raw(section, key).filter(|raw| !raw.is_empty()) else {
-            self.fault(section, key, format!("missing: {what} is needed"));
+    /// Returns a required value, or `None` after recording a fault. `expected` describes valid values, with an article.
+    pub fn required<T: FromStr>(&mut self, section: &str, key: &str, expected: &str) -> Option<T> {
+        let Some(raw) = self.raw_value(section, key).filter(|raw| !raw.is_empty()) else {
+            self.fault(section, key, format!("missing: {expected} is needed"));
             return None;
         };
-        self.parsed(section, key, &raw, what)
+        self.parse_value(section, key, &raw, expected)
     }
 
-    /// A value with a default.
-    pub fn or<T: FromStr>(&mut self, section: &str, key: &str, what: &str, default: T) -> T {
-        let Some(raw) = self.raw(section, key) else { return default };
-        self.parsed(section, key, &raw, what).unwrap_or(default)
+    /// Returns an optional value. A missing or invalid value yields the default; an invalid one is also a fault.
+    pub fn optional<T: FromStr>(&mut self, section: &str, key: &str, expected: &str, default: T) -> T {
+        let Some(raw) = self.raw_value(section, key) else { return default };
+        self.parse_value(section, key, &raw, expected).unwrap_or(default)
     }
 
-    fn parsed<T: FromStr>(&mut self, section: &str, key: &str, raw: &str, what: &str) -> Option<T> {
+    /// Parses a value; records a fault if it is invalid.
+    fn parse_value<T: FromStr>(&mut self, section: &str, key: &str, raw: &str, expected: &str) -> Option<T> {
         let value = raw.parse().ok();
         if value.is_none() {
-            self.fault(section, key, format!("{raw:?} is not {what}"));
+            self.fault(section, key, format!("{raw:?} is not {expected}"));
         }
         value
     }
 
-    /// A number within bounds, with a default.
+    /// Returns an optional number. A number outside `bounds` is a fault and yields the default.
     pub fn number<T>(&mut self, section: &str, key: &str, bounds: std::ops::RangeInclusive<T>, default: T) -> T
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
     {
-        let value = self.or(section, key, "a number", default);
+        let value = self.optional(section, key, "a number", default);
         if !bounds.contains(&value) {
             self.fault(section, key, format!("{value} lies outside {} to {}", bounds.start(), bounds.end()));
             return default;
@@ -140,7 +144,7 @@
         value
     }
 
-    /// A time in milliseconds, within bounds, with a default.
+    /// Returns an optional duration in milliseconds. A value outside `bounds` is a fault and yields the default.
     pub fn millis(
         &mut self,
         section: &str,
@@ -151,7 +155,7 @@
         Duration::from_millis(self.number(section, key, bounds, default))
     }
 
-    /// A name that must be there: letters, digits, `-`, `_`, `.`.
+    /// Returns a required name, which consists of ASCII letters, digits, `-`, `_` and `.`.
     pub fn name(&mut self, section: &str, key: &str) -> Option<Name> {
         let raw: String = self.required(section, key, "a name")?;
         if !raw.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c)) {
@@ -161,7 +165,7 @@
         Some(Name::from(raw))
     }
 
-    /// One of several words, with a default.
+    /// Returns an optional value that must be one of `choices`.
     pub fn choice(
         &mut self,
         section: &str,
@@ -169,55 +173,56 @@
         choices: &[&'static str],
         default: &'static str,
     ) -> &'static str {
-        let Some(raw) = self.raw(section, key) else { return default };
-        if let Some(found) = choices.iter().find(|choice| **choice == raw) {
-            return found;
+        let Some(raw) = self.raw_value(section, key) else { return default };
+        if let Some(chosen) = choices.iter().find(|choice| **choice == raw) {
+            return chosen;
         }
         self.fault(section, key, format!("{raw:?} is none of: {}", choices.join(", ")));
         default
     }
 
-    /// A setting that is `true` or `false`, with a default where it is left out or empty.
+    /// Returns an optional value that is `true` or `false`; a missing or empty value yields the default.
     pub fn flag(&mut self, section: &str, key: &str, default: bool) -> bool {
-        let raw = self.raw(section, key).filter(|raw| !raw.is_empty());
-        raw.and_then(|raw| self.parsed(section, key, &raw, "true or false")).unwrap_or(default)
+        let raw = self.raw_value(section, key).filter(|raw| !raw.is_empty());
+        raw.and_then(|raw| self.parse_value(section, key, &raw, "true or false")).unwrap_or(default)
     }
 
-    /// A list of addresses, separated by commas.
+    /// Returns a comma-separated list of `ip:port` addresses as names; the list may be missing or empty.
     pub fn addresses(&mut self, section: &str, key: &str) -> Vec<Name> {
-        let address = |part: &str| part.parse::<SocketAddr>().is_ok().then(|| Name::from(part));
-        self.list(section, key, "an address ip:port", address)
+        let parse_address = |part: &str| part.parse::<SocketAddr>().is_ok().then(|| Name::from(part));
+        self.parse_list(section, key, "an address ip:port", parse_address)
     }
 
-    /// A list of addresses to connect to or listen on, separated by commas.
+    /// Returns a comma-separated list of `ip:port` addresses; the list may be missing or empty.
     pub fn sockets(&mut self, section: &str, key: &str) -> Vec<SocketAddr> {
-        self.list(section, key, "an address ip:port", |part| part.parse().ok())
+        self.parse_list(section, key, "an address ip:port", |part| part.parse().ok())
     }
 
-    /// A list of port numbers, separated by commas.
+    /// Returns a comma-separated list of port numbers; the list may be missing or empty.
     pub fn ports(&mut self, section: &str, key: &str) -> Vec<u16> {
-        self.list(section, key, "a port", |part| part.parse().ok())
+        self.parse_list(section, key, "a port", |part| part.parse().ok())
     }
 
-    /// The parts of a list that is separated by commas, as far as `read` takes them.
-    fn list<T>(&mut self, section: &str, key: &str, what: &str, read: impl Fn(&str) -> Option<T>) -> Vec<T> {
-        let Some(raw) = self.raw(section, key) else { return Vec::new() };
-        let mut found = Vec::new();
+    /// Returns the items of a comma-separated list. Items that `parse` rejects are recorded as faults and omitted.
+    fn parse_list<T>(&mut self, section: &str, key: &str, expected: &str, parse: impl Fn(&str) -> Option<T>) -> Vec<T> {
+        let Some(raw) = self.raw_value(section, key) else { return Vec::new() };
+        let mut items = Vec::new();
         for part in raw.split(',').map(str::trim).filter(|part| !part.is_empty()) {
-            match read(part) {
-                Some(value) => found.push(value),
-                None => self.fault(section, key, format!("{part:?} is not {what}")),
+            match parse(part) {
+                Some(value) => items.push(value),
+                None => self.fault(section, key, format!("{part:?} is not {expected}")),
             }
         }
-        found
+        items
     }
 
-    /// A secret named by `key_file` or `key_env`.
+    /// Returns a secret of at least 16 bytes from the file or the environment variable that the settings `{key}_file` or
+    /// `{key}_env` name; `None` if neither is set or the secret is invalid.
     pub fn secret(&mut self, section: &str, key: &str) -> Option<Secret> {
         let file_key = format!("{key}_file");
         let env_key = format!("{key}_env");
-        let file: Option<String> = self.raw(section, &file_key);
-        let env: Option<String> = self.raw(section, &env_key);
+        let file: Option<String> = self.raw_value(section, &file_key);
+        let env: Option<String> = self.raw_value(section, &env_key);
         match (file, env) {
             (Some(_), Some(_)) => {
                 self.fault(section, &file_key, format!("give either {file_key} or {env_key}, not both"))
@@ -237,18 +242,18 @@
         None
     }
 
-    /// Reports every fault, unknown sections and keys among them.
+    /// Returns an error with all faults, which include keys in the file that were not requested.
     pub fn finish(mut self) -> Result<(), Faults> {
-        let mut unknown = Vec::new();
+        let mut unknown_keys = Vec::new();
         for (section, properties) in self.ini.iter() {
             let section = section.unwrap_or("");
             for (key, _) in properties.iter() {
-                if !self.asked.contains(&(section.to_owned(), key.to_owned())) {
-                    unknown.push((section.to_owned(), key.to_owned()));
+                if !self.requested_keys.contains(&(section.to_owned(), key.to_owned())) {
+                    unknown_keys.push((section.to_owned(), key.to_owned()));
                 }
             }
         }
-        for (section, key) in unknown {
+        for (section, key) in unknown_keys {
             self.fault(&section, &key, "unknown key");
         }
         if self.faults.is_empty() { Ok(()) } else { Err(Faults(self.faults)) }
