--- a/sorrelpass/src/config/gateway.rs
+++ b/sorrelpass/src/config/gateway.rs
@@ -66,18 +66,19 @@
 /// Time and retry bounds that the deployment sets.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time after a replica's announcement that it drains from which on it receives no new requests.
+    /// Time from a replica's announcement that it is draining until it must not receive new requests.
     pub drain: Duration,
     /// Grace period of a shutdown, from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// Time after the revocation of a key from which on requests with the key are refused.
+    /// Time from the revocation of a key until requests with the key must be refused.
     pub revoke: Duration,
     /// Whether `revoke` also binds entries that cannot reach the store; if so, these refuse all keys once they can no
     /// longer rule out a revocation.
     pub revoke_strict: bool,
-    /// Time after the store accepted a configuration within which it is in force on all entries.
+    /// Time from the store's acceptance of a configuration until it must be in force on all entries.
     pub config_apply: Duration,
-    /// Time after the store accepted the evacuation of a failure domain from which on its replicas get no requests.
+    /// Time from the store's acceptance of the evacuation of a failure domain until its replicas must not receive
+    /// requests.
     pub evacuate: Duration,
     /// Retries per first attempt that all entries together may make.
     pub retry_share: f64,
@@ -85,9 +86,9 @@
     pub retry_window: Duration,
     /// Retries that all entries together may make in a window in addition to `retry_share`.
     pub retry_allowance: f64,
-    /// Time after the last request that used engine memory within which the memory must be released.
+    /// Time from the end of the last request that used engine memory until the memory must be released.
     pub memory_release: Duration,
-    /// Time for which engine memory may be reserved without being used.
+    /// Longest time for which engine memory may be reserved without being used.
     pub max_idle: Duration,
     /// Longest reservation that engines grant.
     pub max_reservation: Duration,
--- a/sorrelpass/src/config/mod.rs
+++ b/sorrelpass/src/config/mod.rs
@@ -152,8 +152,8 @@
     /// Reads and validates a settings file. The role follows from the section that the file contains.
     pub fn load(file: &Path) -> Result<Self> {
         let mut reader = Reader::open(file)?;
-        let has_section = ["entry", "gateway", "sidecar"].map(|section| reader.has_section(section));
-        let settings = match has_section {
+        let present_sections = ["entry", "gateway", "sidecar"].map(|section| reader.has_section(section));
+        let settings = match present_sections {
             [true, false, false] => read_entry(&mut reader).map(|entry| Settings::Entry(Box::new(entry))),
             [false, true, false] => gateway::read(&mut reader).map(|gateway| Settings::Gateway(Box::new(gateway))),
             [false, false, true] => read_sidecar(&mut reader).map(|sidecar| Settings::Sidecar(Box::new(sidecar))),
--- a/sorrelpass/src/config/reader.rs
+++ b/sorrelpass/src/config/reader.rs
@@ -203,12 +203,18 @@
         self.parse_list(section, key, "a port", |part| part.parse().ok())
     }
 
-    /// Returns the items of a comma-separated list. Items that `parse` rejects are recorded as faults and omitted.
-    fn parse_list<T>(&mut self, section: &str, key: &str, expected: &str, parse: impl Fn(&str) -> Option<T>) -> Vec<T> {
+    /// Returns the items of a comma-separated list. Items that `parse_item` rejects are recorded as faults and omitted.
+    fn parse_list<T>(
+        &mut self,
+        section: &str,
+        key: &str,
+        expected: &str,
+        parse_item: impl Fn(&str) -> Option<T>,
+    ) -> Vec<T> {
         let Some(raw) = self.raw_value(section, key) else { return Vec::new() };
         let mut items = Vec::new();
         for part in raw.split(',').map(str::trim).filter(|part| !part.is_empty()) {
-            match parse(part) {
+            match parse_item(part) {
                 Some(value) => items.push(value),
                 None => self.fault(section, key, format!("{part:?} is not {expected}")),
             }
@@ -216,8 +222,8 @@
         items
     }
 
-    /// Returns a secret of at least 16 bytes from the file or the environment variable that the settings `{key}_file` or
-    /// `{key}_env` name; `None` if neither is set or the secret is invalid.
+    /// Returns a secret of at least 16 bytes from the file or environment variable that the setting `{key}_file` or
+    /// `{key}_env` names; `None` if neither is set or the secret is invalid.
     pub fn secret(&mut self, section: &str, key: &str) -> Option<Secret> {
         let file_key = format!("{key}_file");
         let env_key = format!("{key}_env");
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -1,7 +1,7 @@
-//! The wire between entries and sidecars: postcard frames over HTTP/2.
+//! Protocol between entries and sidecars: postcard messages over HTTP/2.
 //!
-//! A call to `/work` carries one length-delimited [`Open`] and then the caller's
-//! body as it came. The answer is a run of length-delimited [`Frame`]s.
+//! A request to `/work` carries one length-delimited [`Open`], followed by the unchanged body of the caller's request.
+//! The response is a sequence of length-delimited [`Frame`]s.
 
 use bytes::{Bytes, BytesMut};
 use coord::claim::Key;
@@ -13,156 +13,157 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Path for asking a quote.
+/// Path of requests for a quote.
 pub const QUOTE: &str = "/quote";
-/// Path for handing over work.
+/// Path of requests that hand a job to a sidecar.
 pub const WORK: &str = "/work";
-/// Path for voiding an attempt.
+/// Path of requests that cancel an attempt.
 pub const VOID: &str = "/void";
-/// Path for asking what the endpoint holds.
+/// Path of requests for the list of an endpoint's reservations.
 pub const HOLDS: &str = "/holds";
-/// Path for holding a span's memory, or renewing its lease.
+/// Path of requests that reserve memory for a span or renew the span's lease.
 pub const SPAN_HOLD: &str = "/span/hold";
-/// Path for prefilling a span.
+/// Path of requests that prefill a span.
 pub const SPAN_FILL: &str = "/span/fill";
-/// Path for freeing a span.
+/// Path of requests that release a span's memory.
 pub const SPAN_FREE: &str = "/span/free";
-/// Largest frame, in bytes.
-const MAX_FRAME: usize = 16 * 1_024 * 1_024;
+/// Limit on the size of a length-delimited message.
+const MAX_FRAME_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// What is asked for, as far as a scheduler needs it.
+/// Properties of a request on which the scheduler of a sidecar bases its quote.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ask {
-    /// The workspace.
+    /// Workspace of the caller.
     pub workspace: Name,
-    /// Its weight in fair sharing.
+    /// Weight of the workspace in fair sharing.
     pub weight: f64,
-    /// Prompt tokens, estimated from the text's length; 0 for a plain call.
+    /// Number of prompt tokens, estimated from the length of the text; 0 for a call to a plain service.
     pub prompt_tokens: u64,
-    /// Most output tokens; 0 for a plain call.
+    /// Limit on the number of output tokens; 0 for a call to a plain service.
     pub output_tokens: u64,
-    /// The intent's priority.
+    /// Priority that the intent sets.
     pub priority: u8,
-    /// Time left for the whole answer, in microseconds.
+    /// Time left until the deadline of the complete answer, in microseconds.
     pub left_micros: u64,
-    /// Bytes of text per token.
+    /// Average number of bytes of text per token.
     pub bytes_per_token: f64,
-    /// The prompt's prefix chain.
+    /// Hash chain of the prompt's prefixes, for matching against the prefix cache.
     pub chain: Chain,
 }
 
-/// The answer to an [`Ask`].
+/// Response to an [`Ask`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Quoted {
-    /// The sidecar's incarnation.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// Whether it refuses new work.
+    /// Whether the sidecar is draining and refuses new requests.
     pub leaving: bool,
-    /// What it expects.
+    /// Estimate by the scheduler.
     pub quote: Quote,
 }
 
-/// Work handed to a sidecar, before the body.
+/// Head of a request to `/work`, which precedes the body.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Open {
-    /// This try.
+    /// Id of this attempt.
     pub attempt: Attempt,
-    /// The caller's request, for the time line.
+    /// Id of the caller's request, for the event log.
     pub request: Name,
-    /// The entry that asks.
+    /// Name of the entry that sends the request.
     pub entry: Name,
-    /// If set, only this incarnation may accept.
+    /// The only incarnation of the sidecar that may accept the request; `None` admits any.
     pub incarnation: Option<Incarnation>,
-    /// Set for a call that may run once under this key.
+    /// Idempotency key, under which the call runs at most once; `None` for a call without a key.
     pub once: Option<Key>,
-    /// What it needs.
+    /// Resource needs and deadline of the request.
     pub ask: Ask,
-    /// What to call on the endpoint.
+    /// HTTP call to the endpoint.
     pub call: Call,
 }
 
-/// A call to an endpoint.
+/// HTTP call to an endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Call {
-    /// HTTP method.
+    /// Method of the HTTP request.
     pub method: String,
     /// Path and query.
     pub path: String,
     /// Headers to pass on.
     pub headers: Vec<(String, String)>,
-    /// Output tokens that the caller already has, when a stream goes on here.
+    /// Number of output tokens that the caller already has, if this attempt resumes a stream; else 0.
     pub resume_after: u64,
-    /// Whether this is a prompt to an engine, as opposed to a plain call.
+    /// Whether the call is a prompt for an engine rather than a call to a plain service.
     pub prompt: bool,
 }
 
-/// Token counts of an answer.
+/// Token counts of a complete answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Prompt tokens, as the engine counted them.
+    /// Number of prompt tokens, as counted by the engine.
     pub prompt_tokens: u64,
-    /// Output tokens of this attempt.
+    /// Number of output tokens of this attempt.
     pub output_tokens: u64,
 }
 
-/// A frame of an answer.
+/// Message in the response to a request to `/work`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The endpoint was given the call.
+    /// The request has left the queue, and the sidecar sends the call to the endpoint.
     Started,
-    /// A plain service's status and headers.
+    /// Status and headers of a plain service's response.
     Head {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
         /// Headers to pass on.
         headers: Vec<(String, String)>,
     },
-    /// A piece of the answer.
+    /// Chunk of the answer.
     Piece {
-        /// The attempt it belongs to.
+        /// Attempt that produced the chunk.
         attempt: Attempt,
-        /// Its number within the attempt, from zero.
+        /// Sequence number of the chunk within the attempt, from 0.
         number: u64,
-        /// Output tokens in it.
+        /// Number of output tokens in the chunk.
         tokens: u32,
-        /// Text or body bytes.
+        /// Text of a prompt's answer, or bytes of a plain service's body.
         bytes: Bytes,
     },
-    /// The whole answer was sent.
+    /// End of a complete answer.
     End {
-        /// The attempt.
+        /// Attempt that produced the answer.
         attempt: Attempt,
-        /// Number of pieces.
+        /// Number of chunks.
         count: u64,
-        /// Digest over the pieces.
+        /// Digest over the chunks.
         digest: u64,
-        /// Token counts.
+        /// Token counts of the answer.
         usage: Usage,
-        /// Why the engine stopped: `stop` or `length`.
+        /// Reason why the engine stopped: `stop` or `length`.
         finish: String,
     },
-    /// Not accepted; it did not run and will not.
+    /// Refusal: the request did not run and will not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: Refused,
-        /// When to come back, in microseconds.
+        /// Time after which a retry makes sense, in microseconds.
         retry_after_micros: u64,
     },
-    /// Given up after it was accepted.
+    /// Failure after the request was accepted.
     Failed {
-        /// Whether it ran.
+        /// Whether the request ran.
         ran: Ran,
-        /// The step at which it failed.
+        /// Step that failed.
         step: String,
-        /// What happened.
+        /// Description of the failure.
         message: String,
-        /// HTTP status of an endpoint that refused the call itself.
+        /// HTTP status code if the endpoint itself refused the call.
         status: Option<u16>,
     },
 }
 
 impl Frame {
-    /// The frame as an answer to `attempt`, which asks for what another attempt ran.
+    /// Returns the frame with its attempt replaced by `attempt`, for a repeated request that gets the answer of an
+    /// earlier attempt.
     pub fn told_to(self, attempt: Attempt) -> Self {
         match self {
             Frame::Piece { number, tokens, bytes, .. } => Frame::Piece { attempt, number, tokens, bytes },
@@ -172,128 +173,132 @@
     }
 }
 
-/// Why a sidecar refused work.
+/// Reason why a sidecar refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refused {
-    /// By its scheduler.
+    /// The scheduler refused the request.
     Scheduler(Refusal),
-    /// The work is bound to another incarnation.
+    /// The request admits only another incarnation of the sidecar.
     OtherIncarnation,
-    /// Its time ran out while it waited.
+    /// The deadline passed while the request waited in the queue.
     Expired,
 }
 
-/// A request to void an attempt.
+/// Request to cancel an attempt. An attempt that has started is stopped, unless it has an idempotency key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Void {
-    /// The attempt.
+    /// Attempt to cancel.
     pub attempt: Attempt,
-    /// Its key, if it may run once: another attempt may hold it.
+    /// Idempotency key of the attempt, if it has one. Another attempt may hold the key.
     pub once: Option<Key>,
 }
 
-/// The answer to a [`Void`].
+/// Response to a [`Void`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct VoidAnswer {
-    /// The sidecar's incarnation: one that started after the attempt was sent proves nothing.
+    /// Incarnation of the sidecar. An incarnation that started after the attempt was sent does not know whether the
+    /// attempt ran.
     pub incarnation: Incarnation,
-    /// What became of it.
+    /// Outcome of the cancellation.
     pub voided: Voided,
 }
 
-/// Asks for a span's memory, or renews its lease.
+/// Request to reserve memory for a span, or to renew the span's lease.
+///
+/// A span is a part of a prompt that is too long for one engine; the spans of a prompt are on different engines.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Hold {
-    /// The span.
+    /// Id of the span.
     pub span: Attempt,
-    /// Its KV memory, in tokens.
+    /// KV memory that the span needs, in tokens.
     pub tokens: u64,
-    /// How long the lease lasts from now, in microseconds.
+    /// Duration of the lease from the receipt of the request, in microseconds.
     pub lease_micros: u64,
-    /// Whether it is held already: then it is renewed or lost, never taken anew.
+    /// Whether the lease exists and is to be renewed. If it has expired, the request is refused; no new memory is
+    /// reserved.
     pub renew: bool,
 }
 
-/// The answer to a [`Hold`].
+/// Response to a [`Hold`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Held {
-    /// The memory is held.
+    /// The memory is reserved.
     Yes,
-    /// Ask again after so many microseconds.
+    /// The memory is not available yet; the request may be repeated after this time, in microseconds.
     Wait(u64),
-    /// Not here.
+    /// The sidecar cannot reserve the memory, or the lease to renew has expired.
     No,
 }
 
-/// Asks for a held span to be prefilled; the span's text follows.
+/// Request to prefill a span whose memory is reserved. The text of the span follows as the rest of the body.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Fill {
-    /// The span.
+    /// Id of the span.
     pub span: Attempt,
-    /// Digest of the spans before it.
+    /// Digest of the preceding spans of the prompt.
     pub digest: u64,
 }
 
-/// The answer to a [`Fill`].
+/// Response to a [`Fill`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Filled {
-    /// Tokens in the span, as the engine counted them.
+    /// Number of tokens in the span, as counted by the engine.
     pub tokens: u64,
-    /// Digest of all spans up to this one.
+    /// Digest of all spans of the prompt up to and including this one.
     pub digest: u64,
 }
 
-/// Encodes a message without a length.
+/// Encodes a message without a length prefix.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     match postcard::to_stdvec(message) {
         Ok(bytes) => Bytes::from(bytes),
-        // Only a type that cannot be serialised at all fails, and no such type is sent.
-        Err(error) => unreachable!("postcard: {error}"),
+        // Encoding fails only for types that postcard cannot serialise, and the protocol has no such type.
+        Err(error) => unreachable!("message cannot be serialised with postcard: {error}"),
     }
 }
 
-/// Decodes a message without a length.
+/// Decodes a message without a length prefix.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     postcard::from_bytes(bytes).wrap_err("step=decode")
 }
 
-fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+fn new_codec() -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Encodes a message with its length before it.
+/// Encodes a message with a length prefix.
 pub fn encode_delimited<T: Serialize>(message: &T) -> Bytes {
-    let mut out = BytesMut::new();
-    match codec().encode(encode(message), &mut out) {
-        Ok(()) => out.freeze(),
-        Err(error) => unreachable!("frame over {MAX_FRAME} bytes: {error}"),
+    let mut output = BytesMut::new();
+    match new_codec().encode(encode(message), &mut output) {
+        Ok(()) => output.freeze(),
+        Err(error) => unreachable!("message exceeds {MAX_FRAME_BYTES} bytes: {error}"),
     }
 }
 
-/// Takes length-delimited messages out of a byte stream.
+/// Decoder of length-delimited messages in a byte stream.
 pub struct Splitter {
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
 
 impl Splitter {
-    /// An empty splitter.
+    /// Creates a decoder with an empty buffer.
     pub fn new() -> Self {
-        Self { codec: codec(), buffer: BytesMut::new() }
+        Self { codec: new_codec(), buffer: BytesMut::new() }
     }
 
-    /// Adds bytes as they came.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if it is there.
+    /// Removes and decodes the next message; returns `None` if the buffer does not hold a complete one.
     pub fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>> {
         let frame = self.codec.decode(&mut self.buffer).map_err(|error| eyre!("step=decode: {error}"))?;
         frame.map(|bytes| decode(&bytes)).transpose()
     }
 
-    /// What is left after the messages taken.
+    /// Returns the bytes that were not decoded.
     pub fn rest(self) -> Bytes {
         self.buffer.freeze()
     }
--- a/sorrelpass/tests/check.rs
+++ b/sorrelpass/tests/check.rs
@@ -1,29 +1,29 @@
-//! `sorrelpass check`
+//! Tests of `sorrelpass check`.
 
 mod common;
 
-use common::{Dir, sorrelpass};
+use common::{TempDir, run_sorrelpass};
 
-const ENTRY: &str = "[process]\nname = entry-1\nfailure_domain = nyabugogo\n\n[entry]\nlisten = 127.0.0.1:8080\n\
+const ENTRY_SETTINGS: &str = "[process]\nname = entry-1\nfailure_domain = nyabugogo\n\n[entry]\nlisten = 127.0.0.1:8080\n\
     peer_listen = 127.0.0.1:8081\n\n[platform]\nlog_address = 127.0.0.1:9000\nvms_address = 127.0.0.1:9001\n";
 
 #[test]
-fn good_settings_pass() {
-    let dir = Dir::new("check-good");
-    let (text, ok) = sorrelpass(&["check", &dir.file("entry.ini", ENTRY)]);
-    assert!(ok && text.contains("role=entry ok"), "{text}");
+fn valid_settings_pass() {
+    let dir = TempDir::new("check-good");
+    let (text, success) = run_sorrelpass(&["check", &dir.file("entry.ini", ENTRY_SETTINGS)]);
+    assert!(success && text.contains("role=entry ok"), "{text}");
 }
 
 #[test]
 fn every_fault_is_named_with_file_line_key_and_reason() {
-    let dir = Dir::new("check-bad");
-    let bad = ENTRY
+    let dir = TempDir::new("check-bad");
+    let invalid = ENTRY_SETTINGS
         .replace("listen = 127.0.0.1:8080", "listen = nowhere\npicker = lucky\ncandidates = 0\ncolour = red")
         .replace("failure_domain = nyabugogo\n", "")
         .replace("vms_address = 127.0.0.1:9001\n", "");
-    let file = dir.file("entry.ini", &bad);
-    let (text, ok) = sorrelpass(&["check", &file]);
-    assert!(!ok);
+    let file = dir.file("entry.ini", &invalid);
+    let (text, success) = run_sorrelpass(&["check", &file]);
+    assert!(!success);
     for fault in [
         "key=process.failure_domain reason=\"missing",
         "line=5 key=entry.listen reason=\"\\\"nowhere\\\" is not an address",
@@ -39,25 +39,25 @@
 
 #[test]
 fn a_secret_is_never_echoed() {
-    let dir = Dir::new("check-secret");
-    let short = dir.file("secret", "hunter2");
-    let text = ENTRY.replace("[platform]", &format!("ticket_secret_file = {short}\n\n[platform]"));
-    let (text, ok) = sorrelpass(&["check", &dir.file("entry.ini", &text)]);
-    assert!(!ok && text.contains("shorter than 16 bytes"), "{text}");
+    let dir = TempDir::new("check-secret");
+    let secret_file = dir.file("secret", "hunter2");
+    let settings = ENTRY_SETTINGS.replace("[platform]", &format!("ticket_secret_file = {secret_file}\n\n[platform]"));
+    let (text, success) = run_sorrelpass(&["check", &dir.file("entry.ini", &settings)]);
+    assert!(!success && text.contains("shorter than 16 bytes"), "{text}");
     assert!(!text.contains("hunter2"));
 }
 
 #[test]
-fn a_file_with_both_roles_or_none_is_a_fault() {
-    let dir = Dir::new("check-roles");
-    let (text, ok) = sorrelpass(&["check", &dir.file("none.ini", "[process]\nname = x\n")]);
-    assert!(!ok && text.contains("exactly one of the sections"), "{text}");
-    let (text, ok) = sorrelpass(&["check", "no-such-file.ini"]);
-    assert!(!ok && text.contains("no-such-file.ini"), "{text}");
+fn a_file_without_a_role_and_a_missing_file_are_faults() {
+    let dir = TempDir::new("check-roles");
+    let (text, success) = run_sorrelpass(&["check", &dir.file("none.ini", "[process]\nname = x\n")]);
+    assert!(!success && text.contains("exactly one of the sections"), "{text}");
+    let (text, success) = run_sorrelpass(&["check", "no-such-file.ini"]);
+    assert!(!success && text.contains("no-such-file.ini"), "{text}");
 }
 
-/// Keys that a table of docs/OPERATING.md names under a heading such as `[entry]`.
-fn documented(section: &str) -> Vec<String> {
+/// Returns the keys in the table of docs/OPERATING.md under the heading of a section such as `[entry]`.
+fn documented_keys(section: &str) -> Vec<String> {
     let page = include_str!("../../docs/OPERATING.md");
     let start = page.find(&format!("`[{section}]`")).expect("the section has a table");
     let table = page[start..]
@@ -66,15 +66,15 @@
         .skip_while(|line| !line.starts_with('|'))
         .take_while(|line| line.starts_with('|'));
     let cells = table.skip(2).filter_map(|line| line.split('|').nth(1));
-    // `a`, `b` are two keys; `x_file` / `_env` are x_file and x_env.
+    // A cell may name several keys: `a`, `b` stands for a and b, and `x_file` / `_env` for x_file and x_env.
     cells
         .flat_map(|cell| {
             let words: Vec<&str> = cell.split('`').skip(1).step_by(2).collect();
-            let first = words[0].to_owned();
+            let first_key = words[0].to_owned();
             words
                 .into_iter()
                 .map(move |word| match word.strip_prefix('_') {
-                    Some(suffix) => format!("{}_{suffix}", first.trim_end_matches("_file")),
+                    Some(suffix) => format!("{}_{suffix}", first_key.trim_end_matches("_file")),
                     None => word.to_owned(),
                 })
                 .collect::<Vec<_>>()
@@ -82,20 +82,20 @@
         .collect()
 }
 
-/// Keys that the source asks for in a section.
-fn asked(section: &str) -> Vec<String> {
+/// Returns the keys of a section that the source code reads, found by the calls that contain the section's name.
+fn keys_in_source(section: &str) -> Vec<String> {
     let source: String = include_str!("../src/config/mod.rs").split_whitespace().collect();
-    let marker = format!("(\"{section}\",\"");
-    let with_reader = format!("(reader,\"{section}\",\"");
+    let method_call = format!("(\"{section}\",\"");
+    let function_call = format!("(reader,\"{section}\",\"");
     let mut keys = Vec::new();
-    for marker in [marker, with_reader] {
-        for (at, _) in source.match_indices(&marker) {
-            let before = &source[..at];
-            let key = source[at + marker.len()..].split('"').next().expect("a key").to_owned();
-            if before.ends_with("reader.fault") {
+    for call_start in [method_call, function_call] {
+        for (position, _) in source.match_indices(&call_start) {
+            let preceding_source = &source[..position];
+            let key = source[position + call_start.len()..].split('"').next().expect("a key").to_owned();
+            if preceding_source.ends_with("reader.fault") {
                 continue;
             }
-            if before.ends_with("reader.secret") {
+            if preceding_source.ends_with("reader.secret") {
                 keys.extend([format!("{key}_file"), format!("{key}_env")]);
             } else {
                 keys.push(key);
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn the_operators_page_names_exactly_the_settings_that_there_are() {
+fn the_operators_page_documents_exactly_the_settings_in_the_source() {
     for section in ["process", "platform", "entry", "sidecar"] {
-        let (mut page, mut code) = (documented(section), asked(section));
-        page.sort_unstable();
-        code.sort_unstable();
-        code.dedup();
-        assert_eq!(page, code, "[{section}]");
+        let (mut documented, mut read) = (documented_keys(section), keys_in_source(section));
+        documented.sort_unstable();
+        read.sort_unstable();
+        read.dedup();
+        assert_eq!(documented, read, "[{section}]");
     }
 }
--- a/sorrelpass/tests/common/mod.rs
+++ b/sorrelpass/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! What the command tests share: a working directory and the binary.
+//! Helpers of the subcommand tests: a temporary directory, and running the binary.
 #![allow(dead_code)]
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A working directory of a test's own, removed at its end.
-pub struct Dir(PathBuf);
+/// Temporary directory of a test, which is removed when the value is dropped.
+pub struct TempDir(PathBuf);
 
-impl Dir {
-    /// A fresh directory.
+impl TempDir {
+    /// Creates a directory whose name contains `name` and the process id.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("sorrelpass-test-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("the directory is made");
+        std::fs::create_dir_all(&path).expect("the directory is created");
         Self(path)
     }
 
@@ -23,14 +23,14 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Runs `sorrelpass`; returns its output and whether it ended well.
-pub fn sorrelpass(args: &[&str]) -> (String, bool) {
+/// Runs the binary; returns standard output followed by standard error, and whether the exit status was success.
+pub fn run_sorrelpass(args: &[&str]) -> (String, bool) {
     let output = Command::new(env!("CARGO_BIN_EXE_sorrelpass")).args(args).output().expect("the binary runs");
     let text = [output.stdout, output.stderr].concat();
     (String::from_utf8_lossy(&text).into_owned(), output.status.success())
