--- a/sorrelpass/src/cmd/client.rs
+++ b/sorrelpass/src/cmd/client.rs
@@ -31,7 +31,7 @@
 }
 
 impl EntryArgs {
-    /// Sends a request and returns the response, whatever its status.
+    /// Sends a request and returns the response, also if its status is an error.
     pub fn request(&self, method: &str, path: &str, body: Option<String>) -> Result<Response> {
         util::with_runtime(self.send_request(method, path, body))
     }
--- a/sorrelpass/src/config/mod.rs
+++ b/sorrelpass/src/config/mod.rs
@@ -22,7 +22,7 @@
 /// Settings that every role has.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// Name of the process.
+    /// Name of the process, which every log line carries.
     pub name: Name,
     /// Failure domain in which the process runs.
     pub failure_domain: Name,
@@ -35,22 +35,22 @@
 pub struct Platform {
     /// Name of the log plug-in.
     pub log: &'static str,
-    /// Address of the log.
+    /// Address of the log service, `ip:port`.
     pub log_address: Name,
     /// Name of the VM list plug-in.
     pub vms: &'static str,
-    /// Address of the VM list.
+    /// Address of the VM list service, `ip:port`.
     pub vms_address: Name,
     /// Interval at which the VM list is read.
     pub vms_poll: Duration,
 }
 
-/// Settings of an entry.
+/// Settings of an entry that reaches endpoints through their sidecars.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Settings that every role has.
     pub process: Process,
-    /// Settings of the platform's services.
+    /// Clients and addresses of the platform's services.
     pub platform: Platform,
     /// Listen address for callers and operators.
     pub listen: SocketAddr,
@@ -108,11 +108,11 @@
     pub listen: SocketAddr,
     /// Name of the endpoint.
     pub endpoint: Name,
-    /// Address of the endpoint.
+    /// Address of the endpoint, `ip:port`, to which the sidecar forwards requests.
     pub endpoint_address: Name,
     /// Service that the endpoint belongs to.
     pub service: Name,
-    /// Kind of the endpoint.
+    /// Whether the endpoint is an engine or a plain service.
     pub kind: Kind,
     /// Peer addresses of the entries that provide the configuration.
     pub entries: Vec<Name>,
@@ -139,9 +139,9 @@
 pub enum Settings {
     /// Settings of an entry that serves replicas directly, as on the users' platform.
     Gateway(Box<Gateway>),
-    /// Settings of an entry.
+    /// Settings of an entry that reaches endpoints through their sidecars.
     Entry(Box<Entry>),
-    /// Settings of a sidecar.
+    /// Settings of the sidecar of an endpoint.
     Sidecar(Box<Sidecar>),
 }
 
--- a/sorrelpass/src/config/reader.rs
+++ b/sorrelpass/src/config/reader.rs
@@ -16,13 +16,13 @@
 /// Fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the file.
+    /// Path of the settings file, as given by the operator.
     pub file: PathBuf,
     /// Line of the key, or of its section if the key is missing; `None` if the file has no such section.
     pub line: Option<usize>,
     /// Section and key, as `section.key`; `-` if the fault concerns the syntax of the file.
     pub key: String,
-    /// Description of the fault.
+    /// Human-readable reason why the value or key is rejected.
     pub reason: String,
 }
 
@@ -88,7 +88,7 @@
         self.ini.get_from(Some(section), key).map(|value| value.trim().to_owned())
     }
 
-    /// Records a fault of a key.
+    /// Records a fault of a key, with the key's line.
     pub fn fault(&mut self, section: &str, key: &str, reason: impl Into<String>) {
         let line = self.line_number(section, key);
         let fault = Fault { file: self.file.clone(), line, key: format!("{section}.{key}"), reason: reason.into() };
--- a/sorrelpass/src/failure.rs
+++ b/sorrelpass/src/failure.rs
@@ -15,7 +15,7 @@
 /// Failure of a request that got no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// HTTP status code.
+    /// HTTP status code of the response.
     pub status: StatusCode,
     /// Stable machine-readable error code.
     pub code: &'static str,
--- a/sorrelpass/src/metric.rs
+++ b/sorrelpass/src/metric.rs
@@ -94,51 +94,51 @@
     Ok(())
 }
 
-/// Calls `record` with the instruments, if they exist.
-fn with(record: impl FnOnce(&Instruments)) {
+/// Calls `update` with the instruments, if they exist.
+fn record(update: impl FnOnce(&Instruments)) {
     if let Some(instruments) = INSTRUMENTS.get() {
-        record(instruments);
+        update(instruments);
     }
 }
 
 /// Counts a request that ended with `outcome`: `ok` or an error code.
 pub fn request(outcome: &str) {
-    with(|metrics| metrics.requests.add(1, &[KeyValue::new("outcome", outcome.to_owned())]));
+    record(|metrics| metrics.requests.add(1, &[KeyValue::new("outcome", outcome.to_owned())]));
 }
 
 /// Counts a retry of a request.
 pub fn retry() {
-    with(|metrics| metrics.retries.add(1, &[]));
+    record(|metrics| metrics.retries.add(1, &[]));
 }
 
 /// Counts a send into a full channel; `channel` is its name.
 pub fn ring_full(channel: &'static str) {
-    with(|metrics| metrics.full_channels.add(1, &[KeyValue::new("ring", channel)]));
+    record(|metrics| metrics.full_channels.add(1, &[KeyValue::new("ring", channel)]));
 }
 
 /// Counts a request that was accepted although its key was last verified longer ago than a revoked key may be accepted.
 pub fn old_proof() {
-    with(|metrics| metrics.stale_verifications.add(1, &[]));
+    record(|metrics| metrics.stale_verifications.add(1, &[]));
 }
 
 /// Counts the termination of a replica's process while it served a request.
 pub fn replica_ended() {
-    with(|metrics| metrics.replica_terminations.add(1, &[]));
+    record(|metrics| metrics.replica_terminations.add(1, &[]));
 }
 
 /// Counts a request fingerprint that was condemned, by this entry or another.
 pub fn condemned() {
-    with(|metrics| metrics.condemned_fingerprints.add(1, &[]));
+    record(|metrics| metrics.condemned_fingerprints.add(1, &[]));
 }
 
 /// Counts a request that was not sent, or not retried, because its fingerprint is condemned.
 pub fn refused_condemned() {
-    with(|metrics| metrics.condemned_refusals.add(1, &[]));
+    record(|metrics| metrics.condemned_refusals.add(1, &[]));
 }
 
 /// Sets the numbers of suspect and of condemned fingerprints.
 pub fn quarantine(suspects: usize, condemned: usize) {
-    with(|metrics| {
+    record(|metrics| {
         metrics.quarantine_size.record(suspects as u64, &[KeyValue::new("standing", "suspect")]);
         metrics.quarantine_size.record(condemned as u64, &[KeyValue::new("standing", "condemned")]);
     });
@@ -146,12 +146,12 @@
 
 /// Counts calls to the store, by kind of call and by topic.
 pub fn store_calls(kind: &'static str, topic: &'static str, calls: u64) {
-    with(|metrics| metrics.store_calls.add(calls, &[KeyValue::new("kind", kind), KeyValue::new("topic", topic)]));
+    record(|metrics| metrics.store_calls.add(calls, &[KeyValue::new("kind", kind), KeyValue::new("topic", topic)]));
 }
 
 /// Counts a message to another entry, and its bytes.
 pub fn peer_bytes(bytes: u64) {
-    with(|metrics| {
+    record(|metrics| {
         metrics.peer_bytes.add(bytes, &[]);
         metrics.peer_messages.add(1, &[]);
     });
@@ -160,7 +160,7 @@
 /// Sets the gauge to 1 for each evacuated failure domain, and to 0 for each domain that was evacuated before.
 pub fn emptied(domains: &BTreeSet<Name>) {
     let label = |domain: &Name| [KeyValue::new("failure_domain", domain.to_string())];
-    with(|metrics| {
+    record(|metrics| {
         let mut reported = metrics.reported_domains.lock().unwrap_or_else(PoisonError::into_inner);
         reported.difference(domains).for_each(|domain| metrics.evacuated_domains.record(0, &label(domain)));
         domains.iter().for_each(|domain| metrics.evacuated_domains.record(1, &label(domain)));
@@ -171,52 +171,52 @@
 /// Records the wall-clock time of the last request that was sent to a replica of a failure domain.
 pub fn sent(failure_domain: &str, time: Moment) {
     let seconds = time.as_micros() as f64 / 1e6;
-    with(|metrics| metrics.last_send.record(seconds, &[KeyValue::new("failure_domain", failure_domain.to_owned())]));
+    record(|metrics| metrics.last_send.record(seconds, &[KeyValue::new("failure_domain", failure_domain.to_owned())]));
 }
 
 /// Sets the number of replicas that report a rate limit of their own.
 pub fn limited(replicas: usize) {
-    with(|metrics| metrics.limited_replicas.record(replicas as u64, &[]));
+    record(|metrics| metrics.limited_replicas.record(replicas as u64, &[]));
 }
 
 /// Counts a request that waits for a permit of a replica with a rate limit.
 pub fn limit_wait() {
-    with(|metrics| metrics.limit_waits.add(1, &[]));
+    record(|metrics| metrics.limit_waits.add(1, &[]));
 }
 
 /// Counts a request that was refused because all replicas of its service report rate limits and the load exceeds them.
 pub fn limit_refusal() {
-    with(|metrics| metrics.limit_refusals.add(1, &[]));
+    record(|metrics| metrics.limit_refusals.add(1, &[]));
 }
 
 /// Counts a response by which a replica announced that it is draining.
 pub fn leaving_told() {
-    with(|metrics| metrics.draining_responses.add(1, &[]));
+    record(|metrics| metrics.draining_responses.add(1, &[]));
 }
 
 /// Counts a refusal by which a replica asked this process to back off for a time.
 pub fn rest_asked() {
-    with(|metrics| metrics.backoff_requests.add(1, &[]));
+    record(|metrics| metrics.backoff_requests.add(1, &[]));
 }
 
 /// Records the time to first token of a prompt of length class `class`.
 pub fn ttft(class: usize, ttft: Duration) {
-    with(|metrics| metrics.ttft.record(ttft.as_secs_f64(), &[KeyValue::new("class", class as i64)]));
+    record(|metrics| metrics.ttft.record(ttft.as_secs_f64(), &[KeyValue::new("class", class as i64)]));
 }
 
 /// Records the time from the arrival of a request on `route` until the first event of its stream was forwarded.
 pub fn first_event(route: &str, delay: Duration) {
-    with(|metrics| metrics.first_event.record(delay.as_secs_f64(), &[KeyValue::new("route", route.to_owned())]));
+    record(|metrics| metrics.first_event.record(delay.as_secs_f64(), &[KeyValue::new("route", route.to_owned())]));
 }
 
 /// Sets the revision of the configuration that is in force in this process.
 pub fn revision(revision: u64) {
-    with(|metrics| metrics.config_revision.record(revision, &[]));
+    record(|metrics| metrics.config_revision.record(revision, &[]));
 }
 
 /// Sets the load of an endpoint's scheduler: waiting and running jobs, and reserved memory in tokens.
 pub fn scheduler(waiting: usize, running: usize, memory: u64) {
-    with(|metrics| {
+    record(|metrics| {
         metrics.waiting_jobs.record(waiting as u64, &[]);
         metrics.running_jobs.record(running as u64, &[]);
         metrics.reserved_memory.record(memory, &[]);
@@ -226,7 +226,7 @@
 /// Returns all metrics in the Prometheus text format.
 pub fn text() -> Vec<u8> {
     let mut output = Vec::new();
-    with(|metrics| {
+    record(|metrics| {
         metrics.invariant_breaches.record(coord::invariant::breaches(), &[]);
         let _ = TextEncoder::new().encode(&metrics.registry.gather(), &mut output);
     });
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -86,9 +86,9 @@
 pub struct Call {
     /// Method of the HTTP request.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the HTTP request.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers of the caller's request that the endpoint receives.
     pub headers: Vec<(String, String)>,
     /// Number of output tokens that the caller already has, if this attempt resumes a stream; else 0.
     pub resume_after: u64,
@@ -114,7 +114,7 @@
     Head {
         /// HTTP status code.
         status: u16,
-        /// Headers to pass on.
+        /// Headers of the response that the caller receives.
         headers: Vec<(String, String)>,
     },
     /// Chunk of the answer.
@@ -199,7 +199,7 @@
     /// Incarnation of the sidecar. An incarnation that started after the attempt was sent does not know whether the
     /// attempt ran.
     pub incarnation: Incarnation,
-    /// Outcome of the cancellation.
+    /// Whether the attempt had started before it was cancelled.
     pub voided: Voided,
 }
 
