--- a/sorrelpass/src/http.rs
+++ b/sorrelpass/src/http.rs
@@ -49,7 +49,7 @@
 /// Length of the queue of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-fn connector() -> HttpConnector {
+fn new_connector() -> HttpConnector {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(Duration::from_millis(500)));
@@ -66,7 +66,7 @@
         .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
         .http2_keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .http2_keep_alive_while_idle(false)
-        .build(connector())
+        .build(new_connector())
 }
 
 /// Creates a client for other systems and for operators' calls to an entry: HTTP/1.1.
@@ -74,7 +74,7 @@
     HyperClient::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(Duration::from_secs(10))
-        .build(connector())
+        .build(new_connector())
 }
 
 /// Creates a body from bytes in memory.
--- a/sorrelpass/src/metric.rs
+++ b/sorrelpass/src/metric.rs
@@ -48,7 +48,7 @@
 static INSTRUMENTS: OnceLock<Instruments> = OnceLock::new();
 
 /// Upper bounds of the buckets for time to first token, in seconds.
-const TTFT_BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.7, 1.5, 3.0, 10.0, 30.0, 120.0];
+const TTFT_BUCKET_BOUNDS_S: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.7, 1.5, 3.0, 10.0, 30.0, 120.0];
 
 /// Creates the instruments. Until this is called, the other functions have no effect.
 pub fn init() -> Result<()> {
@@ -78,10 +78,10 @@
         limit_refusals: meter.u64_counter("sorrelpass_limit_refusals").build(),
         draining_responses: meter.u64_counter("sorrelpass_leaving_told").build(),
         backoff_requests: meter.u64_counter("sorrelpass_rests_asked").build(),
-        ttft: meter.f64_histogram("sorrelpass_ttft_seconds").with_boundaries(TTFT_BOUNDS.to_vec()).build(),
+        ttft: meter.f64_histogram("sorrelpass_ttft_seconds").with_boundaries(TTFT_BUCKET_BOUNDS_S.to_vec()).build(),
         first_event: meter
             .f64_histogram("sorrelpass_first_event_seconds")
-            .with_boundaries(TTFT_BOUNDS.to_vec())
+            .with_boundaries(TTFT_BUCKET_BOUNDS_S.to_vec())
             .build(),
         config_revision: meter.u64_gauge("sorrelpass_config_revision").build(),
         waiting_jobs: meter.u64_gauge("sorrelpass_jobs_waiting").build(),
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -58,7 +58,7 @@
     pub incarnation: Incarnation,
     /// Whether the sidecar is draining and refuses new requests.
     pub leaving: bool,
-    /// Estimate by the scheduler.
+    /// Estimate that the scheduler makes for the request.
     pub quote: Quote,
 }
 
@@ -187,7 +187,7 @@
 /// Request to cancel an attempt. An attempt that has started is stopped, unless it has an idempotency key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Void {
-    /// Attempt to cancel.
+    /// Id of the attempt to cancel.
     pub attempt: Attempt,
     /// Idempotency key of the attempt, if it has one. Another attempt may hold the key.
     pub once: Option<Key>,
