--- a/standin/src/platform/client.rs
+++ b/standin/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! A caller of the platform's form: one request on a connection of its own, and what came of it.
+//! HTTP/1 client of the soak and the tests: sends requests as the platform's callers do, and records their outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -10,123 +10,127 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// A request to be sent.
+/// Describes a request that a caller sends.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Its method.
+    /// HTTP method.
     pub method: &'static str,
-    /// Its path.
+    /// Path, with the query if there is one.
     pub path: String,
-    /// Its headers; a host is added.
+    /// Headers except `host`, which [`Connection::exchange`] adds.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// Body; empty by default.
     pub body: Bytes,
-    /// The caller goes away after this.
+    /// Time after which [`send`] closes the connection even if the response is incomplete; `None` to wait for its end.
     pub leave_after: Option<Duration>,
 }
 
 impl Ask {
-    /// A request under an id, with a key.
+    /// Creates a request with this request id and API key, and an empty body.
     pub fn new(method: &'static str, path: &str, id: &str, key: &str) -> Self {
         let headers = vec![("request-id", id.to_owned()), ("authorization", format!("Bearer {key}"))];
         Self { method, path: path.to_owned(), headers, body: Bytes::new(), leave_after: None }
     }
 
-    /// With one more header.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: &str) -> Self {
         self.headers.push((name, value.to_owned()));
         self
     }
 }
 
-/// What came of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// The status; 0 if there was no answer.
+    /// Status code; 0 if no response arrived.
     pub status: u16,
-    /// The answer's headers.
+    /// Headers of the response; empty if no response arrived.
     pub headers: HeaderMap,
-    /// The body, as far as it came.
+    /// Part of the body that arrived, as lossy UTF-8.
     pub body: String,
-    /// Whether the answer came to its proper end.
+    /// Whether the response was complete, by its length or its last chunk.
     pub whole: bool,
-    /// Time to the end.
+    /// Time from the start of the request to the end of the response, or to its failure.
     pub took: Duration,
 }
 
 impl Seen {
-    /// A header of the answer.
+    /// Returns the value of a header; empty if the response does not have it or if it is not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 }
 
-/// Sends a request to `address`, on a connection of its own, and waits for its end.
-pub async fn send(address: &str, host: &str, ask: &Ask) -> Result<Seen> {
+/// Sends a request to `address` on a new connection and waits for the end of the response.
+///
+/// Fails if the connection cannot be opened or the request is malformed, unless `leave_after` is set. A connection that
+/// is lost later shows in the outcome.
+pub async fn send(address: &str, host: &str, spec: &Ask) -> Result<Seen> {
     let started = Instant::now();
-    let mut seen = Seen::default();
+    let mut outcome = Seen::default();
     let exchange = async {
         let mut connection = Connection::open(address).await?;
-        connection.exchange(host, ask, &mut seen).await
+        connection.exchange(host, spec, &mut outcome).await
     };
-    match ask.leave_after {
-        Some(after) => drop(tokio::time::timeout(after, exchange).await),
+    match spec.leave_after {
+        Some(timeout) => drop(tokio::time::timeout(timeout, exchange).await),
         None => exchange.await?,
     }
-    seen.took = started.elapsed();
-    Ok(seen)
+    outcome.took = started.elapsed();
+    Ok(outcome)
 }
 
-/// A caller's connection, kept for many requests.
+/// Persistent connection of a caller, for consecutive requests.
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     _driver: AbortOnDrop<hyper::Result<()>>,
 }
 
 impl Connection {
-    /// Connects to `address`.
+    /// Connects to `address` (`ip:port`).
     pub async fn open(address: &str) -> Result<Self> {
         let stream = TcpStream::connect(address).await.wrap_err_with(|| format!("step=connect peer={address}"))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         Ok(Self { sender, _driver: AbortOnDrop(tokio::spawn(connection)) })
     }
 
-    /// Whether it can carry another request.
+    /// Returns whether the connection accepts another request.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request and notes what comes of it, as far as it comes.
-    pub async fn exchange(&mut self, host: &str, ask: &Ask, seen: &mut Seen) -> Result<()> {
-        let mut request = Request::builder().method(ask.method).uri(&ask.path).header("host", host);
-        for (name, value) in &ask.headers {
+    /// Sends a request and records its outcome in `outcome` as it arrives, so that a caller that cancels this future
+    /// keeps the part that arrived. A lost connection leaves the outcome incomplete and is not an error.
+    pub async fn exchange(&mut self, host: &str, spec: &Ask, outcome: &mut Seen) -> Result<()> {
+        let mut request = Request::builder().method(spec.method).uri(&spec.path).header("host", host);
+        for (name, value) in &spec.headers {
             request = request.header(*name, value);
         }
-        let request = request.body(Full::new(ask.body.clone()))?;
+        let request = request.body(Full::new(spec.body.clone()))?;
         if self.sender.ready().await.is_err() {
             return Ok(());
         }
         let Ok(response) = self.sender.send_request(request).await else { return Ok(()) };
-        seen.status = response.status().as_u16();
-        seen.headers = response.headers().clone();
+        outcome.status = response.status().as_u16();
+        outcome.headers = response.headers().clone();
         let mut body = response.into_body();
         loop {
             match body.frame().await {
                 None => {
-                    seen.whole = true;
+                    outcome.whole = true;
                     return Ok(());
                 }
                 Some(Err(_)) => return Ok(()),
                 Some(Ok(frame)) => {
                     let data = frame.into_data().unwrap_or_default();
-                    seen.body.push_str(&String::from_utf8_lossy(&data));
+                    outcome.body.push_str(&String::from_utf8_lossy(&data));
                 }
             }
         }
     }
 }
 
-/// Ends a connection's task with its request.
+/// Aborts the task that drives a connection when the connection is dropped.
 struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
 
 impl<T> Drop for AbortOnDrop<T> {
--- a/standin/src/platform/configuration.rs
+++ b/standin/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that a new site puts in its store.
+//! Configuration that a site writes to its store: routes, services, limits and tenants.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,26 @@
 
 use super::site::HOST;
 
-/// A configuration of three routes: prompts that may be resumed, calls that may run once, calls that may repeat.
+/// Builds a configuration with three routes: prompts whose streams can be resumed, calls that run at most once, and
+/// calls that can be retried. `keys` are the API keys of its only tenant.
 pub fn configuration(version: u64, keys: &[&str]) -> Value {
-    let route = |name: &str, kind: &str, service: &str, extra: BTreeMap<&str, Value>| {
+    let route = |name: &str, kind: &str, service: &str, fields: BTreeMap<&str, Value>| {
         let mut route = json!({
             "name": name, "host": HOST, "path_prefix": format!("/{name}/"), "kind": kind, "timeout_ms": 3000,
             "target_latency_ms": 300, "priority": 1, "service": service, "max_attempts": 2, "public": false,
         });
-        for (key, value) in extra {
+        for (key, value) in fields {
             route[key] = value;
         }
         route
     };
-    let stream = BTreeMap::from([("stream_resume", json!(true)), ("gap_aim_ms", json!(200))]);
-    let once = BTreeMap::from([("max_attempts", json!(1))]);
+    let prompt_fields = BTreeMap::from([("stream_resume", json!(true)), ("gap_aim_ms", json!(200))]);
+    let unsafe_fields = BTreeMap::from([("max_attempts", json!(1))]);
     json!({
         "version": version,
         "routes": [
-            route("prompt", "streaming", "advisor", stream),
-            route("pay", "unsafe", "ledger", once),
+            route("prompt", "streaming", "advisor", prompt_fields),
+            route("pay", "unsafe", "ledger", unsafe_fields),
             route("look", "safe", "ledger", BTreeMap::new()),
         ],
         "services": [
