--- a/standin/src/platform/client.rs
+++ b/standin/src/platform/client.rs
@@ -73,7 +73,7 @@
         connection.exchange(host, spec, &mut outcome).await
     };
     match spec.leave_after {
-        Some(timeout) => drop(tokio::time::timeout(timeout, exchange).await),
+        Some(disconnect_after) => drop(tokio::time::timeout(disconnect_after, exchange).await),
         None => exchange.await?,
     }
     outcome.took = started.elapsed();
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform: its store and its replicas, with their faults, and a site
-//! of real entries in front of them.
+//! Stand-ins for the users' platform: the store and the replicas, both with fault injection, and a site that runs real
+//! entry processes in front of them.
 
 mod client;
 mod configuration;
@@ -10,7 +10,7 @@
 mod store;
 
 pub use client::{Ask, Connection, Seen, send};
-pub use proxy::{Proxy, Way};
+pub use proxy::{NetworkFault, Proxy};
 pub use replica::{Act, Replica, Run};
 pub use site::{HOST, KEY, Proxies, Site, Spec};
-pub use store::{Copy, Door, Fault, Store};
+pub use store::{Copy, Fault, Store, StoreListener};
--- a/standin/src/platform/proxy.rs
+++ b/standin/src/platform/proxy.rs
@@ -1,4 +1,5 @@
-//! A loopback proxy in front of one process: connections are delayed, reset, cut one way or silenced.
+//! Loopback TCP proxy in front of one process. It injects network faults: delays, resets, and loss in one or both
+//! directions.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,183 +10,193 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes passed on at once.
-const CHUNK: usize = 16 * 1_024;
+/// Size of the buffer from which bytes are forwarded.
+const BUFFER_BYTES: usize = 16 * 1_024;
 
-/// Tries to listen again at a port, and the pause between two.
-pub(super) const BIND_TRIES: u32 = 100;
-pub(super) const BIND_PAUSE: Duration = Duration::from_millis(20);
+/// Bounds the attempts to bind a port again; another process's connection can occupy the port for a moment.
+pub(super) const MAX_BIND_ATTEMPTS: u32 = 100;
+/// Time between two attempts to bind a port.
+pub(super) const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What happens to bytes on the way.
+/// Network fault that the proxy injects on all its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
-    /// They pass.
+pub enum NetworkFault {
+    /// Bytes are forwarded unchanged.
     #[default]
-    Open,
-    /// They come this much later.
-    Delayed(Duration),
-    /// Connections are reset as soon as anything moves.
+    None,
+    /// Each forwarded buffer is delayed by this time.
+    Delay(Duration),
+    /// New connections are reset at once, open ones as soon as a byte or a close arrives.
     Reset,
-    /// What callers send is lost.
-    CutForward,
-    /// What comes back is lost.
-    CutBack,
-    /// Both are lost.
-    Silent,
+    /// Bytes from the client to the server are dropped.
+    DropForward,
+    /// Bytes from the server to the client are dropped.
+    DropBackward,
+    /// Bytes are dropped in both directions.
+    Blackhole,
 }
 
-/// Which way bytes go.
+/// Direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
+    /// From the client to the server.
     Forward,
-    Back,
+    /// From the server to the client.
+    Backward,
 }
 
-impl Way {
-    fn loses(self, direction: Direction) -> bool {
+impl NetworkFault {
+    /// Returns whether bytes in this direction are dropped.
+    fn drops(self, direction: Direction) -> bool {
         match self {
-            Way::Silent => true,
-            Way::CutForward => direction == Direction::Forward,
-            Way::CutBack => direction == Direction::Back,
+            NetworkFault::Blackhole => true,
+            NetworkFault::DropForward => direction == Direction::Forward,
+            NetworkFault::DropBackward => direction == Direction::Backward,
             _ => false,
         }
     }
 }
 
-/// A proxy in front of one address.
+/// Proxy in front of one server address.
 pub struct Proxy {
-    /// Where it listens, `ip:port`.
+    /// Address on which the proxy listens, `ip:port`.
     pub address: String,
-    way: Mutex<Way>,
-    /// Whether it listens: the port of a process that ended refuses.
-    listens: watch::Sender<bool>,
+    fault: Mutex<NetworkFault>,
+    /// Whether the proxy listens. It stops while its server is down, so that connections are refused as by a process
+    /// that has exited.
+    is_listening: watch::Sender<bool>,
 }
 
 impl Proxy {
-    /// Starts a proxy in front of `target`.
+    /// Starts a proxy on a free loopback port in front of `target` (`ip:port`).
     pub async fn start(target: String) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
-        let proxy = Arc::new(Self { address, way: Mutex::default(), listens: watch::Sender::new(true) });
+        let proxy = Arc::new(Self { address, fault: Mutex::default(), is_listening: watch::Sender::new(true) });
         tokio::spawn(proxy.clone().serve(listener, target));
         Ok(proxy)
     }
 
-    /// Sets what happens to bytes from now on.
-    pub fn set(&self, way: Way) {
-        *self.way.lock().unwrap_or_else(PoisonError::into_inner) = way;
+    /// Sets the fault for present and future connections.
+    pub fn set_fault(&self, fault: NetworkFault) {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Sets whether it listens.
-    pub fn listen(&self, listens: bool) {
-        self.listens.send_replace(listens);
+    /// Sets whether the proxy accepts new connections; while it does not, its port refuses them.
+    pub fn set_listening(&self, is_listening: bool) {
+        self.is_listening.send_replace(is_listening);
     }
 
-    fn way(&self) -> Way {
-        *self.way.lock().unwrap_or_else(PoisonError::into_inner)
+    fn fault(&self) -> NetworkFault {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Accepts connections, and closes and reopens the listener as [`Proxy::set_listening`] demands.
     async fn serve(self: Arc<Self>, listener: TcpListener, target: String) {
         let target: SocketAddr = match target.parse() {
             Ok(target) => target,
-            Err(error) => return eprintln!("step=start-proxy target={target}: {error}"),
+            Err(error) => return eprintln!("step=start-proxy target={target}: invalid address: {error}"),
         };
-        let mut listens = self.listens.subscribe();
+        let mut is_listening = self.is_listening.subscribe();
         let mut listener = listener;
         loop {
             tokio::select! {
                 () = self.accept(&listener, target) => return,
-                _ = listens.wait_for(|listens| !listens) => {}
+                _ = is_listening.wait_for(|is_listening| !is_listening) => {}
             }
             drop(listener);
-            // Fails only if the sender is gone, which lives as long as this.
-            let _ = listens.wait_for(|listens| *listens).await;
+            // Fails only if the sender is dropped, but `self` owns the sender.
+            let _ = is_listening.wait_for(|is_listening| *is_listening).await;
             listener = match bind(&self.address).await {
                 Ok(listener) => listener,
-                Err(error) => return eprintln!("step=listen-again address={}: {error}", self.address),
+                Err(error) => return eprintln!("step=listen-again address={}: bind failed: {error}", self.address),
             };
         }
     }
 
-    /// Takes connections until that fails.
+    /// Accepts connections until `accept` fails.
     async fn accept(self: &Arc<Self>, listener: &TcpListener, target: SocketAddr) {
-        while let Ok((caller, _)) = listener.accept().await {
-            tokio::spawn(self.clone().connection(caller, target));
+        while let Ok((client, _)) = listener.accept().await {
+            tokio::spawn(self.clone().handle_connection(client, target));
         }
     }
 
-    /// Passes one connection on until either side, or the way, ends it.
-    async fn connection(self: Arc<Self>, caller: TcpStream, target: SocketAddr) {
-        if self.way() == Way::Reset {
-            return reset(&caller);
+    /// Forwards one connection until either side closes it or a fault resets it.
+    async fn handle_connection(self: Arc<Self>, client: TcpStream, target: SocketAddr) {
+        if self.fault() == NetworkFault::Reset {
+            return reset_on_close(&client);
         }
-        // A caller of a process that is gone finds its connection closed, as it would find it refused.
-        let Ok(served) = TcpStream::connect(target).await else { return };
-        let _ = (caller.set_nodelay(true), served.set_nodelay(true));
-        let (from_caller, to_caller) = caller.into_split();
-        let (from_served, to_served) = served.into_split();
-        let ended = tokio::select! {
-            ended = self.pass(from_caller, to_served, Direction::Forward) => ended,
-            ended = self.pass(from_served, to_caller, Direction::Back) => ended,
+        // If the server process has exited, closing the client's connection stands for a refused connection.
+        let Ok(server) = TcpStream::connect(target).await else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (from_client, to_client) = client.into_split();
+        let (from_server, to_server) = server.into_split();
+        let termination = tokio::select! {
+            termination = self.forward(from_client, to_server, Direction::Forward) => termination,
+            termination = self.forward(from_server, to_client, Direction::Backward) => termination,
         };
-        if let Ended::Reset(stream) = ended {
-            reset(stream.as_ref().as_ref());
+        if let Termination::Reset(stream) = termination {
+            reset_on_close(stream.as_ref().as_ref());
         }
     }
 
-    /// Passes bytes on one way. A side that closes closes both: nobody here uses half-open connections.
-    async fn pass(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction) -> Ended {
-        let mut chunk = vec![0; CHUNK];
-        let mut lost = false;
+    /// Forwards bytes in one direction. The end of either direction ends the connection, since neither side uses
+    /// half-open connections.
+    async fn forward(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction) -> Termination {
+        let mut buffer = vec![0; BUFFER_BYTES];
+        let mut has_lost_bytes = false;
         loop {
-            let Ok(read) = from.read(&mut chunk).await else { return Ended::Reset(Box::new(from)) };
-            let way = self.way();
-            match way {
-                Way::Reset => return Ended::Reset(Box::new(from)),
-                Way::Delayed(by) => tokio::time::sleep(by).await,
+            let Ok(read) = from.read(&mut buffer).await else { return Termination::Reset(Box::new(from)) };
+            let fault = self.fault();
+            match fault {
+                NetworkFault::Reset => return Termination::Reset(Box::new(from)),
+                NetworkFault::Delay(delay) => tokio::time::sleep(delay).await,
                 _ => {}
             }
-            lost |= read > 0 && way.loses(direction);
-            if lost && !way.loses(direction) {
-                // A stream with a hole in it must not go on.
-                return Ended::Reset(Box::new(from));
+            has_lost_bytes |= read > 0 && fault.drops(direction);
+            if has_lost_bytes && !fault.drops(direction) {
+                // TCP never delivers a stream with missing bytes, so the connection must not continue.
+                return Termination::Reset(Box::new(from));
             }
-            if read == 0 && !lost {
-                return Ended::Closed;
+            if read == 0 && !has_lost_bytes {
+                return Termination::Closed;
             }
             if read == 0 {
-                // The other side does not hear of the close either, as long as the cut lasts.
-                while self.way().loses(direction) {
+                // A network that drops bytes drops the FIN as well, so the close is not forwarded while the fault
+                // lasts.
+                while self.fault().drops(direction) {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
-                return Ended::Reset(Box::new(from));
+                return Termination::Reset(Box::new(from));
             }
-            if !lost && to.write_all(&chunk[..read]).await.is_err() {
-                return Ended::Closed;
+            if !has_lost_bytes && to.write_all(&buffer[..read]).await.is_err() {
+                return Termination::Closed;
             }
         }
     }
 }
 
-/// Listens at an address again; a connection of someone else may have its port for a moment.
+/// Binds an address again. Retries, since another process's connection can occupy the port for a moment.
 async fn bind(address: &str) -> std::io::Result<TcpListener> {
-    for _ in 0..BIND_TRIES {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         if let Ok(listener) = TcpListener::bind(address).await {
             return Ok(listener);
         }
-        tokio::time::sleep(BIND_PAUSE).await;
+        tokio::time::sleep(BIND_RETRY_DELAY).await;
     }
     TcpListener::bind(address).await
 }
 
-/// How a connection ended.
-enum Ended {
+/// Manner in which a connection terminates.
+enum Termination {
+    /// Orderly close.
     Closed,
+    /// Reset of the connection that this half belongs to.
     Reset(Box<OwnedReadHalf>),
 }
 
-/// Makes the close of a connection a reset.
-fn reset(stream: &TcpStream) {
-    // Without it the close is an orderly one, which is a fault as well.
+/// Makes the later close of a connection send a reset.
+fn reset_on_close(stream: &TcpStream) {
+    // If the option cannot be set, the close is orderly, which is a fault for the peer as well.
     let _ = stream.set_zero_linger();
 }
--- a/standin/src/platform/replica/answers.rs
+++ b/standin/src/platform/replica/answers.rs
@@ -1,4 +1,4 @@
-//! What a replica answers: requests and streams, orders about memory, and questions about what it does.
+//! HTTP handlers of the replica stand-in: calls and streams, memory orders, and load reports.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,191 +12,197 @@
 use futures_util::stream;
 use serde_json::{Value, json};
 
-use super::{Act, FATAL_AFTER, Fatal, Hold, Replica};
+use super::{Act, CRASH_DELAY, CrashTrigger, Replica, Reservation};
 
-/// Events of a stream.
-const EVENTS: u64 = 8;
-/// Largest body that is read, in bytes: far more than any test sends.
-const MOST_BODY_BYTES: usize = 64 << 20;
-/// How long a replica is down that fell over while it was cold.
-const FALLEN: Duration = Duration::from_millis(500);
+/// Number of events in a complete stream.
+const STREAM_EVENTS: u64 = 8;
+/// Bounds the request bodies that are read; far larger than any body that a test sends.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Time from a crash by overload in a cold period to the next start of the process.
+const OVERLOAD_DOWNTIME: Duration = Duration::from_millis(500);
 
-/// The ways to a replica's answers.
+/// Builds the routes of a replica.
 pub(super) fn router(replica: Arc<Replica>) -> Router {
-    Router::new().route("/order", post(order)).route("/report", get(report)).fallback(call).with_state(replica)
+    Router::new()
+        .route("/order", post(handle_order))
+        .route("/report", get(handle_report))
+        .fallback(handle_call)
+        .with_state(replica)
 }
 
-/// Notes that a request was cancelled, unless it came to its end.
-struct Watch {
+/// Guard that records on drop that a request was cancelled, unless the request was completed before.
+struct CancellationGuard {
     replica: Arc<Replica>,
-    /// The request's id.
+    /// Id of the request.
     id: String,
-    /// Whether it came to its end.
-    over: bool,
+    is_complete: bool,
 }
 
-impl Watch {
-    /// Notes that the request came to its end.
-    fn close(mut self) {
-        self.over = true;
+impl CancellationGuard {
+    /// Marks the request as completed.
+    fn complete(mut self) {
+        self.is_complete = true;
     }
 }
 
-impl Drop for Watch {
+impl Drop for CancellationGuard {
     fn drop(&mut self) {
-        if !self.over {
-            self.replica.lock().cancelled.push((std::mem::take(&mut self.id), Instant::now()));
+        if !self.is_complete {
+            self.replica.lock().cancellations.push((std::mem::take(&mut self.id), Instant::now()));
         }
     }
 }
 
+/// Returns the value of a header; empty if it is missing or not text.
 pub(super) fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
-/// Carries out an order about memory.
-async fn order(State(replica): State<Arc<Replica>>, Json(order): Json<Value>) -> Response {
+/// Handles an order that reserves or releases memory.
+async fn handle_order(State(replica): State<Arc<Replica>>, Json(order): Json<Value>) -> Response {
     let mut inner = replica.lock();
-    inner.orders.push(order.clone());
+    inner.memory_orders.push(order.clone());
     let id = order["id"].as_str().unwrap_or_default().to_owned();
     match order["op"].as_str() {
-        Some("reserve") if inner.refuse_memory => StatusCode::CONFLICT.into_response(),
+        Some("reserve") if inner.refuses_reservations => StatusCode::CONFLICT.into_response(),
         Some("reserve") => {
             let tokens = order["token_count"].as_u64().unwrap_or(0);
-            let until = Instant::now() + Duration::from_millis(order["hold_ms"].as_u64().unwrap_or(0));
-            inner.memory.insert(id, Hold { tokens, until });
+            let expires_at = Instant::now() + Duration::from_millis(order["hold_ms"].as_u64().unwrap_or(0));
+            inner.reservations.insert(id, Reservation { tokens, expires_at });
             Json(json!({ "free": 0 })).into_response()
         }
         Some("release") => {
-            inner.memory.remove(&id);
+            inner.reservations.remove(&id);
             Json(json!({ "free": 0 })).into_response()
         }
         _ => StatusCode::BAD_REQUEST.into_response(),
     }
 }
 
-/// Says what it does.
-async fn report(State(replica): State<Arc<Replica>>) -> Response {
+/// Reports the replica's load and slowdown factor.
+async fn handle_report(State(replica): State<Arc<Replica>>) -> Response {
     let mut inner = replica.lock();
-    inner.reports += 1;
-    let pace = inner.pace.unwrap_or(1.0);
-    Json(json!({ "stage": "dual", "running": 0, "waiting": 0, "kv_used": 0, "pace": pace })).into_response()
+    inner.report_count += 1;
+    let slowdown = inner.slowdown.unwrap_or(1.0);
+    Json(json!({ "stage": "dual", "running": 0, "waiting": 0, "kv_used": 0, "pace": slowdown })).into_response()
 }
 
-/// Answers a request as it was told to.
-async fn call(State(replica): State<Arc<Replica>>, request: Request) -> Response {
+/// Handles a call, with the behavior that is queued for it.
+async fn handle_call(State(replica): State<Arc<Replica>>, request: Request) -> Response {
     let (head, body) = request.into_parts();
-    let Ok(body) = axum::body::to_bytes(body, MOST_BODY_BYTES).await else {
+    let Ok(body) = axum::body::to_bytes(body, MAX_BODY_BYTES).await else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     let id = header(&head.headers, "request-id").to_owned();
-    let streaming = head.headers.contains_key("token-usage");
-    let after: u64 = header(&head.headers, "last-event-id").parse().unwrap_or(0);
-    let fatal = replica.fatal(&body);
-    let Some(act) = replica.note(&id, head, body) else {
+    let is_streaming = head.headers.contains_key("token-usage");
+    let last_event_id: u64 = header(&head.headers, "last-event-id").parse().unwrap_or(0);
+    let crash_trigger = replica.find_crash_trigger(&body);
+    let Some(behavior) = replica.record_request(&id, head, body) else {
         let misdirected = (StatusCode::MISDIRECTED_REQUEST, [("replica-id", replica.id.clone())]).into_response();
-        return signed(misdirected, &replica, Act::Refuse, &id);
+        return add_replica_headers(misdirected, &replica, Act::Refuse, &id);
     };
-    if replica.is_overrun() {
-        let fallen = Fatal { marker: String::new(), down: FALLEN, lingers: Duration::ZERO };
-        replica.die_of(fallen);
-        return signed(silent_body(), &replica, act, &id);
+    if replica.is_overloaded() {
+        let overload =
+            CrashTrigger { marker: String::new(), downtime: OVERLOAD_DOWNTIME, listener_delay: Duration::ZERO };
+        replica.schedule_crash(overload);
+        return add_replica_headers(pending_body(), &replica, behavior, &id);
     }
-    if let Some(fatal) = fatal {
-        let body = if fatal.lingers.is_zero() { silent_body() } else { silent_until(FATAL_AFTER) };
-        replica.die_of(fatal);
-        return signed(body, &replica, act, &id);
+    if let Some(trigger) = crash_trigger {
+        let body = if trigger.listener_delay.is_zero() { pending_body() } else { pending_body_until(CRASH_DELAY) };
+        replica.schedule_crash(trigger);
+        return add_replica_headers(body, &replica, behavior, &id);
     }
-    let mut watch = Watch { replica: replica.clone(), id: id.clone(), over: false };
-    if let Act::Stall(millis) = act {
+    let mut guard = CancellationGuard { replica: replica.clone(), id: id.clone(), is_complete: false };
+    if let Act::Stall(millis) = behavior {
         tokio::time::sleep(Duration::from_millis(millis)).await;
     }
-    if !streaming {
-        tokio::time::sleep(replica.takes).await;
-        watch.over = true;
+    if !is_streaming {
+        tokio::time::sleep(replica.service_time).await;
+        guard.is_complete = true;
     }
-    let answer = match act {
+    let response = match behavior {
         Act::Refuse => (StatusCode::SERVICE_UNAVAILABLE, [("not-executed", "1")]).into_response(),
         Act::Fail => (StatusCode::INTERNAL_SERVER_ERROR, "failed").into_response(),
         Act::Unproven => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Act::LoseAnswer => broken_body(),
-        _ if streaming => events(watch, replica.takes, after, act),
+        Act::LoseAnswer => aborted_body(),
+        _ if is_streaming => event_stream(guard, replica.service_time, last_event_id, behavior),
         _ => format!("{} {id}", replica.id).into_response(),
     };
-    signed(answer, &replica, act, &id)
+    add_replica_headers(response, &replica, behavior, &id)
 }
 
-/// An answer with what a replica says of itself and of the request.
-fn signed(mut answer: Response, replica: &Replica, act: Act, id: &str) -> Response {
-    let told = if act == Act::ForeignId { "another" } else { id };
-    set(&mut answer, "request-id", told);
-    if act != Act::Unsealed {
-        set(&mut answer, "response-seal", &format!("seal-of-{}", replica.id));
+/// Adds the headers that each response of a replica has: request id, seal, load, and the limits that are in force.
+fn add_replica_headers(mut response: Response, replica: &Replica, behavior: Act, id: &str) -> Response {
+    let request_id = if behavior == Act::ForeignId { "another" } else { id };
+    set_header(&mut response, "request-id", request_id);
+    if behavior != Act::Unsealed {
+        set_header(&mut response, "response-seal", &format!("seal-of-{}", replica.id));
     }
-    set(&mut answer, "replica-load", "1,0,16");
+    set_header(&mut response, "replica-load", "1,0,16");
     let mut inner = replica.lock();
-    if let Some(limit) = &inner.limit {
-        set(&mut answer, "server-limit", limit);
+    if let Some(limit) = &inner.rate_limit {
+        set_header(&mut response, "server-limit", limit);
     }
-    if inner.leaving {
-        set(&mut answer, "server-leaving", "1");
+    if inner.is_draining {
+        set_header(&mut response, "server-leaving", "1");
     }
-    if let Some(rest) = inner.rest.clone().filter(|_| act == Act::Refuse) {
-        set(&mut answer, "retry-after", &rest);
-        inner.note_rest(id);
+    if let Some(backoff) = inner.backoff.clone().filter(|_| behavior == Act::Refuse) {
+        set_header(&mut response, "retry-after", &backoff);
+        inner.record_backoff_request(id);
     }
     drop(inner);
-    answer
+    response
 }
 
-fn set(answer: &mut Response, name: &'static str, value: &str) {
+/// Sets a header; does nothing if the value is not a valid header value.
+fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
-        answer.headers_mut().insert(name, value);
+        response.headers_mut().insert(name, value);
     }
 }
 
-/// A body that ends with its connection before it is whole.
-fn broken_body() -> Response {
-    let pieces = stream::iter([Ok(Bytes::from_static(b"par")), Err(std::io::Error::other("broken off"))]);
-    Body::from_stream(pieces).into_response()
+/// Builds a response whose connection is closed in the middle of the body.
+fn aborted_body() -> Response {
+    let chunks = stream::iter([Ok(Bytes::from_static(b"par")), Err(std::io::Error::other("broken off"))]);
+    Body::from_stream(chunks).into_response()
 }
 
-/// An answer that is opened, and of which nothing more comes.
-fn silent_body() -> Response {
+/// Builds a response whose body never sends a byte and never ends.
+fn pending_body() -> Response {
     Body::from_stream(stream::pending::<std::io::Result<Bytes>>()).into_response()
 }
 
-/// An answer that is opened, and whose connection ends after a while without anything more.
-fn silent_until(end: Duration) -> Response {
+/// Builds a response whose connection is closed after `delay` without a byte of the body.
+fn pending_body_until(delay: Duration) -> Response {
     let error = async move {
-        tokio::time::sleep(end).await;
+        tokio::time::sleep(delay).await;
         Err::<Bytes, _>(std::io::Error::other("ended"))
     };
     Body::from_stream(stream::once(error)).into_response()
 }
 
-/// A stream that goes on behind event `after`.
-fn events(watch: Watch, takes: Duration, after: u64, act: Act) -> Response {
-    let last = match act {
-        Act::BreakAfter(events) => after + events + 1,
-        _ => EVENTS,
+/// Builds a stream of the events after `last_event_id`, each of which takes `service_time`.
+fn event_stream(guard: CancellationGuard, service_time: Duration, last_event_id: u64, behavior: Act) -> Response {
+    let final_event = match behavior {
+        Act::BreakAfter(events) => last_event_id + events + 1,
+        _ => STREAM_EVENTS,
     };
-    let breaks = matches!(act, Act::BreakAfter(_));
-    let pieces = stream::unfold((watch, after + 1), move |(watch, event)| async move {
-        if event > last {
-            watch.close();
+    let is_aborted = matches!(behavior, Act::BreakAfter(_));
+    let chunks = stream::unfold((guard, last_event_id + 1), move |(guard, event)| async move {
+        if event > final_event {
+            guard.complete();
             return None;
         }
-        tokio::time::sleep(takes).await;
-        let text = format!("id: {event}\ndata: piece {event} of {}\n\n", watch.id);
-        if breaks && event == last {
+        tokio::time::sleep(service_time).await;
+        let text = format!("id: {event}\ndata: piece {event} of {}\n\n", guard.id);
+        if is_aborted && event == final_event {
             let half = Bytes::from(text[..text.len() / 2].to_owned());
-            return Some((vec![Ok(half), Err(std::io::Error::other("broken off"))], (watch, u64::MAX)));
+            return Some((vec![Ok(half), Err(std::io::Error::other("broken off"))], (guard, u64::MAX)));
         }
-        Some((vec![Ok(Bytes::from(text))], (watch, event + 1)))
+        Some((vec![Ok(Bytes::from(text))], (guard, event + 1)))
     });
-    let pieces = futures_util::StreamExt::flat_map(pieces, stream::iter);
-    let mut answer = Body::from_stream(pieces).into_response();
-    set(&mut answer, "content-type", "text/event-stream");
-    answer
+    let chunks = futures_util::StreamExt::flat_map(chunks, stream::iter);
+    let mut response = Body::from_stream(chunks).into_response();
+    set_header(&mut response, "content-type", "text/event-stream");
+    response
 }
--- a/standin/src/platform/replica/mod.rs
+++ b/standin/src/platform/replica/mod.rs
@@ -1,5 +1,5 @@
-//! The replica stand-in: answers requests and streams, notes what ran, and misbehaves on demand. What it answers is made in
-//! [`answers`].
+//! Stand-in for a replica: serves requests and streams, records the requests that it received and ran, and injects
+//! faults. [`answers`] has the HTTP handlers.
 
 mod answers;
 
@@ -15,229 +15,243 @@
 use tokio::runtime::Runtime;
 
 use self::answers::header;
-use super::proxy::{BIND_PAUSE, BIND_TRIES, Proxy};
+use super::proxy::{BIND_RETRY_DELAY, MAX_BIND_ATTEMPTS, Proxy};
 
-/// What a replica does with a request.
+/// Behavior of a replica for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Act {
-    /// It runs it and answers.
+    /// The request runs and succeeds.
     #[default]
     Serve,
-    /// It says that it did not run it.
+    /// The request is refused with 503 and the header `not-executed`.
     Refuse,
-    /// It runs it and answers 500.
+    /// The request runs, and the response is 500.
     Fail,
-    /// It runs it and closes the connection without an answer.
+    /// The request runs, and the connection is closed in the middle of the response.
     LoseAnswer,
-    /// It answers under the id of another request.
+    /// The request runs, and the response has the id of another request.
     ForeignId,
-    /// It answers 200 without its seal.
+    /// The request runs, and the response is 200 without the header `response-seal`.
     Unsealed,
-    /// It answers 503 without saying that the request was not run.
+    /// The request runs, and the response is 503 without the header `not-executed`, so that the entry cannot tell
+    /// whether it ran.
     Unproven,
-    /// It breaks a stream off in the middle of the event after this many.
+    /// A stream is aborted in the middle of the event that follows this many events.
     BreakAfter(u64),
-    /// It says nothing at all for this many milliseconds, then serves.
+    /// The response starts only after this many milliseconds; then the request runs and succeeds.
     Stall(u64),
 }
 
-/// One request that reached a replica.
+/// Request that a replica received.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The caller's id.
+    /// Request id that the caller chose.
     pub id: String,
-    /// Its path and query.
+    /// Path and query.
     pub path: String,
-    /// Its headers.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
-    /// When it came.
+    /// Time at which the body was complete.
     pub at: Instant,
-    /// Whether it was run.
+    /// Whether the replica ran the request; false if it refused the request.
     pub ran: bool,
-    /// Whether it was turned away with a time of rest.
-    pub asked_rest: bool,
+    /// Whether the replica refused the request and asked for a backoff.
+    pub has_backoff_request: bool,
 }
 
-/// Time from the start of fatal work to the end of the process.
-const FATAL_AFTER: Duration = Duration::from_millis(15);
+/// Time from the arrival of a request that crashes the process to the crash, without the trigger's `listener_delay`.
+const CRASH_DELAY: Duration = Duration::from_millis(15);
 
-/// What a replica is told to do, and what it has noted.
+/// Mutable state of a replica: its injected faults, and its records of requests, orders and crashes.
 #[derive(Default)]
 struct Inner {
-    /// What it does with the next requests.
-    acts: VecDeque<Act>,
-    runs: Vec<Run>,
-    /// Ids of requests whose callers went away, and when.
-    cancelled: Vec<(String, Instant)>,
-    /// Memory set aside, by the hold's name.
-    memory: HashMap<String, Hold>,
-    refuse_memory: bool,
-    /// What it says of its pace.
-    pace: Option<f64>,
-    /// How often it was asked.
-    reports: usize,
-    orders: Vec<Value>,
-    /// The proxy whose address its record names, if not its own.
-    front: Option<Arc<Proxy>>,
-    /// What its answers say of the requests that it takes, as it stands in their heads.
-    limit: Option<String>,
-    /// Whether its answers say that it is leaving.
-    leaving: bool,
-    /// The rest that it asks for with each request that it turns away, as it stands in the head; none if it takes them.
-    rest: Option<String>,
-    /// The failure domain that its record names, if not the usual one.
-    domain: Option<String>,
-    /// For how long it is cold, and what it takes meanwhile.
-    cold: Option<Cold>,
-    /// Work that ends its process.
-    fatal: Option<Fatal>,
-    /// How often its process ended.
-    ends: usize,
-    /// How often its process was started.
-    starts: usize,
+    /// Behaviors queued for the next requests, in order.
+    behaviors: VecDeque<Act>,
+    /// All received requests, in order.
+    received: Vec<Run>,
+    /// Ids of requests that were cancelled before their end, and when.
+    cancellations: Vec<(String, Instant)>,
+    /// Memory reservations by id, including expired ones.
+    reservations: HashMap<String, Reservation>,
+    /// Whether orders that reserve memory are refused.
+    refuses_reservations: bool,
+    /// Slowdown factor in its load reports; 1 if `None`.
+    slowdown: Option<f64>,
+    /// Number of load reports that were requested.
+    report_count: usize,
+    /// All memory orders, in order of arrival.
+    memory_orders: Vec<Value>,
+    /// Proxy whose address the replica's record names; `None` if the record names the replica's own address.
+    proxy: Option<Arc<Proxy>>,
+    /// Value of the header `server-limit`, in requests per second over all entries; `None` for no header.
+    rate_limit: Option<String>,
+    /// Whether its responses have the header `server-leaving`.
+    is_draining: bool,
+    /// Value of the header `retry-after` in seconds; while it is set, all requests are refused.
+    backoff: Option<String>,
+    /// Failure domain in its record; `here` if `None`.
+    failure_domain: Option<String>,
+    /// Cold period, which may be over.
+    cold_period: Option<ColdPeriod>,
+    /// Requests that crash the process.
+    crash_trigger: Option<CrashTrigger>,
+    /// Number of crashes.
+    crash_count: usize,
+    /// Number of process starts.
+    start_count: usize,
 }
 
 impl Inner {
-    /// Notes that the request `id` was answered with a time of rest.
-    fn note_rest(&mut self, id: &str) {
-        if let Some(run) = self.runs.iter_mut().rev().find(|run| run.id == id) {
-            run.asked_rest = true;
+    /// Records that the response to the newest request with this id asked for a backoff.
+    fn record_backoff_request(&mut self, id: &str) {
+        if let Some(request) = self.received.iter_mut().rev().find(|request| request.id == id) {
+            request.has_backoff_request = true;
         }
     }
 }
 
-/// Work under which a replica's process ends.
+/// Describes requests that crash a replica's process.
 #[derive(Clone, Debug)]
-struct Fatal {
-    /// What the body of such a request holds.
+struct CrashTrigger {
+    /// Text that the body of such a request contains.
     marker: String,
-    /// Time from the end of the process to its next start.
-    down: Duration,
-    /// Time from the end of the work's connection to that of the process.
-    lingers: Duration,
+    /// Time from the crash to the next start of the process.
+    downtime: Duration,
+    /// Time for which the process still listens after it has closed the connection of the request.
+    listener_delay: Duration,
 }
 
-/// A time in which a replica takes fewer requests.
+/// Period after a start in which a replica can serve fewer requests.
 #[derive(Clone, Copy, Debug)]
-struct Cold {
-    until: Instant,
-    /// Requests that may come in one second; with one more its process ends.
-    most: usize,
+struct ColdPeriod {
+    ends_at: Instant,
+    /// Requests that the replica can run within [`OVERLOAD_WINDOW`]; one more crashes the process.
+    max_requests: usize,
 }
 
-/// A second, over which a cold replica counts.
-const SECOND: Duration = Duration::from_secs(1);
+/// Window in which the requests of a cold replica are counted.
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-/// Memory set aside.
+/// Reservation of memory.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct Reservation {
     tokens: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// A replica.
+/// Replica whose process is simulated by a runtime of its own.
 pub struct Replica {
-    /// Its identity.
+    /// Replica id, under which its record is stored.
     pub id: String,
-    /// Where it listens.
+    /// Address on which it listens, `ip:port`; the same after each restart.
     pub address: String,
-    /// Time that an answer, or an event of a stream, takes.
-    takes: Duration,
+    /// Time that a response, or an event of a stream, takes.
+    service_time: Duration,
     inner: Mutex<Inner>,
-    /// What its process is: its connections and its listener end with it. None while it is down.
+    /// Runtime that simulates the process: shutting it down closes the listener and all connections. `None` while the
+    /// process is down.
     process: Mutex<Option<Runtime>>,
 }
 
 impl Replica {
-    /// Starts a replica on loopback whose answers, and each event of whose streams, take `takes`.
-    pub async fn start(id: &str, takes: Duration) -> std::io::Result<Arc<Self>> {
+    /// Starts a replica on a free loopback port. Each response, or each event of a stream, takes `service_time`.
+    pub async fn start(id: &str, service_time: Duration) -> std::io::Result<Arc<Self>> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?.to_string();
-        let replica =
-            Arc::new(Self { id: id.to_owned(), address, takes, inner: Mutex::default(), process: Mutex::default() });
-        replica.run(listener)?;
+        let replica = Arc::new(Self {
+            id: id.to_owned(),
+            address,
+            service_time,
+            inner: Mutex::default(),
+            process: Mutex::default(),
+        });
+        replica.start_process(listener)?;
         Ok(replica)
     }
 
-    /// Starts its process.
-    fn run(self: &Arc<Self>, listener: std::net::TcpListener) -> std::io::Result<()> {
+    /// Starts the process, which serves connections of `listener`.
+    fn start_process(self: &Arc<Self>, listener: std::net::TcpListener) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
         let router = answers::router(self.clone());
         listener.set_nonblocking(true)?;
-        let entered = runtime.enter();
+        let runtime_guard = runtime.enter();
         let listener = TcpListener::from_std(listener)?;
-        drop(entered);
+        drop(runtime_guard);
         runtime.spawn(async move { axum::serve(listener, router).await });
-        self.lock().starts += 1;
+        self.lock().start_count += 1;
         *self.process.lock().unwrap_or_else(PoisonError::into_inner) = Some(runtime);
-        self.front_listens(true);
+        self.set_proxy_listening(true);
         Ok(())
     }
 
-    /// Ends its process, with all its connections.
+    /// Stops the process and closes all its connections; does nothing if the process is down.
     pub fn end(&self) {
         let process = self.process.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(process) = process {
-            self.front_listens(false);
+            self.set_proxy_listening(false);
             process.shutdown_background();
         }
     }
 
-    /// Has its process end whenever it runs work whose body holds `marker`, and start again after `down` under the same
-    /// identity, without memory of what it held.
-    pub fn end_under(&self, marker: &str, down: Duration) {
-        self.lock().fatal = Some(Fatal { marker: marker.to_owned(), down, lingers: Duration::ZERO });
+    /// Makes each request whose body contains `marker` crash the process. The process starts again after `downtime`
+    /// with the same id and without its memory reservations.
+    pub fn end_under(&self, marker: &str, downtime: Duration) {
+        self.lock().crash_trigger =
+            Some(CrashTrigger { marker: marker.to_owned(), downtime, listener_delay: Duration::ZERO });
     }
 
-    /// The same, but its process listens for a moment longer than the connection of that work lives.
-    pub fn linger_under(&self, marker: &str, down: Duration, lingers: Duration) {
-        self.lock().fatal = Some(Fatal { marker: marker.to_owned(), down, lingers });
+    /// Does the same as [`Replica::end_under`], but the process still listens for `listener_delay` after it has closed
+    /// the connection of the request.
+    pub fn linger_under(&self, marker: &str, downtime: Duration, listener_delay: Duration) {
+        self.lock().crash_trigger = Some(CrashTrigger { marker: marker.to_owned(), downtime, listener_delay });
     }
 
-    /// Starts its process again at its address; a connection of someone else may have its port for a moment.
-    fn start_again(self: &Arc<Self>) -> std::io::Result<()> {
-        for _ in 0..BIND_TRIES {
+    /// Starts the process again on the same address. Retries, since another process's connection can occupy the port
+    /// for a moment.
+    fn restart(self: &Arc<Self>) -> std::io::Result<()> {
+        for _ in 0..MAX_BIND_ATTEMPTS {
             if let Ok(listener) = std::net::TcpListener::bind(&self.address) {
-                return self.run(listener);
+                return self.start_process(listener);
             }
-            std::thread::sleep(BIND_PAUSE);
+            std::thread::sleep(BIND_RETRY_DELAY);
         }
-        self.run(std::net::TcpListener::bind(&self.address)?)
+        self.start_process(std::net::TcpListener::bind(&self.address)?)
     }
 
-    /// How often its process ended under fatal work.
+    /// Returns the number of crashes, by a request that triggers one or by overload in a cold period.
     pub fn ends(&self) -> usize {
-        self.lock().ends
+        self.lock().crash_count
     }
 
-    /// The fatal work that a body holds, if it does.
-    fn fatal(&self, body: &[u8]) -> Option<Fatal> {
-        let fatal = self.lock().fatal.clone()?;
-        let marker = fatal.marker.as_bytes();
-        body.windows(marker.len()).any(|part| part == marker).then_some(fatal)
+    /// Returns the crash trigger if the body contains its marker.
+    fn find_crash_trigger(&self, body: &[u8]) -> Option<CrashTrigger> {
+        let trigger = self.lock().crash_trigger.clone()?;
+        let marker = trigger.marker.as_bytes();
+        body.windows(marker.len()).any(|window| window == marker).then_some(trigger)
     }
 
-    /// Ends its process soon, and starts it again. Work ends the process that was given it and no later one, however late
-    /// this thread runs: with eight at once, on a busy machine, one was seen to end the next process too.
-    fn die_of(self: &Arc<Self>, fatal: Fatal) {
+    /// Schedules a crash and the next start of the process. A request crashes only the process that received it,
+    /// however late the thread runs: without the check, with eight such requests at once on a busy machine, one of them
+    /// also crashed the next process.
+    fn schedule_crash(self: &Arc<Self>, trigger: CrashTrigger) {
         let replica = self.clone();
-        let start = self.lock().starts;
+        let start_count = self.lock().start_count;
         std::thread::spawn(move || {
-            std::thread::sleep(FATAL_AFTER + fatal.lingers);
-            if replica.lock().starts != start {
+            std::thread::sleep(CRASH_DELAY + trigger.listener_delay);
+            if replica.lock().start_count != start_count {
                 return;
             }
             if replica.process.lock().unwrap_or_else(PoisonError::into_inner).is_none() {
                 return;
             }
-            replica.lock().ends += 1;
+            replica.lock().crash_count += 1;
             replica.end();
-            std::thread::sleep(fatal.down);
-            replica.lock().memory.clear();
-            if let Err(error) = replica.start_again() {
-                eprintln!("step=start-again replica={}: {error}", replica.id);
+            std::thread::sleep(trigger.downtime);
+            replica.lock().reservations.clear();
+            if let Err(error) = replica.restart() {
+                eprintln!("step=restart replica={}: {error}", replica.id);
             }
         });
     }
@@ -246,132 +260,155 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what it does with the next requests; then it serves.
-    pub fn next(&self, acts: impl IntoIterator<Item = Act>) {
-        self.lock().acts.extend(acts);
+    /// Queues behaviors for the next requests, one for each; later requests are served normally.
+    pub fn next(&self, behaviors: impl IntoIterator<Item = Act>) {
+        self.lock().behaviors.extend(behaviors);
     }
 
-    /// Takes back what it was told to do with the next requests.
-    pub fn behave(&self) {
-        self.lock().acts.clear();
+    /// Clears the queued behaviors, so that the next requests are served normally.
+    pub fn clear_behaviors(&self) {
+        self.lock().behaviors.clear();
     }
 
-    /// Requests that came, in order.
+    /// Returns all received requests in order, including refused and misdirected ones.
     pub fn seen(&self) -> Vec<Run> {
-        self.lock().runs.clone()
+        self.lock().received.clone()
     }
 
-    /// How often it ran a request with this id.
+    /// Returns how often requests with this id were run.
     pub fn ran(&self, id: &str) -> usize {
-        self.lock().runs.iter().filter(|run| run.ran && run.id == id).count()
+        self.lock().received.iter().filter(|request| request.ran && request.id == id).count()
     }
 
-    /// When the caller of a request went away before its end.
+    /// Returns when a request was cancelled; `None` if no request with this id was cancelled before its end.
     pub fn cancelled(&self, id: &str) -> Option<Instant> {
-        self.lock().cancelled.iter().find(|(other, _)| other == id).map(|(_, at)| *at)
+        self.lock()
+            .cancellations
+            .iter()
+            .find(|(cancelled_id, _)| cancelled_id == id)
+            .map(|(_, cancelled_at)| *cancelled_at)
     }
 
-    /// Memory that is set aside, in tokens; a hold that is not renewed ends by itself.
+    /// Returns the reserved memory in tokens, without expired reservations.
     pub fn memory(&self) -> u64 {
         let now = Instant::now();
-        self.lock().memory.values().filter(|hold| hold.until > now).map(|hold| hold.tokens).sum()
+        self.lock()
+            .reservations
+            .values()
+            .filter(|reservation| reservation.expires_at > now)
+            .map(|reservation| reservation.tokens)
+            .sum()
     }
 
-    /// Has its record name the address of a proxy in front of it, which listens while it runs.
-    pub fn stand_behind(&self, proxy: Arc<Proxy>) {
-        self.lock().front = Some(proxy);
+    /// Puts a proxy in front of the replica: the replica's record names the proxy's address, and the proxy listens only
+    /// while the process runs.
+    pub fn set_proxy(&self, proxy: Arc<Proxy>) {
+        self.lock().proxy = Some(proxy);
     }
 
-    fn front_listens(&self, listens: bool) {
-        if let Some(proxy) = &self.lock().front {
-            proxy.listen(listens);
+    /// Sets whether the proxy in front of the replica, if there is one, listens.
+    fn set_proxy_listening(&self, is_listening: bool) {
+        if let Some(proxy) = &self.lock().proxy {
+            proxy.set_listening(is_listening);
         }
     }
 
-    /// Orders that came, in order.
+    /// Returns the bodies of all memory orders, in order of arrival.
     pub fn orders(&self) -> Vec<Value> {
-        self.lock().orders.clone()
+        self.lock().memory_orders.clone()
     }
 
-    /// Sets whether wishes for memory are refused.
-    pub fn refuse_memory(&self, refuse: bool) {
-        self.lock().refuse_memory = refuse;
+    /// Sets whether orders that reserve memory are refused.
+    pub fn refuse_memory(&self, refuses: bool) {
+        self.lock().refuses_reservations = refuses;
     }
 
-    /// Sets how many times as long as it should everything takes, as it says; it is no slower for that.
-    pub fn tell_pace(&self, pace: f64) {
-        self.lock().pace = Some(pace);
+    /// Sets the slowdown factor in its load reports; its real service time does not change.
+    pub fn tell_pace(&self, slowdown: f64) {
+        self.lock().slowdown = Some(slowdown);
     }
 
-    /// Has its answers name the requests a second that it takes from all entries together, or no longer.
-    pub fn name_limit(&self, limit: Option<&str>) {
-        self.lock().limit = limit.map(str::to_owned);
+    /// Sets the rate limit that its responses announce, in requests per second over all entries; `None` announces none.
+    /// The replica does not enforce the limit.
+    pub fn name_limit(&self, rate_limit: Option<&str>) {
+        self.lock().rate_limit = rate_limit.map(str::to_owned);
     }
 
-    /// Has all its answers say that it is leaving, whatever its record says.
+    /// Makes all its responses announce that it is draining, whatever state its record has.
     pub fn say_leaving(&self) {
-        self.lock().leaving = true;
+        self.lock().is_draining = true;
     }
 
-    /// Has it turn all requests away and ask for so much rest with each, in seconds as they stand in the head, or no longer.
-    pub fn ask_rest(&self, rest: Option<&str>) {
-        self.lock().rest = rest.map(str::to_owned);
+    /// Makes it refuse all requests and ask for this backoff, in seconds as written in the header `retry-after`; `None`
+    /// makes it serve again.
+    pub fn ask_rest(&self, backoff: Option<&str>) {
+        self.lock().backoff = backoff.map(str::to_owned);
     }
 
-    /// Has its record name another failure domain than the usual one.
-    pub fn stand_in(&self, domain: &str) {
-        self.lock().domain = Some(domain.to_owned());
+    /// Sets the failure domain for records that are written from now on.
+    pub fn stand_in(&self, failure_domain: &str) {
+        self.lock().failure_domain = Some(failure_domain.to_owned());
     }
 
-    /// Turns it cold for so long: with more than `most` requests in one second its process ends, and starts again.
-    pub fn turn_cold(&self, lasts: Duration, most: usize) {
-        self.lock().cold = Some(Cold { until: Instant::now() + lasts, most });
+    /// Starts a cold period of this length, in which more than `max_requests` requests within one second crash the
+    /// process.
+    pub fn turn_cold(&self, duration: Duration, max_requests: usize) {
+        self.lock().cold_period = Some(ColdPeriod { ends_at: Instant::now() + duration, max_requests });
     }
 
-    /// Whether it falls over now: more has come within a second than it bears while it is cold.
-    fn is_overrun(&self) -> bool {
+    /// Returns whether more requests were run within [`OVERLOAD_WINDOW`] than the cold period allows; false outside of
+    /// a cold period.
+    fn is_overloaded(&self) -> bool {
         let inner = self.lock();
         let now = Instant::now();
-        let Some(cold) = inner.cold.filter(|cold| cold.until > now) else { return false };
-        inner.runs.iter().rev().take_while(|run| now - run.at < SECOND).filter(|run| run.ran).count() > cold.most
+        let Some(cold_period) = inner.cold_period.filter(|period| period.ends_at > now) else { return false };
+        inner
+            .received
+            .iter()
+            .rev()
+            .take_while(|request| now - request.at < OVERLOAD_WINDOW)
+            .filter(|request| request.ran)
+            .count()
+            > cold_period.max_requests
     }
 
-    /// How often it was asked what it does.
+    /// Returns how many load reports were requested.
     pub fn reports(&self) -> usize {
-        self.lock().reports
+        self.lock().report_count
     }
 
-    /// Notes a request and says what to do with it; none if it was meant for another replica.
-    fn note(&self, id: &str, head: Parts, body: Bytes) -> Option<Act> {
+    /// Records a request and returns the behavior for it; `None` if its header `expect-replica` names another replica.
+    fn record_request(&self, id: &str, head: Parts, body: Bytes) -> Option<Act> {
         let expected = header(&head.headers, "expect-replica");
-        let misdirected = !expected.is_empty() && expected != self.id;
+        let is_misdirected = !expected.is_empty() && expected != self.id;
         let path = head.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
         let mut inner = self.lock();
-        let refuses = misdirected || inner.rest.is_some();
-        let act = if refuses { Act::Refuse } else { inner.acts.pop_front().unwrap_or_default() };
-        let ran = act != Act::Refuse;
-        inner.runs.push(Run {
+        let is_refused = is_misdirected || inner.backoff.is_some();
+        let behavior = if is_refused { Act::Refuse } else { inner.behaviors.pop_front().unwrap_or_default() };
+        let ran = behavior != Act::Refuse;
+        inner.received.push(Run {
             id: id.to_owned(),
             path,
             headers: head.headers,
             body,
             at: Instant::now(),
             ran,
-            asked_rest: false,
+            has_backoff_request: false,
         });
-        (!misdirected).then_some(act)
+        (!is_misdirected).then_some(behavior)
     }
 
-    /// Its record in the store.
+    /// Returns the record, as JSON, with which the replica announces itself in the store.
     pub fn record(&self, service: &str, state: &str) -> String {
         let inner = self.lock();
-        let front = inner.front.as_ref().map(|proxy| proxy.address.clone());
-        let address = front.unwrap_or_else(|| self.address.clone());
-        let domain = inner.domain.as_deref().unwrap_or("here");
-        let cold = inner.cold.map_or(Duration::ZERO, |cold| cold.until.saturating_duration_since(Instant::now()));
+        let proxy_address = inner.proxy.as_ref().map(|proxy| proxy.address.clone());
+        let address = proxy_address.unwrap_or_else(|| self.address.clone());
+        let failure_domain = inner.failure_domain.as_deref().unwrap_or("here");
+        let cold_remaining =
+            inner.cold_period.map_or(Duration::ZERO, |period| period.ends_at.saturating_duration_since(Instant::now()));
         let record = json!({
-            "service": service, "address": address, "zone": domain, "version": "v1", "slots": 16,
-            "state": state, "cold_remaining_ms": cold.as_millis() as u64, "sequence": 1,
+            "service": service, "address": address, "zone": failure_domain, "version": "v1", "slots": 16,
+            "state": state, "cold_remaining_ms": cold_remaining.as_millis() as u64, "sequence": 1,
         });
         record.to_string()
     }
--- a/standin/src/platform/site.rs
+++ b/standin/src/platform/site.rs
@@ -1,4 +1,4 @@
-//! A small site: store, replicas, and real entries as processes of their own.
+//! Small site for tests and soaks: the store and the replicas run in this process, each entry as a child process.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -14,47 +14,48 @@
 use super::configuration::configuration;
 use super::proxy::Proxy;
 use super::replica::Replica;
-use super::store::{Door, Store};
+use super::store::{Store, StoreListener};
 use crate::fleet::{binary, free_address};
 
-/// The host of all routes.
+/// Host name in all routes of the configuration.
 pub const HOST: &str = "site.example";
-/// The key that a new site knows.
+/// API key in the first configuration of a site.
 pub const KEY: &str = "key-of-workspace-0";
-/// Entries that the settings of another name at most.
-const MOST_SEEDS: usize = 3;
-/// How long a process may take to come up or to end.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// How often a process is looked at meanwhile.
-const POLL: Duration = Duration::from_millis(20);
-
-/// What a site is made of.
+/// Bounds the peer addresses in an entry's `seeds` setting.
+const MAX_SEEDS: usize = 3;
+/// Bounds the wait for a process to become ready or to exit.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time between two checks of a process during that wait.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Parameters of a site.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Its name; also that of its folder.
+    /// Name of the site, which is part of the name of its folder.
     pub name: String,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines of the service `advisor`.
+    /// Number of engines of the service `advisor`.
     pub engines: usize,
-    /// Replicas of the plain service `ledger`.
+    /// Number of replicas of the plain service `ledger`.
     pub plain: usize,
-    /// Time that an answer or an event takes.
+    /// Time that a replica takes for a response, or for each event of a stream.
     pub takes: Duration,
-    /// Settings of `[bounds]` besides the defaults.
+    /// Lines that the section `[bounds]` of each entry's settings gets.
     pub bounds: String,
-    /// Whether each entry is told where the others listen for entries.
+    /// Whether the settings of an entry name the peer addresses of the entries started before it.
     pub seeded: bool,
-    /// Whether entries hear nothing of each other.
+    /// Whether entries do not listen for peers, so that each runs isolated from the others.
     pub apart: bool,
-    /// Whether a proxy stands on each way: from callers and to the store and the replicas.
+    /// Whether connections from callers to entries, and from entries to the store and to replicas, pass through
+    /// proxies.
     pub proxied: bool,
-    /// Whether entries log what is left out otherwise.
+    /// Whether entries log at level `debug` instead of `info`.
     pub verbose: bool,
 }
 
 impl Spec {
-    /// Two entries, three engines, two plain replicas.
+    /// Returns the parameters of a site with two entries, three engines and two plain replicas, without proxies.
     pub fn small(name: &str) -> Self {
         let takes = Duration::from_millis(20);
         Self {
@@ -72,50 +73,50 @@
     }
 }
 
-/// Proxies on the ways of a site; none where it has none.
+/// Proxies of a site; empty unless [`Spec::proxied`] is set.
 #[derive(Default)]
 pub struct Proxies {
-    /// In front of each entry, for callers.
+    /// Proxy in front of each entry, for callers.
     pub callers: Vec<Arc<Proxy>>,
-    /// Between each entry and the store.
+    /// Proxy between each entry and the store.
     pub store: Vec<Arc<Proxy>>,
-    /// In front of each replica, engines first.
+    /// Proxy in front of each replica, engines first.
     pub replicas: Vec<Arc<Proxy>>,
 }
 
 impl Proxies {
-    /// All of them.
+    /// Iterates over all proxies: callers' first, then the store's, then the replicas'.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Proxy>> {
         self.callers.iter().chain(&self.store).chain(&self.replicas)
     }
 }
 
-/// A running site. Dropping it kills its processes.
+/// Running site. Dropping it kills the entries and stops the replicas.
 pub struct Site {
-    /// The store.
+    /// Store that all entries share.
     pub store: Arc<Store>,
-    /// Each entry's door to the store.
-    pub doors: Vec<Arc<Door>>,
+    /// Listener of the store for each entry, by the entry's index.
+    pub doors: Vec<Arc<StoreListener>>,
     /// Engines of the service `advisor`.
     pub engines: Vec<Arc<Replica>>,
     /// Replicas of the service `ledger`.
     pub plain: Vec<Arc<Replica>>,
-    /// Proxies on its ways.
+    /// Proxies that inject network faults.
     pub proxies: Proxies,
-    /// Where callers reach each entry.
+    /// Address of each entry for callers; that of its proxy if there is one.
     pub addresses: Vec<String>,
-    /// Where the balancer asks each entry.
+    /// Address of each entry for the load balancer's readiness checks.
     pub ready: Vec<String>,
-    /// Where each entry listens for the others.
-    peers: Vec<String>,
-    /// Holds settings and logs.
+    /// Address of each entry for its peers.
+    peer_addresses: Vec<String>,
+    /// Folder with the settings and logs of the entries.
     dir: PathBuf,
-    /// The entries' processes; none where one has ended.
-    entries: Vec<Option<Child>>,
-    /// How often each entry was started.
-    launches: Vec<usize>,
+    /// Process of each entry; `None` after its exit status was collected.
+    processes: Vec<Option<Child>>,
+    /// Number of process starts of each entry.
+    start_counts: Vec<usize>,
     /// Version of the newest configuration.
-    version: Cell<u64>,
+    config_version: Cell<u64>,
 }
 
 impl Site {
@@ -140,14 +141,14 @@
             proxies: Proxies::default(),
             addresses: Vec::new(),
             ready: Vec::new(),
-            peers: Vec::new(),
+            peer_addresses: Vec::new(),
             dir,
-            entries: Vec::new(),
-            launches: Vec::new(),
-            version: Cell::new(0),
+            processes: Vec::new(),
+            start_counts: Vec::new(),
+            config_version: Cell::new(0),
         };
         if spec.proxied {
-            site.stand_behind_proxies().await?;
+            site.start_replica_proxies().await?;
         }
         site.configure(&[KEY], |_| {});
         site.announce_all();
@@ -160,110 +161,112 @@
         Ok(site)
     }
 
-    /// Puts a proxy in front of each replica.
-    async fn stand_behind_proxies(&mut self) -> Result<()> {
+    /// Starts a proxy in front of each replica and has the replica's record name the proxy's address.
+    async fn start_replica_proxies(&mut self) -> Result<()> {
         for replica in self.engines.iter().chain(&self.plain) {
             let proxy = Proxy::start(replica.address.clone()).await?;
-            replica.stand_behind(proxy.clone());
+            replica.set_proxy(proxy.clone());
             self.proxies.replicas.push(proxy);
         }
         Ok(())
     }
 
-    /// Writes the settings of one more entry and starts it, with a door of its own.
+    /// Opens a store listener for a new entry, writes the entry's settings and starts its process.
     async fn add_entry(&mut self, index: usize, spec: &Spec) -> Result<()> {
-        let door = self.store.door().await?;
-        let (listen, ready, peer) = (free_address()?, free_address()?, free_address()?);
-        let known = &self.peers[..self.peers.len().min(MOST_SEEDS)];
-        let seeds = if spec.seeded { known.join(",") } else { String::new() };
-        self.peers.push(peer.clone());
+        let store_listener = self.store.listen().await?;
+        let (entry_address, ready_address, peer_address) = (free_address()?, free_address()?, free_address()?);
+        let earlier_peers = &self.peer_addresses[..self.peer_addresses.len().min(MAX_SEEDS)];
+        let seeds = if spec.seeded { earlier_peers.join(",") } else { String::new() };
+        self.peer_addresses.push(peer_address.clone());
         let bounds = &spec.bounds;
-        let (mut store, mut reached_at) = (door.address.clone(), listen.clone());
+        let (mut store_address, mut caller_address) = (store_listener.address.clone(), entry_address.clone());
         if spec.proxied {
-            let (to_store, from_callers) = (Proxy::start(store).await?, Proxy::start(reached_at).await?);
-            (store, reached_at) = (to_store.address.clone(), from_callers.address.clone());
-            self.proxies.store.push(to_store);
-            self.proxies.callers.push(from_callers);
+            let (store_proxy, caller_proxy) = (Proxy::start(store_address).await?, Proxy::start(caller_address).await?);
+            (store_address, caller_address) = (store_proxy.address.clone(), caller_proxy.address.clone());
+            self.proxies.store.push(store_proxy);
+            self.proxies.callers.push(caller_proxy);
         }
         let log_level = if spec.verbose { "debug" } else { "info" };
-        let peer_listen = if spec.apart { String::new() } else { format!("peer_listen = {peer}\n") };
+        let peer_listen = if spec.apart { String::new() } else { format!("peer_listen = {peer_address}\n") };
         let settings = format!(
-            "[process]\nname = entry-{index}\nfailure_domain = here\nlog_level = {log_level}\n\n[gateway]\nlisten = {listen}\n\
-             ready_listen = {ready}\nstore = {store}\n{peer_listen}seeds = {seeds}\n\n[bounds]\nretry_allowance = 100\n{bounds}\n"
+            "[process]\nname = entry-{index}\nfailure_domain = here\nlog_level = {log_level}\n\n[gateway]\nlisten = {entry_address}\n\
+             ready_listen = {ready_address}\nstore = {store_address}\n{peer_listen}seeds = {seeds}\n\n[bounds]\nretry_allowance = 100\n{bounds}\n"
         );
         std::fs::write(self.settings_file(index), settings).wrap_err("step=write-settings")?;
-        self.addresses.push(reached_at);
-        self.ready.push(ready);
-        self.doors.push(door);
-        self.entries.push(None);
-        self.launches.push(0);
-        self.launch(index)
+        self.addresses.push(caller_address);
+        self.ready.push(ready_address);
+        self.doors.push(store_listener);
+        self.processes.push(None);
+        self.start_counts.push(0);
+        self.start_process(index)
     }
 
-    /// Starts the process of an entry whose settings are written.
-    fn launch(&mut self, index: usize) -> Result<()> {
+    /// Starts the process of an entry whose settings are written; its output is appended to the entry's log.
+    fn start_process(&mut self, index: usize) -> Result<()> {
         let settings = self.settings_file(index);
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(index))?;
-        let errors = log.try_clone()?;
+        let stdout = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(index))?;
+        let stderr = stdout.try_clone()?;
         let child = Command::new(binary("sorrelpass")?)
             .arg("entry")
             .arg(settings)
             .stdin(Stdio::null())
-            .stdout(log)
-            .stderr(errors)
+            .stdout(stdout)
+            .stderr(stderr)
             .spawn()
             .wrap_err("step=start-entry")?;
-        self.entries[index] = Some(child);
-        self.launches[index] += 1;
+        self.processes[index] = Some(child);
+        self.start_counts[index] += 1;
         Ok(())
     }
 
-    /// Where an entry listens for the others.
+    /// Returns the address on which an entry listens for its peers.
     pub fn peer_address(&self, index: usize) -> &str {
-        &self.peers[index]
+        &self.peer_addresses[index]
     }
 
-    /// Where an entry logs to.
+    /// Returns the path of an entry's log.
     pub fn log_file(&self, index: usize) -> PathBuf {
         self.dir.join(format!("entry-{index}.log"))
     }
 
-    /// What an entry has logged.
+    /// Returns the text of an entry's log over all its starts; empty if the log cannot be read.
     pub fn log(&self, index: usize) -> String {
         std::fs::read_to_string(self.log_file(index)).unwrap_or_default()
     }
 
-    /// Where an entry's settings lie.
+    /// Returns the path of an entry's settings.
     pub fn settings_file(&self, index: usize) -> PathBuf {
         self.dir.join(format!("entry-{index}.ini"))
     }
 
-    /// Puts a new configuration in the store, with these keys, and changed by `change`; returns its version.
+    /// Writes a new configuration with these API keys to the store, after `change` has edited it, and returns its
+    /// version.
     pub fn configure(&self, keys: &[&str], change: impl FnOnce(&mut Value)) -> u64 {
-        let version = self.version.get() + 1;
-        self.version.set(version);
+        let version = self.config_version.get() + 1;
+        self.config_version.set(version);
         let mut config = configuration(version, keys);
         change(&mut config);
         self.store.put("keyed.op", "config", config.to_string());
         version
     }
 
-    /// Has operators write the newest configuration again, as it is.
+    /// Writes the configuration again under its newest version, as operators do after a restore of the store. Edits
+    /// made by `change` in [`Site::configure`] are not repeated.
     pub fn configure_again(&self, keys: &[&str]) {
-        self.store.put("keyed.op", "config", configuration(self.version.get(), keys).to_string());
+        self.store.put("keyed.op", "config", configuration(self.config_version.get(), keys).to_string());
     }
 
-    /// Has operators say that a failure domain is to be emptied.
+    /// Starts the evacuation of a failure domain, as operators do.
     pub fn evacuate(&self, domain: &str) {
         self.store.put("keyed.op", &format!("evacuate/{domain}"), "{}");
     }
 
-    /// Has operators take that back.
+    /// Cancels the evacuation of a failure domain, as operators do.
     pub fn end_evacuation(&self, domain: &str) {
         self.store.put("keyed.op", &format!("evacuate/{domain}"), "");
     }
 
-    /// Writes the record of every replica.
+    /// Writes the records of all replicas to the store, with state `ready`.
     pub fn announce_all(&self) {
         for (service, replicas) in [("advisor", &self.engines), ("ledger", &self.plain)] {
             for replica in replicas {
@@ -272,101 +275,108 @@
         }
     }
 
-    /// Sends a request to an entry.
-    pub async fn send(&self, entry: usize, ask: &Ask) -> Seen {
-        client::send(&self.addresses[entry], HOST, ask).await.unwrap_or_default()
+    /// Sends a request to an entry; the status is 0 if the connection cannot be opened.
+    pub async fn send(&self, entry: usize, spec: &Ask) -> Seen {
+        client::send(&self.addresses[entry], HOST, spec).await.unwrap_or_default()
     }
 
-    /// Whether an entry calls itself ready.
+    /// Returns whether an entry reports that it is ready.
     pub async fn is_ready(&self, entry: usize) -> bool {
-        let ask = Ask { headers: Vec::new(), ..Ask::new("GET", "/ready", "", "") };
-        client::send(&self.ready[entry], HOST, &ask).await.is_ok_and(|seen| seen.status == 200)
+        let spec = Ask { headers: Vec::new(), ..Ask::new("GET", "/ready", "", "") };
+        client::send(&self.ready[entry], HOST, &spec).await.is_ok_and(|outcome| outcome.status == 200)
     }
 
-    /// Waits until an entry calls itself ready, or not.
-    pub async fn wait_ready(&self, entry: usize, ready: bool) -> Result<()> {
+    /// Waits until an entry reports that it is ready, or not ready if `is_ready` is false. An error contains the
+    /// entry's log.
+    pub async fn wait_ready(&self, entry: usize, is_ready: bool) -> Result<()> {
         let started = Instant::now();
-        while self.is_ready(entry).await != ready {
-            if started.elapsed() > PATIENCE {
-                return Err(eyre!("step=wait-ready entry={entry} wanted={ready}: {}", self.log(entry)));
+        while self.is_ready(entry).await != is_ready {
+            if started.elapsed() > PROCESS_TIMEOUT {
+                return Err(eyre!(
+                    "step=wait-ready entry={entry} wanted={is_ready}: timed out, log:\n{}",
+                    self.log(entry)
+                ));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Sends an entry a signal.
+    /// Sends a signal to an entry's process.
     pub fn signal(&self, entry: usize, signal: Signal) -> Result<()> {
-        let Some(running) = &self.entries[entry] else { return Err(eyre!("step=signal entry={entry}: not running")) };
-        let pid = i32::try_from(running.id()).ok().and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| eyre!("step=signal entry={entry}: no process id"))?;
+        let Some(process) = &self.processes[entry] else { return Err(eyre!("step=signal entry={entry}: not running")) };
+        let pid = i32::try_from(process.id()).ok().and_then(Pid::from_raw);
+        let pid = pid.ok_or_else(|| eyre!("step=signal entry={entry}: invalid process id"))?;
         kill_process(pid, signal).wrap_err("step=signal")
     }
 
-    /// Waits until an entry has ended; returns whether it ended well.
+    /// Waits until an entry's process has exited, and returns whether it exited as expected.
     pub async fn wait_end(&mut self, entry: usize) -> Result<bool> {
-        let Some(mut running) = self.entries[entry].take() else { return Err(eyre!("step=wait entry={entry}")) };
+        let Some(mut process) = self.processes[entry].take() else {
+            return Err(eyre!("step=wait-exit entry={entry}: not running"));
+        };
         let started = Instant::now();
         loop {
-            if let Some(status) = running.try_wait()? {
-                // One that was told to end before it had begun just ends.
-                return Ok(status.success() || !self.has_begun(entry));
+            if let Some(status) = process.try_wait()? {
+                // Before a process has installed its signal handlers, SIGTERM kills it, which is not a failure.
+                return Ok(status.success() || !self.has_started(entry));
             }
-            if started.elapsed() > PATIENCE {
-                self.entries[entry] = Some(running);
-                return Err(eyre!("step=wait entry={entry}: it does not end"));
+            if started.elapsed() > PROCESS_TIMEOUT {
+                self.processes[entry] = Some(process);
+                return Err(eyre!("step=wait-exit entry={entry}: process did not exit within {PROCESS_TIMEOUT:?}"));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether the process of an entry runs, as far as is known.
-    pub fn runs(&self, entry: usize) -> bool {
-        self.entries[entry].is_some()
+    /// Returns whether an entry has a process whose exit status was not collected; that process may have crashed.
+    pub fn is_running(&self, entry: usize) -> bool {
+        self.processes[entry].is_some()
     }
 
-    /// Whether an entry's newest process has begun: before that, any signal ends it.
-    pub fn has_begun(&self, entry: usize) -> bool {
-        self.log(entry).matches("step=start ").count() >= self.launches[entry]
+    /// Returns whether an entry's newest process has logged its start. Before that, any signal kills the process.
+    pub fn has_started(&self, entry: usize) -> bool {
+        self.log(entry).matches("step=start ").count() >= self.start_counts[entry]
     }
 
-    /// Kills an entry, if it runs, and starts it again.
+    /// Kills an entry's process if it runs, and starts a new one with the same settings.
     pub async fn restart(&mut self, entry: usize) -> Result<()> {
-        if let Some(mut running) = self.entries[entry].take() {
-            running.kill()?;
-            running.wait()?;
+        if let Some(mut process) = self.processes[entry].take() {
+            process.kill()?;
+            process.wait()?;
         }
-        self.launch(entry)
+        self.start_process(entry)
     }
 
-    /// Ends all processes and keeps their logs; returns the folder.
+    /// Kills all processes and returns the folder with their logs, which is kept.
     pub fn keep_logs(mut self) -> PathBuf {
         self.kill_all();
         std::mem::take(&mut self.dir)
     }
 
-    /// Lines in which entries say that an invariant was breached.
+    /// Returns the log lines in which entries report the breach of an invariant.
     pub fn breached_invariants(&self) -> Vec<String> {
-        let logs: Vec<String> = (0..self.entries.len()).map(|index| self.log(index)).collect();
+        let logs: Vec<String> = (0..self.processes.len()).map(|index| self.log(index)).collect();
         let lines = logs.iter().flat_map(|log| log.lines());
         lines.filter(|line| line.contains("step=invariant")).map(str::to_owned).collect()
     }
 
-    /// Ends all processes and removes the site's folder; an error names a breached invariant.
+    /// Kills all processes and removes the site's folder. Fails if an entry logged the breach of an invariant.
     pub fn close(mut self) -> Result<()> {
         self.kill_all();
-        let breached = self.breached_invariants();
+        let breaches = self.breached_invariants();
         let _ = std::fs::remove_dir_all(&self.dir);
-        match breached.first() {
-            Some(line) => Err(eyre!("step=close: {line}")),
+        match breaches.first() {
+            Some(line) => Err(eyre!("step=close: invariant breached: {line}")),
             None => Ok(()),
         }
     }
 
+    /// Kills all entries and stops all replicas.
     fn kill_all(&mut self) {
-        for mut child in self.entries.iter_mut().filter_map(Option::take) {
-            let _ = child.kill();
-            let _ = child.wait();
+        for mut process in self.processes.iter_mut().filter_map(Option::take) {
+            let _ = process.kill();
+            let _ = process.wait();
         }
         self.engines.iter().chain(&self.plain).for_each(|replica| replica.end());
     }
--- a/standin/src/platform/soak/injector.rs
+++ b/standin/src/platform/soak/injector.rs
@@ -13,7 +13,7 @@
 
 use super::caller::{Phase, Shared, key};
 use super::{EMPTIED, Plan, RECOVERY, REST};
-use crate::platform::proxy::Way;
+use crate::platform::proxy::NetworkFault;
 use crate::platform::replica::{Act, Replica};
 use crate::platform::site::Site;
 use crate::platform::store::{Copy, Fault};
@@ -147,7 +147,7 @@
             })
         };
         let free: Vec<usize> =
-            (0..self.site.doors.len()).filter(|entry| self.site.runs(*entry) && !busy(entry)).collect();
+            (0..self.site.doors.len()).filter(|entry| self.site.is_running(*entry) && !busy(entry)).collect();
         free.choose(&mut self.random).copied()
     }
 
@@ -174,7 +174,7 @@
                 self.undo.push((at, Undo::AwaitEnd(entry)));
             }
             Kind::Reload => {
-                let Some(entry) = self.running().filter(|entry| self.site.has_begun(*entry)) else { return Ok(()) };
+                let Some(entry) = self.running().filter(|entry| self.site.has_started(*entry)) else { return Ok(()) };
                 self.site.signal(entry, Signal::HUP)?;
             }
             Kind::Store => self.store_fault(at),
@@ -200,7 +200,7 @@
     }
 
     fn store_fault(&mut self, at: Instant) {
-        let faults = [Fault::Unavailable, Fault::TooMany, Fault::Silent, Fault::LostAnswers];
+        let faults = [Fault::Unavailable, Fault::TooMany, Fault::Silent, Fault::DropResponses];
         let fault = *faults.choose(&mut self.random).unwrap_or(&Fault::Unavailable);
         let all = self.random.random_bool(0.4);
         let one = self.random.random_range(0..self.site.doors.len());
@@ -218,10 +218,16 @@
         let first = [groups[2], groups[2] + groups[0], 0][group];
         let index = first + self.random.random_range(0..groups[group]);
         let delay = Duration::from_millis(self.random.random_range(5..300));
-        let ways = [Way::Delayed(delay), Way::Reset, Way::CutForward, Way::CutBack, Way::Silent];
-        let way = *ways.choose(&mut self.random).unwrap_or(&Way::Reset);
+        let ways = [
+            NetworkFault::Delay(delay),
+            NetworkFault::Reset,
+            NetworkFault::DropForward,
+            NetworkFault::DropBackward,
+            NetworkFault::Blackhole,
+        ];
+        let way = *ways.choose(&mut self.random).unwrap_or(&NetworkFault::Reset);
         if let Some(proxy) = proxies.all().nth(index) {
-            proxy.set(way);
+            proxy.set_fault(way);
         }
         self.disturb(None);
         self.undo.push((at, Undo::Way(index)));
@@ -351,7 +357,7 @@
                 Undo::Store(door) => self.site.doors[door].set(Fault::None),
                 Undo::Way(index) => {
                     if let Some(proxy) = self.site.proxies.all().nth(index) {
-                        proxy.set(Way::Open);
+                        proxy.set_fault(NetworkFault::None);
                     }
                 }
             }
@@ -379,7 +385,7 @@
             self.take_back(false).await?;
         }
         self.take_back(true).await?;
-        self.site.engines.iter().chain(&self.site.plain).for_each(|replica| replica.behave());
+        self.site.engines.iter().chain(&self.site.plain).for_each(|replica| replica.clear_behaviors());
         // Callers whose requests wait behind what was healed come to their ends.
         tokio::time::sleep(RECOVERY).await;
         for entry in 0..self.site.doors.len() {
--- a/standin/src/platform/soak/judge.rs
+++ b/standin/src/platform/soak/judge.rs
@@ -153,7 +153,7 @@
     let mut most = 0;
     for replica in site.engines.iter().chain(&site.plain) {
         for (entry, runs) in runs_by_entry(replica, entries) {
-            let asked = runs.iter().filter(|run| run.asked_rest);
+            let asked = runs.iter().filter(|run| run.has_backoff_request);
             for refusal in asked.filter(|run| !is_disturbed(entry, disturbed, run.at, run.at + REST)) {
                 let is_in = |run: &&Run| run.at > refusal.at + BINDS_AFTER && run.at < refusal.at + REST;
                 most = most.max(runs.iter().filter(is_in).count());
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -1,7 +1,8 @@
-//! The store stand-in: a log of partitions, some of which keep the newest record of each key.
+//! Stand-in for the platform's store: a log of topics with one partition each, which can be compacted to the newest
+//! record of each key.
 //!
-//! Callers reach it through doors. Each door has a fault of its own, so that some callers are
-//! turned away while others are served.
+//! Each client connects through a listener of its own, and each listener has its own fault, so that some clients get
+//! errors while others are served.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,88 +22,88 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// What is wrong with a door.
+/// Fault that a listener injects into its calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// Calls are served normally.
     #[default]
     None,
-    /// It answers 503.
+    /// Calls are not run and get 503.
     Unavailable,
-    /// It answers 429.
+    /// Calls are not run and get 429.
     TooMany,
-    /// It takes calls and never answers.
+    /// Calls are accepted, but not run, and get no response.
     Silent,
-    /// Appends are done, and their answers are lost.
-    LostAnswers,
+    /// Appends are run but get no response; reads are served normally.
+    DropResponses,
 }
 
-/// Header that tells how often the store came back from an older copy.
-const ERA: HeaderName = HeaderName::from_static("store-era");
+/// Response header with the store's era: the number of times that it was restored from an older snapshot.
+const ERA_HEADER: HeaderName = HeaderName::from_static("store-era");
 
-/// One record; a key without a value was removed.
+/// Record of a topic; an empty value marks the key as removed.
 #[derive(Clone, Debug)]
 struct Record {
     key: Vec<u8>,
     value: Bytes,
 }
 
-/// The only partition of a topic.
+/// Topic with its only partition.
 #[derive(Clone, Default)]
 struct Topic {
-    /// Offset of the first record that can be read.
-    first: u64,
+    /// Offset of the first record that `/log-read` can return.
+    first_offset: u64,
     records: Vec<Record>,
-    /// Newest records of keys from before that, with their offsets.
+    /// Newest record of each key before that offset, with its own offset.
     compacted: BTreeMap<Vec<u8>, (u64, Bytes)>,
 }
 
 impl Topic {
-    /// The offset behind the newest record.
-    fn end(&self) -> u64 {
-        self.first + self.records.len() as u64
+    /// Returns the offset that the next record will get.
+    fn end_offset(&self) -> u64 {
+        self.first_offset + self.records.len() as u64
     }
 
-    /// The newest record of each key, with its offset.
-    fn newest(&self) -> BTreeMap<Vec<u8>, (u64, Bytes)> {
-        let mut newest = self.compacted.clone();
+    /// Returns the newest value of each key that is not removed, with its offset.
+    fn compacted_records(&self) -> BTreeMap<Vec<u8>, (u64, Bytes)> {
+        let mut compacted = self.compacted.clone();
         for (index, record) in self.records.iter().enumerate() {
             if record.value.is_empty() {
-                newest.remove(&record.key);
+                compacted.remove(&record.key);
             } else {
-                newest.insert(record.key.clone(), (self.first + index as u64, record.value.clone()));
+                compacted.insert(record.key.clone(), (self.first_offset + index as u64, record.value.clone()));
             }
         }
-        newest
+        compacted
     }
 }
 
-/// The store.
+/// State of the store, which all its listeners share.
 #[derive(Default)]
 pub struct Store {
     topics: Mutex<HashMap<String, Topic>>,
-    /// How often it came back from an older copy.
+    /// Number of restores from an older snapshot.
     era: AtomicU64,
     changed: Notify,
 }
 
-/// A copy of all that the store had at one moment.
+/// Snapshot of all topics of the store.
 pub struct Copy(HashMap<String, Topic>);
 
 impl Copy {
-    /// The copy as of a moment at which nothing had been written to a topic.
+    /// Removes a topic from the snapshot, as if nothing had been written to it before the snapshot was taken.
     pub fn without(mut self, topic: &str) -> Self {
         self.0.remove(topic);
         self
     }
 }
 
-/// A way into the store with a fault of its own.
-pub struct Door {
-    /// Address, `ip:port`.
+/// Listener through which one client reaches the store, with a fault of its own.
+pub struct StoreListener {
+    /// Address on which it listens, `ip:port`.
     pub address: String,
     fault: Mutex<Fault>,
-    calls: Mutex<u64>,
+    call_count: Mutex<u64>,
     store: Arc<Store>,
 }
 
@@ -111,51 +112,57 @@
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store in era 0.
     pub fn new() -> Arc<Self> {
         Arc::default()
     }
 
-    /// Opens a door on loopback.
-    pub async fn door(self: &Arc<Self>) -> std::io::Result<Arc<Door>> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let address = listener.local_addr()?.to_string();
-        let door = Arc::new(Door { address, fault: Mutex::default(), calls: Mutex::default(), store: self.clone() });
+    /// Opens a listener without a fault on a free loopback port.
+    pub async fn listen(self: &Arc<Self>) -> std::io::Result<Arc<StoreListener>> {
+        let socket = TcpListener::bind("127.0.0.1:0").await?;
+        let address = socket.local_addr()?.to_string();
+        let listener = Arc::new(StoreListener {
+            address,
+            fault: Mutex::default(),
+            call_count: Mutex::default(),
+            store: self.clone(),
+        });
         let router = Router::new()
             .route("/log-append", post(append))
             .route("/log-read", get(read))
-            .route("/log-newest", get(newest))
-            .layer(axum::middleware::map_response_with_state(door.clone(), tell_era))
-            .with_state(door.clone());
-        tokio::spawn(async move { axum::serve(listener, router).await });
-        Ok(door)
+            .route("/log-newest", get(read_compacted))
+            .layer(axum::middleware::map_response_with_state(listener.clone(), add_era_header))
+            .with_state(listener.clone());
+        tokio::spawn(async move { axum::serve(socket, router).await });
+        Ok(listener)
     }
 
-    /// Writes the newest record of a key; an empty value removes it.
+    /// Appends a record for a key and returns the end offset of the topic; an empty value removes the key.
     pub fn put(&self, topic: &str, key: &str, value: impl Into<Bytes>) -> u64 {
         self.put_raw(topic, key.as_bytes(), value)
     }
 
-    /// The same under a key that may be no text.
+    /// Appends a record as [`Store::put`] does, for a key that need not be valid UTF-8.
     pub fn put_raw(&self, topic: &str, key: &[u8], value: impl Into<Bytes>) -> u64 {
         let mut topics = lock(&self.topics);
         let topic = topics.entry(topic.to_owned()).or_default();
         topic.records.push(Record { key: key.to_vec(), value: value.into() });
-        let end = topic.end();
+        let end_offset = topic.end_offset();
         drop(topics);
         self.changed.notify_waiters();
-        end
+        end_offset
     }
 
-    /// A copy of what it has now.
+    /// Takes a snapshot of all topics.
     pub fn copy(&self) -> Copy {
         Copy(lock(&self.topics).clone())
     }
 
-    /// Comes back from a copy: what was written since is gone, and its offsets are given out again.
-    pub fn come_back_from(&self, copy: Copy) {
+    /// Restores the store from a snapshot and starts a new era. Records written since the snapshot are lost, and their
+    /// offsets are assigned again.
+    pub fn come_back_from(&self, snapshot: Copy) {
         let mut topics = lock(&self.topics);
-        *topics = copy.0;
+        *topics = snapshot.0;
         self.era.fetch_add(1, Ordering::SeqCst);
         drop(topics);
         self.changed.notify_waiters();
@@ -165,45 +172,47 @@
         self.era.load(Ordering::SeqCst)
     }
 
-    /// The newest value of a key.
+    /// Returns the newest value of a key; `None` if it was removed or never written.
     pub fn value(&self, topic: &str, key: &str) -> Option<Bytes> {
         let topics = lock(&self.topics);
-        topics.get(topic)?.newest().remove(key.as_bytes()).map(|(_, value)| value)
+        topics.get(topic)?.compacted_records().remove(key.as_bytes()).map(|(_, value)| value)
     }
 
-    /// The keys of a topic that have a value, the one written last at the end.
+    /// Returns the keys of a topic that are not removed, in the order of their newest records.
     pub fn keys(&self, topic: &str) -> Vec<String> {
         let topics = lock(&self.topics);
-        let newest = topics.get(topic).map(Topic::newest).unwrap_or_default();
-        let mut keys: Vec<(u64, Vec<u8>)> = newest.into_iter().map(|(key, (offset, _))| (offset, key)).collect();
+        let compacted = topics.get(topic).map(Topic::compacted_records).unwrap_or_default();
+        let mut keys: Vec<(u64, Vec<u8>)> = compacted.into_iter().map(|(key, (offset, _))| (offset, key)).collect();
         keys.sort();
         keys.into_iter().map(|(_, key)| String::from_utf8_lossy(&key).into_owned()).collect()
     }
 
-    /// Forgets all records of a topic but the newest of each key, which only `newest` shows.
+    /// Compacts a topic: drops all records except the newest of each key, which only `/log-newest` returns from then
+    /// on.
     pub fn compact(&self, topic: &str) {
         let mut topics = lock(&self.topics);
         let Some(topic) = topics.get_mut(topic) else { return };
-        topic.compacted = topic.newest();
-        topic.first = topic.end();
+        topic.compacted = topic.compacted_records();
+        topic.first_offset = topic.end_offset();
         topic.records.clear();
     }
 }
 
-impl Door {
-    /// Sets what is wrong with this door.
+impl StoreListener {
+    /// Sets the fault for calls that start from now on.
     pub fn set(&self, fault: Fault) {
         *lock(&self.fault) = fault;
     }
 
-    /// Calls that came through it.
+    /// Returns the number of calls through this listener, including those that failed by its fault.
     pub fn calls(&self) -> u64 {
-        *lock(&self.calls)
+        *lock(&self.call_count)
     }
 
-    /// Counts a call and does what the fault says before the call is done.
-    async fn enter(&self) -> Result<Fault, Response> {
-        *lock(&self.calls) += 1;
+    /// Counts a call and applies the present fault before the call runs. Returns the fault, or the error response that
+    /// the fault demands.
+    async fn begin_call(&self) -> Result<Fault, Response> {
+        *lock(&self.call_count) += 1;
         let fault = *lock(&self.fault);
         match fault {
             Fault::Unavailable => Err(StatusCode::SERVICE_UNAVAILABLE.into_response()),
@@ -212,49 +221,52 @@
                 std::future::pending::<()>().await;
                 Ok(fault)
             }
-            Fault::None | Fault::LostAnswers => Ok(fault),
+            Fault::None | Fault::DropResponses => Ok(fault),
         }
     }
 }
 
-/// Says in each answer which era it is of.
-async fn tell_era(State(door): State<Arc<Door>>, mut answer: Response) -> Response {
-    answer.headers_mut().insert(ERA, HeaderValue::from(door.store.era()));
-    answer
+/// Adds the era to each response, so that clients notice a restore.
+async fn add_era_header(State(listener): State<Arc<StoreListener>>, mut response: Response) -> Response {
+    response.headers_mut().insert(ERA_HEADER, HeaderValue::from(listener.store.era()));
+    response
 }
 
-type Params = Query<HashMap<String, String>>;
+type QueryParams = Query<HashMap<String, String>>;
 
-fn number(params: &Params, name: &str) -> u64 {
+/// Returns the numeric value of a query parameter; 0 if it is missing or invalid.
+fn number_param(params: &QueryParams, name: &str) -> u64 {
     params.get(name).and_then(|raw| raw.parse().ok()).unwrap_or(0)
 }
 
-fn topic(params: &Params) -> String {
+/// Returns the name of the topic in the query; empty if it is missing.
+fn topic_param(params: &QueryParams) -> String {
     params.get("topic").cloned().unwrap_or_default()
 }
 
-/// Appends records, all or none.
-async fn append(State(door): State<Arc<Door>>, params: Params, body: Bytes) -> Response {
-    let fault = match door.enter().await {
+/// Appends all records of a body, or none if the body is invalid. The topic with the replicas' records is read-only
+/// here.
+async fn append(State(listener): State<Arc<StoreListener>>, params: QueryParams, body: Bytes) -> Response {
+    let fault = match listener.begin_call().await {
         Ok(fault) => fault,
-        Err(refusal) => return refusal,
+        Err(response) => return response,
     };
-    if topic(&params) == "keyed.servers" {
+    if topic_param(&params) == "keyed.servers" {
         return StatusCode::FORBIDDEN.into_response();
     }
-    let Some(records) = decode(body) else { return StatusCode::BAD_REQUEST.into_response() };
-    let mut end = 0;
+    let Some(records) = decode_records(body) else { return StatusCode::BAD_REQUEST.into_response() };
+    let mut end_offset = 0;
     for (key, value) in records {
-        end = door.store.put(&topic(&params), &key, value);
+        end_offset = listener.store.put(&topic_param(&params), &key, value);
     }
-    if fault == Fault::LostAnswers {
+    if fault == Fault::DropResponses {
         std::future::pending::<()>().await;
     }
-    axum::Json(json!({ "offset": end - 1, "end": end })).into_response()
+    axum::Json(json!({ "offset": end_offset - 1, "end": end_offset })).into_response()
 }
 
-/// The keys and values of a body's records, of which there is one at least.
-fn decode(mut body: Bytes) -> Option<Vec<(String, Bytes)>> {
+/// Decodes the keys and values of a body's records; `None` if the body is malformed or has no record.
+fn decode_records(mut body: Bytes) -> Option<Vec<(String, Bytes)>> {
     let mut records = Vec::new();
     while !body.is_empty() {
         let len = usize::try_from(body.try_get_u32().ok()?).ok()?;
@@ -266,66 +278,67 @@
     (!records.is_empty()).then_some(records)
 }
 
-/// Reads from an offset on, and waits for a record if there is none yet.
-async fn read(State(door): State<Arc<Door>>, params: Params) -> Response {
-    if let Err(refusal) = door.enter().await {
-        return refusal;
+/// Reads records from an offset on, and waits up to `wait_ms` for the first one if there is none yet.
+async fn read(State(listener): State<Arc<StoreListener>>, params: QueryParams) -> Response {
+    if let Err(response) = listener.begin_call().await {
+        return response;
     }
-    let (topic, from) = (topic(&params), number(&params, "from"));
-    let wait = Duration::from_millis(number(&params, "wait_ms"));
+    let (topic, from) = (topic_param(&params), number_param(&params, "from"));
+    let wait = Duration::from_millis(number_param(&params, "wait_ms"));
     let deadline = tokio::time::Instant::now() + wait;
-    let era = door.store.era();
+    let era = listener.store.era();
     loop {
-        let changed = door.store.changed.notified();
-        if door.store.era() != era {
+        let changed = listener.store.changed.notified();
+        if listener.store.era() != era {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
-        if let Some(answer) = records(&door.store, &topic, from, tokio::time::Instant::now() >= deadline) {
-            return answer;
+        if let Some(response) = read_response(&listener.store, &topic, from, tokio::time::Instant::now() >= deadline) {
+            return response;
         }
         let _ = tokio::time::timeout_at(deadline, changed).await;
     }
 }
 
-/// Records from an offset; none if there are none yet and the reader still waits.
-fn records(store: &Store, topic: &str, from: u64, over: bool) -> Option<Response> {
+/// Builds the response with the records from an offset on; `None` if there is no record yet and the read's wait has not
+/// expired. An offset outside the topic gets 410 with the first offset that can be read.
+fn read_response(store: &Store, topic: &str, from: u64, is_expired: bool) -> Option<Response> {
     let topics = lock(&store.topics);
     let empty = Topic::default();
     let topic = topics.get(topic).unwrap_or(&empty);
-    if from < topic.first || from > topic.end() {
-        let gone = axum::Json(json!({ "first": topic.first }));
-        return Some((StatusCode::GONE, gone).into_response());
+    if from < topic.first_offset || from > topic.end_offset() {
+        let body = axum::Json(json!({ "first": topic.first_offset }));
+        return Some((StatusCode::GONE, body).into_response());
     }
-    let skipped = usize::try_from(from - topic.first).unwrap_or(usize::MAX);
-    let found = topic.records.get(skipped..).unwrap_or_default();
-    if found.is_empty() && !over {
+    let skip = usize::try_from(from - topic.first_offset).unwrap_or(usize::MAX);
+    let records = topic.records.get(skip..).unwrap_or_default();
+    if records.is_empty() && !is_expired {
         return None;
     }
-    let mut out = Vec::new();
-    out.extend_from_slice(&topic.end().to_be_bytes());
-    out.extend_from_slice(&topic.first.to_be_bytes());
-    for record in found {
+    let mut encoded = Vec::new();
+    encoded.extend_from_slice(&topic.end_offset().to_be_bytes());
+    encoded.extend_from_slice(&topic.first_offset.to_be_bytes());
+    for record in records {
         let len = 1 + record.key.len() + record.value.len();
-        out.extend_from_slice(&u32::try_from(len).unwrap_or(u32::MAX).to_be_bytes());
-        out.push(u8::try_from(record.key.len()).unwrap_or(u8::MAX));
-        out.extend_from_slice(&record.key);
-        out.extend_from_slice(&record.value);
+        encoded.extend_from_slice(&u32::try_from(len).unwrap_or(u32::MAX).to_be_bytes());
+        encoded.push(u8::try_from(record.key.len()).unwrap_or(u8::MAX));
+        encoded.extend_from_slice(&record.key);
+        encoded.extend_from_slice(&record.value);
     }
-    Some(Body::from(out).into_response())
+    Some(Body::from(encoded).into_response())
 }
 
 /// Reads the newest record of each key, in one page.
-async fn newest(State(door): State<Arc<Door>>, params: Params) -> Response {
-    if let Err(refusal) = door.enter().await {
-        return refusal;
+async fn read_compacted(State(listener): State<Arc<StoreListener>>, params: QueryParams) -> Response {
+    if let Err(response) = listener.begin_call().await {
+        return response;
     }
-    let topics = lock(&door.store.topics);
+    let topics = lock(&listener.store.topics);
     let empty = Topic::default();
-    let topic = topics.get(&topic(&params)).unwrap_or(&empty);
+    let topic = topics.get(&topic_param(&params)).unwrap_or(&empty);
     let items: Vec<_> = topic
-        .newest()
+        .compacted_records()
         .into_iter()
         .map(|(key, (offset, value))| json!({ "tls_key": String::from_utf8_lossy(&key), "value": STANDARD.encode(value), "offset": offset }))
         .collect();
-    axum::Json(json!({ "items": items, "more": false, "end": topic.end() })).into_response()
+    axum::Json(json!({ "items": items, "more": false, "end": topic.end_offset() })).into_response()
 }
