--- a/standin/src/platform/soak/caller.rs
+++ b/standin/src/platform/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: what they send, and what came of it.
+//! Callers of a soak, and the records of the requests that they sent.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,100 +10,100 @@
 use crate::platform::client::{self, Ask, Connection, Seen};
 use crate::platform::site::HOST;
 
-/// Pause of a caller between two requests, in milliseconds.
-const THINK: (u64, u64) = (5, 60);
-/// The body of work under which engines end.
-pub const FATAL: &str = "fatal work";
-/// Pause of the caller that comes with it, in milliseconds.
-const FATAL_PAUSE: (u64, u64) = (100, 400);
-/// Requests of one kept connection, at most.
-const KEPT: u32 = 40;
+/// Range of the time that a caller waits before each request, in milliseconds.
+const THINK_TIME_MS: (u64, u64) = (5, 60);
+/// Body of the requests that crash engines.
+pub const FATAL_BODY: &str = "fatal work";
+/// Range of the time that the caller of fatal requests waits before each of them, in milliseconds.
+const FATAL_THINK_TIME_MS: (u64, u64) = (100, 400);
+/// Bounds the requests on one connection.
+const MAX_REQUESTS_PER_CONNECTION: u32 = 40;
 
-/// What a request asks for.
+/// Kind of a request, by the route that it takes in the site's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// A short prompt, answered by a stream.
+    /// Short prompt with a streamed response.
     Prompt,
-    /// A prompt beyond the memory of one engine.
+    /// Prompt that exceeds the memory of one engine.
     LongPrompt,
-    /// A call that may run once.
+    /// Call that may run at most once.
     Pay,
-    /// A call that may repeat.
+    /// Call that may be retried.
     Look,
 }
 
-/// What goes on while a request is sent.
+/// Phase of a round, which decides how a request may end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Faults, or what is left of them: an answer may be lost.
+    /// Faults are injected or still have effects; responses may be lost.
     #[default]
     Faults,
-    /// Planned work only: what was taken is answered.
-    Planned,
-    /// Nothing: everything is served.
-    Calm,
+    /// Only maintenance takes place; each request that runs gets its response.
+    Maintenance,
+    /// No faults are injected, and the effects of earlier ones are over; each request succeeds.
+    FaultFree,
 }
 
-/// One request and what came of it.
+/// Record of a request and its outcome.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// The request's id.
+pub struct RequestRecord {
+    /// Request id.
     pub id: String,
-    /// What it asked for.
+    /// Route of the request.
     pub route: Route,
-    /// The entry that it was sent to.
+    /// Index of the entry that received the request.
     pub entry: usize,
-    /// Number of the key that it carried.
-    pub key: u64,
-    /// When it was sent.
-    pub sent: Instant,
-    /// What went on then.
+    /// Number of the API key in the request.
+    pub key_number: u64,
+    /// Time at which the request was sent.
+    pub sent_at: Instant,
+    /// Phase just before the request was sent.
     pub phase: Phase,
-    /// What came back.
-    pub seen: Seen,
+    /// Outcome for the caller.
+    pub outcome: Seen,
 }
 
-/// What callers and injector share.
+/// State shared by the callers and the fault injector.
 #[derive(Default)]
-pub struct Shared {
-    lines: Mutex<Vec<Line>>,
-    next: AtomicU64,
-    /// Number of the newest key.
-    pub key: AtomicU64,
+pub struct SharedState {
+    records: Mutex<Vec<RequestRecord>>,
+    next_request_number: AtomicU64,
+    /// Number of the newest API key.
+    pub newest_key: AtomicU64,
     phase: Mutex<Phase>,
-    /// Whether callers use old keys too.
-    pub stale_keys: AtomicBool,
-    /// Whether callers end after their present requests.
-    pub over: AtomicBool,
+    /// Whether some requests use the key before the newest one.
+    pub uses_stale_keys: AtomicBool,
+    /// Whether callers stop after their present requests.
+    pub is_stopping: AtomicBool,
 }
 
-impl Shared {
+impl SharedState {
     fn phase(&self) -> Phase {
         *self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes what goes on from now on.
-    pub fn enter(&self, phase: Phase) {
+    /// Sets the phase for requests that are sent from now on.
+    pub fn set_phase(&self, phase: Phase) {
         *self.phase.lock().unwrap_or_else(PoisonError::into_inner) = phase;
     }
 
-    /// What callers saw so far; it is noted no more.
-    pub fn lines(&self) -> Vec<Line> {
-        std::mem::take(&mut self.lines.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Removes and returns the records of all requests so far.
+    pub fn take_records(&self) -> Vec<RequestRecord> {
+        std::mem::take(&mut self.records.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn note(&self, line: Line) {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+    fn add_record(&self, record: RequestRecord) {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner).push(record);
     }
 }
 
-/// The key of this number.
-pub fn key(number: u64) -> String {
+/// Returns the API key with this number.
+pub fn api_key(number: u64) -> String {
     format!("key-{number}")
 }
 
-/// A request under an id, with a key.
-fn ask(route: Route, id: &str, key: &str) -> Ask {
+/// Builds a request for a route, with this request id and API key.
+fn build_request(route: Route, id: &str, key: &str) -> Ask {
     let prompt = |tokens: u32| {
         let usage = format!("{tokens},400");
         Ask::new("POST", "/prompt/1", id, key).with("token-usage", &usage).with("deadline-ms", "2500")
@@ -116,60 +116,65 @@
     }
 }
 
-/// A caller that comes again and again with the same fatal work, on a connection of its own each time. What it sees is
-/// not noted: nobody owes it an answer.
-pub async fn fatal_caller(shared: Arc<Shared>, addresses: Vec<String>, mut random: SmallRng) {
-    while !shared.over.load(Ordering::Relaxed) {
-        tokio::time::sleep(Duration::from_millis(random.random_range(FATAL_PAUSE.0..FATAL_PAUSE.1))).await;
-        let id = format!("fatal-{}", shared.next.fetch_add(1, Ordering::Relaxed));
-        let mut ask = ask(Route::Prompt, &id, &key(shared.key.load(Ordering::Relaxed)));
-        ask.body = FATAL.into();
-        let address = &addresses[random.random_range(0..addresses.len())];
-        // A connection that does not come up is one try less.
-        let _ = tokio::time::timeout(Duration::from_secs(4), client::send(address, HOST, &ask)).await;
+/// Sends requests that crash engines, each on a new connection, until the soak stops. Their outcomes are not recorded,
+/// since no guarantee covers them.
+pub async fn run_fatal_caller(shared: Arc<SharedState>, addresses: Vec<String>, mut rng: SmallRng) {
+    while !shared.is_stopping.load(Ordering::Relaxed) {
+        tokio::time::sleep(Duration::from_millis(rng.random_range(FATAL_THINK_TIME_MS.0..FATAL_THINK_TIME_MS.1))).await;
+        let id = format!("fatal-{}", shared.next_request_number.fetch_add(1, Ordering::Relaxed));
+        let mut spec = build_request(Route::Prompt, &id, &api_key(shared.newest_key.load(Ordering::Relaxed)));
+        spec.body = FATAL_BODY.into();
+        let address = &addresses[rng.random_range(0..addresses.len())];
+        // A failed connection only means one request less.
+        let _ = tokio::time::timeout(Duration::from_secs(4), client::send(address, HOST, &spec)).await;
     }
 }
 
-/// A caller that keeps its connection for some requests, until the process behind it is gone.
-pub async fn caller(shared: Arc<Shared>, addresses: Vec<String>, mut random: SmallRng) {
-    let mut kept: Option<(usize, Connection, u32)> = None;
+/// Sends requests of random routes until the soak stops, and records their outcomes. Each connection to a random entry
+/// is used for some requests, until the entry closes it or the phase changes.
+pub async fn run_caller(shared: Arc<SharedState>, addresses: Vec<String>, mut rng: SmallRng) {
+    let mut idle_connection: Option<(usize, Connection, u32)> = None;
     let mut phase = shared.phase();
-    while !shared.over.load(Ordering::Relaxed) {
-        tokio::time::sleep(Duration::from_millis(random.random_range(THINK.0..THINK.1))).await;
+    while !shared.is_stopping.load(Ordering::Relaxed) {
+        tokio::time::sleep(Duration::from_millis(rng.random_range(THINK_TIME_MS.0..THINK_TIME_MS.1))).await;
         if std::mem::replace(&mut phase, shared.phase()) != phase {
-            // A way that lost bytes resets its connections once it is healed.
-            kept = None;
+            // A proxy that dropped bytes resets its connections once the fault is cleared.
+            idle_connection = None;
         }
-        let (entry, mut connection, used) = match kept.take().filter(|(_, open, used)| open.is_open() && *used < KEPT) {
-            Some(kept) => kept,
-            None => {
-                let entry = random.random_range(0..addresses.len());
-                let opened = tokio::time::timeout(Duration::from_secs(1), Connection::open(&addresses[entry])).await;
-                let Ok(Ok(connection)) = opened else { continue };
-                (entry, connection, 0)
-            }
-        };
-        let newest = shared.key.load(Ordering::Relaxed);
-        let stale = shared.stale_keys.load(Ordering::Relaxed) && random.random_bool(0.2);
-        let number = if stale { newest.saturating_sub(1) } else { newest };
-        let route = match random.random_range(0..20) {
+        let (entry, mut connection, request_count) =
+            match idle_connection.take().filter(|(_, connection, request_count)| {
+                connection.is_open() && *request_count < MAX_REQUESTS_PER_CONNECTION
+            }) {
+                Some(reused) => reused,
+                None => {
+                    let entry = rng.random_range(0..addresses.len());
+                    let opened =
+                        tokio::time::timeout(Duration::from_secs(1), Connection::open(&addresses[entry])).await;
+                    let Ok(Ok(connection)) = opened else { continue };
+                    (entry, connection, 0)
+                }
+            };
+        let newest_key = shared.newest_key.load(Ordering::Relaxed);
+        let is_stale = shared.uses_stale_keys.load(Ordering::Relaxed) && rng.random_bool(0.2);
+        let key = if is_stale { newest_key.saturating_sub(1) } else { newest_key };
+        let route = match rng.random_range(0..20) {
             0 => Route::LongPrompt,
             1..9 => Route::Prompt,
             9..14 => Route::Pay,
             _ => Route::Look,
         };
-        let id = format!("soak-{}", shared.next.fetch_add(1, Ordering::Relaxed));
-        let sent = Instant::now();
-        let ask = ask(route, &id, &key(number));
-        let mut seen = Seen::default();
-        let exchange = connection.exchange(HOST, &ask, &mut seen);
-        // Longer than any deadline that is sent: an answer that is due is not cut off here.
+        let id = format!("soak-{}", shared.next_request_number.fetch_add(1, Ordering::Relaxed));
+        let sent_at = Instant::now();
+        let spec = build_request(route, &id, &api_key(key));
+        let mut outcome = Seen::default();
+        let exchange = connection.exchange(HOST, &spec, &mut outcome);
+        // The timeout exceeds all deadlines in the requests, so that it never cuts off a response that is due.
         let _ = tokio::time::timeout(Duration::from_secs(4), exchange).await;
-        seen.took = sent.elapsed();
-        let answered = seen.whole && seen.header("connection") != "close";
-        shared.note(Line { id, route, entry, key: number, sent, phase, seen });
-        if answered {
-            kept = Some((entry, connection, used + 1));
+        outcome.took = sent_at.elapsed();
+        let is_reusable = outcome.whole && outcome.header("connection") != "close";
+        shared.add_record(RequestRecord { id, route, entry, key_number: key, sent_at, phase, outcome });
+        if is_reusable {
+            idle_connection = Some((entry, connection, request_count + 1));
         }
     }
 }
--- a/standin/src/platform/soak/injector.rs
+++ b/standin/src/platform/soak/injector.rs
@@ -1,4 +1,4 @@
-//! Faults of a soak, injected from outside and taken back.
+//! Fault injector of a soak: injects faults into a site from outside and reverts them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,61 +11,66 @@
 use rand::seq::IndexedRandom;
 use rustix::process::Signal;
 
-use super::caller::{Phase, Shared, key};
-use super::{EMPTIED, Plan, RECOVERY, REST};
+use super::caller::{Phase, SharedState, api_key};
+use super::{BACKOFF, EVACUATED_DOMAIN, Plan, RECOVERY_TIMEOUT};
 use crate::platform::proxy::NetworkFault;
 use crate::platform::replica::{Act, Replica};
 use crate::platform::site::Site;
 use crate::platform::store::{Copy, Fault};
 
-/// How long the calm that is checked lasts.
-const CALM: Duration = Duration::from_millis(1_500);
-/// Pauses between faults, in milliseconds.
-const BETWEEN: (u64, u64) = (50, 500);
-/// How long a fault lasts, in milliseconds.
-const LASTS: (u64, u64) = (100, 2_000);
+/// Length of the fault-free phase at the end of a round, in which every request must succeed.
+const FAULT_FREE_PERIOD: Duration = Duration::from_millis(1_500);
+/// Range of the time between two injections, in milliseconds.
+const INJECTION_INTERVAL_MS: (u64, u64) = (50, 500);
+/// Range of the time until a fault is reverted, in milliseconds.
+const FAULT_DURATION_MS: (u64, u64) = (100, 2_000);
 
-/// Kinds of fault.
+/// Kind of an injected fault or maintenance operation.
+///
+/// The report writes the kinds out under their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// An entry is killed, and started again.
+    /// An entry is killed, and restarted later.
     Kill,
-    /// An entry is paused, and goes on.
+    /// An entry is suspended, and resumed later.
     Freeze,
-    /// An entry is told to end, and started again.
+    /// An entry gets SIGTERM, and is restarted after its exit.
     Stop,
-    /// An entry is told to read its settings.
+    /// An entry gets SIGHUP, on which it reloads its settings.
     Reload,
-    /// The store turns some or all entries away, does not answer, or loses answers.
+    /// The store refuses the calls of one or all entries, does not respond, or drops the responses to appends.
     Store,
-    /// The way between an entry and the store.
+    /// The network between an entry and the store has a fault.
     StoreWay,
-    /// The store forgets its history.
+    /// The store's topics are compacted.
     Compact,
-    /// A replica answers badly for a while.
+    /// A replica mishandles its next few requests.
     Answers,
-    /// The way to a replica.
+    /// The network between the entries and a replica has a fault.
     ReplicaWay,
-    /// The way from callers to an entry.
+    /// The network between the callers and an entry has a fault.
     CallerWay,
-    /// Keys change.
+    /// API keys are rotated.
     Keys,
-    /// A replica announces its end.
+    /// The record of a replica changes to the state `draining`.
     Drain,
-    /// A failure domain is emptied, or that is taken back.
+    /// The evacuation of a failure domain starts, or is cancelled.
     Evacuate,
-    /// A replica says in its answers that it leaves, and its record does not.
+    /// A replica announces in its responses that it is draining, while its record stays `ready`.
     Leave,
-    /// A replica turns requests away for a while, and asks for rest.
+    /// A replica refuses requests for a while and asks for a backoff.
     Rest,
-    /// The store is copied, or comes back from that copy.
+    /// A snapshot of the store is taken, or the store is restored from it.
     Return,
 }
 
-const WORDS: [Kind; 3] = [Kind::Leave, Kind::Rest, Kind::Return];
+/// Kinds that [`Plan::words`] adds.
+const RESPONSE_SIGNAL_KINDS: [Kind; 3] = [Kind::Leave, Kind::Rest, Kind::Return];
 
-const PLANNED: [Kind; 4] = [Kind::Stop, Kind::Reload, Kind::Keys, Kind::Compact];
-const ALL: [Kind; 12] = [
+/// Kinds in rounds with maintenance only.
+const MAINTENANCE_KINDS: [Kind; 4] = [Kind::Stop, Kind::Reload, Kind::Keys, Kind::Compact];
+/// Kinds in rounds with faults.
+const FAULT_KINDS: [Kind; 12] = [
     Kind::Kill,
     Kind::Freeze,
     Kind::Stop,
@@ -80,161 +85,171 @@
     Kind::Drain,
 ];
 
-/// Takes a fault back.
-enum Undo {
-    Launch(usize),
-    Continue(usize),
-    AwaitEnd(usize),
-    Store(usize),
-    Way(usize),
-    Rest(Arc<Replica>),
-    Return(Copy),
+/// Action that reverts a fault. Numbers are indices of entries, except for `ClearNetworkFault`.
+enum Revert {
+    RestartEntry(usize),
+    ResumeEntry(usize),
+    AwaitExit(usize),
+    ClearStoreFault(usize),
+    /// Clears the fault of the proxy with this index in [`Proxies::all`](crate::platform::site::Proxies::all).
+    ClearNetworkFault(usize),
+    ClearBackoff(Arc<Replica>),
+    RestoreStore(Copy),
 }
 
-/// Injects faults and remembers what it has to take back.
+/// Injects faults, reverts them when they are due, and records what the checks need to know about them.
 pub struct Injector {
-    /// The site.
+    /// Site under test.
     pub site: Site,
-    shared: Arc<Shared>,
-    random: SmallRng,
-    undo: Vec<(Instant, Undo)>,
-    /// Faults so far, by kind.
-    pub faults: BTreeMap<Kind, usize>,
-    /// When each key was taken away.
-    pub revoked: BTreeMap<u64, Instant>,
-    /// Replicas that announced their end, and when.
-    pub drained: Vec<(Arc<Replica>, Instant)>,
-    /// When the failure domain [`EMPTIED`] was emptied, and when that was taken back.
+    shared: Arc<SharedState>,
+    rng: SmallRng,
+    /// Reverts of the faults in force, each with the time at which it is due.
+    pending_reverts: Vec<(Instant, Revert)>,
+    /// Number of injections so far, by kind; includes those that did nothing for lack of a suitable target.
+    pub fault_counts: BTreeMap<Kind, usize>,
+    /// Time at which each API key was removed, by the key's number.
+    pub revoked_keys: BTreeMap<u64, Instant>,
+    /// Replicas whose records changed to `draining`, and when.
+    pub drained_replicas: Vec<(Arc<Replica>, Instant)>,
+    /// Start of each evacuation of [`EVACUATED_DOMAIN`], and its cancellation if there was one.
     pub evacuations: Vec<(Instant, Option<Instant>)>,
-    /// Replicas that say in their answers that they leave, and since when.
-    pub leavers: Vec<(Arc<Replica>, Instant)>,
-    /// When an entry, if one is named, or any way was disturbed.
-    pub disturbed: Vec<(Option<usize>, Instant)>,
-    /// What the store had at some moment.
-    copy: Option<Copy>,
-    /// Promises that were seen broken while faults went on.
+    /// Replicas that announce in their responses that they are draining, and since when.
+    pub draining_by_response: Vec<(Arc<Replica>, Instant)>,
+    /// Entries, or `None` for the network, that a fault affected, and when.
+    pub disturbances: Vec<(Option<usize>, Instant)>,
+    /// Snapshot of the store, to be restored later.
+    snapshot: Option<Copy>,
+    /// Descriptions of the guarantees that were breached during the rounds.
     pub breaches: Vec<String>,
 }
 
 impl Injector {
-    /// An injector of faults into a running site.
-    pub fn new(site: Site, shared: Arc<Shared>, random: SmallRng) -> Self {
+    /// Creates an injector for a running site. `rng` chooses all faults, their targets and their times.
+    pub fn new(site: Site, shared: Arc<SharedState>, rng: SmallRng) -> Self {
         Self {
             site,
             shared,
-            random,
-            undo: Vec::new(),
-            faults: BTreeMap::new(),
-            revoked: BTreeMap::new(),
-            drained: Vec::new(),
+            rng,
+            pending_reverts: Vec::new(),
+            fault_counts: BTreeMap::new(),
+            revoked_keys: BTreeMap::new(),
+            drained_replicas: Vec::new(),
             evacuations: Vec::new(),
-            leavers: Vec::new(),
-            disturbed: Vec::new(),
-            copy: None,
+            draining_by_response: Vec::new(),
+            disturbances: Vec::new(),
+            snapshot: None,
             breaches: Vec::new(),
         }
     }
 
-    fn later(&mut self) -> Instant {
-        Instant::now() + Duration::from_millis(self.random.random_range(LASTS.0..LASTS.1))
+    /// Returns the time at which a fault that starts now is to be reverted.
+    fn random_revert_time(&mut self) -> Instant {
+        Instant::now() + Duration::from_millis(self.rng.random_range(FAULT_DURATION_MS.0..FAULT_DURATION_MS.1))
     }
 
-    /// An entry whose process runs and is not on its way to its end.
-    fn running(&mut self) -> Option<usize> {
-        let busy = |entry: &usize| {
-            self.undo.iter().any(|(_, undo)| {
-                matches!(undo, Undo::Launch(other) | Undo::Continue(other) | Undo::AwaitEnd(other) if other == entry)
+    /// Chooses an entry whose process runs and has no pending revert; `None` if there is no such entry.
+    fn choose_running_entry(&mut self) -> Option<usize> {
+        let has_pending_revert = |entry: &usize| {
+            self.pending_reverts.iter().any(|(_, revert)| {
+                matches!(revert, Revert::RestartEntry(other) | Revert::ResumeEntry(other) | Revert::AwaitExit(other) if other == entry)
             })
         };
-        let free: Vec<usize> =
-            (0..self.site.doors.len()).filter(|entry| self.site.is_running(*entry) && !busy(entry)).collect();
-        free.choose(&mut self.random).copied()
+        let candidates: Vec<usize> = (0..self.site.doors.len())
+            .filter(|entry| self.site.is_running(*entry) && !has_pending_revert(entry))
+            .collect();
+        candidates.choose(&mut self.rng).copied()
     }
 
+    /// Injects a fault of this kind, and schedules its revert. Does nothing if the kind has no suitable target now.
     async fn inject(&mut self, kind: Kind) -> Result<()> {
-        *self.faults.entry(kind).or_default() += 1;
-        let at = self.later();
+        *self.fault_counts.entry(kind).or_default() += 1;
+        let revert_at = self.random_revert_time();
         match kind {
             Kind::Kill => {
-                let Some(entry) = self.running() else { return Ok(()) };
-                self.disturb(Some(entry));
+                let Some(entry) = self.choose_running_entry() else { return Ok(()) };
+                self.record_disturbance(Some(entry));
                 self.site.signal(entry, Signal::KILL)?;
-                self.undo.push((at, Undo::Launch(entry)));
+                self.pending_reverts.push((revert_at, Revert::RestartEntry(entry)));
             }
             Kind::Freeze => {
-                let Some(entry) = self.running() else { return Ok(()) };
-                self.disturb(Some(entry));
+                let Some(entry) = self.choose_running_entry() else { return Ok(()) };
+                self.record_disturbance(Some(entry));
                 self.site.signal(entry, Signal::STOP)?;
-                self.undo.push((at, Undo::Continue(entry)));
+                self.pending_reverts.push((revert_at, Revert::ResumeEntry(entry)));
             }
             Kind::Stop => {
-                let Some(entry) = self.running() else { return Ok(()) };
-                self.disturb(Some(entry));
+                let Some(entry) = self.choose_running_entry() else { return Ok(()) };
+                self.record_disturbance(Some(entry));
                 self.site.signal(entry, Signal::TERM)?;
-                self.undo.push((at, Undo::AwaitEnd(entry)));
+                self.pending_reverts.push((revert_at, Revert::AwaitExit(entry)));
             }
             Kind::Reload => {
-                let Some(entry) = self.running().filter(|entry| self.site.has_started(*entry)) else { return Ok(()) };
+                let Some(entry) = self.choose_running_entry().filter(|entry| self.site.has_started(*entry)) else {
+                    return Ok(());
+                };
                 self.site.signal(entry, Signal::HUP)?;
             }
-            Kind::Store => self.store_fault(at),
-            Kind::StoreWay => self.way(0, at),
-            Kind::ReplicaWay => self.way(1, at),
-            Kind::CallerWay => self.way(2, at),
+            Kind::Store => self.inject_store_fault(revert_at),
+            Kind::StoreWay => self.inject_network_fault(0, revert_at),
+            Kind::ReplicaWay => self.inject_network_fault(1, revert_at),
+            Kind::CallerWay => self.inject_network_fault(2, revert_at),
             Kind::Compact => {
                 ["keyed.op", "keyed.servers", "keyed.peers"].iter().for_each(|topic| self.site.store.compact(topic))
             }
-            Kind::Answers => self.bad_answers(),
-            Kind::Keys => self.change_keys(),
-            Kind::Drain => self.drain(),
-            Kind::Evacuate => self.evacuate(),
-            Kind::Leave => self.leave(),
-            Kind::Rest => self.rest(at),
-            Kind::Return => self.store_returns(at),
+            Kind::Answers => self.queue_bad_responses(),
+            Kind::Keys => self.rotate_keys(),
+            Kind::Drain => self.drain_replica(),
+            Kind::Evacuate => self.toggle_evacuation(),
+            Kind::Leave => self.announce_draining(),
+            Kind::Rest => self.start_backoff(revert_at),
+            Kind::Return => self.snapshot_or_restore_store(revert_at),
         }
         Ok(())
     }
 
-    fn disturb(&mut self, entry: Option<usize>) {
-        self.disturbed.push((entry, Instant::now()));
+    /// Records that a fault affects an entry from now on, or the network if `entry` is `None`.
+    fn record_disturbance(&mut self, entry: Option<usize>) {
+        self.disturbances.push((entry, Instant::now()));
     }
 
-    fn store_fault(&mut self, at: Instant) {
+    /// Sets the same random fault of the store for one entry or for all.
+    fn inject_store_fault(&mut self, revert_at: Instant) {
         let faults = [Fault::Unavailable, Fault::TooMany, Fault::Silent, Fault::DropResponses];
-        let fault = *faults.choose(&mut self.random).unwrap_or(&Fault::Unavailable);
-        let all = self.random.random_bool(0.4);
-        let one = self.random.random_range(0..self.site.doors.len());
-        for door in (0..self.site.doors.len()).filter(|door| all || *door == one) {
-            self.site.doors[door].set(fault);
-            self.undo.push((at, Undo::Store(door)));
+        let fault = *faults.choose(&mut self.rng).unwrap_or(&Fault::Unavailable);
+        let affects_all = self.rng.random_bool(0.4);
+        let chosen_entry = self.rng.random_range(0..self.site.doors.len());
+        for entry in (0..self.site.doors.len()).filter(|entry| affects_all || *entry == chosen_entry) {
+            self.site.doors[entry].set(fault);
+            self.pending_reverts.push((revert_at, Revert::ClearStoreFault(entry)));
         }
     }
 
-    /// Spoils one way of a group: to the store, to replicas, from callers.
-    fn way(&mut self, group: usize, at: Instant) {
+    /// Sets a random network fault for one proxy of a group: 0 for the store, 1 for replicas, 2 for callers.
+    fn inject_network_fault(&mut self, group: usize, revert_at: Instant) {
         let proxies = &self.site.proxies;
-        let groups = [proxies.store.len(), proxies.replicas.len(), proxies.callers.len()];
-        // As `Proxies::all` numbers them: callers, store, replicas.
-        let first = [groups[2], groups[2] + groups[0], 0][group];
-        let index = first + self.random.random_range(0..groups[group]);
-        let delay = Duration::from_millis(self.random.random_range(5..300));
-        let ways = [
+        let group_sizes = [proxies.store.len(), proxies.replicas.len(), proxies.callers.len()];
+        // `Proxies::all` has the order callers, store, replicas.
+        let first_index = [group_sizes[2], group_sizes[2] + group_sizes[0], 0][group];
+        let index = first_index + self.rng.random_range(0..group_sizes[group]);
+        let delay = Duration::from_millis(self.rng.random_range(5..300));
+        let faults = [
             NetworkFault::Delay(delay),
             NetworkFault::Reset,
             NetworkFault::DropForward,
             NetworkFault::DropBackward,
             NetworkFault::Blackhole,
         ];
-        let way = *ways.choose(&mut self.random).unwrap_or(&NetworkFault::Reset);
+        let fault = *faults.choose(&mut self.rng).unwrap_or(&NetworkFault::Reset);
         if let Some(proxy) = proxies.all().nth(index) {
-            proxy.set_fault(way);
+            proxy.set_fault(fault);
         }
-        self.disturb(None);
-        self.undo.push((at, Undo::Way(index)));
+        self.record_disturbance(None);
+        self.pending_reverts.push((revert_at, Revert::ClearNetworkFault(index)));
     }
 
-    fn bad_answers(&mut self) {
-        let acts = [
+    /// Queues one to five random faulty behaviors at a random replica.
+    fn queue_bad_responses(&mut self) {
+        let behaviors = [
             Act::Refuse,
             Act::Fail,
             Act::LoseAnswer,
@@ -245,117 +260,120 @@
             Act::Stall(700),
         ];
         let replicas: Vec<&Arc<Replica>> = self.site.engines.iter().chain(&self.site.plain).collect();
-        let Some(replica) = replicas.choose(&mut self.random) else { return };
-        let count = self.random.random_range(1..6);
-        replica.next((0..count).filter_map(|_| acts.choose(&mut self.random).copied()));
+        let Some(replica) = replicas.choose(&mut self.rng) else { return };
+        let count = self.rng.random_range(1..6);
+        replica.next((0..count).filter_map(|_| behaviors.choose(&mut self.rng).copied()));
     }
 
-    /// Adds a key and takes the one before the last away.
-    fn change_keys(&mut self) {
-        let newest = self.shared.key.load(Ordering::Relaxed) + 1;
-        let (new, last) = (key(newest), key(newest - 1));
-        self.site.configure(&[new.as_str(), last.as_str()], |_| {});
-        if let Some(old) = newest.checked_sub(2) {
-            self.revoked.entry(old).or_insert_with(Instant::now);
+    /// Adds an API key and removes the oldest one, so that the two newest keys are valid.
+    fn rotate_keys(&mut self) {
+        let newest_key = self.shared.newest_key.load(Ordering::Relaxed) + 1;
+        let (newest, previous) = (api_key(newest_key), api_key(newest_key - 1));
+        self.site.configure(&[newest.as_str(), previous.as_str()], |_| {});
+        if let Some(revoked_key) = newest_key.checked_sub(2) {
+            self.revoked_keys.entry(revoked_key).or_insert_with(Instant::now);
         }
-        self.shared.key.store(newest, Ordering::Relaxed);
+        self.shared.newest_key.store(newest_key, Ordering::Relaxed);
     }
 
-    /// One engine and one plain replica at most announce their end, so that some are left.
-    fn drain(&mut self) {
-        let index = self.drained.len();
+    /// Sets the record of the first engine to `draining`, at the next call that of the first plain replica. Later calls
+    /// do nothing, so that enough replicas remain.
+    fn drain_replica(&mut self) {
+        let index = self.drained_replicas.len();
         let (service, replica) = match index {
             0 => ("advisor", self.site.engines[0].clone()),
             1 => ("ledger", self.site.plain[0].clone()),
             _ => return,
         };
         self.site.store.put("keyed.servers", &replica.id, replica.record(service, "draining"));
-        self.drained.push((replica, Instant::now()));
+        self.drained_replicas.push((replica, Instant::now()));
     }
 
-    /// One engine and one plain replica at most say in their answers that they leave, so that some are left.
-    fn leave(&mut self) {
-        let replica = match self.leavers.len() {
+    /// Makes one engine announce in its responses that it is draining, at the next call one plain replica. Later calls
+    /// do nothing, so that enough replicas remain.
+    fn announce_draining(&mut self) {
+        let replica = match self.draining_by_response.len() {
             0 => self.site.engines[1].clone(),
             1 => self.site.plain[1].clone(),
             _ => return,
         };
         replica.say_leaving();
-        self.leavers.push((replica, Instant::now()));
+        self.draining_by_response.push((replica, Instant::now()));
     }
 
-    /// The last engine or plain replica asks for rest for a while.
-    fn rest(&mut self, at: Instant) {
-        let replicas = if self.random.random_bool(0.5) { &self.site.engines } else { &self.site.plain };
+    /// Makes the last engine or the last plain replica refuse requests and ask for a backoff.
+    fn start_backoff(&mut self, revert_at: Instant) {
+        let replicas = if self.rng.random_bool(0.5) { &self.site.engines } else { &self.site.plain };
         let Some(replica) = replicas.last().cloned() else { return };
-        replica.ask_rest(Some(&REST.as_secs().to_string()));
-        self.undo.push((at, Undo::Rest(replica)));
+        replica.ask_rest(Some(&BACKOFF.as_secs().to_string()));
+        self.pending_reverts.push((revert_at, Revert::ClearBackoff(replica)));
     }
 
-    /// Copies the store, or has it go away and come back from the copy that was taken before.
-    fn store_returns(&mut self, at: Instant) {
-        let Some(copy) = self.copy.take() else {
-            self.copy = Some(self.site.store.copy());
+    /// Takes a snapshot of the store if there is none. Otherwise makes the store unavailable, and schedules its restore
+    /// from the snapshot.
+    fn snapshot_or_restore_store(&mut self, revert_at: Instant) {
+        let Some(snapshot) = self.snapshot.take() else {
+            self.snapshot = Some(self.site.store.copy());
             return;
         };
-        for door in 0..self.site.doors.len() {
-            self.site.doors[door].set(Fault::Unavailable);
-            self.undo.push((at, Undo::Store(door)));
+        for entry in 0..self.site.doors.len() {
+            self.site.doors[entry].set(Fault::Unavailable);
+            self.pending_reverts.push((revert_at, Revert::ClearStoreFault(entry)));
         }
-        self.undo.push((at, Undo::Return(copy)));
+        self.pending_reverts.push((revert_at, Revert::RestoreStore(snapshot)));
     }
 
-    /// The store comes back from a copy; what operators and replicas wrote is written again.
-    fn come_back_from(&self, copy: Copy) {
-        self.site.store.come_back_from(copy);
-        let newest = self.shared.key.load(Ordering::Relaxed);
-        let last = newest.saturating_sub(1);
-        self.site.configure_again(&[key(newest).as_str(), key(last).as_str()]);
-        if self.evacuations.last().is_some_and(|(_, ended)| ended.is_none()) {
-            self.site.evacuate(EMPTIED);
+    /// Restores the store from a snapshot, and writes the present records of operators and replicas again.
+    fn restore_store(&self, snapshot: Copy) {
+        self.site.store.come_back_from(snapshot);
+        let newest_key = self.shared.newest_key.load(Ordering::Relaxed);
+        let previous_key = newest_key.saturating_sub(1);
+        self.site.configure_again(&[api_key(newest_key).as_str(), api_key(previous_key).as_str()]);
+        if self.evacuations.last().is_some_and(|(_, cancelled_at)| cancelled_at.is_none()) {
+            self.site.evacuate(EVACUATED_DOMAIN);
         }
         self.site.announce_all();
-        for (index, (replica, _)) in self.drained.iter().enumerate() {
+        for (index, (replica, _)) in self.drained_replicas.iter().enumerate() {
             let service = if index == 0 { "advisor" } else { "ledger" };
             self.site.store.put("keyed.servers", &replica.id, replica.record(service, "draining"));
         }
     }
 
-    /// Empties the failure domain, or takes that back.
-    fn evacuate(&mut self) {
+    /// Starts the evacuation of [`EVACUATED_DOMAIN`], or cancels the one in force.
+    fn toggle_evacuation(&mut self) {
         let now = Instant::now();
-        if let Some((_, ended @ None)) = self.evacuations.last_mut() {
-            *ended = Some(now);
-            self.site.end_evacuation(EMPTIED);
+        if let Some((_, cancelled_at @ None)) = self.evacuations.last_mut() {
+            *cancelled_at = Some(now);
+            self.site.end_evacuation(EVACUATED_DOMAIN);
         } else {
             self.evacuations.push((now, None));
-            self.site.evacuate(EMPTIED);
+            self.site.evacuate(EVACUATED_DOMAIN);
         }
     }
 
-    /// Takes back what is due; everything if `all`.
-    async fn take_back(&mut self, all: bool) -> Result<()> {
+    /// Reverts the faults that are due, or all faults if `all` is set.
+    async fn revert_faults(&mut self, all: bool) -> Result<()> {
         let now = Instant::now();
-        let (due, left) = self.undo.drain(..).partition(|(at, _)| all || *at <= now);
-        self.undo = left;
-        let due: Vec<(Instant, Undo)> = due;
-        for (_, undo) in due {
-            match undo {
-                Undo::Launch(entry) => self.site.restart(entry).await?,
-                Undo::Continue(entry) => {
-                    self.disturb(Some(entry));
+        let (due, remaining) = self.pending_reverts.drain(..).partition(|(revert_at, _)| all || *revert_at <= now);
+        self.pending_reverts = remaining;
+        let due: Vec<(Instant, Revert)> = due;
+        for (_, revert) in due {
+            match revert {
+                Revert::RestartEntry(entry) => self.site.restart(entry).await?,
+                Revert::ResumeEntry(entry) => {
+                    self.record_disturbance(Some(entry));
                     self.site.signal(entry, Signal::CONT)?;
                 }
-                Undo::AwaitEnd(entry) => {
+                Revert::AwaitExit(entry) => {
                     if !self.site.wait_end(entry).await? {
-                        self.breaches.push(format!("entry {entry} did not end well after SIGTERM"));
+                        self.breaches.push(format!("entry {entry} did not exit with status 0 after SIGTERM"));
                     }
                     self.site.restart(entry).await?;
                 }
-                Undo::Rest(replica) => replica.ask_rest(None),
-                Undo::Return(copy) => self.come_back_from(copy),
-                Undo::Store(door) => self.site.doors[door].set(Fault::None),
-                Undo::Way(index) => {
+                Revert::ClearBackoff(replica) => replica.ask_rest(None),
+                Revert::RestoreStore(snapshot) => self.restore_store(snapshot),
+                Revert::ClearStoreFault(entry) => self.site.doors[entry].set(Fault::None),
+                Revert::ClearNetworkFault(index) => {
                     if let Some(proxy) = self.site.proxies.all().nth(index) {
                         proxy.set_fault(NetworkFault::None);
                     }
@@ -365,38 +383,41 @@
         Ok(())
     }
 
-    /// One round: faults, healing, a calm that is checked.
-    pub async fn round(&mut self, plan: &Plan, planned: bool) -> Result<()> {
-        let mut kinds = if planned { PLANNED.to_vec() } else { ALL.to_vec() };
+    /// Runs one round: injects faults, or only maintenance if `is_maintenance` is set, then reverts them and waits
+    /// through the recovery and the fault-free phase.
+    pub async fn run_round(&mut self, plan: &Plan, is_maintenance: bool) -> Result<()> {
+        let mut kinds = if is_maintenance { MAINTENANCE_KINDS.to_vec() } else { FAULT_KINDS.to_vec() };
         if plan.evacuations {
             kinds.push(Kind::Evacuate);
         }
         if plan.words {
-            kinds.extend(WORDS);
+            kinds.extend(RESPONSE_SIGNAL_KINDS);
         }
-        self.shared.enter(if planned { Phase::Planned } else { Phase::Faults });
-        self.shared.stale_keys.store(true, Ordering::Relaxed);
-        let end = Instant::now() + plan.faults;
-        while Instant::now() < end {
-            let kind = *kinds.choose(&mut self.random).unwrap_or(&Kind::Reload);
+        self.shared.set_phase(if is_maintenance { Phase::Maintenance } else { Phase::Faults });
+        self.shared.uses_stale_keys.store(true, Ordering::Relaxed);
+        let injection_end = Instant::now() + plan.faults;
+        while Instant::now() < injection_end {
+            let kind = *kinds.choose(&mut self.rng).unwrap_or(&Kind::Reload);
             self.inject(kind).await?;
-            let pause = Duration::from_millis(self.random.random_range(BETWEEN.0..BETWEEN.1));
-            tokio::time::sleep(pause).await;
-            self.take_back(false).await?;
+            let interval =
+                Duration::from_millis(self.rng.random_range(INJECTION_INTERVAL_MS.0..INJECTION_INTERVAL_MS.1));
+            tokio::time::sleep(interval).await;
+            self.revert_faults(false).await?;
         }
-        self.take_back(true).await?;
+        self.revert_faults(true).await?;
         self.site.engines.iter().chain(&self.site.plain).for_each(|replica| replica.clear_behaviors());
-        // Callers whose requests wait behind what was healed come to their ends.
-        tokio::time::sleep(RECOVERY).await;
+        // Requests that were sent during the faults come to their ends in this time.
+        tokio::time::sleep(RECOVERY_TIMEOUT).await;
         for entry in 0..self.site.doors.len() {
             if !self.site.is_ready(entry).await {
-                self.breaches.push(format!("entry {entry} is not ready {} s after the last fault", RECOVERY.as_secs()));
+                self.breaches
+                    .push(format!("entry {entry} is not ready {} s after the last fault", RECOVERY_TIMEOUT.as_secs()));
             }
         }
-        self.shared.stale_keys.store(false, Ordering::Relaxed);
-        self.shared.enter(Phase::Calm);
-        tokio::time::sleep(CALM).await;
-        self.shared.enter(Phase::Faults);
+        self.shared.uses_stale_keys.store(false, Ordering::Relaxed);
+        self.shared.set_phase(Phase::FaultFree);
+        tokio::time::sleep(FAULT_FREE_PERIOD).await;
+        self.shared.set_phase(Phase::Faults);
         Ok(())
     }
 }
--- a/standin/src/platform/soak/judge.rs
+++ b/standin/src/platform/soak/judge.rs
@@ -1,90 +1,122 @@
-//! The promises, checked by what callers and replicas of a soak saw.
+//! Checks of the entries' guarantees, by what the callers and replicas of a soak observed.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use eyre::Result;
 
-use super::caller::{FATAL, Line, Phase, Route};
+use super::caller::{FATAL_BODY, Phase, RequestRecord, Route};
 use super::injector::Injector;
-use super::{LIMIT, Plan, RECOVERY, REST, REVOKE, Report, last_of_each};
+use super::{BACKOFF, Plan, RATE_LIMIT, RECOVERY_TIMEOUT, REVOKE_TIMEOUT, Report, last_replicas};
 use crate::platform::replica::{Replica, Run};
 use crate::platform::site::Site;
 
-/// A replica that announced its end gets nothing after this; the entries' default bound, and time for the way.
-const DRAIN: Duration = Duration::from_millis(2_500);
-/// Sends of fatal work: three, three after them, and as many by entries that are cut off or have just begun.
-const MOST_FATAL: usize = 9;
-/// A limit holds from so long after the first request …
-const CONTACT: Duration = Duration::from_secs(3);
-/// … in every window of this length, with half of it and five requests more.
-const WINDOW: Duration = Duration::from_secs(4);
-/// A rest binds from so long after it was asked for …
-const BINDS_AFTER: Duration = Duration::from_millis(500);
-/// … and leaves so many requests.
-const MOST_IN_REST: usize = 2;
-/// Engine memory is free so long after the last request.
-const FREE: Duration = Duration::from_secs(5);
+/// Bounds the time from a replica's announcement that it is draining to its last request: the default of the entries'
+/// bound `drain_ms`, and time for the transfer of requests and responses.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Bounds the fatal requests that reach engines: three crashes condemn the request, up to three more follow until all
+/// entries know that, and up to three come from entries that are partitioned or have just started.
+const MAX_FATAL_REQUESTS: usize = 9;
+/// Time after the first request to a replica from which its rate limit must hold.
+const RATE_LIMIT_DELAY: Duration = Duration::from_secs(3);
+/// Length of the windows in which a rate limit is checked. While entries fail, a window may have one and a half times
+/// the limit, and five requests more.
+const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// Time after the request for a backoff from which the entry must honor it.
+const BACKOFF_DELAY: Duration = Duration::from_millis(500);
+/// Bounds the requests that an entry sends to a replica during a backoff.
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
+/// Bounds the time from the last request until all engine memory is released.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Checks the promises.
-pub async fn judge(injector: Injector, lines: &[Line], plan: &Plan) -> Result<Report> {
-    let Injector { site, faults, revoked, drained, evacuations, leavers, disturbed, mut breaches, .. } = injector;
-    let mut runs: BTreeMap<String, usize> = BTreeMap::new();
+/// Checks all guarantees and closes the site. If any is breached, the site's logs are kept and the report names their
+/// folder.
+pub async fn check_guarantees(injector: Injector, records: &[RequestRecord], plan: &Plan) -> Result<Report> {
+    let Injector {
+        site,
+        fault_counts,
+        revoked_keys,
+        drained_replicas,
+        evacuations,
+        draining_by_response,
+        disturbances,
+        mut breaches,
+        ..
+    } = injector;
+    let mut run_counts: BTreeMap<String, usize> = BTreeMap::new();
     for replica in site.engines.iter().chain(&site.plain) {
-        for run in replica.seen().iter().filter(|run| run.ran) {
-            *runs.entry(run.id.clone()).or_default() += 1;
+        for request in replica.seen().iter().filter(|request| request.ran) {
+            *run_counts.entry(request.id.clone()).or_default() += 1;
         }
     }
     let mut statuses = BTreeMap::new();
-    for line in lines {
-        *statuses.entry(line.seen.status).or_default() += 1;
-        let ran = runs.get(&line.id).copied().unwrap_or(0);
-        if let Some(breach) = broken(line, ran, revoked.get(&line.key).copied()) {
-            breaches.push(format!("{breach}: {} at entry {} ran={ran} {line:?}", line.id, line.entry));
+    for record in records {
+        *statuses.entry(record.outcome.status).or_default() += 1;
+        let run_count = run_counts.get(&record.id).copied().unwrap_or(0);
+        if let Some(breach) = find_breach(record, run_count, revoked_keys.get(&record.key_number).copied()) {
+            breaches
+                .push(format!("{breach}: {} at entry {} run_count={run_count} {record:?}", record.id, record.entry));
         }
     }
-    for (replica, at) in &drained {
-        let late = replica.seen().iter().filter(|run| run.ran && run.at > *at + DRAIN + RECOVERY).count();
-        if late > 0 {
-            breaches.push(format!("{late} requests went to {} long after it announced its end", replica.id));
+    for (replica, drained_at) in &drained_replicas {
+        let late_count = replica
+            .seen()
+            .iter()
+            .filter(|request| request.ran && request.at > *drained_at + DRAIN_TIMEOUT + RECOVERY_TIMEOUT)
+            .count();
+        if late_count > 0 {
+            breaches.push(format!(
+                "{late_count} requests reached {} too long after its record changed to draining",
+                replica.id
+            ));
         }
     }
-    for (begun, ended) in evacuations {
-        let binds =
-            |run: &Run| run.ran && run.at > begun + DRAIN + RECOVERY && ended.is_none_or(|ended| run.at < ended);
-        let late = last_of_each(&site).flat_map(|replica| replica.seen()).filter(binds).count();
-        if late > 0 {
-            breaches.push(format!("{late} requests went into a failure domain long after it was to be emptied"));
+    for (started_at, cancelled_at) in evacuations {
+        let is_late = |request: &Run| {
+            request.ran
+                && request.at > started_at + DRAIN_TIMEOUT + RECOVERY_TIMEOUT
+                && cancelled_at.is_none_or(|cancelled_at| request.at < cancelled_at)
+        };
+        let late_count = last_replicas(&site).flat_map(|replica| replica.seen()).filter(is_late).count();
+        if late_count > 0 {
+            breaches
+                .push(format!("{late_count} requests reached a failure domain too long after its evacuation started"));
         }
     }
-    let entries: Entries = lines.iter().map(|line| (&*line.id, line.entry)).collect();
-    for (replica, at) in &leavers {
-        let late = late_at_leaver(replica, *at, &entries, &disturbed);
-        if late > 0 {
-            breaches.push(format!("{late} requests went to {} long after it had said that it leaves", replica.id));
+    let entry_by_id: EntryById = records.iter().map(|record| (&*record.id, record.entry)).collect();
+    for (replica, since) in &draining_by_response {
+        let late_count = count_late_requests(replica, *since, &entry_by_id, &disturbances);
+        if late_count > 0 {
+            breaches.push(format!(
+                "{late_count} requests reached {} too long after its responses announced draining",
+                replica.id
+            ));
         }
     }
-    let most_in_rest = if plan.words { most_in_rest(&site, &entries, &disturbed) } else { 0 };
-    if most_in_rest > MOST_IN_REST {
-        breaches.push(format!("a replica had asked an entry for rest, and got {most_in_rest} requests from it then"));
+    let max_requests_in_backoff =
+        if plan.words { find_max_requests_in_backoff(&site, &entry_by_id, &disturbances) } else { 0 };
+    if max_requests_in_backoff > MAX_REQUESTS_IN_BACKOFF {
+        breaches.push(format!(
+            "a replica got {max_requests_in_backoff} requests from an entry during the backoff that it had requested"
+        ));
     }
-    let fatal_sends = fatal_sends(&site);
-    let ends = site.engines.iter().map(|engine| engine.ends()).sum();
-    if fatal_sends > MOST_FATAL {
-        breaches.push(format!("fatal work was sent {fatal_sends} times, {ends} engines ended"));
+    let fatal_request_count = count_fatal_requests(&site);
+    let crash_count = site.engines.iter().map(|engine| engine.ends()).sum();
+    if fatal_request_count > MAX_FATAL_REQUESTS {
+        breaches.push(format!("{fatal_request_count} fatal requests reached engines, with {crash_count} crashes"));
     }
-    let most_limited = if plan.limits { most_limited(&site) } else { 0 };
-    let allowed = (LIMIT * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize;
-    if most_limited > allowed {
-        breaches.push(format!("a replica that takes {LIMIT} a second got {most_limited} requests in 4 s"));
+    let max_requests_in_window = if plan.limits { find_max_requests_in_window(&site) } else { 0 };
+    let allowed_count = (RATE_LIMIT * RATE_LIMIT_WINDOW.as_secs_f64() * 1.5 + 5.0) as usize;
+    if max_requests_in_window > allowed_count {
+        breaches.push(format!("a replica with a limit of {RATE_LIMIT}/s got {max_requests_in_window} requests in 4 s"));
     }
-    let quiet = Instant::now();
-    let held = || site.engines.iter().map(|engine| engine.memory()).sum::<u64>();
-    while held() > 0 && quiet.elapsed() < FREE {
+    let wait_start = Instant::now();
+    let reserved_tokens = || site.engines.iter().map(|engine| engine.memory()).sum::<u64>();
+    while reserved_tokens() > 0 && wait_start.elapsed() < RELEASE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    if held() > 0 {
-        breaches.push(format!("{} tokens stay set aside", held()));
+    if reserved_tokens() > 0 {
+        breaches.push(format!("{} tokens remain reserved", reserved_tokens()));
     }
     breaches.extend(site.breached_invariants());
     if breaches.is_empty() {
@@ -92,124 +124,154 @@
     } else {
         breaches.push(format!("logs are in {}", site.keep_logs().display()));
     }
-    Ok(Report { statuses, faults, fatal_sends, ends, most_limited, most_in_rest, breaches })
+    Ok(Report {
+        statuses,
+        fault_counts,
+        fatal_request_count,
+        crash_count,
+        max_requests_in_window,
+        max_requests_in_backoff,
+        breaches,
+    })
 }
 
-/// The most requests in a window at a replica that names a limit, of all entries: also those that have just begun, or were
-/// frozen, which the users' rule leaves out.
-fn most_limited(site: &Site) -> usize {
-    let most = |replica: &Replica| {
-        let at: Vec<Instant> = replica.seen().iter().map(|run| run.at).collect();
-        let counted = at.iter().filter(|begin| **begin >= at[0] + CONTACT);
-        let within = |begin: &Instant| at.iter().filter(|at| **at >= *begin && **at < *begin + WINDOW).count();
-        counted.map(within).max().unwrap_or(0)
+/// Returns the largest number of requests within one window at a replica that announces a rate limit. Counts the
+/// requests of all entries, also of those that have just started or were suspended, which the users' requirement
+/// exempts.
+fn find_max_requests_in_window(site: &Site) -> usize {
+    let max_in_window = |replica: &Replica| {
+        let times: Vec<Instant> = replica.seen().iter().map(|request| request.at).collect();
+        let window_starts = times.iter().filter(|start| **start >= times[0] + RATE_LIMIT_DELAY);
+        let count_in_window = |start: &Instant| {
+            times.iter().filter(|time| **time >= *start && **time < *start + RATE_LIMIT_WINDOW).count()
+        };
+        window_starts.map(count_in_window).max().unwrap_or(0)
     };
-    last_of_each(site).map(|replica| most(replica)).max().unwrap_or(0)
+    last_replicas(site).map(|replica| max_in_window(replica)).max().unwrap_or(0)
 }
 
-/// The entry that each request was sent to, by its id.
-type Entries<'a> = BTreeMap<&'a str, usize>;
+/// Index of the entry that each request was sent to, by request id.
+type EntryById<'a> = BTreeMap<&'a str, usize>;
 
-/// What reached a replica through each entry.
-fn runs_by_entry(replica: &Replica, entries: &Entries) -> BTreeMap<usize, Vec<Run>> {
-    let mut runs: BTreeMap<usize, Vec<Run>> = BTreeMap::new();
-    for run in replica.seen() {
-        if let Some(entry) = entries.get(&*run.id) {
-            runs.entry(*entry).or_default().push(run);
+/// Groups the requests that a replica received by the entry that sent them. Requests of unknown origin, which are those
+/// of the fatal caller, are skipped.
+fn group_by_entry(replica: &Replica, entry_by_id: &EntryById) -> BTreeMap<usize, Vec<Run>> {
+    let mut groups: BTreeMap<usize, Vec<Run>> = BTreeMap::new();
+    for request in replica.seen() {
+        if let Some(entry) = entry_by_id.get(&*request.id) {
+            groups.entry(*entry).or_default().push(request);
         }
     }
-    runs
+    groups
 }
 
-/// Whether an entry, or any way, was disturbed between two moments or shortly before.
-fn is_disturbed(entry: usize, disturbed: &[(Option<usize>, Instant)], from: Instant, to: Instant) -> bool {
-    let strikes = |at: Instant| at + RECOVERY > from && at < to;
-    disturbed.iter().any(|(of, at)| of.is_none_or(|of| of == entry) && strikes(*at))
+/// Returns whether a fault affected an entry or the network between `start` and `end`, or less than
+/// [`RECOVERY_TIMEOUT`] before `start`.
+fn is_disturbed(entry: usize, disturbances: &[(Option<usize>, Instant)], start: Instant, end: Instant) -> bool {
+    let overlaps = |time: Instant| time + RECOVERY_TIMEOUT > start && time < end;
+    disturbances.iter().any(|(affected, time)| affected.is_none_or(|affected| affected == entry) && overlaps(*time))
 }
 
-/// Requests that an entry sent to a replica long after that had told the same entry that it leaves; one that was started
-/// again since was told nothing.
-fn late_at_leaver(
+/// Counts the requests that an entry sent to a replica too long after a response had told the same entry that the
+/// replica is draining. Intervals with a fault of the entry or the network are exempt, since a restarted entry has lost
+/// that information.
+fn count_late_requests(
     replica: &Replica,
     since: Instant,
-    entries: &Entries,
-    disturbed: &[(Option<usize>, Instant)],
+    entry_by_id: &EntryById,
+    disturbances: &[(Option<usize>, Instant)],
 ) -> usize {
-    let mut late = 0;
-    for (entry, runs) in runs_by_entry(replica, entries) {
-        let told: Vec<Instant> = runs.iter().map(|run| run.at).filter(|at| *at >= since).collect();
-        let knew = |run: &Run| {
-            let binds = |told: &Instant| run.at > *told + DRAIN && !is_disturbed(entry, disturbed, *told, run.at);
-            told.iter().any(binds)
+    let mut late_count = 0;
+    for (entry, requests) in group_by_entry(replica, entry_by_id) {
+        let notice_times: Vec<Instant> =
+            requests.iter().map(|request| request.at).filter(|time| *time >= since).collect();
+        let is_late = |request: &Run| {
+            let is_binding = |notice: &Instant| {
+                request.at > *notice + DRAIN_TIMEOUT && !is_disturbed(entry, disturbances, *notice, request.at)
+            };
+            notice_times.iter().any(is_binding)
         };
-        late += runs.iter().filter(|run| run.ran && knew(run)).count();
+        late_count += requests.iter().filter(|request| request.ran && is_late(request)).count();
     }
-    late
+    late_count
 }
 
-/// The most requests from one entry in a rest that a replica had asked it for, while neither that entry nor any way was
-/// disturbed.
-fn most_in_rest(site: &Site, entries: &Entries, disturbed: &[(Option<usize>, Instant)]) -> usize {
-    let mut most = 0;
+/// Returns the largest number of requests from one entry to a replica during a backoff that the replica had requested
+/// from that entry. Backoffs during which a fault affected the entry or the network are exempt.
+fn find_max_requests_in_backoff(
+    site: &Site,
+    entry_by_id: &EntryById,
+    disturbances: &[(Option<usize>, Instant)],
+) -> usize {
+    let mut max_count = 0;
     for replica in site.engines.iter().chain(&site.plain) {
-        for (entry, runs) in runs_by_entry(replica, entries) {
-            let asked = runs.iter().filter(|run| run.has_backoff_request);
-            for refusal in asked.filter(|run| !is_disturbed(entry, disturbed, run.at, run.at + REST)) {
-                let is_in = |run: &&Run| run.at > refusal.at + BINDS_AFTER && run.at < refusal.at + REST;
-                most = most.max(runs.iter().filter(is_in).count());
+        for (entry, requests) in group_by_entry(replica, entry_by_id) {
+            let refusals = requests.iter().filter(|request| request.has_backoff_request);
+            for refusal in
+                refusals.filter(|request| !is_disturbed(entry, disturbances, request.at, request.at + BACKOFF))
+            {
+                let is_in_backoff =
+                    |request: &&Run| request.at > refusal.at + BACKOFF_DELAY && request.at < refusal.at + BACKOFF;
+                max_count = max_count.max(requests.iter().filter(is_in_backoff).count());
             }
         }
     }
-    most
+    max_count
 }
 
-/// How often fatal work was sent.
-fn fatal_sends(site: &Site) -> usize {
-    let runs = site.engines.iter().flat_map(|engine| engine.seen());
-    runs.filter(|run| *run.body == *FATAL.as_bytes()).count()
+/// Returns the number of fatal requests that reached engines.
+fn count_fatal_requests(site: &Site) -> usize {
+    let requests = site.engines.iter().flat_map(|engine| engine.seen());
+    requests.filter(|request| *request.body == *FATAL_BODY.as_bytes()).count()
 }
 
-/// The promise that one request shows to be broken.
-fn broken(line: &Line, ran: usize, revoked: Option<Instant>) -> Option<&'static str> {
-    let seen = &line.seen;
-    let promises = matches!(seen.status, 408 | 421 | 429 | 503);
-    if line.route == Route::Pay && ran > 1 {
-        return Some("a call that may run once ran again");
-    }
-    if ran > 2 {
-        return Some("more replicas ran it than may");
-    }
-    if promises && ran > 0 {
-        return Some("it ran, and its caller was told that it did not");
-    }
-    if seen.status == 200 && !is_right(line) {
-        return Some("the answer is not the replica's");
-    }
-    if revoked.is_some_and(|at| line.sent > at + REVOKE) && ran > 0 {
-        return Some("it ran with a key that was taken away");
-    }
-    let answered = seen.whole && seen.status > 0;
-    match line.phase {
-        Phase::Planned if ran > 0 && !answered => Some("its answer was lost, though nothing but planned work went on"),
-        // Few engines cannot take every prompt that exceeds two of them; a refusal must be honest all the same.
-        Phase::Calm if line.route == Route::LongPrompt && seen.status == 503 => None,
-        Phase::Calm if !answered || seen.status != 200 => Some("it was not served, though nothing went on"),
+/// Describes the first guarantee that the record of a request shows to be breached; `None` if there is none.
+/// `run_count` is the number of replicas that ran the request, `revoked_at` the time at which its API key was removed.
+fn find_breach(record: &RequestRecord, run_count: usize, revoked_at: Option<Instant>) -> Option<&'static str> {
+    let outcome = &record.outcome;
+    // Entries guarantee that a request with one of these statuses did not run.
+    let is_reported_not_run = matches!(outcome.status, 408 | 421 | 429 | 503);
+    if record.route == Route::Pay && run_count > 1 {
+        return Some("a call that may run at most once ran more than once");
+    }
+    if run_count > 2 {
+        return Some("the request ran more than twice");
+    }
+    if is_reported_not_run && run_count > 0 {
+        return Some("the request ran, but the status says that it did not");
+    }
+    if outcome.status == 200 && !is_expected_response(record) {
+        return Some("the response differs from the replica's");
+    }
+    if revoked_at.is_some_and(|revoked_at| record.sent_at > revoked_at + REVOKE_TIMEOUT) && run_count > 0 {
+        return Some("the request ran with a revoked API key");
+    }
+    let is_answered = outcome.whole && outcome.status > 0;
+    match record.phase {
+        Phase::Maintenance if run_count > 0 && !is_answered => {
+            Some("the response was lost during maintenance without faults")
+        }
+        // The few engines of the site cannot serve every prompt that needs the memory of more than two. Such a prompt
+        // may be refused, but only if it did not run, as checked above.
+        Phase::FaultFree if record.route == Route::LongPrompt && outcome.status == 503 => None,
+        Phase::FaultFree if !is_answered || outcome.status != 200 => Some("the request failed in the fault-free phase"),
         _ => None,
     }
 }
 
-/// Whether a success is whole and its own, or broken off visibly.
-fn is_right(line: &Line) -> bool {
-    let seen = &line.seen;
-    if seen.header("request-id") != line.id || !seen.header("response-seal").starts_with("seal-of-") {
+/// Returns whether a successful response is the complete response of a replica to this request, or a part of it whose
+/// truncation the caller can detect.
+fn is_expected_response(record: &RequestRecord) -> bool {
+    let outcome = &record.outcome;
+    if outcome.header("request-id") != record.id || !outcome.header("response-seal").starts_with("seal-of-") {
         return false;
     }
-    match line.route {
+    match record.route {
         Route::Prompt | Route::LongPrompt => {
             let expected: String =
-                (1..=8).map(|event| format!("id: {event}\ndata: piece {event} of {}\n\n", line.id)).collect();
-            if seen.whole { seen.body == expected } else { expected.starts_with(&seen.body) }
+                (1..=8).map(|event| format!("id: {event}\ndata: piece {event} of {}\n\n", record.id)).collect();
+            if outcome.whole { outcome.body == expected } else { expected.starts_with(&outcome.body) }
         }
-        Route::Pay | Route::Look => !seen.whole || seen.body.ends_with(&format!(" {}", line.id)),
+        Route::Pay | Route::Look => !outcome.whole || outcome.body.ends_with(&format!(" {}", record.id)),
     }
 }
--- a/standin/src/platform/soak/mod.rs
+++ b/standin/src/platform/soak/mod.rs
@@ -1,10 +1,10 @@
-//! A soak of the platform's form: real entries as processes, faults from outside, promises checked by
-//! what callers and replicas see.
+//! Soak test of a site: runs real entry processes under injected faults, and checks the guarantees of the entries by
+//! what callers and replicas observe.
 //!
-//! A run is a number of rounds. Each injects faults from the seed for a while, in series and overlapping,
-//! then heals everything, gives the entries five seconds to come back, and checks a calm while strictly.
-//! Every other round has planned work only: then no answer may be lost at all. Clocks are left alone:
-//! entries decide by the steady clock only, which nothing outside a process can change.
+//! A run has several rounds. Each round injects faults, chosen from the seed, in sequence and overlapping. Then it
+//! reverts all faults, gives the entries five seconds to recover, and requires that every request in a fault-free
+//! period succeeds. Every second round has maintenance only, in which no response may be lost. Clock faults are not
+//! injected: entries decide by the monotonic clock only, which cannot be changed from outside a process.
 
 mod caller;
 mod injector;
@@ -20,126 +20,134 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use self::caller::{FATAL, Shared, caller, fatal_caller, key};
+use self::caller::{FATAL_BODY, SharedState, api_key, run_caller, run_fatal_caller};
 use self::injector::Injector;
 pub use self::injector::Kind;
-use self::judge::judge;
+use self::judge::check_guarantees;
 use super::replica::Replica;
 use super::site::{Site, Spec};
 
-/// Time after the last fault within which everything works again.
-const RECOVERY: Duration = Duration::from_secs(5);
-/// A key that was taken away runs nothing after this; the site's bound of the same name.
-const REVOKE: Duration = Duration::from_millis(2_500);
-/// Time in which the first key is in force everywhere, before callers start.
-const SETTLED: Duration = Duration::from_millis(700);
+/// Bounds the time from the last fault until the site works normally again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bounds the time from the removal of an API key until no request with this key runs. The entries get it as
+/// `revoke_ms`.
+const REVOKE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time that all entries get to apply the first configuration before the callers start.
+const CONFIGURATION_DELAY: Duration = Duration::from_millis(700);
 
-/// An engine that ended under fatal work is back after this.
-const DOWN: Duration = Duration::from_millis(1_000);
+/// Time from the crash of an engine to its next start.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_000);
 
-/// Requests a second that replicas which name a limit take, of the dozens that come.
-const LIMIT: f64 = 3.0;
+/// Rate limit that replicas announce, in requests per second; far below the load, which is dozens of requests per
+/// second.
+const RATE_LIMIT: f64 = 3.0;
 
-/// The replicas that name a limit, or stand in the failure domain that is emptied: one of each service, so that others are
-/// left; the last, since the first announce ends.
-fn last_of_each(site: &Site) -> impl Iterator<Item = &Arc<Replica>> {
+/// Returns the last replica of each service, which announces a rate limit or is in the evacuated failure domain. Only
+/// one replica of each service is used, so that others remain; the last one, since the first one is drained.
+fn last_replicas(site: &Site) -> impl Iterator<Item = &Arc<Replica>> {
     site.engines.last().into_iter().chain(site.plain.last())
 }
 
-/// The rest that replicas ask for.
-const REST: Duration = Duration::from_secs(2);
+/// Backoff that replicas ask for.
+const BACKOFF: Duration = Duration::from_secs(2);
 
-/// The failure domain that is emptied.
-const EMPTIED: &str = "there";
+/// Failure domain that is evacuated.
+const EVACUATED_DOMAIN: &str = "there";
 
-/// What a soak is made of.
+/// Parameters of a soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Seed of the faults and the requests.
     pub seed: u64,
-    /// Rounds of faults and calm.
+    /// Number of rounds, each with an injection phase and a fault-free phase.
     pub rounds: u32,
-    /// How long faults are injected in each round.
+    /// Length of the injection phase of each round.
     pub faults: Duration,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Whether one more caller comes again and again with work under which engines end.
+    /// Whether one more caller repeatedly sends requests that crash engines.
     pub fatal: bool,
-    /// Whether an engine and a plain replica name a limit from the beginning.
+    /// Whether an engine and a plain replica announce a rate limit from the start.
     pub limits: bool,
-    /// Whether a failure domain is emptied every now and then.
+    /// Whether a failure domain is evacuated, and the evacuation cancelled, from time to time.
     pub evacuations: bool,
-    /// Whether replicas say in their answers that they leave or want rest, and the store comes back from older copies.
+    /// Whether replicas announce draining or ask for a backoff in their responses, and the store is restored from older
+    /// snapshots.
     pub words: bool,
 }
 
-/// What came of a soak.
+/// Result of a soak.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Answers by status; 0 counts those that did not come.
+    /// Number of responses by status; status 0 counts requests without a response.
     pub statuses: BTreeMap<u16, usize>,
-    /// Faults by kind.
-    pub faults: BTreeMap<Kind, usize>,
-    /// Sends of fatal work.
-    pub fatal_sends: usize,
-    /// Engines that ended under it.
-    pub ends: usize,
-    /// The most requests in a window at a replica that names a limit.
-    pub most_limited: usize,
-    /// The most requests from an entry in a rest that a replica had asked it for.
-    pub most_in_rest: usize,
-    /// Promises that were broken.
+    /// Number of injected faults by kind.
+    pub fault_counts: BTreeMap<Kind, usize>,
+    /// Number of fatal requests that reached engines.
+    pub fatal_request_count: usize,
+    /// Number of engine crashes.
+    pub crash_count: usize,
+    /// Largest number of requests within one window at a replica that announces a rate limit; 0 if none does.
+    pub max_requests_in_window: usize,
+    /// Largest number of requests that an entry sent to a replica during a backoff for which the replica had asked it.
+    pub max_requests_in_backoff: usize,
+    /// Descriptions of the breached guarantees.
     pub breaches: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(out, "answers: {:?}", self.statuses)?;
-        writeln!(out, "faults: {:?}", self.faults)?;
-        writeln!(out, "sends of fatal work: {}, ends of engines under it: {}", self.fatal_sends, self.ends)?;
-        writeln!(out, "most requests in 4 s at a replica that takes {LIMIT} a second: {}", self.most_limited)?;
-        writeln!(out, "most requests in a rest of {} s: {}", REST.as_secs(), self.most_in_rest)?;
+        writeln!(out, "responses: {:?}", self.statuses)?;
+        writeln!(out, "faults: {:?}", self.fault_counts)?;
+        writeln!(out, "fatal requests at engines: {}, engine crashes: {}", self.fatal_request_count, self.crash_count)?;
+        writeln!(
+            out,
+            "max requests in 4 s at a replica with a limit of {RATE_LIMIT}/s: {}",
+            self.max_requests_in_window
+        )?;
+        writeln!(out, "max requests in a backoff of {} s: {}", BACKOFF.as_secs(), self.max_requests_in_backoff)?;
         self.breaches.iter().try_for_each(|breach| writeln!(out, "breach: {breach}"))
     }
 }
 
-/// Runs a soak and checks all that its callers and replicas saw.
+/// Runs a soak and checks the guarantees by what its callers and replicas observed. Breaches are part of the report; an
+/// error means that the soak itself failed.
 pub async fn run(plan: &Plan) -> Result<Report> {
-    let bounds = format!("revoke_ms = {}", REVOKE.as_millis());
+    let bounds = format!("revoke_ms = {}", REVOKE_TIMEOUT.as_millis());
     let name = format!("soak-{}", plan.seed);
     let spec = Spec { entries: plan.entries, engines: 4, plain: 3, proxied: true, bounds, ..Spec::small(&name) };
     let site = Site::start(spec).await?;
     if plan.evacuations {
-        last_of_each(&site).for_each(|replica| replica.stand_in(EMPTIED));
+        last_replicas(&site).for_each(|replica| replica.stand_in(EVACUATED_DOMAIN));
         site.announce_all();
     }
-    let shared = Arc::new(Shared::default());
-    let first = key(0);
-    site.configure(&[first.as_str()], |_| {});
-    tokio::time::sleep(SETTLED).await;
-    let mut seeds = SmallRng::seed_from_u64(plan.seed);
+    let shared = Arc::new(SharedState::default());
+    let first_key = api_key(0);
+    site.configure(&[first_key.as_str()], |_| {});
+    tokio::time::sleep(CONFIGURATION_DELAY).await;
+    let mut seed_rng = SmallRng::seed_from_u64(plan.seed);
     let mut callers = Vec::new();
     for _ in 0..plan.callers {
-        let random = SmallRng::seed_from_u64(seeds.random());
-        callers.push(tokio::spawn(caller(shared.clone(), site.addresses.clone(), random)));
+        let rng = SmallRng::seed_from_u64(seed_rng.random());
+        callers.push(tokio::spawn(run_caller(shared.clone(), site.addresses.clone(), rng)));
     }
     if plan.fatal {
-        site.engines.iter().for_each(|engine| engine.end_under(FATAL, DOWN));
-        let random = SmallRng::seed_from_u64(seeds.random());
-        callers.push(tokio::spawn(fatal_caller(shared.clone(), site.addresses.clone(), random)));
+        site.engines.iter().for_each(|engine| engine.end_under(FATAL_BODY, CRASH_DOWNTIME));
+        let rng = SmallRng::seed_from_u64(seed_rng.random());
+        callers.push(tokio::spawn(run_fatal_caller(shared.clone(), site.addresses.clone(), rng)));
     }
     if plan.limits {
-        last_of_each(&site).for_each(|replica| replica.name_limit(Some(&LIMIT.to_string())));
+        last_replicas(&site).for_each(|replica| replica.name_limit(Some(&RATE_LIMIT.to_string())));
     }
-    let mut injector = Injector::new(site, shared.clone(), seeds);
+    let mut injector = Injector::new(site, shared.clone(), seed_rng);
     for round in 0..plan.rounds {
-        injector.round(plan, round % 2 == 1).await?;
+        injector.run_round(plan, round % 2 == 1).await?;
     }
-    shared.over.store(true, Ordering::Relaxed);
+    shared.is_stopping.store(true, Ordering::Relaxed);
     for caller in callers {
-        caller.await.map_err(|error| eyre!("step=join-caller: {error}"))?;
+        caller.await.map_err(|error| eyre!("step=join-caller: caller task failed: {error}"))?;
     }
-    judge(injector, &shared.lines(), plan).await
+    check_guarantees(injector, &shared.take_records(), plan).await
 }
