--- a/standin/src/platform/soak/injector.rs
+++ b/standin/src/platform/soak/injector.rs
@@ -115,7 +115,7 @@
     pub evacuations: Vec<(Instant, Option<Instant>)>,
     /// Replicas that announce in their responses that they are draining, and since when.
     pub draining_by_response: Vec<(Arc<Replica>, Instant)>,
-    /// Entries, or `None` for the network, that a fault affected, and when.
+    /// Times at which a fault affected an entry, given by its index, or the network, given as `None`.
     pub disturbances: Vec<(Option<usize>, Instant)>,
     /// Snapshot of the store, to be restored later.
     snapshot: Option<Copy>,
@@ -276,8 +276,8 @@
         self.shared.newest_key.store(newest_key, Ordering::Relaxed);
     }
 
-    /// Sets the record of the first engine to `draining`, at the next call that of the first plain replica. Later calls
-    /// do nothing, so that enough replicas remain.
+    /// Sets the record of the first engine to `draining` on the first call, and that of the first plain replica on the
+    /// second. Later calls do nothing, so that enough replicas remain.
     fn drain_replica(&mut self) {
         let index = self.drained_replicas.len();
         let (service, replica) = match index {
@@ -289,8 +289,8 @@
         self.drained_replicas.push((replica, Instant::now()));
     }
 
-    /// Makes one engine announce in its responses that it is draining, at the next call one plain replica. Later calls
-    /// do nothing, so that enough replicas remain.
+    /// Makes an engine announce in its responses that it is draining on the first call, and a plain replica on the
+    /// second. Later calls do nothing, so that enough replicas remain.
     fn announce_draining(&mut self) {
         let replica = match self.draining_by_response.len() {
             0 => self.site.engines[1].clone(),
@@ -406,7 +406,7 @@
         }
         self.revert_faults(true).await?;
         self.site.engines.iter().chain(&self.site.plain).for_each(|replica| replica.clear_behaviors());
-        // Requests that were sent during the faults come to their ends in this time.
+        // Requests that were sent during the faults end before the fault-free phase starts.
         tokio::time::sleep(RECOVERY_TIMEOUT).await;
         for entry in 0..self.site.doors.len() {
             if !self.site.is_ready(entry).await {
--- a/standin/src/platform/soak/mod.rs
+++ b/standin/src/platform/soak/mod.rs
@@ -91,7 +91,7 @@
     pub crash_count: usize,
     /// Largest number of requests within one window at a replica that announces a rate limit; 0 if none does.
     pub max_requests_in_window: usize,
-    /// Largest number of requests that an entry sent to a replica during a backoff for which the replica had asked it.
+    /// Largest number of requests that an entry sent to a replica during a backoff that the replica had requested.
     pub max_requests_in_backoff: usize,
     /// Descriptions of the breached guarantees.
     pub breaches: Vec<String>,
