--- a/sorrelpass/src/unread.rs
+++ b/sorrelpass/src/body_tracker.rs
@@ -12,7 +12,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 
 /// Body that records when its end was read.
-pub struct Watched<B> {
+pub struct TrackedBody<B> {
     inner: B,
     read_state: ReadState,
 }
@@ -23,7 +23,7 @@
 
 impl ReadState {
     /// Returns whether the body still has data that was not read.
-    pub fn get(&self) -> bool {
+    pub fn has_unread_data(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl<B: Body> Watched<B> {
+impl<B: Body> TrackedBody<B> {
     /// Wraps `inner`.
     pub fn new(inner: B) -> Self {
         let read_state = ReadState(Arc::new(AtomicBool::new(!inner.is_end_stream())));
@@ -40,12 +40,12 @@
     }
 
     /// Returns the flag of this body. It remains valid after the body was dropped.
-    pub fn unread(&self) -> ReadState {
+    pub fn read_state(&self) -> ReadState {
         self.read_state.clone()
     }
 }
 
-impl<B: Body + Unpin> Body for Watched<B> {
+impl<B: Body + Unpin> Body for TrackedBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
--- a/sorrelpass/src/ring.rs
+++ b/sorrelpass/src/channel.rs
@@ -24,7 +24,7 @@
 pub struct Closed;
 
 /// Creates a channel that holds up to `capacity` items; `name` is its label in the metrics.
-pub fn pair<T>(name: &'static str, capacity: usize) -> (Sender<T>, Receiver<T>) {
+pub fn bounded<T>(name: &'static str, capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (inner, receiver) = mpsc::channel(capacity);
     (Sender { name, inner }, Receiver(receiver))
 }
@@ -36,7 +36,7 @@
             Ok(()) => Ok(()),
             Err(mpsc::error::TrySendError::Closed(_)) => Err(Closed),
             Err(mpsc::error::TrySendError::Full(item)) => {
-                metric::ring_full(self.name);
+                metric::record_full_channel(self.name);
                 self.inner.send(item).await.map_err(|_| Closed)
             }
         }
@@ -49,7 +49,7 @@
         T: Send + 'static,
     {
         let Err(mpsc::error::TrySendError::Full(item)) = self.inner.try_send(item) else { return };
-        metric::ring_full(self.name);
+        metric::record_full_channel(self.name);
         let inner = self.inner.clone();
         match tokio::runtime::Handle::try_current() {
             Ok(runtime) => drop(runtime.spawn(async move { inner.send(item).await })),
--- a/sorrelpass/src/cmd/client.rs
+++ b/sorrelpass/src/cmd/client.rs
@@ -53,8 +53,8 @@
                 std::fs::read_to_string(file).wrap_err_with(|| format!("step=read-key file={}", file.display()))?;
             request = request.header("authorization", format!("Bearer {}", key.trim()));
         }
-        let request = request.body(http::full(body.unwrap_or_default())).wrap_err("step=build-request")?;
-        let response = http::send(&http::caller_h1(), &self.address, request).await?;
+        let request = request.body(http::full_body(body.unwrap_or_default())).wrap_err("step=build-request")?;
+        let response = http::send(&http::client_h1(), &self.address, request).await?;
         let status = response.status().as_u16();
         let bytes = response.into_body().collect().await.wrap_err("step=read")?.to_bytes();
         let body = serde_json::from_slice(&bytes).wrap_err_with(|| format!("step=decode peer={}", self.address))?;
--- a/sorrelpass/src/entry/body.rs
+++ b/sorrelpass/src/entry/body.rs
@@ -13,7 +13,7 @@
 use super::prompt::{self, ApiFormat, Prompt};
 use crate::config::Entry;
 use crate::failure::Failure;
-use crate::ring;
+use crate::channel;
 
 /// Initial buffer capacity for a body without `Content-Length`.
 const INITIAL_CAPACITY_BYTES: usize = 4 * 1_024;
@@ -77,18 +77,18 @@
 }
 
 /// Parses a prompt body; a large one is parsed on the `parse` thread.
-pub async fn parse(parse_sender: &ring::Sender<ParseJob>, format: ApiFormat, body: &Bytes) -> Result<Prompt, Failure> {
+pub async fn parse(parse_sender: &channel::Sender<ParseJob>, format: ApiFormat, body: &Bytes) -> Result<Prompt, Failure> {
     if body.len() <= MAX_INLINE_PARSE_BYTES {
         return prompt::parse(format, body);
     }
-    let entry_stopping = || Failure::busy("stopping", "the entry is stopping", memory_budget::RETRY_AFTER);
+    let entry_stopping = || Failure::unavailable("stopping", "the entry is stopping", memory_budget::RETRY_AFTER);
     let (reply, answer) = oneshot::channel();
     parse_sender.send(ParseJob { format, body: body.clone(), reply }).await.map_err(|_| entry_stopping())?;
     answer.await.map_err(|_| entry_stopping())?
 }
 
 /// Runs the `parse` thread until all senders are dropped.
-pub async fn run(mut jobs: ring::Receiver<ParseJob>) {
+pub async fn run(mut jobs: channel::Receiver<ParseJob>) {
     while let Some(ParseJob { format, body, reply }) = jobs.recv().await {
         let _ = reply.send(prompt::parse(format, &body));
     }
--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -54,7 +54,7 @@
         .route("/v1/endpoints", get(operator_api::get_endpoints))
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(operator_api::get_readiness))
-        .route("/metrics", get(|| async { metric::text() }))
+        .route("/metrics", get(|| async { metric::render() }))
         .fallback(|| async { Failure::new(StatusCode::NOT_FOUND, "not_found", "there is no such path") })
         .method_not_allowed_fallback(|| async {
             Failure::new(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed", "the path does not take this method")
@@ -110,7 +110,7 @@
 async fn admit(app: &HandlerState, headers: &HeaderMap, kind: RequestKind) -> Result<AdmittedRequest, Failure> {
     let admission = AdmissionRequest { key_digest: bearer_key_digest(headers)?, kind };
     let admitted = app.shared.call_event_loop(|reply| Command::Admit(admission, reply)).await;
-    admitted.map_err(|error| Failure::busy("stopping", error.to_string(), RETRY_AFTER))?
+    admitted.map_err(|error| Failure::unavailable("stopping", error.to_string(), RETRY_AFTER))?
 }
 
 /// Spawns the task that runs a request, and returns the receiver of its answer.
@@ -208,7 +208,7 @@
             ticket::TicketError::Expired => "has expired; whether it ran is no longer known",
         };
         let ran = if error == ticket::TicketError::Expired { coord::name::Ran::Unknown } else { coord::name::Ran::No };
-        Failure::bad_request("invalid_ticket", format!("the ticket {reason}")).ran(ran)
+        Failure::bad_request("invalid_ticket", format!("the ticket {reason}")).with_ran(ran)
     })?;
     Ok(Some(RunPolicy::OnceTicket(Key { workspace, key }, verified.binding)))
 }
@@ -305,7 +305,7 @@
 async fn fetch_models(app: &HandlerState, headers: &HeaderMap) -> Result<Vec<Name>, Failure> {
     let digest = bearer_key_digest(headers)?;
     let names = app.shared.call_event_loop(|reply| Command::ListModels(digest, reply)).await;
-    names.map_err(|error| Failure::busy("stopping", error.to_string(), RETRY_AFTER))?
+    names.map_err(|error| Failure::unavailable("stopping", error.to_string(), RETRY_AFTER))?
 }
 
 /// JSON body of `POST /v1/tickets`.
@@ -333,12 +333,12 @@
     let endpoint = binding.endpoint.clone();
     let key = ticket::issue(&secret, &admitted.workspace.name, binding, lifetime);
     event!("ticket", workspace = %admitted.workspace.name, peer = %endpoint);
-    let body = json!({ "key": key, "endpoint": endpoint, "life_ms": util::millis_up(lifetime) });
+    let body = json!({ "key": key, "endpoint": endpoint, "life_ms": util::millis_ceil(lifetime) });
     Ok((StatusCode::CREATED, Json(body)).into_response())
 }
 
 async fn select_endpoint(app: &HandlerState, admitted: &AdmittedRequest) -> Result<Binding, Failure> {
-    let no_endpoint = || Failure::busy("overloaded", "no endpoint takes calls now", RETRY_AFTER);
+    let no_endpoint = || Failure::unavailable("overloaded", "no endpoint takes calls now", RETRY_AFTER);
     let query = TargetQuery {
         service: admitted.service.clone(),
         domains: admitted.domains.clone(),
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -21,7 +21,7 @@
 use super::{Shared, peer};
 use crate::failure::Failure;
 use crate::platform::Log;
-use crate::{event, ring, util, warn_event};
+use crate::{event, channel, util, warn_event};
 
 /// Number of partitions of the key space.
 pub const PARTITION_COUNT: u64 = 8;
@@ -107,12 +107,12 @@
 }
 
 /// Runs the `claims` thread until all command senders are dropped.
-pub async fn run(shared: Arc<Shared>, make_log: impl Fn() -> Box<dyn Log>, mut commands: ring::Receiver<Command>) {
+pub async fn run(shared: Arc<Shared>, build_log: impl Fn() -> Box<dyn Log>, mut commands: channel::Receiver<Command>) {
     let mut partitions: HashMap<u64, Rc<Partition>> = HashMap::new();
     loop {
         for index in 0..PARTITION_COUNT {
             if !partitions.contains_key(&index) && assigned_entries(&shared, index).contains(&own_address(&shared)) {
-                partitions.insert(index, Partition::start(&shared, index, make_log()));
+                partitions.insert(index, Partition::start(&shared, index, build_log()));
             }
         }
         let command = match tokio::time::timeout(ASSIGNMENT_CHECK_INTERVAL, commands.recv()).await {
@@ -128,7 +128,7 @@
             // This entry cannot have bound a key of a partition that it does not follow.
             (Command::Lookup(_, reply), None) => drop(reply.send(None)),
             (command, None) => {
-                let partition = Partition::start(&shared, index, make_log());
+                let partition = Partition::start(&shared, index, build_log());
                 partitions.insert(index, partition.clone());
                 tokio::task::spawn_local(partition.handle_command(command));
             }
@@ -307,7 +307,7 @@
         return Ok(bound);
     }
     let message = "the platform's log does not take the claim of this key now; a ticket would not need it";
-    Err(Failure::busy("claims_unavailable", message, RETRY_DELAY).ran(ran))
+    Err(Failure::unavailable("claims_unavailable", message, RETRY_DELAY).with_ran(ran))
 }
 
 /// Queries all entries for a key. Returns its binding, if known, and whether the key is proven not to have
--- a/sorrelpass/src/entry/config_log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -19,7 +19,7 @@
 use super::event_loop;
 use super::{Shared, peer};
 use crate::platform::{Batch, Log};
-use crate::{event, ring, util, warn_event};
+use crate::{event, channel, util, warn_event};
 
 /// Stream of plans and confirmations.
 const CONFIG_STREAM: &str = "config";
@@ -70,7 +70,7 @@
     shared: Arc<Shared>,
     log: Box<dyn Log>,
     config_sender: watch::Sender<Arc<Config>>,
-    mut commands: ring::Receiver<Command>,
+    mut commands: channel::Receiver<Command>,
 ) {
     let follower = Rc::new(Follower {
         shared,
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use super::Shared;
-use crate::http::{self, Caller};
+use crate::http::{self, Client};
 use crate::platform::Log;
 use crate::{event, util, warn_event, wire};
 
@@ -43,7 +43,7 @@
     log_clock: Option<(Moment, Moment)>,
     /// Load (model version and adapters) that each endpoint was last seen to have.
     observed_loads: HashMap<Name, Load>,
-    client: Caller,
+    client: Client,
     orders: watch::Sender<Arc<HashMap<Name, Order>>>,
 }
 
@@ -55,7 +55,7 @@
         placements: Board::new(),
         log_clock: None,
         observed_loads: HashMap::new(),
-        client: http::caller_h2(),
+        client: http::client_h2(),
         orders,
     };
     loop {
@@ -130,7 +130,7 @@
             domain: self.failure_domain().clone(),
             process: self.shared.settings.process.name.clone(),
             incarnation: util::incarnation(),
-            term_ms: util::millis_up(LEASE_DURATION),
+            term_ms: util::millis_ceil(LEASE_DURATION),
         };
         let previous_fence = self.fence();
         self.append(&record).await?;
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -21,7 +21,7 @@
 use crate::config::Entry;
 use crate::failure::Failure;
 use crate::plugin::{self, PickerPlugin};
-use crate::{event, metric, ring, util};
+use crate::{event, metric, channel, util};
 
 /// Maximum number of unused retries that the retry budget accumulates.
 const MAX_SAVED_RETRIES: f64 = 100.0;
@@ -39,7 +39,7 @@
 }
 
 /// Runs the event loop until all command senders are dropped.
-pub async fn run(settings: Entry, mut commands: ring::Receiver<Command>) {
+pub async fn run(settings: Entry, mut commands: channel::Receiver<Command>) {
     let mut event_loop = EventLoop::new(settings);
     while let Some(command) = commands.recv().await {
         event_loop.handle_command(command);
@@ -49,7 +49,7 @@
 impl EventLoop {
     fn new(settings: Entry) -> Self {
         let picker = plugin::find::<PickerPlugin>(settings.picker, |plugin| plugin.name);
-        let picker = picker.map_or_else(|| Box::new(coord::pick::LeastOutstanding) as Box<_>, |plugin| (plugin.make)());
+        let picker = picker.map_or_else(|| Box::new(coord::pick::LeastOutstanding) as Box<_>, |plugin| (plugin.build)());
         let hash = xxhash_rust::xxh3::xxh3_64(settings.process.name.as_bytes());
         let sample = Sample { most: settings.sample, hash };
         Self {
@@ -88,7 +88,7 @@
 
     fn update_config(&mut self, config: Arc<Config>) {
         coord::invariant!(config.revision >= self.config.revision, "an entry never applies an older revision");
-        metric::revision(config.revision);
+        metric::set_config_revision(config.revision);
         event!("config", revision = config.revision);
         self.workspace_by_key =
             config.workspaces.values().map(|workspace| (workspace.key_digest.clone(), workspace.clone())).collect();
@@ -109,7 +109,7 @@
 
     fn workspace_of_key(&self, key_digest: &str) -> Result<&Arc<Workspace>, Failure> {
         if self.config.revision == 0 {
-            return Err(Failure::busy("not_ready", "no configuration has been read yet", NOT_READY_RETRY_AFTER));
+            return Err(Failure::unavailable("not_ready", "no configuration has been read yet", NOT_READY_RETRY_AFTER));
         }
         let unknown_key = || Failure::new(StatusCode::UNAUTHORIZED, "invalid_key", "the bearer key names no workspace");
         self.workspace_by_key.get(key_digest).ok_or_else(unknown_key)
@@ -193,7 +193,7 @@
                 Limit::Tokens => "prompt tokens",
             };
             let message = format!("the workspace's limit of {unit} a second is used up");
-            Failure::new(StatusCode::TOO_MANY_REQUESTS, "workspace_limit", message).after(wait)
+            Failure::new(StatusCode::TOO_MANY_REQUESTS, "workspace_limit", message).with_retry_after(wait)
         })
     }
 
--- a/sorrelpass/src/entry/memory_budget.rs
+++ b/sorrelpass/src/entry/memory_budget.rs
@@ -43,7 +43,7 @@
     pub fn try_reserve(&self, bytes: usize) -> Result<Reservation, Failure> {
         let permits = u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX);
         let budget_exhausted =
-            |_| Failure::busy("bodies_in_flight", "too many large bodies are in flight", RETRY_AFTER);
+            |_| Failure::unavailable("bodies_in_flight", "too many large bodies are in flight", RETRY_AFTER);
         let permit = self.0.permits.clone().try_acquire_many_owned(permits).map_err(budget_exhausted)?;
         Ok(Reservation { budget: self.clone(), permit: Some(permit) })
     }
--- a/sorrelpass/src/entry/mod.rs
+++ b/sorrelpass/src/entry/mod.rs
@@ -37,9 +37,9 @@
 
 use self::memory_budget::MemoryBudget;
 use crate::config::Entry;
-use crate::http::{self, Caller};
+use crate::http::{self, Client};
 use crate::plugin::{self, LogPlugin, VmListPlugin};
-use crate::{event, metric, ring, timeline, util};
+use crate::{event, metric, channel, timeline, util};
 
 /// Capacity of each thread's command channel, in commands.
 const CHANNEL_CAPACITY: usize = 4_096;
@@ -53,13 +53,13 @@
     /// Settings of this entry.
     pub settings: Entry,
     /// Command channel of the event loop.
-    pub event_loop: ring::Sender<event_loop::Command>,
+    pub event_loop: channel::Sender<event_loop::Command>,
     /// Command channel of the `log` thread.
-    pub log: ring::Sender<config_log::Command>,
+    pub log: channel::Sender<config_log::Command>,
     /// Command channel of the `claims` thread.
-    pub claims: ring::Sender<claims::Command>,
+    pub claims: channel::Sender<claims::Command>,
     /// Channel of large bodies to be parsed on the `parse` thread.
-    pub parse: ring::Sender<body::ParseJob>,
+    pub parse: channel::Sender<body::ParseJob>,
     /// Newest configuration that this entry has replayed.
     pub config: watch::Receiver<Arc<Config>>,
     /// VM list of the platform, as of the last successful poll.
@@ -101,18 +101,18 @@
     /// State shared by all threads.
     pub shared: Arc<Shared>,
     /// HTTP client of this thread for calls to sidecars.
-    pub client: Caller,
+    pub client: Client,
 }
 
-/// Runs an entry until it receives a termination signal and the requests in flight are finished.
+/// Runs an entry until it receives a shutdown signal and the requests in flight are finished.
 pub fn run(settings: Entry) -> Result<()> {
     timeline::init(&settings.process.name, &settings.process.log_level);
     metric::init()?;
-    let termination = util::Termination::watch()?;
-    let (event_loop_sender, event_loop_commands) = ring::pair("kernel", CHANNEL_CAPACITY);
-    let (log_sender, log_commands) = ring::pair("log", CHANNEL_CAPACITY);
-    let (claims_sender, claims_commands) = ring::pair("claims", CHANNEL_CAPACITY);
-    let (parse_sender, parse_commands) = ring::pair("parse", CHANNEL_CAPACITY);
+    let shutdown_signals = util::ShutdownSignals::register()?;
+    let (event_loop_sender, event_loop_commands) = channel::bounded("kernel", CHANNEL_CAPACITY);
+    let (log_sender, log_commands) = channel::bounded("log", CHANNEL_CAPACITY);
+    let (claims_sender, claims_commands) = channel::bounded("claims", CHANNEL_CAPACITY);
+    let (parse_sender, parse_commands) = channel::bounded("parse", CHANNEL_CAPACITY);
     let (config_sender, config) = watch::channel(Arc::new(Config::default()));
     let (vms_sender, vms) = watch::channel(Arc::new(Vec::new()));
     let (orders_sender, orders) = watch::channel(Arc::default());
@@ -140,50 +140,50 @@
         return Err(eyre!("step=start: a platform plug-in is missing"));
     };
     let address = settings.platform.log_address.clone();
-    let make_log = log_plugin.make;
-    let make_vms = vms_plugin.make;
+    let build_log = log_plugin.build;
+    let build_vms = vms_plugin.build;
 
-    util::duty("kernel", {
+    util::spawn_thread("kernel", {
         let settings = settings.clone();
         move || event_loop::run(settings, event_loop_commands)
     })?;
-    util::duty("log", {
+    util::spawn_thread("log", {
         let (shared, address) = (shared.clone(), address.clone());
-        move || async move { config_log::run(shared, make_log(&address), config_sender, log_commands).await }
+        move || async move { config_log::run(shared, build_log(&address), config_sender, log_commands).await }
     })?;
-    util::duty("claims", {
+    util::spawn_thread("claims", {
         let shared = shared.clone();
-        move || async move { claims::run(shared, || make_log(&address), claims_commands).await }
+        move || async move { claims::run(shared, || build_log(&address), claims_commands).await }
     })?;
-    util::duty("controller", {
+    util::spawn_thread("controller", {
         let (shared, address) = (shared.clone(), shared.settings.platform.log_address.clone());
-        move || async move { controller::run(shared, make_log(&address), orders_sender).await }
+        move || async move { controller::run(shared, build_log(&address), orders_sender).await }
     })?;
-    util::duty("members", {
+    util::spawn_thread("members", {
         let shared = shared.clone();
         move || async move {
-            let vms = make_vms(&shared.settings.platform.vms_address);
+            let vms = build_vms(&shared.settings.platform.vms_address);
             tokio::join!(vm_list::run(&shared, vms, vms_sender), limit_sharing::run(&shared));
         }
     })?;
-    util::duty("parse", move || body::run(parse_commands))?;
-    let mut server_threads = vec![util::duty("peer", {
+    util::spawn_thread("parse", move || body::run(parse_commands))?;
+    let mut server_threads = vec![util::spawn_thread("peer", {
         let (shared, closed) = (shared.clone(), closed.clone());
         move || peer::serve(shared, closed)
     })?];
     for number in 0..settings.threads {
         let listener = util::with_runtime(async { Ok(http::listen(settings.listen)?.into_std()?) })?;
         let (shared, closed) = (shared.clone(), closed.clone());
-        server_threads.push(util::duty(&format!("callers-{number}"), move || async move {
+        server_threads.push(util::spawn_thread(&format!("callers-{number}"), move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-            let app = HandlerState { shared, client: http::caller_h2() };
+            let app = HandlerState { shared, client: http::client_h2() };
             let caller_timeout = app.shared.settings.slow_caller;
             http::serve(listener, caller_api::router(app), caller_timeout, closed).await;
         })?);
     }
     event!("start", role = "entry", listen = %settings.listen);
 
-    termination.wait();
+    shutdown_signals.wait();
     event!("stop", role = "entry", reason = "signal");
     let _ = stop.send(true);
     std::thread::sleep(SHUTDOWN_DELAY);
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -168,12 +168,12 @@
 }
 
 fn entry_stopping() -> Failure {
-    Failure::busy("stopping", "the entry is stopping", LOG_RETRY_AFTER)
+    Failure::unavailable("stopping", "the entry is stopping", LOG_RETRY_AFTER)
 }
 
 /// Returns the failure of an append whose outcome is unknown. The call can be repeated without harm.
 fn log_unavailable(error: &eyre::Report) -> Failure {
-    Failure::busy("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).ran(Ran::Unknown)
+    Failure::unavailable("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).with_ran(Ran::Unknown)
 }
 
 /// Handles `GET /v1/intents`: returns the configuration in use.
--- a/sorrelpass/src/entry/peer.rs
+++ b/sorrelpass/src/entry/peer.rs
@@ -180,7 +180,7 @@
 /// Requests the configuration of an endpoint from an entry, waiting up to `wait` for a change.
 pub async fn fetch_endpoint_config(peer: &Name, known: KnownConfig, wait: Duration) -> Result<EndpointConfig> {
     let client = client_for(peer)?;
-    let wait_ms = crate::util::millis_up(wait);
+    let wait_ms = crate::util::millis_ceil(wait);
     with_timeout(peer, wait + CALL_TIMEOUT, PeerClient::endpoint_config(&client, known, wait_ms)).await
 }
 
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -31,7 +31,7 @@
 }
 
 fn entry_stopped() -> Failure {
-    Failure::new(StatusCode::BAD_GATEWAY, "stopping", "the entry stopped").ran(Ran::Unknown)
+    Failure::new(StatusCode::BAD_GATEWAY, "stopping", "the entry stopped").with_ran(Ran::Unknown)
 }
 
 /// Encodes the chunks of one answer; `prefix` precedes the choices of each chunk.
@@ -48,7 +48,7 @@
     fn new(id: &Name, prompt: &Prompt) -> Self {
         let object = if prompt.format == ApiFormat::Chat { "chat.completion.chunk" } else { "text_completion" };
         let id = completion_id(id, prompt.format);
-        let created = util::wall().as_micros() / 1_000_000;
+        let created = util::wall_clock().as_micros() / 1_000_000;
         let model = Value::from(&*prompt.model);
         let prefix = format!(
             "data: {{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":{created},\"model\":{model},\"choices\":"
@@ -120,7 +120,7 @@
         Ok(AnswerPart::Piece { bytes, .. }) => (encoder.encode_choices(&bytes), false),
         Ok(AnswerPart::End { usage, .. }) => (encoder.encode_end(usage), true),
         Ok(AnswerPart::Started | AnswerPart::Head { .. }) => (Bytes::new(), false),
-        Err(failure) => (Bytes::from(format!("data: {}\n\n", failure.ran(Ran::Partial).body())), true),
+        Err(failure) => (Bytes::from(format!("data: {}\n\n", failure.with_ran(Ran::Partial).body())), true),
     }
 }
 
--- a/sorrelpass/src/entry/route/failures.rs
+++ b/sorrelpass/src/entry/route/failures.rs
@@ -27,13 +27,13 @@
 
 /// Returns the failure of a request whose attempt was lost and may have run.
 pub fn attempt_lost(ran: Ran, message: impl Into<String>) -> Failure {
-    Failure::new(StatusCode::BAD_GATEWAY, LOST_CODE, message).ran(ran).after(DEFAULT_RETRY_AFTER)
+    Failure::new(StatusCode::BAD_GATEWAY, LOST_CODE, message).with_ran(ran).with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
 /// Returns the failure of a request whose key is bound to a sidecar incarnation that is gone.
 pub fn outcome_unknown(binding: &Binding) -> Failure {
     let message = format!("the call is bound to {} run {}, which is gone", binding.endpoint, binding.incarnation);
-    Failure::new(StatusCode::BAD_GATEWAY, UNKNOWN_CODE, message).ran(Ran::Unknown)
+    Failure::new(StatusCode::BAD_GATEWAY, UNKNOWN_CODE, message).with_ran(Ran::Unknown)
 }
 
 /// Returns the failure of a request that the endpoint refused.
@@ -45,5 +45,5 @@
 
 /// Returns the failure of a request that found the event loop stopped.
 pub fn entry_stopping(error: eyre::Report) -> Failure {
-    Failure::busy("stopping", error.to_string(), DEFAULT_RETRY_AFTER)
+    Failure::unavailable("stopping", error.to_string(), DEFAULT_RETRY_AFTER)
 }
--- a/sorrelpass/src/entry/route/gang_attempt.rs
+++ b/sorrelpass/src/entry/route/gang_attempt.rs
@@ -66,7 +66,7 @@
         let members: Vec<Member> = targets
             .iter()
             .zip(&texts)
-            .map(|(target, text)| Member { target: target.clone(), span: util::attempt(), tokens: tokens(text) })
+            .map(|(target, text)| Member { target: target.clone(), span: util::new_attempt(), tokens: tokens(text) })
             .collect();
         let Some(leader) = members.last().map(|member| member.target.clone()) else {
             return Ok(AttemptOutcome::Fail(self.no_endpoint_failure()));
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -135,18 +135,18 @@
         outcome = task.run() => outcome,
         () = parts.closed() => {
             event!("caller-gone", request = %id);
-            metric::request("caller_gone");
+            metric::record_request("caller_gone");
             return;
         }
     };
     match outcome {
         Ok(()) => {
             event!("done", request = %id, tokens = task.sent_tokens);
-            metric::request("ok");
+            metric::record_request("ok");
         }
         Err(failure) => {
             event!("request-failed", request = %id, code = failure.code, ran = failure.ran.as_str(), reason = %failure.message);
-            metric::request(failure.code);
+            metric::record_request(failure.code);
             let _ = parts.send(Err(failure)).await;
         }
     }
@@ -158,7 +158,7 @@
             RunPolicy::Repeatable => self.run_on_any_endpoint(None).await,
             RunPolicy::OnceInternalKey => {
                 // The request id cannot serve as key: callers may choose it, and reuse it for another call.
-                let generated = Name::from(util::attempt().to_string());
+                let generated = Name::from(util::new_attempt().to_string());
                 let key = Key { workspace: self.request.admitted.workspace.name.clone(), key: generated };
                 self.run_on_any_endpoint(Some(key)).await
             }
@@ -282,24 +282,24 @@
 
     fn no_endpoint_failure(&self) -> Failure {
         if self.is_answer_started {
-            return Failure::busy(
+            return Failure::unavailable(
                 "answer_broken_off",
                 "the answer broke off and could not go on elsewhere",
                 DEFAULT_RETRY_AFTER,
             )
-            .ran(Ran::Partial);
+            .with_ran(Ran::Partial);
         }
         let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         if self.last_refusal == Some(Refused::Scheduler(Refusal::TooLarge)) {
-            return Failure::busy("no_memory", "no endpoint has the memory that this prompt needs", wait);
+            return Failure::unavailable("no_memory", "no endpoint has the memory that this prompt needs", wait);
         }
-        Failure::busy("overloaded", "no endpoint can finish this in its time now", wait)
+        Failure::unavailable("overloaded", "no endpoint can finish this in its time now", wait)
     }
 
     fn deadline_failure(&self, ran: Ran) -> Failure {
         let ran = if self.is_answer_started { Ran::Partial } else { ran };
         let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(ran).after(wait)
+        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").with_ran(ran).with_retry_after(wait)
     }
 
     /// Proposes the best sidecar for a caller's key, and returns the binding that holds according to the
@@ -372,7 +372,7 @@
             call.headers.push((gang::SPAN_TOKENS_HEADER.to_owned(), spans.tokens.to_string()));
         }
         let work = Open {
-            attempt: util::attempt(),
+            attempt: util::new_attempt(),
             request: self.request.id.clone(),
             entry: self.app.shared.settings.process.name.clone(),
             incarnation,
@@ -417,7 +417,7 @@
                 AnswerPart::Piece { tokens, .. } => {
                     if *tokens > 0 && self.sent_tokens == 0 {
                         let class = coord::estimate::class(self.request.admitted.prompt_tokens);
-                        metric::ttft(class, util::now().since(self.started_at));
+                        metric::record_ttft(class, util::now().since(self.started_at));
                         event!("first-token", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint);
                     }
                     self.is_answer_started = true;
@@ -500,7 +500,7 @@
             let ran = if self.is_answer_started { Ran::Partial } else { ran };
             return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}; the retry budget is spent")));
         }
-        metric::retry();
+        metric::record_retry();
         AttemptOutcome::TryAnother
     }
 }
--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -45,7 +45,7 @@
 
 /// Issues a ticket that is valid for `lifetime`, at most [`MAX_LIFETIME`].
 pub fn issue(secret: &Secret, workspace: &Name, binding: Binding, lifetime: Duration) -> String {
-    let expires = util::wall() + lifetime.min(MAX_LIFETIME);
+    let expires = util::wall_clock() + lifetime.min(MAX_LIFETIME);
     let ticket = Ticket { workspace: workspace.clone(), binding, number: rand::random(), expires };
     let payload = wire::encode(&ticket);
     let tag = compute_mac(secret, &payload).finalize().into_bytes();
@@ -61,7 +61,7 @@
     if ticket.workspace != *workspace {
         return Err(TicketError::OtherWorkspace);
     }
-    if !ticket.is_live(util::wall()) {
+    if !ticket.is_live(util::wall_clock()) {
         return Err(TicketError::Expired);
     }
     Ok(ticket)
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -15,7 +15,7 @@
 
 use super::HandlerState;
 use super::event_loop::{Command, Target};
-use crate::http::{self, Sent};
+use crate::http::{self, OutgoingBody};
 use crate::wire::{self, Ask, Frame, Open, Quoted, Refused, Splitter, Usage};
 use crate::{event, timeline, util};
 
@@ -138,7 +138,7 @@
 }
 
 /// Builds a request body from several pieces without copying them.
-pub fn body_from_pieces(pieces: Vec<Bytes>) -> Sent {
+pub fn body_from_pieces(pieces: Vec<Bytes>) -> OutgoingBody {
     let frames = stream::iter(pieces.into_iter().map(|bytes| Ok::<_, Infallible>(BodyFrame::data(bytes))));
     BodyExt::boxed(StreamBody::new(frames))
 }
--- a/sorrelpass/src/failure.rs
+++ b/sorrelpass/src/failure.rs
@@ -39,18 +39,18 @@
     }
 
     /// Creates a failure with status 503, for a temporary lack of a resource; the caller may retry after `wait`.
-    pub fn busy(code: &'static str, message: impl Into<String>, wait: Duration) -> Self {
-        Self::new(StatusCode::SERVICE_UNAVAILABLE, code, message).after(wait)
+    pub fn unavailable(code: &'static str, message: impl Into<String>, wait: Duration) -> Self {
+        Self::new(StatusCode::SERVICE_UNAVAILABLE, code, message).with_retry_after(wait)
     }
 
     /// Sets the time after which the caller may retry.
-    pub fn after(mut self, wait: Duration) -> Self {
+    pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
     /// Sets whether the request ran.
-    pub fn ran(mut self, ran: Ran) -> Self {
+    pub fn with_ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
     }
@@ -60,7 +60,7 @@
         json!({
             "error": { "code": self.code, "message": self.message, "type": self.error_type() },
             "ran": self.ran,
-            "retry_after_ms": self.retry_after.map(util::millis_up),
+            "retry_after_ms": self.retry_after.map(util::millis_ceil),
         })
     }
 
@@ -84,7 +84,7 @@
         let headers = response.headers_mut();
         headers.insert(RAN, HeaderValue::from_static(self.ran.as_str()));
         if let Some(wait) = self.retry_after {
-            let seconds = util::millis_up(wait).div_ceil(1_000);
+            let seconds = util::millis_ceil(wait).div_ceil(1_000);
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
         response
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -83,7 +83,7 @@
 fn enforce_evacuations(gateway: &Gateway) {
     let domains = gateway.evacuations.borrow().picture().domains.clone();
     event!("evacuations", emptied = domains.iter().map(|domain| &**domain).collect::<Vec<_>>().join(","));
-    metric::emptied(&domains);
+    metric::set_evacuated_domains(&domains);
     gateway.roster.borrow_mut().set_emptied(domains, now());
     gateway.refresh_engines();
     for service in gateway.table().services() {
--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -20,7 +20,7 @@
 use super::super::work;
 use super::{BUSY_RETRY_AFTER, Job};
 use crate::failure::Failure;
-use crate::unread::Watched;
+use crate::body_tracker::TrackedBody;
 use crate::{event, metric};
 
 /// Timeout of a request whose caller sends no deadline. The timeout of the route is a further bound.
@@ -35,7 +35,7 @@
 /// A request whose head has been received and whose body has not been read.
 struct ReceivedRequest {
     call: dialect::Call,
-    request: Request<Watched<Incoming>>,
+    request: Request<TrackedBody<Incoming>>,
     /// Time at which the head was received.
     received_at: Moment,
     /// Guard that counts the request on the caller's connection until the request is complete.
@@ -45,8 +45,8 @@
 /// Handles a request and returns the response. `caller_guard` is dropped when the request is complete.
 pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, caller_guard: Box<dyn Any>) -> Answer {
     let started = now();
-    let request = request.map(Watched::new);
-    let has_unread_body = request.body().unread();
+    let request = request.map(TrackedBody::new);
+    let read_state = request.body().read_state();
     let (id, outcome) = match dialect::decode(request.headers()) {
         Err(malformed) => (Name::default(), Err(Failure::bad_request("malformed", malformed.0))),
         Ok(call) => (
@@ -58,7 +58,7 @@
         Ok(answer) => answer,
         Err(failure) => failure_response(failure, &id, started),
     };
-    if gateway.phase() != Phase::Serving || has_unread_body.get() {
+    if gateway.phase() != Phase::Serving || read_state.has_unread_data() {
         answer::close_after(&mut answer);
     }
     answer
@@ -68,14 +68,14 @@
 fn failure_response(failure: Failure, id: &str, started: Moment) -> Answer {
     event!("give-up", request = %id, code = failure.code, status = failure.status.as_u16(),
         ran = failure.ran.as_str(), reason = %failure.message, after_ms = now().since(started).as_millis());
-    metric::request(failure.code);
+    metric::record_request(failure.code);
     answer::failure(failure, id)
 }
 
 async fn serve(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Answer, Failure> {
     if gateway.phase() == Phase::Closing {
         // The request could not complete before the process stops.
-        return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY_AFTER));
+        return Err(Failure::unavailable("stopping", "this entry is about to end", STOPPING_RETRY_AFTER));
     }
     let mut job = admit(gateway, received).await?;
     let response = job.open_before_deadline().await?;
@@ -92,7 +92,7 @@
     gateway.learn().await;
     let (route, workspace) = find_route(gateway, &call, head.uri.path())?;
     if workspace.is_some() && !gateway.has_recent_proof() {
-        metric::old_proof();
+        metric::record_stale_verification();
     }
     let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
     let deadline = started + timeout.min(route.timeout);
@@ -121,7 +121,7 @@
 }
 
 /// Reads the complete body, so that the request can be sent again and a truncated body never reaches a replica.
-async fn read_body(gateway: &Gateway, body: Watched<Incoming>, timeout: Duration) -> Result<Bytes, Failure> {
+async fn read_body(gateway: &Gateway, body: TrackedBody<Incoming>, timeout: Duration) -> Result<Bytes, Failure> {
     let max_bytes = gateway.table().limits().map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
     match tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -138,7 +138,7 @@
 fn find_route(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
-        return Err(Failure::busy("no_configuration", "no configuration is known yet", UNVERIFIED_RETRY_AFTER));
+        return Err(Failure::unavailable("no_configuration", "no configuration is known yet", UNVERIFIED_RETRY_AFTER));
     }
     let Ok(route) = table.route(&call.host, path) else {
         return Err(rejection(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
@@ -163,9 +163,9 @@
 
 /// Returns the failure of a request that the routing table is too old to decide.
 fn unverified() -> Failure {
-    Failure::busy("unproven", "the configuration may have changed", UNVERIFIED_RETRY_AFTER)
+    Failure::unavailable("unproven", "the configuration may have changed", UNVERIFIED_RETRY_AFTER)
 }
 
 fn no_service() -> Failure {
-    Failure::busy("no_replica", "the route has no service", BUSY_RETRY_AFTER)
+    Failure::unavailable("no_replica", "the route has no service", BUSY_RETRY_AFTER)
 }
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -152,9 +152,9 @@
     /// it may have been sent before. It does not ask the caller to retry either, since a later retry would fail as
     /// well.
     fn condemned_failure(&self) -> Failure {
-        metric::refused_condemned();
+        metric::record_refused_condemned();
         let ran = if self.possible_executions == 0 { Ran::No } else { Ran::Unknown };
-        Failure::new(StatusCode::BAD_GATEWAY, "condemned", "replicas end under this request").ran(ran)
+        Failure::new(StatusCode::BAD_GATEWAY, "condemned", "replicas end under this request").with_ran(ran)
     }
 
     /// Reports that the connection to a replica was lost, and briefly waits for the probe of whether the replica
@@ -208,7 +208,7 @@
                 Ok(Ok(answer)) => {
                     let (status, after_ms) = (answer.status().as_u16(), now().since(self.started).as_millis());
                     event!("done", request = %self.call.id, peer = %record.id, status, after_ms);
-                    metric::request("ok");
+                    metric::record_request("ok");
                     if answer.status().is_success() {
                         quarantine::cleared(&self.gateway, self.work);
                     }
@@ -233,22 +233,22 @@
         }
         if self.possible_executions == 0 {
             let delay = retry_after.unwrap_or(BUSY_RETRY_AFTER);
-            return Failure::busy("overloaded", "no replica takes this now", delay);
+            return Failure::unavailable("overloaded", "no replica takes this now", delay);
         }
-        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").ran(Ran::Unknown)
+        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").with_ran(Ran::Unknown)
     }
 
     /// Returns the failure of a request whose deadline has passed.
     fn deadline_failure(&self) -> Failure {
         if self.attempts == 0 {
-            return Failure::busy("waited_out", "no replica became free in time", BUSY_RETRY_AFTER);
+            return Failure::unavailable("waited_out", "no replica became free in time", BUSY_RETRY_AFTER);
         }
         if let (Some(replica), false) = (self.tried_replicas.last(), self.has_engines()) {
             // An engine may be busy with other prompts for a long time. A plain replica that does not respond before
             // the deadline has failed.
             self.record_failure(replica, NO_ANSWER);
         }
-        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(Ran::Unknown)
+        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").with_ran(Ran::Unknown)
     }
 }
 
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -53,7 +53,7 @@
             return Outcome::ReplicaClosed;
         }
         let Target { record, helpers, place } = target;
-        metric::sent(&record.failure_domain, util::wall());
+        metric::record_send_time(&record.failure_domain, util::wall_clock());
         let sent_at = now();
         self.tried_replicas.push(record.id.clone());
         let head = self.upstream_head(&record, helpers, after_event);
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -193,7 +193,7 @@
         match limits::take_permit(&self.gateway, without_permit, max_wait).await {
             Ok(permit) => {
                 event!("limit-wait", request = %self.call.id, peer = %permit.replica, wait_ms = permit.after.as_millis());
-                metric::limit_wait();
+                metric::record_limit_wait();
                 tokio::time::sleep(permit.after).await;
                 let record = self.gateway.open_replica(&permit.replica);
                 record.map(|record| self.open_plain_slot(record)).ok_or(PlacementError::Exhausted)
@@ -201,7 +201,7 @@
             Err(delay) => {
                 let (limited, usable) = self.count_limited_and_usable();
                 event!("limit-refused", request = %self.call.id, service = %self.service, next_ms = delay.as_millis(), limited, usable);
-                metric::limit_refusal();
+                metric::record_limit_refusal();
                 // The jitter prevents all refused callers from retrying at the same time, when only one permit is
                 // available.
                 Err(PlacementError::Refused(delay.mul_f64(rand::random_range(1.0..2.0))))
--- a/sorrelpass/src/gateway/health.rs
+++ b/sorrelpass/src/gateway/health.rs
@@ -42,7 +42,7 @@
 
 fn handle_request<B>(gateway: &Gateway, request: &Request<B>) -> Response<Full<Bytes>> {
     let (status, body) = match request.uri().path() {
-        "/metrics" => (StatusCode::OK, Bytes::from(metric::text())),
+        "/metrics" => (StatusCode::OK, Bytes::from(metric::render())),
         "/ready" if gateway.is_ready() => (StatusCode::OK, Bytes::from_static(b"ready\n")),
         "/ready" => (StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"not ready\n")),
         _ => (StatusCode::NOT_FOUND, Bytes::new()),
--- a/sorrelpass/src/gateway/leaving.rs
+++ b/sorrelpass/src/gateway/leaving.rs
@@ -24,7 +24,7 @@
     }
     let for_itself = response.speaks_for_itself();
     event!("replica-draining", peer = %record.id, for_itself);
-    metric::leaving_told();
+    metric::record_draining_response();
     if for_itself {
         apply_updates(gateway, vec![Leaver { id: record.id.clone(), born: record.born }], Source::Own);
     }
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -161,7 +161,7 @@
     if changed.is_empty() {
         return;
     }
-    metric::limited(limits.register.borrow().limited().count());
+    metric::set_limited_replicas(limits.register.borrow().limited().count());
     let share = usable_share(gateway);
     for report in &changed {
         limits.no_permit_until.borrow_mut().remove(&report.replica);
--- a/sorrelpass/src/gateway/link.rs
+++ b/sorrelpass/src/gateway/link.rs
@@ -353,7 +353,7 @@
 
     async fn feed<T: Serialize>(&mut self, message: T) -> Result<()> {
         let frame = postcard::to_stdvec(&message).wrap_err("step=encode-message")?;
-        metric::peer_bytes(frame.len() as u64);
+        metric::record_peer_message(frame.len() as u64);
         self.0.feed(Bytes::from(frame)).await.wrap_err("step=send")
     }
 
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -213,7 +213,7 @@
     let records: Vec<(String, String)> =
         announcements.iter().map(|announcement| (announcement.address.to_string(), announcement.value())).collect();
     let records = records.iter().map(|(key, value)| (key.as_str(), value.as_bytes()));
-    metric::store_calls("append", store::PEERS, 1);
+    metric::record_store_calls("append", store::PEERS, 1);
     match client.put_all(store::PEERS, records, peers::STORE_TIMEOUT).await {
         Ok(()) => true,
         Err(error) => {
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -75,7 +75,7 @@
 /// `own_address`. Returns `None` and logs the error if the store does not answer.
 pub async fn list_announced(client: &mut Client, own_address: Option<SocketAddr>) -> Option<Vec<Peer>> {
     let outcome = client.newest(store::PEERS, STORE_TIMEOUT).await;
-    metric::store_calls("newest", store::PEERS, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
+    metric::record_store_calls("newest", store::PEERS, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
     match outcome {
         Ok(snapshot) => {
             let mut peers: Vec<Peer> = snapshot.records.iter().filter_map(decode_announcement).collect();
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -82,7 +82,7 @@
         let span = Span { after: self.sent_at, by: now() };
         let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.born, span);
         if is_new {
-            metric::replica_ended();
+            metric::record_replica_termination();
         }
         forget_removed_replicas(gateway);
         apply_events(gateway, vec![News::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -76,7 +76,7 @@
     fn update_planners(&self, gateway: &Gateway) {
         let register = self.register.borrow();
         let suspects: Vec<Work> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
-        metric::quarantine(suspects.len(), register.condemned().count());
+        metric::set_quarantine_size(suspects.len(), register.condemned().count());
         gateway.desk.set_suspects(suspects);
     }
 
@@ -158,7 +158,7 @@
         News::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
         News::Condemned(_) => {
             warn_event!("condemned", work = %fingerprint);
-            metric::condemned();
+            metric::record_condemned();
             quarantine.verdicts.send_modify(|verdicts| *verdicts += 1);
         }
         News::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -107,7 +107,7 @@
     while let Some(pending) = next_write(gateway) {
         let value = pending.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
         let fingerprint = pending.fingerprint;
-        metric::store_calls("append", QUARANTINE, 1);
+        metric::record_store_calls("append", QUARANTINE, 1);
         if let Err(error) = client.put(QUARANTINE, &fingerprint.to_string(), &value, RESPONSE_TIMEOUT).await {
             warn_event!("quarantine-write", work = %fingerprint, error = %format!("{error:#}"));
             return Err(error);
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -111,7 +111,7 @@
     /// Reads the records from the offset `from` on. If there are none, the store holds the call for up to `wait`.
     /// Returns `None` if the store no longer keeps that offset, or answers with an older state.
     pub async fn read_on(&mut self, topic: &Topic, from: u64, wait: Duration) -> Result<Option<Page>> {
-        metric::store_calls("read", self.topic_name, 1);
+        metric::record_store_calls("read", self.topic_name, 1);
         match self.client.read(self.topic_name, from, wait, RESPONSE_TIMEOUT).await? {
             Read::Trimmed => {
                 event!("store-trimmed", topic = self.topic_name, from = %Text(from));
@@ -138,7 +138,7 @@
     pub async fn read_all(&mut self) -> Result<Page> {
         let timeout = RESPONSE_TIMEOUT * 2u32.pow(self.failures.min(MAX_TIMEOUT_DOUBLINGS));
         let outcome = self.client.newest(self.topic_name, timeout).await;
-        metric::store_calls("newest", self.topic_name, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
+        metric::record_store_calls("newest", self.topic_name, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
         let snapshot = outcome?;
         Ok(Page { records: snapshot.records, next: snapshot.end })
     }
--- a/sorrelpass/src/gateway/relay.rs
+++ b/sorrelpass/src/gateway/relay.rs
@@ -139,7 +139,7 @@
             if self.event_count == 0 {
                 let after = now().since(self.job.started);
                 event!("first-event", request = %self.job.call.id, after_ms = after.as_millis());
-                metric::first_event(&self.job.route.name, after);
+                metric::record_first_event(&self.job.route.name, after);
             }
             if self.awaits_first_event {
                 self.awaits_first_event = false;
@@ -171,13 +171,13 @@
         match end {
             StreamEnd::Complete => {
                 event!("done", request = %id, peer, events = self.event_count, after_ms);
-                metric::request("ok");
+                metric::record_request("ok");
                 quarantine::cleared(&self.job.gateway, self.job.work);
                 None
             }
             StreamEnd::CallerGone => {
                 event!("caller-gone", request = %id, peer, events = self.event_count, after_ms);
-                metric::request("caller_gone");
+                metric::record_request("caller_gone");
                 None
             }
             StreamEnd::DeadlineExceeded => {
@@ -215,7 +215,7 @@
     /// Aborts the stream by closing the caller's connection, so that the caller does not take it for a complete stream.
     async fn abort(&mut self, code: &'static str) -> Option<Opened> {
         event!("give-up", request = %self.job.call.id, code, ran = "partial", events = self.event_count);
-        metric::request(code);
+        metric::record_request(code);
         // Fails only if the caller has closed its connection.
         let _ = self.caller.send(Err(BodyError)).await;
         None
--- a/sorrelpass/src/gateway/rests.rs
+++ b/sorrelpass/src/gateway/rests.rs
@@ -49,7 +49,7 @@
     if !gateway.roster.borrow().is_newest_run(record) {
         return;
     }
-    metric::rest_asked();
+    metric::record_backoff_request();
     gateway.rests.register.borrow_mut().hear(&record.id, backoff, now());
     gateway.desk.rests(&record.service, &record.id, backoff);
     gateway.rests.asked.notify_waiters();
--- a/sorrelpass/src/gateway/server.rs
+++ b/sorrelpass/src/gateway/server.rs
@@ -13,7 +13,7 @@
 
 use super::state::{Gateway, Phase};
 use super::{call, now};
-use crate::linger::Linger;
+use crate::lingering_close::LingeringStream;
 
 /// Default bound on the size of a request head, in bytes. Smaller configured bounds are raised to this one, because
 /// hyper does not accept small buffers.
@@ -81,7 +81,7 @@
     builder.max_buf_size(
         limits.map_or(MIN_HEADER_BUFFER_BYTES, |limits| limits.header_bytes.max(MIN_HEADER_BUFFER_BYTES)),
     );
-    let serving = builder.serve_connection(TokioIo::new(Linger::new(stream)), service);
+    let serving = builder.serve_connection(TokioIo::new(LingeringStream::new(stream)), service);
     let mut serving = std::pin::pin!(serving);
     tokio::select! {
         // The caller may close its connection during a request, which is not an error of this process.
--- a/sorrelpass/src/http.rs
+++ b/sorrelpass/src/http.rs
@@ -20,14 +20,14 @@
 use tokio_io_timeout::TimeoutStream;
 use tower::ServiceExt;
 
-use crate::linger::Linger;
+use crate::lingering_close::LingeringStream;
 use crate::timeline;
-use crate::unread::Watched;
+use crate::body_tracker::TrackedBody;
 
 /// Body of a request that this process sends.
-pub type Sent = BoxBody<Bytes, Infallible>;
+pub type OutgoingBody = BoxBody<Bytes, Infallible>;
 /// HTTP client with a connection pool; each thread has its own.
-pub type Caller = HyperClient<HttpConnector, Sent>;
+pub type Client = HyperClient<HttpConnector, OutgoingBody>;
 
 /// HTTP/2 flow-control window of a stream: bounds the bytes that a body may occupy at a sidecar while it waits.
 const STREAM_WINDOW_BYTES: u32 = 128 * 1_024;
@@ -57,7 +57,7 @@
 }
 
 /// Creates a client for calls between processes of the system: HTTP/2 without TLS.
-pub fn caller_h2() -> Caller {
+pub fn client_h2() -> Client {
     HyperClient::builder(TokioExecutor::new())
         .timer(TokioTimer::new())
         .http2_only(true)
@@ -70,7 +70,7 @@
 }
 
 /// Creates a client for other systems and for operators' calls to an entry: HTTP/1.1.
-pub fn caller_h1() -> Caller {
+pub fn client_h1() -> Client {
     HyperClient::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(Duration::from_secs(10))
@@ -78,13 +78,13 @@
 }
 
 /// Creates a body from bytes in memory.
-pub fn full(bytes: impl Into<Bytes>) -> Sent {
+pub fn full_body(bytes: impl Into<Bytes>) -> OutgoingBody {
     Full::new(bytes.into()).boxed()
 }
 
 /// Sends a request to `address` with a timestamp of the hybrid logical clock, and advances the clock by the response's
 /// timestamp.
-pub async fn call(client: &Caller, address: &str, method: &str, path: &str, body: Sent) -> Result<Response<Incoming>> {
+pub async fn call(client: &Client, address: &str, method: &str, path: &str, body: OutgoingBody) -> Result<Response<Incoming>> {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
@@ -95,7 +95,7 @@
 }
 
 /// Sends a complete request, and advances the hybrid logical clock by the timestamp of the response if it has one.
-pub async fn send(client: &Caller, address: &str, request: Request<Sent>) -> Result<Response<Incoming>> {
+pub async fn send(client: &Client, address: &str, request: Request<OutgoingBody>) -> Result<Response<Incoming>> {
     let response =
         client.request(request).await.map_err(|error| eyre!("step=call peer={address}: {}", error_chain(&error)))?;
     if let Some(stamp) = response.headers().get(timeline::HEADER).and_then(|value| value.to_str().ok()) {
@@ -105,18 +105,18 @@
 }
 
 /// Sends a request and reads the response to its end; returns status and body. For small bodies only.
-pub async fn exchange(client: &Caller, address: &str, method: &str, path: &str, body: Bytes) -> Result<(u16, Bytes)> {
-    let response = call(client, address, method, path, full(body)).await?;
+pub async fn exchange(client: &Client, address: &str, method: &str, path: &str, body: Bytes) -> Result<(u16, Bytes)> {
+    let response = call(client, address, method, path, full_body(body)).await?;
     let status = response.status().as_u16();
     let bytes = response.into_body().collect().await.wrap_err_with(|| format!("step=read peer={address}"))?.to_bytes();
     Ok((status, bytes))
 }
 
 /// Sends JSON in a POST request, discards the response body and returns the status.
-pub async fn post_json(client: &Caller, address: &str, path: &str, body: &serde_json::Value) -> Result<u16> {
+pub async fn post_json(client: &Client, address: &str, path: &str, body: &serde_json::Value) -> Result<u16> {
     let request = Request::post(format!("http://{address}{path}")).header("content-type", "application/json");
     let request =
-        request.body(full(body.to_string())).wrap_err_with(|| format!("step=build-request peer={address}"))?;
+        request.body(full_body(body.to_string())).wrap_err_with(|| format!("step=build-request peer={address}"))?;
     let response = send(client, address, request).await?;
     let status = response.status().as_u16();
     response.into_body().collect().await.wrap_err_with(|| format!("step=read peer={address}"))?;
@@ -125,7 +125,7 @@
 
 /// Sends a request with an optional JSON body and decodes the JSON response; a status outside 2xx is an error.
 pub async fn exchange_json<T: serde::de::DeserializeOwned>(
-    client: &Caller,
+    client: &Client,
     address: &str,
     method: &str,
     path: &str,
@@ -136,7 +136,7 @@
     if !body.is_empty() {
         request = request.header("content-type", "application/json");
     }
-    let request = request.body(full(body)).wrap_err_with(|| format!("step=build-request peer={address}"))?;
+    let request = request.body(full_body(body)).wrap_err_with(|| format!("step=build-request peer={address}"))?;
     let response = send(client, address, request).await?;
     let status = response.status();
     let bytes = response.into_body().collect().await.wrap_err_with(|| format!("step=read peer={address}"))?.to_bytes();
@@ -202,10 +202,10 @@
 /// connection and lose it.
 async fn respond(router: Router, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
     let is_http1 = request.version() <= Version::HTTP_11;
-    let request = request.map(Watched::new);
-    let body_state = request.body().unread();
+    let request = request.map(TrackedBody::new);
+    let read_state = request.body().read_state();
     let mut response = router.oneshot(request.map(Body::new)).await?;
-    if is_http1 && body_state.get() {
+    if is_http1 && read_state.has_unread_data() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
@@ -232,7 +232,7 @@
         .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
         .keep_alive_interval(KEEP_ALIVE_INTERVAL)
         .keep_alive_timeout(KEEP_ALIVE_TIMEOUT);
-    let connection = builder.serve_connection(TokioIo::new(Linger::new(Box::pin(stream))), service).into_owned();
+    let connection = builder.serve_connection(TokioIo::new(LingeringStream::new(Box::pin(stream))), service).into_owned();
     // An error here means that the caller closed the connection during a request, which is not a fault of this process.
     let _ = watcher.watch(connection).await;
 }
--- a/sorrelpass/src/linger.rs
+++ b/sorrelpass/src/lingering_close.rs
@@ -27,7 +27,7 @@
 const RESPONSE_PREFIX: &[u8] = b"HTTP/1.1 ";
 
 /// Connection that discards incoming bytes for a while when it is shut down after a refusal.
-pub struct Linger<S> {
+pub struct LingeringStream<S> {
     inner: S,
     /// Whether the last response written refused its request.
     is_refused: bool,
@@ -37,7 +37,7 @@
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S> Linger<S> {
+impl<S> LingeringStream<S> {
     /// Wraps the stream of a connection.
     pub fn new(inner: S) -> Self {
         Self { inner, is_refused: false, remaining: None, timer: None }
@@ -52,7 +52,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> Linger<S> {
+impl<S: AsyncRead + Unpin> LingeringStream<S> {
     /// Discards incoming bytes until the caller closes the connection, `limit` bytes were read, or the timer fires.
     fn poll_discard(&mut self, limit: usize, cx: &mut Context<'_>) -> Poll<()> {
         let mut remaining = limit;
@@ -76,13 +76,13 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Linger<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for LingeringStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<Result<()>> {
         Pin::new(&mut self.inner).poll_read(cx, buffer)
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for Linger<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for LingeringStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         self.record_response(bytes);
         Pin::new(&mut self.inner).poll_write(cx, bytes)
--- a/sorrelpass/src/main.rs
+++ b/sorrelpass/src/main.rs
@@ -8,15 +8,15 @@
 mod failure;
 mod gateway;
 mod http;
-mod linger;
+mod lingering_close;
 mod metric;
 mod platform;
 mod plugin;
-mod ring;
+mod channel;
 mod secret;
 mod sidecar;
 mod timeline;
-mod unread;
+mod body_tracker;
 mod util;
 mod wire;
 
--- a/sorrelpass/src/metric.rs
+++ b/sorrelpass/src/metric.rs
@@ -102,42 +102,42 @@
 }
 
 /// Counts a request that ended with `outcome`: `ok` or an error code.
-pub fn request(outcome: &str) {
+pub fn record_request(outcome: &str) {
     record(|metrics| metrics.requests.add(1, &[KeyValue::new("outcome", outcome.to_owned())]));
 }
 
 /// Counts a retry of a request.
-pub fn retry() {
+pub fn record_retry() {
     record(|metrics| metrics.retries.add(1, &[]));
 }
 
 /// Counts a send into a full channel; `channel` is its name.
-pub fn ring_full(channel: &'static str) {
+pub fn record_full_channel(channel: &'static str) {
     record(|metrics| metrics.full_channels.add(1, &[KeyValue::new("ring", channel)]));
 }
 
 /// Counts a request that was accepted although its key was last verified longer ago than a revoked key may be accepted.
-pub fn old_proof() {
+pub fn record_stale_verification() {
     record(|metrics| metrics.stale_verifications.add(1, &[]));
 }
 
 /// Counts the termination of a replica's process while it served a request.
-pub fn replica_ended() {
+pub fn record_replica_termination() {
     record(|metrics| metrics.replica_terminations.add(1, &[]));
 }
 
 /// Counts a request fingerprint that was condemned, by this entry or another.
-pub fn condemned() {
+pub fn record_condemned() {
     record(|metrics| metrics.condemned_fingerprints.add(1, &[]));
 }
 
 /// Counts a request that was not sent, or not retried, because its fingerprint is condemned.
-pub fn refused_condemned() {
+pub fn record_refused_condemned() {
     record(|metrics| metrics.condemned_refusals.add(1, &[]));
 }
 
 /// Sets the numbers of suspect and of condemned fingerprints.
-pub fn quarantine(suspects: usize, condemned: usize) {
+pub fn set_quarantine_size(suspects: usize, condemned: usize) {
     record(|metrics| {
         metrics.quarantine_size.record(suspects as u64, &[KeyValue::new("standing", "suspect")]);
         metrics.quarantine_size.record(condemned as u64, &[KeyValue::new("standing", "condemned")]);
@@ -145,12 +145,12 @@
 }
 
 /// Counts calls to the store, by kind of call and by topic.
-pub fn store_calls(kind: &'static str, topic: &'static str, calls: u64) {
+pub fn record_store_calls(kind: &'static str, topic: &'static str, calls: u64) {
     record(|metrics| metrics.store_calls.add(calls, &[KeyValue::new("kind", kind), KeyValue::new("topic", topic)]));
 }
 
 /// Counts a message to another entry, and its bytes.
-pub fn peer_bytes(bytes: u64) {
+pub fn record_peer_message(bytes: u64) {
     record(|metrics| {
         metrics.peer_bytes.add(bytes, &[]);
         metrics.peer_messages.add(1, &[]);
@@ -158,7 +158,7 @@
 }
 
 /// Sets the gauge to 1 for each evacuated failure domain, and to 0 for each domain that was evacuated before.
-pub fn emptied(domains: &BTreeSet<Name>) {
+pub fn set_evacuated_domains(domains: &BTreeSet<Name>) {
     let label = |domain: &Name| [KeyValue::new("failure_domain", domain.to_string())];
     record(|metrics| {
         let mut reported = metrics.reported_domains.lock().unwrap_or_else(PoisonError::into_inner);
@@ -169,53 +169,53 @@
 }
 
 /// Records the wall-clock time of the last request that was sent to a replica of a failure domain.
-pub fn sent(failure_domain: &str, time: Moment) {
+pub fn record_send_time(failure_domain: &str, time: Moment) {
     let seconds = time.as_micros() as f64 / 1e6;
     record(|metrics| metrics.last_send.record(seconds, &[KeyValue::new("failure_domain", failure_domain.to_owned())]));
 }
 
 /// Sets the number of replicas that report a rate limit of their own.
-pub fn limited(replicas: usize) {
+pub fn set_limited_replicas(replicas: usize) {
     record(|metrics| metrics.limited_replicas.record(replicas as u64, &[]));
 }
 
 /// Counts a request that waits for a permit of a replica with a rate limit.
-pub fn limit_wait() {
+pub fn record_limit_wait() {
     record(|metrics| metrics.limit_waits.add(1, &[]));
 }
 
 /// Counts a request that was refused because all replicas of its service report rate limits and the load exceeds them.
-pub fn limit_refusal() {
+pub fn record_limit_refusal() {
     record(|metrics| metrics.limit_refusals.add(1, &[]));
 }
 
 /// Counts a response by which a replica announced that it is draining.
-pub fn leaving_told() {
+pub fn record_draining_response() {
     record(|metrics| metrics.draining_responses.add(1, &[]));
 }
 
 /// Counts a refusal by which a replica asked this process to back off for a time.
-pub fn rest_asked() {
+pub fn record_backoff_request() {
     record(|metrics| metrics.backoff_requests.add(1, &[]));
 }
 
 /// Records the time to first token of a prompt of length class `class`.
-pub fn ttft(class: usize, ttft: Duration) {
+pub fn record_ttft(class: usize, ttft: Duration) {
     record(|metrics| metrics.ttft.record(ttft.as_secs_f64(), &[KeyValue::new("class", class as i64)]));
 }
 
 /// Records the time from the arrival of a request on `route` until the first event of its stream was forwarded.
-pub fn first_event(route: &str, delay: Duration) {
+pub fn record_first_event(route: &str, delay: Duration) {
     record(|metrics| metrics.first_event.record(delay.as_secs_f64(), &[KeyValue::new("route", route.to_owned())]));
 }
 
 /// Sets the revision of the configuration that is in force in this process.
-pub fn revision(revision: u64) {
+pub fn set_config_revision(revision: u64) {
     record(|metrics| metrics.config_revision.record(revision, &[]));
 }
 
 /// Sets the load of an endpoint's scheduler: waiting and running jobs, and reserved memory in tokens.
-pub fn scheduler(waiting: usize, running: usize, memory: u64) {
+pub fn set_scheduler_load(waiting: usize, running: usize, memory: u64) {
     record(|metrics| {
         metrics.waiting_jobs.record(waiting as u64, &[]);
         metrics.running_jobs.record(running as u64, &[]);
@@ -224,7 +224,7 @@
 }
 
 /// Returns all metrics in the Prometheus text format.
-pub fn text() -> Vec<u8> {
+pub fn render() -> Vec<u8> {
     let mut output = Vec::new();
     record(|metrics| {
         metrics.invariant_breaches.record(coord::invariant::breaches(), &[]);
--- a/sorrelpass/src/platform/http.rs
+++ b/sorrelpass/src/platform/http.rs
@@ -11,25 +11,25 @@
 use serde_json::value::RawValue;
 
 use super::{Batch, BoxFuture, Log, Record, VmList};
-use crate::http::{self, Caller};
+use crate::http::{self, Client};
 use crate::plugin::{LogPlugin, VmListPlugin};
 
 /// Timeout of a call to the platform, without the time that a read waits for records.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-inventory::submit! { LogPlugin { name: "http", make: |address| Box::new(HttpLog::new(address)) } }
-inventory::submit! { VmListPlugin { name: "http", make: |address| Box::new(HttpVmList::new(address)) } }
+inventory::submit! { LogPlugin { name: "http", build: |address| Box::new(HttpLog::new(address)) } }
+inventory::submit! { VmListPlugin { name: "http", build: |address| Box::new(HttpVmList::new(address)) } }
 
 /// Client of the log over HTTP.
 pub struct HttpLog {
     address: String,
-    client: Caller,
+    client: Client,
 }
 
 /// Client of the VM list over HTTP.
 pub struct HttpVmList {
     address: String,
-    client: Caller,
+    client: Client,
 }
 
 #[derive(Deserialize)]
@@ -53,7 +53,7 @@
 
 impl HttpLog {
     fn new(address: &str) -> Self {
-        Self { address: address.to_owned(), client: http::caller_h1() }
+        Self { address: address.to_owned(), client: http::client_h1() }
     }
 
     async fn append_record(&self, stream: &str, payload: Bytes) -> Result<u64> {
@@ -91,7 +91,7 @@
 
 impl HttpVmList {
     fn new(address: &str) -> Self {
-        Self { address: address.to_owned(), client: http::caller_h1() }
+        Self { address: address.to_owned(), client: http::client_h1() }
     }
 }
 
--- a/sorrelpass/src/plugin.rs
+++ b/sorrelpass/src/plugin.rs
@@ -19,7 +19,7 @@
     /// Name that selects the plug-in in the settings.
     pub name: &'static str,
     /// Creates a picker.
-    pub make: fn() -> Box<dyn Picker>,
+    pub build: fn() -> Box<dyn Picker>,
 }
 
 /// Order in which a sidecar serves its queue.
@@ -27,7 +27,7 @@
     /// Name that selects the plug-in in the settings.
     pub name: &'static str,
     /// Creates a queue order with the given weights.
-    pub make: fn(Weights) -> Box<dyn Order>,
+    pub build: fn(Weights) -> Box<dyn Order>,
 }
 
 /// Client of the platform's log.
@@ -35,7 +35,7 @@
     /// Name that selects the plug-in in the settings.
     pub name: &'static str,
     /// Creates a client for an address, `ip:port`.
-    pub make: fn(&str) -> Box<dyn Log>,
+    pub build: fn(&str) -> Box<dyn Log>,
 }
 
 /// Client of the platform's VM list.
@@ -43,7 +43,7 @@
     /// Name that selects the plug-in in the settings.
     pub name: &'static str,
     /// Creates a client for an address, `ip:port`.
-    pub make: fn(&str) -> Box<dyn VmList>,
+    pub build: fn(&str) -> Box<dyn VmList>,
 }
 
 inventory::collect!(PickerPlugin);
@@ -51,15 +51,15 @@
 inventory::collect!(LogPlugin);
 inventory::collect!(VmListPlugin);
 
-inventory::submit! { PickerPlugin { name: "round-robin", make: || Box::new(coord::pick::RoundRobin::default()) } }
-inventory::submit! { PickerPlugin { name: "least-outstanding", make: || Box::new(coord::pick::LeastOutstanding) } }
-inventory::submit! { PickerPlugin { name: "active-tokens", make: || Box::new(coord::pick::ActiveTokens) } }
-inventory::submit! { PickerPlugin { name: "quoted", make: || Box::new(coord::pick::Quoted { by_prefix: 2 }) } }
-inventory::submit! { OrderPlugin { name: "fifo", make: |_| Box::new(coord::queue::Fifo) } }
+inventory::submit! { PickerPlugin { name: "round-robin", build: || Box::new(coord::pick::RoundRobin::default()) } }
+inventory::submit! { PickerPlugin { name: "least-outstanding", build: || Box::new(coord::pick::LeastOutstanding) } }
+inventory::submit! { PickerPlugin { name: "active-tokens", build: || Box::new(coord::pick::ActiveTokens) } }
+inventory::submit! { PickerPlugin { name: "quoted", build: || Box::new(coord::pick::Quoted { by_prefix: 2 }) } }
+inventory::submit! { OrderPlugin { name: "fifo", build: |_| Box::new(coord::queue::Fifo) } }
 inventory::submit! {
     OrderPlugin {
         name: "slack",
-        make: |weights| Box::new(coord::queue::Slack { slowdown_weight: weights.slowdown, ttft_weight: weights.ttft }),
+        build: |weights| Box::new(coord::queue::Slack { slowdown_weight: weights.slowdown, ttft_weight: weights.ttft }),
     }
 }
 
--- a/sorrelpass/src/sidecar/control.rs
+++ b/sorrelpass/src/sidecar/control.rs
@@ -97,14 +97,14 @@
     }
     known_config.revision = endpoint_config.revision;
     known_config.drained = endpoint_config.drained;
-    crate::metric::revision(endpoint_config.revision);
+    crate::metric::set_config_revision(endpoint_config.revision);
     event!("config", peer = %entry, revision = endpoint_config.revision, drained = endpoint_config.drained);
     let _ = shared.event_loop.send(Command::SetDrained(endpoint_config.drained)).await;
 }
 
 /// Checks the endpoint's health periodically.
 async fn check_health(shared: &Shared) {
-    let client = http::caller_h1();
+    let client = http::client_h1();
     let mut failed_probes = 0;
     let mut is_healthy = true;
     loop {
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -17,7 +17,7 @@
 use crate::config::{Kind, Sidecar};
 use crate::plugin::{self, OrderPlugin};
 use crate::wire::{Ask, Held, Hold, Open, Quoted};
-use crate::{event, metric, ring, util, warn_event};
+use crate::{event, metric, channel, util, warn_event};
 
 /// Interval at which the scheduler advances while jobs wait or run.
 const ACTIVE_INTERVAL: Duration = Duration::from_millis(5);
@@ -144,7 +144,7 @@
 /// Runs the event loop until all command senders are dropped, or until shutdown is complete.
 pub async fn run(
     settings: Sidecar,
-    mut commands: ring::Receiver<Command>,
+    mut commands: channel::Receiver<Command>,
     expired_spans: mpsc::UnboundedSender<Attempt>,
 ) {
     let mut event_loop = EventLoop::new(settings, expired_spans);
@@ -171,7 +171,7 @@
     fn new(settings: Sidecar, expired_spans: mpsc::UnboundedSender<Attempt>) -> Self {
         let order = plugin::find::<OrderPlugin>(settings.order, |plugin| plugin.name);
         let order =
-            order.map_or_else(|| Box::new(coord::queue::Fifo) as Box<_>, |plugin| (plugin.make)(settings.weights));
+            order.map_or_else(|| Box::new(coord::queue::Fifo) as Box<_>, |plugin| (plugin.build)(settings.weights));
         let estimate = Estimate::new(settings.prefill_rate, settings.gap);
         Self {
             scheduler: Scheduler::new(settings.limits.clone(), estimate, order),
@@ -415,7 +415,7 @@
                 }
             }
         }
-        metric::scheduler(self.scheduler.waiting(), self.scheduler.running(), self.scheduler.memory_held());
+        metric::set_scheduler_load(self.scheduler.waiting(), self.scheduler.running(), self.scheduler.memory_held());
         if self.scheduler.is_idle() {
             for idle in self.idle_waiters.drain(..) {
                 let _ = idle.send(());
--- a/sorrelpass/src/sidecar/mod.rs
+++ b/sorrelpass/src/sidecar/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::config::Sidecar;
-use crate::{event, http, metric, ring, timeline, util};
+use crate::{event, http, metric, channel, timeline, util};
 
 /// Capacity of the event loop's command channel, in commands.
 const EVENT_LOOP_CHANNEL_CAPACITY: usize = 4_096;
@@ -29,26 +29,26 @@
     /// Settings of this sidecar.
     pub settings: Sidecar,
     /// Command channel of the event loop.
-    pub event_loop: ring::Sender<event_loop::Command>,
+    pub event_loop: channel::Sender<event_loop::Command>,
 }
 
-/// Runs a sidecar until it receives a termination signal and its jobs are finished.
+/// Runs a sidecar until it receives a shutdown signal and its jobs are finished.
 pub fn run(settings: Sidecar) -> Result<()> {
     timeline::init(&settings.process.name, &settings.process.log_level);
     metric::init()?;
-    let termination = util::Termination::watch()?;
+    let shutdown_signals = util::ShutdownSignals::register()?;
     let listener_address = settings.listen;
-    let (command_sender, command_receiver) = ring::pair("kernel", EVENT_LOOP_CHANNEL_CAPACITY);
+    let (command_sender, command_receiver) = channel::bounded("kernel", EVENT_LOOP_CHANNEL_CAPACITY);
     let shared = Arc::new(Shared { settings, event_loop: command_sender });
     let (stop, stopped) = watch::channel(false);
     let (expired_spans, expired_span_receiver) = tokio::sync::mpsc::unbounded_channel();
 
-    let event_loop = util::duty("kernel", {
+    let event_loop = util::spawn_thread("kernel", {
         let settings = shared.settings.clone();
         move || event_loop::run(settings, command_receiver, expired_spans)
     })?;
     let std_listener = bind(listener_address)?;
-    let server = util::duty("work", {
+    let server = util::spawn_thread("work", {
         let shared = shared.clone();
         let stopped = stopped.clone();
         move || async move {
@@ -57,13 +57,13 @@
             http::serve(listener, server::router(shared), entry_timeout, stopped).await;
         }
     })?;
-    let control = util::duty("control", {
+    let control = util::spawn_thread("control", {
         let shared = shared.clone();
         move || control::run(shared, expired_span_receiver, stopped)
     })?;
     event!("start", role = "sidecar", endpoint = %shared.settings.endpoint, listen = %listener_address);
 
-    termination.wait();
+    shutdown_signals.wait();
     event!("stop", role = "sidecar", reason = "signal");
     close(shared, &stop)?;
     for thread in [server, control, event_loop] {
--- a/sorrelpass/src/sidecar/order.rs
+++ b/sorrelpass/src/sidecar/order.rs
@@ -19,7 +19,7 @@
 
 /// Sends placement orders to the endpoint, and reads back its load.
 pub struct OrderSender {
-    client: http::Caller,
+    client: http::Client,
     newest: Option<Order>,
     /// Earliest time at which this incarnation may send orders.
     send_from: coord::time::Moment,
@@ -39,7 +39,7 @@
 impl OrderSender {
     /// Creates a sender that sends no order until those of the previous incarnation have timed out.
     pub fn new() -> Self {
-        Self { client: http::caller_h1(), newest: None, send_from: util::now() + ORDER_TIMEOUT }
+        Self { client: http::client_h1(), newest: None, send_from: util::now() + ORDER_TIMEOUT }
     }
 
     /// Stores an order if it is newer than the stored one.
@@ -82,7 +82,7 @@
 }
 
 /// Asks the endpoint for its load; `None` if it does not answer.
-pub async fn query_load(client: &http::Caller, shared: &Shared) -> Option<Load> {
+pub async fn query_load(client: &http::Client, shared: &Shared) -> Option<Load> {
     let call = http::exchange_json(client, &shared.settings.endpoint_address, "GET", "/loaded", None);
     let loaded: LoadedResponse = tokio::time::timeout(ORDER_TIMEOUT, call).await.ok()?.ok()?;
     Some(Load { version: loaded.loaded.version, adapters: loaded.loaded.adapters })
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -39,7 +39,7 @@
         .route("/status", get(get_status))
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(|| async { "ok\n" }))
-        .route("/metrics", get(|| async { metric::text() }))
+        .route("/metrics", get(|| async { metric::render() }))
         .with_state(shared)
 }
 
@@ -88,7 +88,7 @@
 }
 
 async fn get_load(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
-    let load = order::query_load(&http::caller_h1(), &shared).await.ok_or(StatusCode::BAD_GATEWAY)?;
+    let load = order::query_load(&http::client_h1(), &shared).await.ok_or(StatusCode::BAD_GATEWAY)?;
     Ok(axum::Json(load).into_response())
 }
 
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -97,7 +97,7 @@
 
 /// Frees the spans and cancels the requests that a previous incarnation of this sidecar left on the engine.
 pub async fn reconcile(shared: &Shared) {
-    let client = crate::http::caller_h1();
+    let client = crate::http::client_h1();
     let found: EngineMemory = loop {
         let listed = crate::http::exchange_json(&client, &shared.settings.endpoint_address, "GET", "/kv", None).await;
         match listed {
--- a/sorrelpass/src/util.rs
+++ b/sorrelpass/src/util.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns the wall-clock time since the Unix epoch.
-pub fn wall() -> Moment {
+pub fn wall_clock() -> Moment {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Moment::from_micros(coord::time::micros(since_epoch))
 }
@@ -39,23 +39,23 @@
 /// Returns the incarnation of this process: the wall-clock time of the first call in milliseconds, and 20 random bits.
 pub fn incarnation() -> Incarnation {
     *INCARNATION.get_or_init(|| {
-        let millis = wall().as_micros() / 1_000;
+        let millis = wall_clock().as_micros() / 1_000;
         Incarnation(millis << 20 | u64::from(rand::random::<u32>() & 0xf_ffff))
     })
 }
 
 /// Returns a new random attempt id.
-pub fn attempt() -> Attempt {
+pub fn new_attempt() -> Attempt {
     Attempt(rand::random())
 }
 
 /// Returns a duration in milliseconds, rounded up, so that a client never retries too early.
-pub fn millis_up(duration: Duration) -> u64 {
+pub fn millis_ceil(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
 }
 
 /// Starts a named thread that runs a future to its end on a single-threaded runtime of its own.
-pub fn duty<F, Fut>(name: &str, run: F) -> Result<JoinHandle<()>>
+pub fn spawn_thread<F, Fut>(name: &str, run: F) -> Result<JoinHandle<()>>
 where
     F: FnOnce() -> Fut + Send + 'static,
     Fut: Future<Output = ()>,
@@ -88,15 +88,15 @@
 }
 
 /// Handlers of SIGTERM and SIGINT. Until they are registered, either signal kills the process at once.
-pub struct Termination {
+pub struct ShutdownSignals {
     runtime: Runtime,
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl Termination {
+impl ShutdownSignals {
     /// Registers the handlers of both signals. Must be called before the process accepts connections.
-    pub fn watch() -> Result<Self> {
+    pub fn register() -> Result<Self> {
         let runtime = runtime()?;
         let runtime_guard = runtime.enter();
         let terminate = signal(SignalKind::terminate()).wrap_err("step=watch-signals")?;
