--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -22,7 +22,7 @@
 use super::route::{self, GangPrompt, Request, RunPolicy};
 use super::{HandlerState, body, operator_api, ticket, upstream};
 use crate::failure::Failure;
-use crate::wire::{Ask, Call};
+use crate::wire::{QuoteRequest, Call};
 use crate::{event, metric, util};
 
 /// Number of parts of an answer that are buffered for a caller that reads slowly.
@@ -347,17 +347,17 @@
     };
     let candidates =
         app.shared.call_event_loop(|reply| Command::FindTargets(query, reply)).await.map_err(|_| no_endpoint())?;
-    let ask = Ask {
+    let quote_request = QuoteRequest {
         workspace: admitted.workspace.name.clone(),
         weight: admitted.workspace.weight,
         prompt_tokens: 0,
         output_tokens: 0,
         priority: 0,
-        left_micros: coord::time::micros(admitted.deadline),
+        time_left_micros: coord::time::micros(admitted.deadline),
         bytes_per_token: 1.0,
         chain: Chain::default(),
     };
-    let quoted = upstream::request_quotes(app, candidates.targets, &ask).await;
+    let quoted = upstream::request_quotes(app, candidates.targets, &quote_request).await;
     let best = quoted.into_iter().find(|quoted| quoted.offer.quote.open).ok_or_else(no_endpoint)?;
     Ok(Binding { endpoint: best.target.endpoint, incarnation: best.incarnation })
 }
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -148,7 +148,7 @@
     /// Asks the sidecars of `pending` endpoints, which have not reached their ordered load, for their load.
     async fn query_loads(&mut self, pending: &[Vm]) {
         for vm in pending {
-            let call = http::exchange_json(&self.client, &vm.address, "GET", wire::HOLDS, None);
+            let call = http::exchange_json(&self.client, &vm.address, "GET", wire::RESERVATIONS, None);
             if let Ok(Ok(load)) = tokio::time::timeout(LOAD_QUERY_TIMEOUT, call).await {
                 self.observed_loads.insert(vm.name.clone(), load);
             }
--- a/sorrelpass/src/entry/event_loop/message.rs
+++ b/sorrelpass/src/entry/event_loop/message.rs
@@ -113,7 +113,7 @@
         /// Incarnation of the sidecar process.
         incarnation: Incarnation,
         /// Whether the sidecar refuses new work.
-        leaving: bool,
+        is_draining: bool,
     },
     /// Records that an endpoint's sidecar could not be reached.
     SidecarUnreachable(Name),
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -69,8 +69,8 @@
             Command::FindTargets(query, reply) => drop(reply.send(self.find_targets(&query))),
             Command::TargetsByDomain(query, reply) => drop(reply.send(self.targets_by_domain(&query))),
             Command::Locate(endpoint, reply) => drop(reply.send(self.locate(&endpoint))),
-            Command::SidecarReachable { endpoint, incarnation, leaving } => {
-                self.members.heard(&endpoint, incarnation, leaving)
+            Command::SidecarReachable { endpoint, incarnation, is_draining } => {
+                self.members.heard(&endpoint, incarnation, is_draining)
             }
             Command::SidecarUnreachable(endpoint) => self.members.failed(&endpoint, util::now()),
             Command::AttemptStarted(endpoint, tokens) => self.members.begin(&endpoint, tokens),
--- a/sorrelpass/src/entry/gang.rs
+++ b/sorrelpass/src/entry/gang.rs
@@ -18,7 +18,7 @@
 use super::upstream;
 use crate::http;
 use crate::util;
-use crate::wire::{self, Fill, Filled, Held, Hold};
+use crate::wire::{self, PrefillRequest, PrefillResponse, HoldResponse, HoldRequest};
 
 /// Share of an engine's memory that a span may take; the rest is for other prompts and the output.
 const MAX_SPAN_SHARE: f64 = 0.85;
@@ -91,13 +91,13 @@
             let error = |step| GangError { target: member.target.clone(), step };
             loop {
                 match request_reservation(app, member, false).await {
-                    Some(Held::Yes) => break,
-                    Some(Held::Wait(_)) if util::now() >= deadline => return Err(error("wait-for-memory")),
-                    Some(Held::Wait(wait)) => {
+                    Some(HoldResponse::Held) => break,
+                    Some(HoldResponse::RetryAfter(_)) if util::now() >= deadline => return Err(error("wait-for-memory")),
+                    Some(HoldResponse::RetryAfter(wait)) => {
                         let wait = Duration::from_micros(wait).clamp(RETRY_DELAY_RANGE.0, RETRY_DELAY_RANGE.1);
                         tokio::time::sleep(util::jitter(wait)).await;
                     }
-                    Some(Held::No) => return Err(error("reserve-span")),
+                    Some(HoldResponse::Refused) => return Err(error("reserve-span")),
                     None => {
                         upstream::report_unreachable(app, &member.target);
                         return Err(error("reach-member"));
@@ -109,13 +109,13 @@
     }
 
     /// Prefills the spans in order, and returns the digest and the number of tokens of the whole prompt.
-    pub async fn prefill(&self, texts: &[(Attempt, Bytes)]) -> Result<Filled, GangError> {
-        let mut total = Filled { tokens: 0, digest: 0 };
+    pub async fn prefill(&self, texts: &[(Attempt, Bytes)]) -> Result<PrefillResponse, GangError> {
+        let mut total = PrefillResponse { tokens: 0, digest: 0 };
         for (span, text) in texts {
             let Some(member) = self.members.iter().find(|member| member.span == *span) else { continue };
             let error = || GangError { target: member.target.clone(), step: "prefill-span" };
-            let filled = request_prefill(&self.app, member, total.digest, text).await.ok_or_else(error)?;
-            total = Filled { tokens: total.tokens + filled.tokens, digest: filled.digest };
+            let response = request_prefill(&self.app, member, total.digest, text).await.ok_or_else(error)?;
+            total = PrefillResponse { tokens: total.tokens + response.tokens, digest: response.digest };
         }
         Ok(total)
     }
@@ -146,9 +146,9 @@
     }
 }
 
-async fn request_reservation(app: &HandlerState, member: &Member, renew: bool) -> Option<Held> {
-    let hold = Hold { span: member.span, tokens: member.tokens, lease_micros: micros(LEASE_DURATION), renew };
-    let call = http::exchange(&app.client, &member.target.address, "POST", wire::SPAN_HOLD, wire::encode(&hold));
+async fn request_reservation(app: &HandlerState, member: &Member, renew: bool) -> Option<HoldResponse> {
+    let request = HoldRequest { span: member.span, tokens: member.tokens, lease_micros: micros(LEASE_DURATION), renew };
+    let call = http::exchange(&app.client, &member.target.address, "POST", wire::SPAN_HOLD, wire::encode(&request));
     match tokio::time::timeout(RENEW_INTERVAL, call).await {
         Ok(Ok((200, bytes))) => wire::decode(&bytes).ok(),
         _ => None,
@@ -164,10 +164,10 @@
     }
 }
 
-async fn request_prefill(app: &HandlerState, member: &Member, digest: u64, text: &Bytes) -> Option<Filled> {
-    let header = wire::encode_delimited(&Fill { span: member.span, digest });
+async fn request_prefill(app: &HandlerState, member: &Member, digest: u64, text: &Bytes) -> Option<PrefillResponse> {
+    let header = wire::encode_delimited(&PrefillRequest { span: member.span, digest });
     let body = upstream::body_from_pieces(vec![header, text.clone()]);
-    let response = http::call(&app.client, &member.target.address, "POST", wire::SPAN_FILL, body).await.ok()?;
+    let response = http::call(&app.client, &member.target.address, "POST", wire::SPAN_PREFILL, body).await.ok()?;
     if !response.status().is_success() {
         return None;
     }
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -117,7 +117,7 @@
 /// Encodes a part as server-sent events; the flag is true if it is the last part.
 fn encode_part(encoder: &ChunkEncoder, part: Result<AnswerPart, Failure>) -> (Bytes, bool) {
     match part {
-        Ok(AnswerPart::Piece { bytes, .. }) => (encoder.encode_choices(&bytes), false),
+        Ok(AnswerPart::Chunk { bytes, .. }) => (encoder.encode_choices(&bytes), false),
         Ok(AnswerPart::End { usage, .. }) => (encoder.encode_end(usage), true),
         Ok(AnswerPart::Started | AnswerPart::Head { .. }) => (Bytes::new(), false),
         Err(failure) => (Bytes::from(format!("data: {}\n\n", failure.with_ran(Ran::Partial).body())), true),
@@ -134,7 +134,7 @@
     let mut part = first;
     let usage = loop {
         match part {
-            AnswerPart::Piece { bytes, .. } => message.add_piece(&bytes),
+            AnswerPart::Chunk { bytes, .. } => message.add_chunk(&bytes),
             AnswerPart::End { usage, .. } => break usage,
             AnswerPart::Started | AnswerPart::Head { .. } => {}
         }
@@ -152,7 +152,7 @@
     Ok(axum::Json(body).into_response())
 }
 
-/// The message of a complete answer, merged from its pieces.
+/// The message of a complete answer, merged from its chunks.
 #[derive(Default)]
 struct AnswerMessage {
     content: String,
@@ -161,7 +161,7 @@
 }
 
 impl AnswerMessage {
-    fn add_piece(&mut self, choices: &[u8]) {
+    fn add_chunk(&mut self, choices: &[u8]) {
         let Ok(mut choices) = serde_json::from_slice::<Vec<Value>>(choices) else { return };
         let Some(choice) = choices.first_mut() else { return };
         for text in [&choice["delta"]["content"], &choice["text"]] {
@@ -226,13 +226,13 @@
         match parts.recv().await.unwrap_or_else(|| Err(entry_stopped()))? {
             AnswerPart::Head { status, headers } => break (status, headers),
             AnswerPart::Started => {}
-            AnswerPart::Piece { .. } | AnswerPart::End { .. } => return Err(entry_stopped()),
+            AnswerPart::Chunk { .. } | AnswerPart::End { .. } => return Err(entry_stopped()),
         }
     };
     let body = stream::unfold(Some(parts), |state| async move {
         let mut parts = state?;
         match parts.recv().await.unwrap_or_else(|| Err(entry_stopped())) {
-            Ok(AnswerPart::Piece { bytes, .. }) => Some((Ok(bytes), Some(parts))),
+            Ok(AnswerPart::Chunk { bytes, .. }) => Some((Ok(bytes), Some(parts))),
             Ok(AnswerPart::End { .. }) => None,
             Ok(AnswerPart::Started | AnswerPart::Head { .. }) => Some((Ok(Bytes::new()), Some(parts))),
             Err(failure) => Some((Err(BodyAborted(failure)), None)),
--- a/sorrelpass/src/entry/route/gang_attempt.rs
+++ b/sorrelpass/src/entry/route/gang_attempt.rs
@@ -11,7 +11,7 @@
 use crate::entry::gang::{self, Member, SpanLeases};
 use crate::entry::upstream;
 use crate::failure::Failure;
-use crate::wire::Ask;
+use crate::wire::QuoteRequest;
 use crate::{event, util};
 
 /// Maximum number of gangs tried per request.
@@ -74,12 +74,12 @@
         event!("gang", request = %self.request.id, members = members.len(), peer = %leader.endpoint);
         let texts: Vec<_> = members.iter().map(|member| member.span).zip(texts).collect();
         let leases = SpanLeases::reserve(self.app, members, self.time_left() / 4).await?;
-        let filled = match tokio::time::timeout(self.time_left(), leases.prefill(&texts)).await {
-            Ok(filled) => filled?,
+        let prefilled = match tokio::time::timeout(self.time_left(), leases.prefill(&texts)).await {
+            Ok(prefilled) => prefilled?,
             Err(_) => return Ok(AttemptOutcome::Fail(self.deadline_failure(Ran::Unknown))),
         };
-        event!("gang-filled", request = %self.request.id, tokens = filled.tokens);
-        self.prefilled_spans = Some(filled);
+        event!("gang-filled", request = %self.request.id, tokens = prefilled.tokens);
+        self.prefilled_spans = Some(prefilled);
         let outcome = self.attempt(&leader, None, None, false).await;
         leases.release();
         Ok(outcome)
@@ -95,10 +95,10 @@
             excluded: self.tried_endpoints.clone(),
         };
         let domains = self.app.shared.call_event_loop(|reply| Command::TargetsByDomain(query, reply)).await.ok()?;
-        let ask = Ask { prompt_tokens: span_tokens, output_tokens: 0, chain: Chain::default(), ..self.quote_request() };
+        let quote_request = QuoteRequest { prompt_tokens: span_tokens, output_tokens: 0, chain: Chain::default(), ..self.quote_request() };
         for targets in domains.into_iter().filter(|targets| targets.len() >= count) {
             let sample = targets.into_iter().take(MAX_MEMBERS_SAMPLED).collect();
-            let mut quoted = upstream::request_quotes(self.app, sample, &ask).await;
+            let mut quoted = upstream::request_quotes(self.app, sample, &quote_request).await;
             quoted.retain(|quoted| quoted.offer.quote.capacity_tokens >= span_tokens);
             let needed: Duration = quoted.iter().take(count).map(|quoted| quoted.offer.quote.ttft).sum();
             if quoted.len() >= count && needed <= self.time_left() {
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -25,7 +25,7 @@
 use super::memory_budget::Reservation;
 use super::upstream::{self, AnswerPart, AttemptError, FrameStream};
 use crate::failure::Failure;
-use crate::wire::{Ask, Call, Filled, Open, Refused, Usage};
+use crate::wire::{QuoteRequest, Call, PrefillResponse, WorkRequest, WorkRefusal, Usage};
 use crate::{event, metric, util};
 
 /// Maximum number of candidate selections per request.
@@ -106,11 +106,11 @@
     /// Whether any part of the answer was sent to the caller.
     is_answer_started: bool,
     retry_after: Option<Duration>,
-    last_refusal: Option<Refused>,
+    last_refusal: Option<WorkRefusal>,
     /// Largest engine memory reported in a quote, in tokens.
     max_capacity_tokens: u64,
     /// Digest and token count of the prompt's spans, once a gang has prefilled them.
-    prefilled_spans: Option<Filled>,
+    prefilled_spans: Option<PrefillResponse>,
     started_at: Moment,
 }
 
@@ -184,15 +184,15 @@
         self.app.shared.settings.void_reserve.min(allowed / 10)
     }
 
-    fn quote_request(&self) -> Ask {
+    fn quote_request(&self) -> QuoteRequest {
         let admitted = &self.request.admitted;
-        Ask {
+        QuoteRequest {
             workspace: admitted.workspace.name.clone(),
             weight: admitted.workspace.weight,
             prompt_tokens: if self.prefilled_spans.is_some() { 0 } else { admitted.prompt_tokens } + self.sent_tokens,
             output_tokens: self.request.output_tokens.saturating_sub(self.sent_tokens),
             priority: admitted.priority,
-            left_micros: micros(self.time_left()),
+            time_left_micros: micros(self.time_left()),
             bytes_per_token: admitted.bytes_per_token,
             chain: self.request.chain.clone(),
         }
@@ -290,7 +290,7 @@
             .with_ran(Ran::Partial);
         }
         let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-        if self.last_refusal == Some(Refused::Scheduler(Refusal::TooLarge)) {
+        if self.last_refusal == Some(WorkRefusal::Scheduler(Refusal::TooLarge)) {
             return Failure::unavailable("no_memory", "no endpoint has the memory that this prompt needs", wait);
         }
         Failure::unavailable("overloaded", "no endpoint can finish this in its time now", wait)
@@ -371,17 +371,17 @@
             call.headers.push((gang::SPAN_DIGEST_HEADER.to_owned(), spans.digest.to_string()));
             call.headers.push((gang::SPAN_TOKENS_HEADER.to_owned(), spans.tokens.to_string()));
         }
-        let work = Open {
+        let work = WorkRequest {
             attempt: util::new_attempt(),
             request: self.request.id.clone(),
             entry: self.app.shared.settings.process.name.clone(),
             incarnation,
-            once: idempotency_key.cloned(),
-            ask: self.quote_request(),
+            idempotency_key: idempotency_key.cloned(),
+            quote_request: self.quote_request(),
             call,
         };
         event!("attempt", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint, number = self.attempt_count);
-        let tokens = work.ask.prompt_tokens + work.ask.output_tokens;
+        let tokens = work.quote_request.prompt_tokens + work.quote_request.output_tokens;
         let _outstanding = OutstandingAttempt::start(self.app, target, tokens);
         let timeout = self.time_left();
         let mut is_started = false;
@@ -397,7 +397,7 @@
         }
     }
 
-    async fn relay_answer(&mut self, target: &Target, work: &Open, is_started: &mut bool) -> Result<(), AttemptError> {
+    async fn relay_answer(&mut self, target: &Target, work: &WorkRequest, is_started: &mut bool) -> Result<(), AttemptError> {
         let body_without_text = self
             .request
             .gang_prompt
@@ -414,7 +414,7 @@
                     continue;
                 }
                 AnswerPart::Head { .. } => self.is_answer_started = true,
-                AnswerPart::Piece { tokens, .. } => {
+                AnswerPart::Chunk { tokens, .. } => {
                     if *tokens > 0 && self.sent_tokens == 0 {
                         let class = coord::estimate::class(self.request.admitted.prompt_tokens);
                         metric::record_ttft(class, util::now().since(self.started_at));
@@ -437,9 +437,9 @@
     /// Replaces the usage of the last attempt by that of all attempts.
     fn with_total_usage(&self, part: AnswerPart) -> AnswerPart {
         match part {
-            AnswerPart::End { usage, finish } => {
+            AnswerPart::End { usage, finish_reason } => {
                 let usage = Usage { output_tokens: usage.output_tokens.max(self.sent_tokens), ..usage };
-                AnswerPart::End { usage, finish }
+                AnswerPart::End { usage, finish_reason }
             }
             part => part,
         }
@@ -463,13 +463,13 @@
             AttemptError::NotRun { refused, retry_after } => {
                 self.record_retry_after(retry_after);
                 self.last_refusal = refused;
-                if refused == Some(Refused::OtherIncarnation) && is_keyed {
+                if refused == Some(WorkRefusal::OtherIncarnation) && is_keyed {
                     return AttemptOutcome::Fail(
                         attempt_lost(Ran::Unknown, "the sidecar that held this call was restarted")
                             .with_code(UNKNOWN_CODE),
                     );
                 }
-                if refused == Some(Refused::Expired) {
+                if refused == Some(WorkRefusal::Expired) {
                     return AttemptOutcome::Fail(self.deadline_failure(Ran::No));
                 }
                 AttemptOutcome::TryAnother
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -16,7 +16,7 @@
 use super::HandlerState;
 use super::event_loop::{Command, Target};
 use crate::http::{self, OutgoingBody};
-use crate::wire::{self, Ask, Frame, Open, Quoted, Refused, Splitter, Usage};
+use crate::wire::{self, QuoteRequest, Frame, WorkRequest, QuoteResponse, WorkRefusal, FrameDecoder, Usage};
 use crate::{event, timeline, util};
 
 /// An endpoint that answered a quote request.
@@ -32,8 +32,8 @@
 
 /// Requests quotes from all `targets` concurrently and returns them best first. Targets that do not answer
 /// in time are left out and reported as unreachable.
-pub async fn request_quotes(app: &HandlerState, targets: Vec<Target>, ask: &Ask) -> Vec<QuotedTarget> {
-    let bytes = wire::encode(ask);
+pub async fn request_quotes(app: &HandlerState, targets: Vec<Target>, request: &QuoteRequest) -> Vec<QuotedTarget> {
+    let bytes = wire::encode(request);
     let requests = targets.into_iter().map(|target| request_quote(app, target, bytes.clone()));
     let answers = futures_util::future::join_all(requests).await;
     let mut quoted: Vec<QuotedTarget> = answers.into_iter().flatten().collect();
@@ -42,21 +42,21 @@
     quoted
 }
 
-async fn request_quote(app: &HandlerState, target: Target, ask: Bytes) -> Option<QuotedTarget> {
-    let call = http::exchange(&app.client, &target.address, "POST", wire::QUOTE, ask);
+async fn request_quote(app: &HandlerState, target: Target, request: Bytes) -> Option<QuotedTarget> {
+    let call = http::exchange(&app.client, &target.address, "POST", wire::QUOTE, request);
     let answer = tokio::time::timeout(app.shared.settings.quote_timeout, call).await;
-    let quoted: Quoted = match answer {
+    let response: QuoteResponse = match answer {
         Ok(Ok((200, bytes))) => wire::decode(&bytes).ok()?,
         _ => {
             report_unreachable(app, &target);
             return None;
         }
     };
-    let Quoted { incarnation, leaving, quote } = quoted;
+    let QuoteResponse { incarnation, is_draining, quote } = response;
     app.shared.event_loop.send_detached(Command::SidecarReachable {
         endpoint: target.endpoint.clone(),
         incarnation,
-        leaving,
+        is_draining,
     });
     let offer = Offer { endpoint: target.endpoint.clone(), quote, distance: target.distance };
     Some(QuotedTarget { target, incarnation, offer })
@@ -80,11 +80,11 @@
         /// HTTP headers as name and value.
         headers: Vec<(String, String)>,
     },
-    /// The next piece of the answer.
-    Piece {
-        /// Content of the piece: JSON choices of an engine or body bytes of a plain service.
+    /// The next chunk of the answer.
+    Chunk {
+        /// Content of the chunk: JSON choices of an engine or body bytes of a plain service.
         bytes: Bytes,
-        /// Number of output tokens in the piece.
+        /// Number of output tokens in the chunk.
         tokens: u32,
     },
     /// The end of a complete answer.
@@ -92,7 +92,7 @@
         /// Token counts of the answer.
         usage: Usage,
         /// Reason why the engine stopped.
-        finish: String,
+        finish_reason: String,
     },
 }
 
@@ -102,7 +102,7 @@
     /// The attempt is proven not to have run, and never will.
     NotRun {
         /// Reason given by the sidecar; `None` if the sidecar did not refuse the attempt.
-        refused: Option<Refused>,
+        refused: Option<WorkRefusal>,
         /// Delay after which the sidecar may accept the request; zero if unknown.
         retry_after: Duration,
     },
@@ -133,7 +133,7 @@
 /// Stream of the frames of one attempt.
 pub struct FrameStream {
     body: Incoming,
-    splitter: Splitter,
+    decoder: FrameDecoder,
     receiver: Receiver,
 }
 
@@ -147,7 +147,7 @@
 pub async fn send_work(
     app: &HandlerState,
     target: &Target,
-    work: &Open,
+    work: &WorkRequest,
     body: &[Bytes],
 ) -> Result<FrameStream, AttemptError> {
     let mut pieces = vec![wire::encode_delimited(work)];
@@ -173,14 +173,14 @@
     if !response.status().is_success() {
         return Err(AttemptError::lost("hand-over", format!("status {}", response.status())));
     }
-    Ok(FrameStream { body: response.into_body(), splitter: Splitter::new(), receiver: Receiver::new(work.attempt) })
+    Ok(FrameStream { body: response.into_body(), decoder: FrameDecoder::new(), receiver: Receiver::new(work.attempt) })
 }
 
 impl FrameStream {
     /// Returns the next part of the answer.
     pub async fn next(&mut self) -> Result<AnswerPart, AttemptError> {
         loop {
-            let decoded: Option<Frame> = self.splitter.next().map_err(|error| AttemptError::lost("decode", error))?;
+            let decoded: Option<Frame> = self.decoder.next().map_err(|error| AttemptError::lost("decode", error))?;
             if let Some(frame) = decoded {
                 match self.handle_frame(frame) {
                     Some(result) => return result,
@@ -190,7 +190,7 @@
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
-                        self.splitter.push(&data);
+                        self.decoder.push(&data);
                     }
                 }
                 Some(Err(error)) => return Err(AttemptError::lost("read", error)),
@@ -205,14 +205,14 @@
         match frame {
             Frame::Started => Some(Ok(AnswerPart::Started)),
             Frame::Head { status, headers } => Some(Ok(AnswerPart::Head { status, headers })),
-            Frame::Piece { attempt, number, tokens, bytes } => match self.receiver.accept(attempt, number, &bytes) {
-                Verdict::Pass => Some(Ok(AnswerPart::Piece { bytes, tokens })),
+            Frame::Chunk { attempt, number, tokens, bytes } => match self.receiver.accept(attempt, number, &bytes) {
+                Verdict::Pass => Some(Ok(AnswerPart::Chunk { bytes, tokens })),
                 Verdict::Drop => None,
                 Verdict::Gap => Some(Err(AttemptError::lost("assemble", "a frame is missing"))),
             },
-            Frame::End { attempt, count, digest, usage, finish } => {
+            Frame::End { attempt, count, digest, usage, finish_reason } => {
                 if self.receiver.is_whole(attempt, Seal { count, digest }) {
-                    return Some(Ok(AnswerPart::End { usage, finish }));
+                    return Some(Ok(AnswerPart::End { usage, finish_reason }));
                 }
                 Some(Err(AttemptError::lost("assemble", "the answer's count or digest does not match")))
             }
@@ -233,19 +233,19 @@
 
 /// Cancels an attempt. Returns `Ran::No` only if the sidecar proves that it did not
 /// and will not run.
-pub async fn cancel_attempt(app: &HandlerState, target: &Target, work: &Open) -> Ran {
-    let Open { attempt, incarnation, ref once, .. } = *work;
-    let bytes = wire::encode(&wire::Void { attempt, once: once.clone() });
-    let call = http::exchange(&app.client, &target.address, "POST", wire::VOID, bytes);
+pub async fn cancel_attempt(app: &HandlerState, target: &Target, work: &WorkRequest) -> Ran {
+    let WorkRequest { attempt, incarnation, ref idempotency_key, .. } = *work;
+    let bytes = wire::encode(&wire::CancelRequest { attempt, idempotency_key: idempotency_key.clone() });
+    let call = http::exchange(&app.client, &target.address, "POST", wire::CANCEL, bytes);
     let timeout = app.shared.settings.void_reserve / 2;
     let answer = match tokio::time::timeout(timeout, call).await {
-        Ok(Ok((200, bytes))) => wire::decode::<wire::VoidAnswer>(&bytes).ok(),
+        Ok(Ok((200, bytes))) => wire::decode::<wire::CancelResponse>(&bytes).ok(),
         _ => None,
     };
     let ran = match answer {
         // A different incarnation has no record of work sent to the previous one.
         Some(answer) if incarnation.is_some_and(|sent| sent != answer.incarnation) => Ran::Unknown,
-        Some(answer) if answer.voided == Voided::NotRun && incarnation.is_some() => Ran::No,
+        Some(answer) if answer.outcome == Voided::NotRun && incarnation.is_some() => Ran::No,
         _ => Ran::Unknown,
     };
     event!("voided", peer = %target.endpoint, attempt = %attempt, ran = ran.as_str());
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -16,7 +16,7 @@
 use super::Shared;
 use super::event_loop::Command;
 use super::job::{AnswerWriter, CallError, RequestBody};
-use crate::wire::{Open, Usage};
+use crate::wire::{WorkRequest, Usage};
 
 /// Returns the value of the engine's priority header; requests with a higher value run first.
 const fn priority_value(level: Level) -> u16 {
@@ -102,7 +102,7 @@
 /// Sends a prompt to the engine and forwards its tokens.
 pub async fn run_prompt(
     shared: &Shared,
-    work: &Open,
+    work: &WorkRequest,
     request_body: RequestBody,
     level: Level,
     writer: &mut AnswerWriter<'_>,
@@ -150,7 +150,7 @@
     async fn handle_event(
         &mut self,
         shared: &Shared,
-        work: &Open,
+        work: &WorkRequest,
         data: &[u8],
         writer: &mut AnswerWriter<'_>,
     ) -> Result<bool, CallError> {
@@ -173,7 +173,7 @@
         if tokens > 0 && writer.tokens == 0 {
             shared.event_loop.send_detached(Command::FirstToken(work.attempt));
         }
-        writer.send_piece(Bytes::copy_from_slice(raw.get().as_bytes()), tokens).await?;
+        writer.send_chunk(Bytes::copy_from_slice(raw.get().as_bytes()), tokens).await?;
         Ok(true)
     }
 
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -16,7 +16,7 @@
 use super::transcript::Transcript;
 use crate::config::{Kind, Sidecar};
 use crate::plugin::{self, OrderPlugin};
-use crate::wire::{Ask, Held, Hold, Open, Quoted};
+use crate::wire::{QuoteRequest, HoldResponse, HoldRequest, WorkRequest, QuoteResponse};
 use crate::{event, metric, channel, util, warn_event};
 
 /// Interval at which the scheduler advances while jobs wait or run.
@@ -52,11 +52,11 @@
 /// Commands to the event loop.
 pub enum Command {
     /// Returns a quote for a prompt or call.
-    Quote(Ask, oneshot::Sender<Quoted>),
+    Quote(QuoteRequest, oneshot::Sender<QuoteResponse>),
     /// Offers a job.
     Offer {
         /// Header of the work request.
-        work: Box<Open>,
+        work: Box<WorkRequest>,
         /// Transcript for the answer of a call that may run at most once.
         transcript: Option<Transcript>,
         /// Receives the outcome.
@@ -79,12 +79,12 @@
         /// Id of the attempt.
         attempt: Attempt,
         /// Idempotency key of the attempt, if it has one.
-        once: Option<Key>,
+        idempotency_key: Option<Key>,
         /// Receives whether the attempt had started; one that had not never will.
         reply: Option<oneshot::Sender<Voided>>,
     },
     /// Reserves memory for a span, or renews the span's lease.
-    ReserveSpan(Hold, oneshot::Sender<Held>),
+    ReserveSpan(HoldRequest, oneshot::Sender<HoldResponse>),
     /// Marks the start (`true`) or end (`false`) of a span's prefill; replies whether the span is held.
     Prefill(Attempt, bool, oneshot::Sender<bool>),
     /// Releases a span and has the engine free it.
@@ -189,14 +189,14 @@
 
     fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Quote(ask, reply) => drop(reply.send(self.quote(&ask))),
+            Command::Quote(request, reply) => drop(reply.send(self.quote(&request))),
             Command::Offer { work, transcript, reply } => drop(reply.send(self.offer_job(*work, transcript))),
             Command::FirstToken(attempt) => self.record_first_token(attempt),
             Command::Finish { attempt, output_tokens, has_not_run } => {
                 self.finish_attempt(attempt, output_tokens, has_not_run)
             }
-            Command::CancelAttempt { attempt, once, reply } => self.cancel_attempt(attempt, once.as_ref(), reply),
-            Command::ReserveSpan(hold, reply) => drop(reply.send(self.reserve_span(hold))),
+            Command::CancelAttempt { attempt, idempotency_key, reply } => self.cancel_attempt(attempt, idempotency_key.as_ref(), reply),
+            Command::ReserveSpan(request, reply) => drop(reply.send(self.reserve_span(request))),
             Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.fill(span, active, util::now()))),
             Command::ReleaseSpan(span) => self.release_span(span),
             Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
@@ -208,42 +208,42 @@
         }
     }
 
-    fn make_job(&self, attempt: Attempt, ask: &Ask, now: Moment) -> Job {
-        let cached = Chain::bytes(self.cache.shared(&ask.chain)) as f64 / ask.bytes_per_token;
-        let prefill_tokens = ask.prompt_tokens.saturating_sub(cached as u64);
+    fn make_job(&self, attempt: Attempt, request: &QuoteRequest, now: Moment) -> Job {
+        let cached = Chain::bytes(self.cache.shared(&request.chain)) as f64 / request.bytes_per_token;
+        let prefill_tokens = request.prompt_tokens.saturating_sub(cached as u64);
         let cost = match self.settings.kind {
             Kind::Engine => self.scheduler.cost(prefill_tokens),
             Kind::Plain => Duration::ZERO,
         };
         Job {
             attempt,
-            workspace: ask.workspace.clone(),
-            weight: ask.weight,
+            workspace: request.workspace.clone(),
+            weight: request.weight,
             prefill_tokens,
-            memory_tokens: ask.prompt_tokens + ask.output_tokens,
-            output_tokens: ask.output_tokens,
-            priority: ask.priority,
+            memory_tokens: request.prompt_tokens + request.output_tokens,
+            output_tokens: request.output_tokens,
+            priority: request.priority,
             arrived: now,
-            deadline: now + Duration::from_micros(ask.left_micros),
+            deadline: now + Duration::from_micros(request.time_left_micros),
             cost,
         }
     }
 
-    fn quote(&self, ask: &Ask) -> Quoted {
+    fn quote(&self, request: &QuoteRequest) -> QuoteResponse {
         let now = util::now();
         // Placeholder id: a quote is not recorded.
-        let job = self.make_job(Attempt(0), ask, now);
-        Quoted {
+        let job = self.make_job(Attempt(0), request, now);
+        QuoteResponse {
             incarnation: util::incarnation(),
-            leaving: self.scheduler.is_leaving(),
+            is_draining: self.scheduler.is_leaving(),
             quote: self.scheduler.quote(&job, now),
         }
     }
 
-    fn offer_job(&mut self, work: Open, transcript: Option<Transcript>) -> OfferOutcome {
+    fn offer_job(&mut self, work: WorkRequest, transcript: Option<Transcript>) -> OfferOutcome {
         let now = util::now();
         let attempt = work.attempt;
-        if let (Some(key), Some(transcript)) = (&work.once, transcript) {
+        if let (Some(key), Some(transcript)) = (&work.idempotency_key, transcript) {
             match self.scheduler.once(key, attempt, now) {
                 Once::First => {
                     self.transcripts.insert(key.clone(), transcript);
@@ -252,7 +252,7 @@
                 Once::Running(_) | Once::Done(_) => return self.make_duplicate(key, transcript),
             }
         }
-        let job = self.make_job(attempt, &work.ask, now);
+        let job = self.make_job(attempt, &work.quote_request, now);
         if let Err(refused) = self.scheduler.offer(job, now) {
             self.unbind_key(attempt);
             event!("refuse", request = %work.request, attempt = %attempt, peer = %work.entry, reason = ?refused.reason);
@@ -260,7 +260,7 @@
         }
         let (sender, receiver) = mpsc::unbounded_channel();
         self.signals.insert(attempt, sender);
-        self.chains.insert(attempt, work.ask.chain);
+        self.chains.insert(attempt, work.quote_request.chain);
         event!("accept", request = %work.request, attempt = %attempt, peer = %work.entry, waiting = self.scheduler.waiting());
         OfferOutcome::Accepted(receiver)
     }
@@ -301,8 +301,8 @@
         self.chains.remove(&attempt);
     }
 
-    fn cancel_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
-        let outcome = self.scheduler.void(attempt, once, util::now());
+    fn cancel_attempt(&mut self, attempt: Attempt, idempotency_key: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
+        let outcome = self.scheduler.void(attempt, idempotency_key, util::now());
         match outcome {
             Voided::NotRun => {
                 self.send_signal(attempt, Signal::CancelledBeforeStart);
@@ -325,19 +325,19 @@
         }
     }
 
-    fn reserve_span(&mut self, hold: Hold) -> Held {
+    fn reserve_span(&mut self, request: HoldRequest) -> HoldResponse {
         let now = util::now();
-        let lease_end = now + Duration::from_micros(hold.lease_micros);
-        if hold.renew {
-            return if self.scheduler.renew(hold.span, lease_end) { Held::Yes } else { Held::No };
+        let lease_end = now + Duration::from_micros(request.lease_micros);
+        if request.renew {
+            return if self.scheduler.renew(request.span, lease_end) { HoldResponse::Held } else { HoldResponse::Refused };
         }
-        match self.scheduler.reserve(hold.span, hold.tokens, lease_end, now) {
+        match self.scheduler.reserve(request.span, request.tokens, lease_end, now) {
             Ok(()) => {
-                event!("reserve-span", span = %hold.span, tokens = hold.tokens);
-                Held::Yes
+                event!("reserve-span", span = %request.span, tokens = request.tokens);
+                HoldResponse::Held
             }
-            Err(refused) if refused.reason == Refusal::QueueFull => Held::Wait(micros(refused.retry_after)),
-            Err(_) => Held::No,
+            Err(refused) if refused.reason == Refusal::QueueFull => HoldResponse::RetryAfter(micros(refused.retry_after)),
+            Err(_) => HoldResponse::Refused,
         }
     }
 
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -13,7 +13,7 @@
 use super::transcript::Transcript;
 use super::{Shared, engine, plain};
 use crate::event;
-use crate::wire::{self, Frame, Open, Usage};
+use crate::wire::{self, Frame, WorkRequest, Usage};
 
 /// A request body: the bytes that have been read, and the stream of the rest.
 pub struct RequestBody {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Numbers the pieces of an answer and sends them.
+/// Numbers the chunks of an answer and sends them.
 pub struct AnswerWriter<'a> {
     /// Destination of the frames.
     pub output: &'a Output,
@@ -95,23 +95,23 @@
     frame_digest: Tally,
     /// Number of output tokens sent.
     pub tokens: u64,
-    /// Whether any piece was sent.
-    pub has_pieces: bool,
+    /// Whether any chunk was sent.
+    pub has_chunks: bool,
 }
 
 impl AnswerWriter<'_> {
-    /// Sends a piece of the answer.
-    pub async fn send_piece(&mut self, bytes: Bytes, tokens: u32) -> Result<(), OutputClosed> {
+    /// Sends a chunk of the answer.
+    pub async fn send_chunk(&mut self, bytes: Bytes, tokens: u32) -> Result<(), OutputClosed> {
         let number = self.frame_digest.add(&bytes);
         self.tokens += u64::from(tokens);
-        self.has_pieces = true;
-        self.output.send(&Frame::Piece { attempt: self.attempt, number, tokens, bytes }).await
+        self.has_chunks = true;
+        self.output.send(&Frame::Chunk { attempt: self.attempt, number, tokens, bytes }).await
     }
 
-    /// Sends the end of a complete answer, with the piece count and digest.
-    pub async fn send_end(&mut self, usage: Usage, finish: String) -> Result<(), OutputClosed> {
+    /// Sends the end of a complete answer, with the chunk count and digest.
+    pub async fn send_end(&mut self, usage: Usage, finish_reason: String) -> Result<(), OutputClosed> {
         let seal = self.frame_digest.seal();
-        let end = Frame::End { attempt: self.attempt, count: seal.count, digest: seal.digest, usage, finish };
+        let end = Frame::End { attempt: self.attempt, count: seal.count, digest: seal.digest, usage, finish_reason };
         self.output.send(&end).await
     }
 }
@@ -145,7 +145,7 @@
 /// Runs a job that the event loop has accepted.
 pub async fn run(
     shared: Arc<Shared>,
-    work: Open,
+    work: WorkRequest,
     request_body: RequestBody,
     mut signals: mpsc::UnboundedReceiver<Signal>,
     output: Output,
@@ -161,7 +161,7 @@
         attempt: work.attempt,
         frame_digest: Tally::new(),
         tokens: 0,
-        has_pieces: false,
+        has_chunks: false,
     };
     let result = tokio::select! {
         result = call_endpoint(&shared, &work, request_body, level, &mut writer) => result,
@@ -169,7 +169,7 @@
         () = output.closed() => Err(OutputClosed.into()),
     };
     let tokens = writer.tokens;
-    let has_pieces = writer.has_pieces;
+    let has_chunks = writer.has_chunks;
     match &result {
         Ok(()) => event!("end-job", request = %work.request, attempt = %work.attempt, tokens),
         Err(error) => {
@@ -180,7 +180,7 @@
     let mut has_not_run = false;
     if let Err(error) = result {
         has_not_run = error.ran == Ran::No && error.status.is_none();
-        let ran = if has_pieces { Ran::Partial } else { error.ran };
+        let ran = if has_chunks { Ran::Partial } else { error.ran };
         let step = error.step.to_owned();
         let _ = output.send(&Frame::Failed { ran, step, message: error.message, status: error.status }).await;
     }
@@ -191,14 +191,14 @@
 /// Waits for the event loop to start the job; `None` if it never starts.
 async fn wait_for_start(
     shared: &Shared,
-    work: &Open,
+    work: &WorkRequest,
     signals: &mut mpsc::UnboundedReceiver<Signal>,
     output: &Output,
 ) -> Option<Level> {
     let signal = tokio::select! {
         signal = signals.recv() => signal,
         () = output.closed() => {
-            shared.event_loop.send_detached(Command::CancelAttempt { attempt: work.attempt, once: None, reply: None });
+            shared.event_loop.send_detached(Command::CancelAttempt { attempt: work.attempt, idempotency_key: None, reply: None });
             // The event loop may have started the job concurrently; the job then occupies a slot until it
             // is finished.
             if let Some(Signal::Start(_)) = signals.recv().await {
@@ -210,16 +210,16 @@
     };
     match signal {
         Some(Signal::Start(level)) => Some(level),
-        Some(Signal::Expired) => send_refusal(output, wire::Refused::Expired).await,
-        Some(Signal::Evicted) => send_refusal(output, wire::Refused::Scheduler(Refusal::Evicted)).await,
+        Some(Signal::Expired) => send_refusal(output, wire::WorkRefusal::Expired).await,
+        Some(Signal::Evicted) => send_refusal(output, wire::WorkRefusal::Scheduler(Refusal::Evicted)).await,
         Some(Signal::CancelledBeforeStart | Signal::Cancel) | None => {
-            send_refusal(output, wire::Refused::Scheduler(Refusal::Voided)).await
+            send_refusal(output, wire::WorkRefusal::Scheduler(Refusal::Voided)).await
         }
     }
 }
 
 /// Notifies the entry that the job did not start and never will.
-async fn send_refusal(output: &Output, reason: wire::Refused) -> Option<Level> {
+async fn send_refusal(output: &Output, reason: wire::WorkRefusal) -> Option<Level> {
     let _ = output.send(&Frame::Refused { reason, retry_after_micros: 0 }).await;
     None
 }
@@ -238,7 +238,7 @@
 
 async fn call_endpoint(
     shared: &Shared,
-    work: &Open,
+    work: &WorkRequest,
     request_body: RequestBody,
     level: Level,
     writer: &mut AnswerWriter<'_>,
--- a/sorrelpass/src/sidecar/plain.rs
+++ b/sorrelpass/src/sidecar/plain.rs
@@ -7,7 +7,7 @@
 use super::Shared;
 use super::engine::send;
 use super::job::{AnswerWriter, CallError, RequestBody};
-use crate::wire::{Frame, Open, Usage};
+use crate::wire::{Frame, WorkRequest, Usage};
 
 /// Hop-by-hop headers, which apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
@@ -24,7 +24,7 @@
 /// Calls the service and forwards its response.
 pub async fn call_service(
     shared: &Shared,
-    work: &Open,
+    work: &WorkRequest,
     request_body: RequestBody,
     writer: &mut AnswerWriter<'_>,
 ) -> Result<(), CallError> {
@@ -41,7 +41,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| CallError::outcome_unknown("read", error.to_string()))?;
         if let Ok(data) = frame.into_data() {
-            writer.send_piece(data, 0).await?;
+            writer.send_chunk(data, 0).await?;
         }
     }
     Ok(writer.send_end(Usage::default(), "stop".to_owned()).await?)
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -18,7 +18,7 @@
 use super::event_loop::{Command, OfferOutcome};
 use super::transcript::Transcript;
 use super::{job, order, span};
-use crate::wire::{self, Frame, Open, Splitter};
+use crate::wire::{self, Frame, WorkRequest, FrameDecoder};
 use crate::{http, metric, timeline, util};
 
 /// Number of frames that are buffered for an entry that reads slowly.
@@ -31,11 +31,11 @@
     Router::new()
         .route(wire::QUOTE, post(get_quote))
         .route(wire::WORK, post(run_work))
-        .route(wire::VOID, post(cancel_attempt))
+        .route(wire::CANCEL, post(cancel_attempt))
         .route(wire::SPAN_HOLD, post(span::reserve_span))
-        .route(wire::SPAN_FILL, post(span::prefill_span))
+        .route(wire::SPAN_PREFILL, post(span::prefill_span))
         .route(wire::SPAN_FREE, post(span::release_span))
-        .route(wire::HOLDS, get(get_load))
+        .route(wire::RESERVATIONS, get(get_load))
         .route("/status", get(get_status))
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(|| async { "ok\n" }))
@@ -66,9 +66,9 @@
 
 async fn get_quote(State(shared): State<Arc<Shared>>, headers: HeaderMap, body: Bytes) -> Result<Response, StatusCode> {
     observe_clock(&headers);
-    let request: wire::Ask = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let quoted = call_event_loop(&shared, |reply| Command::Quote(request, reply)).await?;
-    Ok(with_clock_stamp(wire::encode(&quoted)))
+    let request: wire::QuoteRequest = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let response = call_event_loop(&shared, |reply| Command::Quote(request, reply)).await?;
+    Ok(with_clock_stamp(wire::encode(&response)))
 }
 
 async fn cancel_attempt(
@@ -77,14 +77,14 @@
     body: Bytes,
 ) -> Result<Response, StatusCode> {
     observe_clock(&headers);
-    let request: wire::Void = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let outcome = call_event_loop(&shared, |reply| Command::CancelAttempt {
+    let request: wire::CancelRequest = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let cancel_outcome = call_event_loop(&shared, |reply| Command::CancelAttempt {
         attempt: request.attempt,
-        once: request.once,
+        idempotency_key: request.idempotency_key,
         reply: Some(reply),
     })
     .await?;
-    Ok(with_clock_stamp(wire::encode(&wire::VoidAnswer { incarnation: util::incarnation(), voided: outcome })))
+    Ok(with_clock_stamp(wire::encode(&wire::CancelResponse { incarnation: util::incarnation(), outcome: cancel_outcome })))
 }
 
 async fn get_load(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
@@ -99,14 +99,14 @@
 
 /// Reads the message at the start of a body. Also returns the bytes of the body that were read beyond it.
 pub async fn read_delimited<T: DeserializeOwned>(body: &mut Body) -> Result<(T, Bytes), StatusCode> {
-    let mut splitter = Splitter::new();
+    let mut decoder = FrameDecoder::new();
     loop {
-        if let Some(message) = splitter.next().map_err(|_| StatusCode::BAD_REQUEST)? {
-            return Ok((message, splitter.rest()));
+        if let Some(message) = decoder.next().map_err(|_| StatusCode::BAD_REQUEST)? {
+            return Ok((message, decoder.into_remaining()));
         }
         let frame = body.frame().await.ok_or(StatusCode::BAD_REQUEST)?.map_err(|_| StatusCode::BAD_REQUEST)?;
         if let Ok(data) = frame.into_data() {
-            splitter.push(&data);
+            decoder.push(&data);
         }
     }
 }
@@ -117,12 +117,12 @@
     mut body: Body,
 ) -> Result<Response, StatusCode> {
     observe_clock(&headers);
-    let (work, read) = read_delimited::<Open>(&mut body).await?;
+    let (work, read) = read_delimited::<WorkRequest>(&mut body).await?;
     if work.incarnation.is_some_and(|wanted| wanted != util::incarnation()) {
-        let reason = wire::Refused::OtherIncarnation;
+        let reason = wire::WorkRefusal::OtherIncarnation;
         return Ok(single_frame_response(&Frame::Refused { reason, retry_after_micros: 0 }));
     }
-    if work.once.is_some() {
+    if work.idempotency_key.is_some() {
         return run_work_once(shared, work, read, body).await;
     }
     let outcome =
@@ -142,7 +142,7 @@
 }
 
 /// Runs a call that may run at most once: buffers its body first, and records its answer.
-async fn run_work_once(shared: Arc<Shared>, work: Open, read: Bytes, body: Body) -> Result<Response, StatusCode> {
+async fn run_work_once(shared: Arc<Shared>, work: WorkRequest, read: Bytes, body: Body) -> Result<Response, StatusCode> {
     let rest = http_body_util::Limited::new(body, MAX_ONCE_BODY_BYTES);
     let rest = rest.collect().await.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes();
     let complete_body = Bytes::from([read, rest].concat());
@@ -172,7 +172,7 @@
 
 fn refusal_frame(refused: coord::scheduler::Refused) -> Frame {
     Frame::Refused {
-        reason: wire::Refused::Scheduler(refused.reason),
+        reason: wire::WorkRefusal::Scheduler(refused.reason),
         retry_after_micros: coord::time::micros(refused.retry_after),
     }
 }
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -17,7 +17,7 @@
 use super::event_loop::Command;
 use super::job::RequestBody;
 use super::server::{call_event_loop, read_delimited, with_clock_stamp};
-use crate::wire::{self, Fill, Filled, Hold};
+use crate::wire::{self, PrefillRequest, PrefillResponse, HoldRequest};
 use crate::{event, util, warn_event};
 
 /// Delay before a failed request to the engine is repeated.
@@ -27,25 +27,25 @@
 
 /// Handles `POST /span/hold`: reserves memory for a span, or renews its lease.
 pub async fn reserve_span(State(shared): State<Arc<Shared>>, body: Bytes) -> Result<Response, StatusCode> {
-    let hold: Hold = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let held = call_event_loop(&shared, |reply| Command::ReserveSpan(hold, reply)).await?;
-    Ok(with_clock_stamp(wire::encode(&held)))
+    let request: HoldRequest = wire::decode(&body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let response = call_event_loop(&shared, |reply| Command::ReserveSpan(request, reply)).await?;
+    Ok(with_clock_stamp(wire::encode(&response)))
 }
 
 /// Handles `POST /span/fill`: prefills a reserved span, and answers once the prefill is complete.
 pub async fn prefill_span(State(shared): State<Arc<Shared>>, mut body: Body) -> Result<Response, StatusCode> {
-    let (fill, read) = read_delimited::<Fill>(&mut body).await?;
-    if !call_event_loop(&shared, |reply| Command::Prefill(fill.span, true, reply)).await? {
+    let (request, read) = read_delimited::<PrefillRequest>(&mut body).await?;
+    if !call_event_loop(&shared, |reply| Command::Prefill(request.span, true, reply)).await? {
         return Err(StatusCode::GONE);
     }
-    let filled = prefill_on_engine(&shared, fill, RequestBody::new(read, body)).await;
-    call_event_loop(&shared, |reply| Command::Prefill(fill.span, false, reply)).await?;
-    let filled = filled.map_err(|error| {
-        warn_event!("prefill-failed", span = %fill.span, reason = %error);
+    let response = prefill_on_engine(&shared, request, RequestBody::new(read, body)).await;
+    call_event_loop(&shared, |reply| Command::Prefill(request.span, false, reply)).await?;
+    let response = response.map_err(|error| {
+        warn_event!("prefill-failed", span = %request.span, reason = %error);
         StatusCode::BAD_GATEWAY
     })?;
-    event!("prefill-span", span = %fill.span, tokens = filled.tokens);
-    Ok(with_clock_stamp(wire::encode(&filled)))
+    event!("prefill-span", span = %request.span, tokens = response.tokens);
+    Ok(with_clock_stamp(wire::encode(&response)))
 }
 
 #[derive(Deserialize)]
@@ -54,14 +54,14 @@
     digest: u64,
 }
 
-async fn prefill_on_engine(shared: &Shared, fill: Fill, body: RequestBody) -> eyre::Result<Filled> {
-    let uri = format!("http://{}/spans/{}?digest={}", shared.settings.endpoint_address, fill.span, fill.digest);
+async fn prefill_on_engine(shared: &Shared, request: PrefillRequest, body: RequestBody) -> eyre::Result<PrefillResponse> {
+    let uri = format!("http://{}/spans/{}?digest={}", shared.settings.endpoint_address, request.span, request.digest);
     let response = thread_client().request(Request::post(uri).body(body.into_body())?).await?;
     let status = response.status();
     let bytes = response.into_body().collect().await?.to_bytes();
     eyre::ensure!(status.is_success(), "step=prefill-span status={status}");
-    let filled: EnginePrefill = serde_json::from_slice(&bytes)?;
-    Ok(Filled { tokens: filled.tokens, digest: filled.digest })
+    let prefill: EnginePrefill = serde_json::from_slice(&bytes)?;
+    Ok(PrefillResponse { tokens: prefill.tokens, digest: prefill.digest })
 }
 
 /// Handles `POST /span/free`: releases a span.
--- a/sorrelpass/src/sidecar/transcript.rs
+++ b/sorrelpass/src/sidecar/transcript.rs
@@ -47,7 +47,7 @@
         let ready = progress.wait_for(|progress| progress.frame_count > index || progress.is_closed).await;
         drop(ready);
         let frame = self.lock().get(index).cloned()?;
-        Some(frame.told_to(attempt))
+        Some(frame.with_attempt(attempt))
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Frame>> {
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -1,6 +1,7 @@
 //! Protocol between entries and sidecars: postcard messages over HTTP/2.
 //!
-//! A request to `/work` carries one length-delimited [`Open`], followed by the unchanged body of the caller's request.
+//! A request to `/work` carries one length-delimited [`WorkRequest`], followed by the unchanged body of the caller's
+//! request.
 //! The response is a sequence of length-delimited [`Frame`]s.
 
 use bytes::{Bytes, BytesMut};
@@ -18,13 +19,13 @@
 /// Path of requests that hand a job to a sidecar.
 pub const WORK: &str = "/work";
 /// Path of requests that cancel an attempt.
-pub const VOID: &str = "/void";
+pub const CANCEL: &str = "/void";
 /// Path of requests for the list of an endpoint's reservations.
-pub const HOLDS: &str = "/holds";
+pub const RESERVATIONS: &str = "/holds";
 /// Path of requests that reserve memory for a span or renew the span's lease.
 pub const SPAN_HOLD: &str = "/span/hold";
 /// Path of requests that prefill a span.
-pub const SPAN_FILL: &str = "/span/fill";
+pub const SPAN_PREFILL: &str = "/span/fill";
 /// Path of requests that release a span's memory.
 pub const SPAN_FREE: &str = "/span/free";
 /// Limit on the size of a length-delimited message.
@@ -32,7 +33,7 @@
 
 /// Properties of a request on which the scheduler of a sidecar bases its quote.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct QuoteRequest {
     /// Workspace of the caller.
     pub workspace: Name,
     /// Weight of the workspace in fair sharing.
@@ -44,27 +45,27 @@
     /// Priority that the intent sets.
     pub priority: u8,
     /// Time left until the deadline of the complete answer, in microseconds.
-    pub left_micros: u64,
+    pub time_left_micros: u64,
     /// Average number of bytes of text per token.
     pub bytes_per_token: f64,
     /// Hash chain of the prompt's prefixes, for matching against the prefix cache.
     pub chain: Chain,
 }
 
-/// Response to an [`Ask`].
+/// Response to a [`QuoteRequest`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Quoted {
+pub struct QuoteResponse {
     /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
     /// Whether the sidecar is draining and refuses new requests.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// Estimate that the scheduler makes for the request.
     pub quote: Quote,
 }
 
 /// Head of a request to `/work`, which precedes the body.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Open {
+pub struct WorkRequest {
     /// Id of this attempt.
     pub attempt: Attempt,
     /// Id of the caller's request, for the event log.
@@ -74,9 +75,9 @@
     /// The only incarnation of the sidecar that may accept the request; `None` admits any.
     pub incarnation: Option<Incarnation>,
     /// Idempotency key, under which the call runs at most once; `None` for a call without a key.
-    pub once: Option<Key>,
+    pub idempotency_key: Option<Key>,
     /// Resource needs and deadline of the request.
-    pub ask: Ask,
+    pub quote_request: QuoteRequest,
     /// HTTP call to the endpoint.
     pub call: Call,
 }
@@ -118,7 +119,7 @@
         headers: Vec<(String, String)>,
     },
     /// Chunk of the answer.
-    Piece {
+    Chunk {
         /// Attempt that produced the chunk.
         attempt: Attempt,
         /// Sequence number of the chunk within the attempt, from 0.
@@ -139,12 +140,12 @@
         /// Token counts of the answer.
         usage: Usage,
         /// Reason why the engine stopped: `stop` or `length`.
-        finish: String,
+        finish_reason: String,
     },
     /// Refusal: the request did not run and will not run.
     Refused {
         /// Reason for the refusal.
-        reason: Refused,
+        reason: WorkRefusal,
         /// Time after which a retry makes sense, in microseconds.
         retry_after_micros: u64,
     },
@@ -164,10 +165,10 @@
 impl Frame {
     /// Returns the frame with its attempt replaced by `attempt`, for a repeated request that gets the answer of an
     /// earlier attempt.
-    pub fn told_to(self, attempt: Attempt) -> Self {
+    pub fn with_attempt(self, attempt: Attempt) -> Self {
         match self {
-            Frame::Piece { number, tokens, bytes, .. } => Frame::Piece { attempt, number, tokens, bytes },
-            Frame::End { count, digest, usage, finish, .. } => Frame::End { attempt, count, digest, usage, finish },
+            Frame::Chunk { number, tokens, bytes, .. } => Frame::Chunk { attempt, number, tokens, bytes },
+            Frame::End { count, digest, usage, finish_reason, .. } => Frame::End { attempt, count, digest, usage, finish_reason },
             frame => frame,
         }
     }
@@ -175,7 +176,7 @@
 
 /// Reason why a sidecar refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refused {
+pub enum WorkRefusal {
     /// The scheduler refused the request.
     Scheduler(Refusal),
     /// The request admits only another incarnation of the sidecar.
@@ -186,28 +187,28 @@
 
 /// Request to cancel an attempt. An attempt that has started is stopped, unless it has an idempotency key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Void {
+pub struct CancelRequest {
     /// Id of the attempt to cancel.
     pub attempt: Attempt,
     /// Idempotency key of the attempt, if it has one. Another attempt may hold the key.
-    pub once: Option<Key>,
+    pub idempotency_key: Option<Key>,
 }
 
-/// Response to a [`Void`].
+/// Response to a [`CancelRequest`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct VoidAnswer {
+pub struct CancelResponse {
     /// Incarnation of the sidecar. An incarnation that started after the attempt was sent does not know whether the
     /// attempt ran.
     pub incarnation: Incarnation,
     /// Whether the attempt had started before it was cancelled.
-    pub voided: Voided,
+    pub outcome: Voided,
 }
 
 /// Request to reserve memory for a span, or to renew the span's lease.
 ///
 /// A span is a part of a prompt that is too long for one engine; the spans of a prompt are on different engines.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Hold {
+pub struct HoldRequest {
     /// Id of the span.
     pub span: Attempt,
     /// KV memory that the span needs, in tokens.
@@ -219,29 +220,29 @@
     pub renew: bool,
 }
 
-/// Response to a [`Hold`].
+/// Response to a [`HoldRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Held {
+pub enum HoldResponse {
     /// The memory is reserved.
-    Yes,
+    Held,
     /// The memory is not available yet; the request may be repeated after this time, in microseconds.
-    Wait(u64),
+    RetryAfter(u64),
     /// The sidecar cannot reserve the memory, or the lease to renew has expired.
-    No,
+    Refused,
 }
 
 /// Request to prefill a span whose memory is reserved. The text of the span follows as the rest of the body.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Fill {
+pub struct PrefillRequest {
     /// Id of the span.
     pub span: Attempt,
     /// Digest of the preceding spans of the prompt.
     pub digest: u64,
 }
 
-/// Response to a [`Fill`].
+/// Response to a [`PrefillRequest`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Filled {
+pub struct PrefillResponse {
     /// Number of tokens in the span, as counted by the engine.
     pub tokens: u64,
     /// Digest of all spans of the prompt up to and including this one.
@@ -276,12 +277,12 @@
 }
 
 /// Decoder of length-delimited messages in a byte stream.
-pub struct Splitter {
+pub struct FrameDecoder {
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
 
-impl Splitter {
+impl FrameDecoder {
     /// Creates a decoder with an empty buffer.
     pub fn new() -> Self {
         Self { codec: new_codec(), buffer: BytesMut::new() }
@@ -299,7 +300,7 @@
     }
 
     /// Returns the bytes that were not decoded.
-    pub fn rest(self) -> Bytes {
+    pub fn into_remaining(self) -> Bytes {
         self.buffer.freeze()
     }
 }
--- a/standin/tests/gangs.rs
+++ b/standin/tests/gangs.rs
@@ -104,7 +104,7 @@
     close(fleet).await;
 }
 
-/// The wire's form of a span's hold, as `wire::Hold` has it.
+/// The wire's form of a span's hold, as `wire::HoldRequest` has it.
 #[derive(serde::Serialize)]
 struct Hold {
     span: u128,
