--- a/sorrelpass/src/config/gateway.rs
+++ b/sorrelpass/src/config/gateway.rs
@@ -35,7 +35,7 @@
     /// Peer addresses of some other entries, possibly outdated, which are contacted while the store does not answer.
     pub seeds: Vec<SocketAddr>,
     /// Capacity of the process, by which the leader of the entries is chosen.
-    pub power: Power,
+    pub capacity: Power,
     /// Bandwidth of the VM's network link, in Mbit/s; 0 if it is unknown.
     pub link_mbps: f64,
     /// Time and retry bounds that the deployment sets.
@@ -52,15 +52,15 @@
     pub planner: planner::Policy,
     /// Share of the caller's timeout for which a prompt waits for an engine. The prompt is then refused, so that its
     /// caller still has time for a retry.
-    pub patience_share: f64,
+    pub timeout_share: f64,
     /// Whether an entry that has just started holds requests until it has received configuration and replicas.
-    pub learning: bool,
+    pub startup_wait: bool,
     /// Whether one entry reads the store on behalf of all entries.
-    pub passing_on: bool,
+    pub delegated_reads: bool,
     /// Whether circuit breakers eject plain replicas, which run no engine, for a time after failures.
     pub plain_breakers: bool,
     /// Whether, among equally good plain replicas, those in the entry's own failure domain are preferred.
-    pub near: bool,
+    pub prefer_own_domain: bool,
 }
 
 /// Time and retry bounds that the deployment sets.
@@ -96,12 +96,12 @@
 
 impl Bounds {
     /// Returns the time within which every change by an operator must be in force on all entries.
-    pub fn apply(&self) -> Duration {
+    pub fn propagation(&self) -> Duration {
         self.config_apply.min(self.evacuate)
     }
 
     /// Returns the duration for which engine memory is reserved at once.
-    pub fn hold(&self) -> Duration {
+    pub fn reservation_duration(&self) -> Duration {
         self.memory_release.min(self.max_idle).mul_f64(RESERVATION_SHARE).min(self.max_reservation)
     }
 }
@@ -117,7 +117,7 @@
     let seeds = reader.sockets("gateway", "seeds");
     let cores = reader.number("gateway", "cores", 0.0..=MAX_CORES, 0.0);
     let link_mbps = reader.number("gateway", "link_mbps", 0.0..=MAX_LINK_MBPS, 0.0);
-    let power = Power::of(cores, link_mbps);
+    let capacity = Power::of(cores, link_mbps);
     let bounds = read_bounds(reader);
     let policy = read_policy(reader);
     let listen = listen?;
@@ -128,7 +128,7 @@
         store: store?,
         peer_listen: peer_address.or(peer_port.map(|port| SocketAddr::new(listen.ip(), port))),
         seeds,
-        power,
+        capacity,
         link_mbps,
         bounds,
         policy,
@@ -141,11 +141,11 @@
 fn read_policy(reader: &mut Reader) -> Policy {
     Policy {
         planner: read_planner_policy(reader),
-        patience_share: reader.number("policy", "patience_share", 0.0..=1.0, 0.45),
-        learning: reader.flag("policy", "learning", true),
-        passing_on: reader.flag("policy", "passing_on", true),
+        timeout_share: reader.number("policy", "patience_share", 0.0..=1.0, 0.45),
+        startup_wait: reader.flag("policy", "learning", true),
+        delegated_reads: reader.flag("policy", "passing_on", true),
         plain_breakers: reader.flag("policy", "plain_breakers", true),
-        near: reader.flag("policy", "near", true),
+        prefer_own_domain: reader.flag("policy", "near", true),
     }
 }
 
--- a/sorrelpass/src/config/mod.rs
+++ b/sorrelpass/src/config/mod.rs
@@ -42,7 +42,7 @@
     /// Address of the VM list service, `ip:port`.
     pub vms_address: Name,
     /// Interval at which the VM list is read.
-    pub vms_poll: Duration,
+    pub vms_poll_interval: Duration,
 }
 
 /// Settings of an entry that reaches endpoints through their sidecars.
@@ -65,7 +65,7 @@
     /// Number of candidate endpoints per request from which a quote is requested.
     pub candidates: usize,
     /// Limit on the endpoints of a service that this entry uses; of more, the entry uses a sample.
-    pub sample: usize,
+    pub max_endpoints_per_service: usize,
     /// Limit on the size of a request body, in bytes.
     pub max_body_bytes: usize,
     /// Limit on the total size of the request bodies in memory, in bytes.
@@ -73,17 +73,17 @@
     /// Timeout of a quote request to an endpoint.
     pub quote_timeout: Duration,
     /// Time reserved before a request's deadline for cancelling an attempt and finding out whether it ran.
-    pub void_reserve: Duration,
+    pub cancel_reserve: Duration,
     /// Time without reading after which a caller's connection is closed.
-    pub slow_caller: Duration,
+    pub caller_timeout: Duration,
     /// Additional latency to an endpoint in another failure domain.
-    pub distance: Duration,
+    pub cross_domain_delay: Duration,
     /// Retries per first attempt.
     pub retry_share: f64,
     /// Time for which an idempotency key is retained.
-    pub once_window: Duration,
+    pub idempotency_window: Duration,
     /// Interval at which a snapshot of the configuration is appended to the log.
-    pub snapshot_every: Duration,
+    pub snapshot_interval: Duration,
     /// Key that authenticates tickets; `None` disables tickets.
     pub ticket_secret: Option<Secret>,
     /// Key that authenticates operators; `None` admits everyone.
@@ -92,7 +92,7 @@
 
 /// Kind of the endpoint that a sidecar serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EndpointKind {
     /// Inference engine of a model.
     Engine,
     /// HTTP service without an engine.
@@ -113,25 +113,25 @@
     /// Service that the endpoint belongs to.
     pub service: Name,
     /// Whether the endpoint is an engine or a plain service.
-    pub kind: Kind,
+    pub kind: EndpointKind,
     /// Peer addresses of the entries that provide the configuration.
     pub entries: Vec<Name>,
     /// Name of the queue order plug-in.
-    pub order: &'static str,
+    pub queue_order: &'static str,
     /// Weights for the queue order.
     pub weights: Weights,
     /// Limits of the scheduler.
     pub limits: Limits,
     /// Initial estimate of the prefill rate, in tokens per second.
-    pub prefill_rate: f64,
+    pub initial_prefill_rate: f64,
     /// Initial estimate of the gap between two output tokens.
-    pub gap: Duration,
+    pub initial_gap: Duration,
     /// Number of blocks in the sidecar's model of the engine's prefix cache.
     pub cache_blocks: usize,
     /// Time without reading after which an entry's connection is closed.
-    pub slow_entry: Duration,
+    pub entry_timeout: Duration,
     /// Interval of the endpoint's health checks.
-    pub probe: Duration,
+    pub probe_interval: Duration,
 }
 
 /// Settings of any role.
@@ -185,9 +185,9 @@
     let vms = reader.choice("platform", "vms", &plugin::names::<VmListPlugin>(|plugin| plugin.name), "http");
     let log_address = read_address(reader, "platform", "log_address");
     let vms_address = read_address(reader, "platform", "vms_address");
-    let vms_poll = reader.millis("platform", "vms_poll_ms", 50..=MAX_DURATION_MS, 1_000);
+    let vms_poll_interval = reader.millis("platform", "vms_poll_ms", 50..=MAX_DURATION_MS, 1_000);
     let to_name = |address: SocketAddr| Name::from(address.to_string());
-    Some(Platform { log, log_address: to_name(log_address?), vms, vms_address: to_name(vms_address?), vms_poll })
+    Some(Platform { log, log_address: to_name(log_address?), vms, vms_address: to_name(vms_address?), vms_poll_interval })
 }
 
 fn read_entry(reader: &mut Reader) -> Option<Entry> {
@@ -200,16 +200,16 @@
     let pickers = plugin::names::<PickerPlugin>(|plugin| plugin.name);
     let picker = reader.choice("entry", "picker", &pickers, "quoted");
     let candidates = reader.number("entry", "candidates", 1..=16, 3);
-    let sample = reader.number("entry", "sample", 1..=1 << 20, 256);
+    let max_endpoints_per_service = reader.number("entry", "sample", 1..=1 << 20, 256);
     let max_body_bytes = reader.number("entry", "max_body_bytes", 1_024..=1 << 30, 16 << 20);
     let body_budget_bytes = reader.number("entry", "body_budget_bytes", 1_024..=1 << 36, 256 << 20);
     let quote_timeout = reader.millis("entry", "quote_timeout_ms", 1..=60_000, 100);
-    let void_reserve = reader.millis("entry", "void_reserve_ms", 1..=60_000, 200);
-    let slow_caller = reader.millis("entry", "slow_caller_ms", 10..=MAX_DURATION_MS, 10_000);
-    let distance = reader.millis("entry", "distance_ms", 0..=10_000, 2);
+    let cancel_reserve = reader.millis("entry", "void_reserve_ms", 1..=60_000, 200);
+    let caller_timeout = reader.millis("entry", "slow_caller_ms", 10..=MAX_DURATION_MS, 10_000);
+    let cross_domain_delay = reader.millis("entry", "distance_ms", 0..=10_000, 2);
     let retry_share = reader.number("entry", "retry_share", 0.0..=1.0, 0.1);
-    let once_window = reader.millis("entry", "once_window_ms", 1_000..=MAX_DURATION_MS, 3_600_000);
-    let snapshot_every = reader.millis("entry", "snapshot_every_ms", 100..=MAX_DURATION_MS, 600_000);
+    let idempotency_window = reader.millis("entry", "once_window_ms", 1_000..=MAX_DURATION_MS, 3_600_000);
+    let snapshot_interval = reader.millis("entry", "snapshot_every_ms", 100..=MAX_DURATION_MS, 600_000);
     let ticket_secret = reader.secret("entry", "ticket_secret");
     let operator_secret = reader.secret("entry", "operator_secret");
     if body_budget_bytes < max_body_bytes {
@@ -224,16 +224,16 @@
         threads,
         picker,
         candidates,
-        sample,
+        max_endpoints_per_service,
         max_body_bytes,
         body_budget_bytes,
         quote_timeout,
-        void_reserve,
-        slow_caller,
-        distance,
+        cancel_reserve,
+        caller_timeout,
+        cross_domain_delay,
         retry_share,
-        once_window,
-        snapshot_every,
+        idempotency_window,
+        snapshot_interval,
         ticket_secret,
         operator_secret,
     })
@@ -258,20 +258,20 @@
     let endpoint_address = read_address(reader, "sidecar", "endpoint_address");
     let service = reader.name("sidecar", "service");
     let kind = match reader.choice("sidecar", "kind", &["engine", "plain"], "engine") {
-        "plain" => Kind::Plain,
-        _ => Kind::Engine,
+        "plain" => EndpointKind::Plain,
+        _ => EndpointKind::Engine,
     };
     let entries = reader.addresses("sidecar", "entries");
-    let orders = plugin::names::<OrderPlugin>(|plugin| plugin.name);
-    let order = reader.choice("sidecar", "order", &orders, "slack");
+    let queue_orders = plugin::names::<OrderPlugin>(|plugin| plugin.name);
+    let queue_order = reader.choice("sidecar", "order", &queue_orders, "slack");
     let slowdown = reader.number("sidecar", "slowdown_weight", 0.0..=1_000.0, 1.0);
     let ttft = reader.number("sidecar", "ttft_weight", 0.0..=1_000.0, 1.0);
     let limits = read_limits(reader);
-    let prefill_rate = reader.number("sidecar", "prefill_tokens_per_s", 1.0..=1e12, 60_000.0);
-    let gap = reader.millis("sidecar", "gap_ms", 1..=60_000, 20);
+    let initial_prefill_rate = reader.number("sidecar", "prefill_tokens_per_s", 1.0..=1e12, 60_000.0);
+    let initial_gap = reader.millis("sidecar", "gap_ms", 1..=60_000, 20);
     let cache_blocks = reader.number("sidecar", "cache_blocks", 1..=1 << 24, 65_536);
-    let slow_entry = reader.millis("sidecar", "slow_entry_ms", 10..=MAX_DURATION_MS, 10_000);
-    let probe = reader.millis("sidecar", "probe_ms", 20..=MAX_DURATION_MS, 1_000);
+    let entry_timeout = reader.millis("sidecar", "slow_entry_ms", 10..=MAX_DURATION_MS, 10_000);
+    let probe_interval = reader.millis("sidecar", "probe_ms", 20..=MAX_DURATION_MS, 1_000);
     Some(Sidecar {
         process: process?,
         listen: listen?,
@@ -280,13 +280,13 @@
         service: service?,
         kind,
         entries,
-        order,
+        queue_order,
         weights: Weights { slowdown, ttft },
         limits,
-        prefill_rate,
-        gap,
+        initial_prefill_rate,
+        initial_gap,
         cache_blocks,
-        slow_entry,
-        probe,
+        entry_timeout,
+        probe_interval,
     })
 }
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -141,7 +141,7 @@
         let partition = Rc::new(Self {
             stream: format!("claims-{index}"),
             log,
-            bindings: RefCell::new(Board::new(shared.settings.once_window)),
+            bindings: RefCell::new(Board::new(shared.settings.idempotency_window)),
             waiting_replies: RefCell::default(),
             proposals: RefCell::default(),
             proposals_added: Notify::new(),
@@ -218,8 +218,8 @@
                         // window, which is shorter than the log's retention.
                         self.bindings.borrow_mut().skip_to(batch.oldest);
                     }
-                    for entry in &batch.entries {
-                        self.apply(entry.offset, entry.at, &entry.payload);
+                    for record in &batch.records {
+                        self.apply(record.offset, record.appended_at, &record.payload);
                     }
                     if self.bindings.borrow().next() >= batch.end {
                         self.replay_state.send_replace(ReplayState::CaughtUp);
@@ -235,7 +235,7 @@
         }
     }
 
-    fn apply(&self, offset: u64, at: coord::time::Moment, payload: &[u8]) {
+    fn apply(&self, offset: u64, appended_at: coord::time::Moment, payload: &[u8]) {
         let claims = match serde_json::from_slice::<Batch>(payload) {
             Ok(batch) => batch.claims,
             Err(error) => {
@@ -246,7 +246,7 @@
         let mut bindings = self.bindings.borrow_mut();
         let mut waiting_replies = self.waiting_replies.borrow_mut();
         for claim in claims {
-            let bound = bindings.replay(offset, at, claim.key.clone(), claim.binding);
+            let bound = bindings.replay(offset, appended_at, claim.key.clone(), claim.binding);
             for reply in waiting_replies.remove(&claim.key).unwrap_or_default() {
                 let _ = reply.send(bound.clone());
             }
--- a/sorrelpass/src/entry/config_log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -137,12 +137,12 @@
             return;
         }
         let mut is_changed = false;
-        for entry in &batch.entries {
-            match serde_json::from_slice::<Record>(&entry.payload) {
-                Ok(record) => is_changed |= self.replay.borrow_mut().apply(entry.offset, &record),
+        for record in &batch.records {
+            match serde_json::from_slice::<Record>(&record.payload) {
+                Ok(decoded) => is_changed |= self.replay.borrow_mut().apply(record.offset, &decoded),
                 Err(error) => {
-                    warn_event!("record-unreadable", stream = CONFIG_STREAM, offset = entry.offset, reason = %error);
-                    self.replay.borrow_mut().skip(entry.offset);
+                    warn_event!("record-unreadable", stream = CONFIG_STREAM, offset = record.offset, reason = %error);
+                    self.replay.borrow_mut().skip(record.offset);
                 }
             }
         }
@@ -204,8 +204,8 @@
         let mut next = 0;
         loop {
             let batch = self.log.read(SNAPSHOT_STREAM, next, 0).await?;
-            for entry in &batch.entries {
-                let Ok(part) = serde_json::from_slice::<SnapshotPart>(&entry.payload) else { continue };
+            for record in &batch.records {
+                let Ok(part) = serde_json::from_slice::<SnapshotPart>(&record.payload) else { continue };
                 parts.retain(|other| other.id != part.id || other.part != part.part);
                 parts.push(part);
                 if let Some(complete) = take_complete_snapshot(&mut parts)
@@ -214,7 +214,7 @@
                     newest = Some(complete);
                 }
             }
-            match batch.entries.last() {
+            match batch.records.last() {
                 Some(last) if last.offset + 1 < batch.end => next = last.offset + 1,
                 _ => return Ok(newest),
             }
@@ -227,7 +227,7 @@
         let (at, records) = *self.last_snapshot.borrow();
         let next = self.replay.borrow().next();
         let is_due = next.saturating_sub(records) >= SNAPSHOT_INTERVAL_RECORDS
-            || util::now().since(at) >= self.shared.settings.snapshot_every;
+            || util::now().since(at) >= self.shared.settings.snapshot_interval;
         if !is_due || next == 0 || !self.is_snapshot_writer(next) {
             return;
         }
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -85,13 +85,13 @@
         let batch = self.log.read(CONTROL_STREAM, self.placements.next(), READ_WAIT_MS).await?;
         self.placements.skip_to(batch.oldest);
         let mut has_changed = false;
-        for entry in batch.entries {
-            self.log_clock = Some((entry.at, util::now()));
-            match serde_json::from_slice(&entry.payload) {
-                Ok(record) => has_changed |= self.placements.replay(entry.offset, entry.at, record),
+        for record in batch.records {
+            self.log_clock = Some((record.appended_at, util::now()));
+            match serde_json::from_slice(&record.payload) {
+                Ok(decoded) => has_changed |= self.placements.replay(record.offset, record.appended_at, decoded),
                 Err(error) => {
-                    warn_event!("record-unreadable", stream = CONTROL_STREAM, offset = entry.offset, reason = %error);
-                    self.placements.skip_to(entry.offset + 1);
+                    warn_event!("record-unreadable", stream = CONTROL_STREAM, offset = record.offset, reason = %error);
+                    self.placements.skip_to(record.offset + 1);
                 }
             }
         }
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -51,11 +51,11 @@
         let picker = plugin::find::<PickerPlugin>(settings.picker, |plugin| plugin.name);
         let picker = picker.map_or_else(|| Box::new(coord::pick::LeastOutstanding) as Box<_>, |plugin| (plugin.build)());
         let hash = xxhash_rust::xxh3::xxh3_64(settings.process.name.as_bytes());
-        let sample = Sample { most: settings.sample, hash };
+        let sample = Sample { most: settings.max_endpoints_per_service, hash };
         Self {
             config: Arc::default(),
             workspace_by_key: HashMap::new(),
-            members: Members::new(settings.process.failure_domain.clone(), micros(settings.distance), sample),
+            members: Members::new(settings.process.failure_domain.clone(), micros(settings.cross_domain_delay), sample),
             picker,
             retry_budget: Budget::new(settings.retry_share, MAX_SAVED_RETRIES),
             rate_limiters: RateLimiters::new(util::now()),
@@ -225,7 +225,7 @@
         Some(Target {
             endpoint: endpoint.clone(),
             address: member.vm.address.clone(),
-            distance: if is_local { 0 } else { micros(self.settings.distance) },
+            distance: if is_local { 0 } else { micros(self.settings.cross_domain_delay) },
         })
     }
 
--- a/sorrelpass/src/entry/mod.rs
+++ b/sorrelpass/src/entry/mod.rs
@@ -177,7 +177,7 @@
         server_threads.push(util::spawn_thread(&format!("callers-{number}"), move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
             let app = HandlerState { shared, client: http::client_h2() };
-            let caller_timeout = app.shared.settings.slow_caller;
+            let caller_timeout = app.shared.settings.caller_timeout;
             http::serve(listener, caller_api::router(app), caller_timeout, closed).await;
         })?);
     }
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -181,7 +181,7 @@
 
     fn cancel_reserve(&self) -> Duration {
         let allowed = self.request.deadline.since(self.started_at);
-        self.app.shared.settings.void_reserve.min(allowed / 10)
+        self.app.shared.settings.cancel_reserve.min(allowed / 10)
     }
 
     fn quote_request(&self) -> QuoteRequest {
@@ -447,7 +447,7 @@
 
     /// Sends a part to the caller. Fails if the caller has disconnected or does not read in time.
     async fn send_to_caller(&self, part: AnswerPart) -> Result<(), AttemptError> {
-        let timeout = self.app.shared.settings.slow_caller;
+        let timeout = self.app.shared.settings.caller_timeout;
         let caller_lost =
             |message: &str| AttemptError::Lost { ran: Ran::Partial, step: CALLER_STEP.into(), message: message.into() };
         match tokio::time::timeout(timeout, self.request.parts.send(Ok(part))).await {
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -237,7 +237,7 @@
     let WorkRequest { attempt, incarnation, ref idempotency_key, .. } = *work;
     let bytes = wire::encode(&wire::CancelRequest { attempt, idempotency_key: idempotency_key.clone() });
     let call = http::exchange(&app.client, &target.address, "POST", wire::CANCEL, bytes);
-    let timeout = app.shared.settings.void_reserve / 2;
+    let timeout = app.shared.settings.cancel_reserve / 2;
     let answer = match tokio::time::timeout(timeout, call).await {
         Ok(Ok((200, bytes))) => wire::decode::<wire::CancelResponse>(&bytes).ok(),
         _ => None,
--- a/sorrelpass/src/entry/vm_list.rs
+++ b/sorrelpass/src/entry/vm_list.rs
@@ -26,7 +26,7 @@
             }
             Err(_) => {}
         }
-        tokio::time::sleep(util::jitter(shared.settings.platform.vms_poll)).await;
+        tokio::time::sleep(util::jitter(shared.settings.platform.vms_poll_interval)).await;
     }
 }
 
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -212,7 +212,7 @@
     /// Waits until engines are granted, for at most the time that the caller's deadline and the policy allow.
     async fn choose_engine_target(&self, tokens: u64) -> Result<Target, PlacementError> {
         let job = self.planner_job(tokens);
-        let max_wait = self.route.patience().min(self.timeout).mul_f64(self.gateway.settings.policy.patience_share);
+        let max_wait = self.route.patience().min(self.timeout).mul_f64(self.gateway.settings.policy.timeout_share);
         let until = (self.started + max_wait).max(now() + MIN_GRANT_WAIT);
         loop {
             if self.gateway.roster.borrow().usable(&self.service).next().is_none() {
@@ -332,7 +332,7 @@
         if demands.is_empty() {
             return Some((helpers, None));
         }
-        let reservation = hold::take(&self.call.id, demands, self.gateway.bounds().hold()).await?;
+        let reservation = hold::take(&self.call.id, demands, self.gateway.bounds().reservation_duration()).await?;
         for helper in &mut helpers {
             helper.reservation = reservation.id(&helper.address);
         }
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -314,7 +314,7 @@
 ) -> Result<SocketAddr> {
     let mut last_received = Instant::now();
     let bounds = gateway.bounds();
-    let sync_interval = MAX_SYNC_INTERVAL.min(bounds.apply().min(bounds.drain) / MIN_SYNCS_PER_BOUND);
+    let sync_interval = MAX_SYNC_INTERVAL.min(bounds.propagation().min(bounds.drain) / MIN_SYNCS_PER_BOUND);
     let mut next_sync = Instant::now();
     let mut inquiry = Inquiry::default();
     if !gateway.membership.is_announced() {
@@ -371,7 +371,7 @@
                 let report = report.ok_or_else(|| eyre!("step=send: the send queue to the leader is full"))?;
                 link.send(report, &mut queue).await?;
             }
-            () = tokio::time::sleep_until(next_sync), if gateway.settings.policy.passing_on => {
+            () = tokio::time::sleep_until(next_sync), if gateway.settings.policy.delegated_reads => {
                 let delay = inquiry.pause(sync_interval, gateway.facts.is_complete(), rand::random_range(0.0..1.0));
                 next_sync = Instant::now() + delay;
                 if inquiry.may_ask(now()) {
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -110,7 +110,7 @@
                     link.send(Order::Update { number: request.number, update }, queue).await?;
                     // A follower reads the store itself once the data from here are too old, and may then have newer
                     // ones.
-                    if watch::is_store_view_stale(gateway) && gateway.settings.policy.passing_on && inquiry.may_ask(now()) {
+                    if watch::is_store_view_stale(gateway) && gateway.settings.policy.delegated_reads && inquiry.may_ask(now()) {
                         let request = store_view::sync_request(gateway, inquiry.ask(now()));
                         link.send(Order::Sync(request), queue).await?;
                     }
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -47,7 +47,7 @@
 impl Announcement {
     /// Creates the announcement of this process, which listens for other entries at `own_address`.
     pub fn of_this_process(gateway: &Gateway, own_address: SocketAddr) -> Self {
-        Self { address: own_address, incarnation: util::incarnation().to_string(), capacity: gateway.settings.power }
+        Self { address: own_address, incarnation: util::incarnation().to_string(), capacity: gateway.settings.capacity }
     }
 
     /// Encodes the value of the announcement's record in the store.
@@ -187,7 +187,7 @@
         }
         event!("announced", followers = announcements.len());
         pending.iter().for_each(|(entry, _)| gateway.desk.tell(*entry, Order::Announced));
-        let has_stronger = announcements.iter().any(|announcement| announcement.capacity > gateway.settings.power);
+        let has_stronger = announcements.iter().any(|announcement| announcement.capacity > gateway.settings.capacity);
         if has_stronger || membership.successors.borrow().len() < MAX_SUCCESSORS {
             membership.ranking_changed.notify_one();
         }
--- a/sorrelpass/src/gateway/place.rs
+++ b/sorrelpass/src/gateway/place.rs
@@ -48,7 +48,7 @@
     pub fn new(local_failure_domain: Name, policy: &config::Policy) -> Self {
         Self {
             local_failure_domain,
-            prefers_local: policy.near,
+            prefers_local: policy.prefer_own_domain,
             has_breakers: policy.plain_breakers,
             loads: HashMap::new(),
             breakers: HashMap::new(),
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -144,7 +144,7 @@
 
     /// Waits for the first configuration and replica records, until [`INITIAL_SYNC_TIMEOUT`] after the start.
     pub async fn learn(&self) {
-        if self.settings.policy.learning {
+        if self.settings.policy.startup_wait {
             self.facts.wait_until_complete(self.started_at + INITIAL_SYNC_TIMEOUT).await;
         }
     }
@@ -233,7 +233,7 @@
 
     /// Returns whether another entry reads the store for this one, or one that might do so is being searched for.
     pub fn has_reader(&self) -> bool {
-        self.settings.policy.passing_on && (self.desk.has_leader() || self.is_searching_reader.get())
+        self.settings.policy.delegated_reads && (self.desk.has_leader() || self.is_searching_reader.get())
     }
 
     /// Returns the time until which an entry without any data waits for another entry's data before it reads the store.
@@ -246,7 +246,7 @@
     pub fn joins_via_seeds(&self) -> bool {
         let Some(own_address) = self.settings.peer_listen else { return false };
         let seeds = &self.settings.seeds;
-        self.settings.policy.passing_on && !seeds.is_empty() && !seeds.contains(&own_address)
+        self.settings.policy.delegated_reads && !seeds.is_empty() && !seeds.contains(&own_address)
     }
 
     /// Returns the time until which this entry searches for a leader via its seeds before it reads the store.
--- a/sorrelpass/src/gateway/watch.rs
+++ b/sorrelpass/src/gateway/watch.rs
@@ -45,12 +45,12 @@
 
 /// Returns how long the store holds a long poll of the configuration.
 fn long_poll_timeout(bounds: &Bounds) -> Duration {
-    bounds.revoke.mul_f64(LONG_POLL_REVOKE_SHARE).min(bounds.apply().mul_f64(LONG_POLL_APPLY_SHARE))
+    bounds.revoke.mul_f64(LONG_POLL_REVOKE_SHARE).min(bounds.propagation().mul_f64(LONG_POLL_APPLY_SHARE))
 }
 
 /// Returns the age at which a leader's configuration is too old, so that its follower reads the store.
 fn max_configuration_age(bounds: &Bounds) -> Duration {
-    bounds.revoke.mul_f64(MAX_AGE_REVOKE_SHARE).min(bounds.apply().mul_f64(MAX_AGE_APPLY_SHARE))
+    bounds.revoke.mul_f64(MAX_AGE_REVOKE_SHARE).min(bounds.propagation().mul_f64(MAX_AGE_APPLY_SHARE))
 }
 
 /// Returns the age at which a leader's replica records are too old, so that its follower reads the store.
--- a/sorrelpass/src/platform/http.rs
+++ b/sorrelpass/src/platform/http.rs
@@ -72,10 +72,10 @@
             with_timeout(&self.address, CALL_TIMEOUT + Duration::from_millis(wait_ms), call).await?;
         let records = response.entries.into_iter().map(|record| Record {
             offset: record.offset,
-            at: Moment::from_millis(record.at_ms),
+            appended_at: Moment::from_millis(record.at_ms),
             payload: Bytes::copy_from_slice(record.payload.get().as_bytes()),
         });
-        Ok(Batch { entries: records.collect(), oldest: response.oldest, end: response.end })
+        Ok(Batch { records: records.collect(), oldest: response.oldest, end: response.end })
     }
 }
 
--- a/sorrelpass/src/platform/mod.rs
+++ b/sorrelpass/src/platform/mod.rs
@@ -21,7 +21,7 @@
     /// Offset of the record in its stream.
     pub offset: u64,
     /// Time at which the log accepted the record, on the log's clock.
-    pub at: Moment,
+    pub appended_at: Moment,
     /// Bytes that were appended.
     pub payload: Bytes,
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     /// Records in order of offset.
-    pub entries: Vec<Record>,
+    pub records: Vec<Record>,
     /// Oldest offset that the log still retains.
     pub oldest: u64,
     /// Offset that follows the newest record.
--- a/sorrelpass/src/sidecar/control.rs
+++ b/sorrelpass/src/sidecar/control.rs
@@ -10,7 +10,7 @@
 use super::event_loop::Command;
 use super::order::OrderSender;
 use super::{Shared, span};
-use crate::config::Kind;
+use crate::config::EndpointKind;
 use crate::entry::peer::{self, EndpointConfig, KnownConfig};
 use crate::{event, http, util, warn_event};
 
@@ -31,7 +31,7 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let reconcile = async {
-        if shared.settings.kind == Kind::Engine {
+        if shared.settings.kind == EndpointKind::Engine {
             span::reconcile(&shared).await;
         }
         while let Some(span) = expired_spans.recv().await {
@@ -63,7 +63,7 @@
             tokio::time::sleep(util::jitter(CONFIG_RETRY_DELAY)).await;
             continue;
         };
-        let has_ordered_load = shared.settings.kind == Kind::Plain || orders.reconcile(shared).await;
+        let has_ordered_load = shared.settings.kind == EndpointKind::Plain || orders.reconcile(shared).await;
         let wait = if has_ordered_load { CONFIG_WAIT } else { CONFIG_RETRY_DELAY };
         match peer::fetch_endpoint_config(entry, known_config.clone(), wait).await {
             Ok(endpoint_config) => {
@@ -108,9 +108,9 @@
     let mut failed_probes = 0;
     let mut is_healthy = true;
     loop {
-        tokio::time::sleep(util::jitter(shared.settings.probe)).await;
+        tokio::time::sleep(util::jitter(shared.settings.probe_interval)).await;
         let probe = http::exchange(&client, &shared.settings.endpoint_address, "GET", "/health", bytes::Bytes::new());
-        let is_alive = matches!(tokio::time::timeout(shared.settings.probe, probe).await, Ok(Ok((200, _))));
+        let is_alive = matches!(tokio::time::timeout(shared.settings.probe_interval, probe).await, Ok(Ok((200, _))));
         failed_probes = if is_alive { 0 } else { failed_probes + 1 };
         let is_healthy_now = failed_probes < MAX_FAILED_PROBES;
         if is_healthy_now != is_healthy {
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::transcript::Transcript;
-use crate::config::{Kind, Sidecar};
+use crate::config::{EndpointKind, Sidecar};
 use crate::plugin::{self, OrderPlugin};
 use crate::wire::{QuoteRequest, HoldResponse, HoldRequest, WorkRequest, QuoteResponse};
 use crate::{event, metric, channel, util, warn_event};
@@ -169,10 +169,10 @@
 
 impl EventLoop {
     fn new(settings: Sidecar, expired_spans: mpsc::UnboundedSender<Attempt>) -> Self {
-        let order = plugin::find::<OrderPlugin>(settings.order, |plugin| plugin.name);
+        let order = plugin::find::<OrderPlugin>(settings.queue_order, |plugin| plugin.name);
         let order =
             order.map_or_else(|| Box::new(coord::queue::Fifo) as Box<_>, |plugin| (plugin.build)(settings.weights));
-        let estimate = Estimate::new(settings.prefill_rate, settings.gap);
+        let estimate = Estimate::new(settings.initial_prefill_rate, settings.initial_gap);
         Self {
             scheduler: Scheduler::new(settings.limits.clone(), estimate, order),
             cache: Cache::new(settings.cache_blocks),
@@ -212,8 +212,8 @@
         let cached = Chain::bytes(self.cache.shared(&request.chain)) as f64 / request.bytes_per_token;
         let prefill_tokens = request.prompt_tokens.saturating_sub(cached as u64);
         let cost = match self.settings.kind {
-            Kind::Engine => self.scheduler.cost(prefill_tokens),
-            Kind::Plain => Duration::ZERO,
+            EndpointKind::Engine => self.scheduler.cost(prefill_tokens),
+            EndpointKind::Plain => Duration::ZERO,
         };
         Job {
             attempt,
--- a/sorrelpass/src/sidecar/mod.rs
+++ b/sorrelpass/src/sidecar/mod.rs
@@ -53,7 +53,7 @@
         let stopped = stopped.clone();
         move || async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(std_listener) else { return };
-            let entry_timeout = shared.settings.slow_entry;
+            let entry_timeout = shared.settings.entry_timeout;
             http::serve(listener, server::router(shared), entry_timeout, stopped).await;
         }
     })?;
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -134,7 +134,7 @@
         OfferOutcome::Duplicate(_) => return Err(StatusCode::CONFLICT),
     };
     let (sender, receiver) = mpsc::channel(FRAME_CHANNEL_CAPACITY);
-    let output = job::Output::Channel { sender, full_timeout: shared.settings.slow_entry };
+    let output = job::Output::Channel { sender, full_timeout: shared.settings.entry_timeout };
     tokio::spawn(job::run(shared, work, job::RequestBody::new(read, body), signals, output));
     Ok(with_clock_stamp(Body::from_stream(stream::unfold(receiver, |mut receiver| async move {
         receiver.recv().await.map(|frame| (Ok::<Bytes, Infallible>(frame), receiver))
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -1,8 +1,7 @@
 //! Protocol between entries and sidecars: postcard messages over HTTP/2.
 //!
 //! A request to `/work` carries one length-delimited [`WorkRequest`], followed by the unchanged body of the caller's
-//! request.
-//! The response is a sequence of length-delimited [`Frame`]s.
+//! request. The response is a sequence of length-delimited [`Frame`]s.
 
 use bytes::{Bytes, BytesMut};
 use coord::claim::Key;
