--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! The load tool's HTTP client: prompts whose answers are checked, and calls.
+//! HTTP client of the load tool: sends prompts and plain service calls and records their responses.
 
 use std::time::{Duration, Instant};
 
@@ -14,43 +14,43 @@
 
 use crate::text;
 
-/// A client.
+/// HTTP client with a connection pool; clones share the pool.
 #[derive(Clone)]
 pub struct Client {
     inner: HyperClient<HttpConnector, Full<Bytes>>,
 }
 
-/// A prompt to be sent.
+/// A chat completion request with one user message.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// The model.
+    /// Name of the model that the request asks for.
     pub model: String,
-    /// The workspace's key.
+    /// Bearer key of the workspace.
     pub key: String,
-    /// Text of the one message.
+    /// Text of the user message.
     pub text: String,
-    /// Output tokens wanted.
+    /// Output tokens to request, sent as `max_tokens`.
     pub output: u64,
-    /// Whether to stream.
+    /// Whether the response is requested as a stream of server-sent events.
     pub stream: bool,
-    /// Time allowed.
+    /// Deadline sent in `x-deadline-ms`.
     pub deadline: Duration,
-    /// Headers besides.
+    /// Headers sent in addition to authorization, content type and deadline.
     pub headers: Vec<(String, String)>,
 }
 
 impl Prompt {
-    /// The messages as they stand in the body.
+    /// Returns the JSON text of `messages` exactly as the body contains it, because the answer's digest covers it.
     fn messages(&self) -> String {
         format!("[{{\"role\":\"user\",\"content\":\"{}\"}}]", self.text)
     }
 
-    /// The answer that is right.
+    /// Returns the text that an engine stand-in generates for this prompt.
     pub fn expected(&self) -> String {
         text::answer(text::digest(self.messages().as_bytes(), 0), self.output)
     }
 
-    /// The body.
+    /// Returns the JSON request body.
     pub fn body(&self) -> String {
         let Prompt { model, output, stream, .. } = self;
         let messages = self.messages();
@@ -58,39 +58,39 @@
     }
 }
 
-/// What came back.
+/// Outcome of a request as the client received it.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status; 0 if no response arrived.
     pub status: u16,
-    /// Text of the answer.
+    /// Generated text of a completion, or the response body of a plain service call.
     pub text: String,
-    /// Time to the first token.
+    /// Time from sending the request to the first token; `None` without streaming or if no token arrived.
     pub ttft: Option<Duration>,
-    /// Time to the end.
+    /// Time from sending the request to the end of the response or to the error.
     pub took: Duration,
-    /// Longest times between tokens, one for each gap.
+    /// Time between each token and the one before it.
     pub gaps: Vec<Duration>,
-    /// Whether the answer said that it was over.
+    /// Whether the response was complete; a stream is complete once `[DONE]` arrives.
     pub ended: bool,
-    /// The failure's body, if there was one.
+    /// Error body of the response; `None` if the response carried no JSON error.
     pub failure: Option<Value>,
-    /// What went wrong on the way.
+    /// Transport or decoding error on the client's side.
     pub error: Option<String>,
 }
 
 impl Seen {
-    /// The failure's code.
+    /// Returns the error code of the response, or `-` if it carried none.
     pub fn code(&self) -> &str {
         self.failure.as_ref().and_then(|failure| failure["error"]["code"].as_str()).unwrap_or("-")
     }
 
-    /// What the failure says of whether it ran.
+    /// Returns the error body's `ran` field, which states whether the request was executed.
     pub fn ran(&self) -> Option<&str> {
         self.failure.as_ref()?["ran"].as_str()
     }
 
-    /// When the failure says to come back.
+    /// Returns the delay after which the error body allows a retry.
     pub fn retry_after(&self) -> Option<Duration> {
         Some(Duration::from_millis(self.failure.as_ref()?["retry_after_ms"].as_u64()?))
     }
@@ -103,7 +103,7 @@
 }
 
 impl Client {
-    /// A client with its own pool of connections.
+    /// Creates a client with its own connection pool.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -115,7 +115,7 @@
         Self { inner }
     }
 
-    /// Sends a request.
+    /// Sends a request and returns the response with its body unread.
     pub async fn send(
         &self,
         method: &str,
@@ -132,7 +132,7 @@
         self.inner.request(request).await.map_err(|error| eyre!("step=send peer={address}: {error:?}"))
     }
 
-    /// Sends JSON and reads the status and JSON.
+    /// Sends an optional JSON body and returns the status and the JSON response, `Null` if the response is not JSON.
     pub async fn json(
         &self,
         method: &str,
@@ -152,7 +152,7 @@
         Ok((status, serde_json::from_slice(&bytes).unwrap_or(Value::Null)))
     }
 
-    /// Sends a prompt and reads its answer to the end.
+    /// Sends a prompt and reads the response to its end.
     pub async fn prompt(&self, address: &str, prompt: &Prompt) -> Seen {
         let mut headers = prompt.headers.clone();
         headers.push(("authorization".to_owned(), format!("Bearer {}", prompt.key)));
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    /// Calls a plain service; the text is its JSON body.
+    /// Calls a plain service and keeps the JSON response body as the text.
     pub async fn call(
         &self,
         method: &str,
--- a/standin/src/cmd/compare.rs
+++ b/standin/src/cmd/compare.rs
@@ -1,10 +1,10 @@
-//! Compares ours with the baselines: pickers and queue orders under the same arrivals.
+//! Compares the project's picker and queue order with baseline combinations under the same arrivals.
 //!
 //! Usage: standin compare [--deployment market|colibri] [--load SHARE] [--seconds N] [--seed N]
 //!                        [--engines N] [--speed X] [--svg FILE] [--json FILE]
 //!
-//! Each way gets a fresh fleet, once with the long prompts and once without; slowdown is the
-//! ratio of the two p95.
+//! Each combination runs on a new fleet twice, with and without the long prompts. The slowdown column is the
+//! ratio of the two p95 times to first token.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,25 +19,25 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// Whose fleet and mix: market or colibri
+    /// Deployment that defines the fleet and the workload: market or colibri
     #[bpaf(argument("NAME"), fallback(Deployment::Market))]
     deployment: Deployment,
-    /// Share of the engines' capacity that the mix asks for
+    /// Offered load as a share of the engines' capacity
     #[bpaf(argument("SHARE"), fallback(0.8))]
     load: f64,
-    /// How long to send, in seconds
+    /// Duration of the arrivals, in seconds
     #[bpaf(argument("N"), fallback(15))]
     seconds: u64,
-    /// Seed of the mix
+    /// Seed of the workload
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(20))]
     engines: usize,
-    /// How many times faster than real time the fleet runs
+    /// Factor by which the fleet runs faster than real time
     #[bpaf(argument("X"), fallback(4.0))]
     speed: f64,
-    /// Draw p95 by class to this file
+    /// Draw p95 time to first token by class to this SVG file
     #[bpaf(argument("FILE"), optional)]
     svg: Option<PathBuf>,
     /// Write all reports to this file as JSON
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -1,13 +1,12 @@
-//! Starts a whole fleet, sends a deployment's mix, and prints what came of it.
+//! Starts a fleet, sends a deployment's workload and prints the results.
 //!
 //! Usage: standin demo [--deployment market|colibri] [--seconds N] [--load SHARE] [--speed X]
 //!                     [--engines N] [--seed N] [--picker NAME] [--order NAME] [--no-long]
 //!                     [--json FILE] [--hold]
 //!
-//! The platform, engines, services, sidecars and entries run as separate processes on
-//! loopback. Times in the table are as measured; the fleet runs --speed times faster than
-//! real time. It ends with status 1 if the ledger does not balance. With --hold the fleet
-//! stays up and a ready curl line is printed.
+//! The platform, engines, services, sidecars and entries run as separate processes on loopback. The fleet runs
+//! --speed times faster than real time, and the times in the table are not scaled back. The exit status is 1 if
+//! the ledger does not balance. With --hold the fleet keeps running, and a curl command that calls it is printed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -26,36 +25,36 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// Whose fleet and mix: market or colibri
+    /// Deployment that defines the fleet and the workload: market or colibri
     #[bpaf(argument("NAME"), fallback(Deployment::Market))]
     deployment: Deployment,
-    /// How long to send, in seconds
+    /// Duration of the arrivals, in seconds
     #[bpaf(argument("N"), fallback(20))]
     seconds: u64,
-    /// Share of the engines' capacity that the mix asks for
+    /// Offered load as a share of the engines' capacity
     #[bpaf(argument("SHARE"), fallback(0.5))]
     load: f64,
-    /// How many times faster than real time the fleet runs
+    /// Factor by which the fleet runs faster than real time
     #[bpaf(argument("X"), fallback(4.0))]
     speed: f64,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(20))]
     engines: usize,
-    /// Seed of the mix
+    /// Seed of the workload
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// How entries pick
+    /// Picker with which the entries choose an endpoint
     #[bpaf(argument("NAME"), fallback("quoted".to_owned()))]
     picker: String,
-    /// Order of the sidecars' queues
+    /// Queue order of the sidecars
     #[bpaf(argument("NAME"), fallback("slack".to_owned()))]
     order: String,
-    /// Leave the long prompts out
+    /// Omit the long prompts
     no_long: bool,
     /// Write the report to this file as JSON
     #[bpaf(argument("FILE"), optional)]
     json: Option<PathBuf>,
-    /// Keep the fleet up afterwards
+    /// Keep the fleet running after the workload until Ctrl-C
     hold: bool,
 }
 
--- a/standin/src/cmd/listen.rs
+++ b/standin/src/cmd/listen.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in.
+//! Runs a single stand-in.
 //!
 //! Usage:
 //!   standin engine --listen IP:PORT [--speed X] [--prefill N] [--memory N] [--slots N] [--no-fence]
@@ -7,7 +7,7 @@
 //!   standin vms --listen IP:PORT [--lag-ms N]
 //!   standin weights --listen IP:PORT [--takes-ms N] [--at-once N]
 //!
-//! Each has a small HTTP form and takes faults at POST /fault.
+//! Each stand-in serves a small HTTP API; all but the weight store accept fault injection at POST /fault.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,29 +18,29 @@
 use standin::engine::server::{self, Engine};
 use standin::{log as log_standin, serve, service as service_standin, vms as vms_standin, weights as weights_standin};
 
-/// How late an engine reports its load.
+/// Delay of the load that an engine reports.
 const LOAD_LAG: Duration = Duration::from_millis(200);
 
 /// Arguments of `engine`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(engine_args))]
 pub struct EngineArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// How many times faster than real time to run
+    /// Factor by which the engine runs faster than real time
     #[bpaf(argument("X"), fallback(1.0))]
     speed: f64,
-    /// Prompt tokens prefilled a second
+    /// Prefill rate, in prompt tokens per second
     #[bpaf(argument("N"), fallback(30_000.0))]
     prefill: f64,
-    /// KV memory in tokens
+    /// KV memory, in tokens
     #[bpaf(argument("N"), fallback(400_000))]
     memory: u64,
-    /// Most sequences at once
+    /// Maximum number of concurrent sequences
     #[bpaf(argument("N"), fallback(64))]
     slots: usize,
-    /// Take orders under any fence
+    /// Accept load and role orders whatever their fence
     no_fence: bool,
 }
 
@@ -62,13 +62,13 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(service_args))]
 pub struct ServiceArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// Name to answer under
+    /// Service name returned in responses
     #[bpaf(argument("NAME"), fallback("service".to_owned()))]
     name: String,
-    /// How long a call takes, in milliseconds
+    /// Duration of a call, in milliseconds
     #[bpaf(argument("N"), fallback(5))]
     takes_ms: u64,
 }
@@ -83,13 +83,13 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(log_args))]
 pub struct LogArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// Appends a second over all streams
+    /// Append limit per second, over all streams
     #[bpaf(argument("N"), fallback(300.0))]
     appends_per_s: f64,
-    /// How long records are kept, in milliseconds
+    /// Retention period of records, in milliseconds
     #[bpaf(argument("N"), fallback(86_400_000))]
     retention_ms: u64,
 }
@@ -108,10 +108,10 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(vms_args))]
 pub struct VmsArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// How late the list is, in milliseconds
+    /// Delay until a change shows in the list, in milliseconds
     #[bpaf(argument("N"), fallback(500))]
     lag_ms: u64,
 }
@@ -126,13 +126,13 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(weights_args))]
 pub struct WeightsArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// How long a load takes, in milliseconds
+    /// Duration of a load, in milliseconds
     #[bpaf(argument("N"), fallback(500))]
     takes_ms: u64,
-    /// Loads at once
+    /// Maximum number of concurrent loads
     #[bpaf(argument("N"), fallback(2))]
     at_once: usize,
 }
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -1,9 +1,9 @@
-//! Drives entries that run already, and prints what came of it.
+//! Sends a workload to entries that are already running and prints the results.
 //!
 //! Usage: standin load --entry IP:PORT... [--deployment market|colibri] [--seconds N]
 //!                     [--rate R] [--speed X] [--seed N] [--no-long]
 //!
-//! Only loopback addresses are taken. The workspaces' keys are those of a stand-in fleet.
+//! Only loopback addresses are accepted. Requests use the workspace keys of a stand-in fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,25 +21,25 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// Entries to drive
+    /// Address of an entry to send requests to; may be repeated
     #[bpaf(argument("IP:PORT"), some("name at least one --entry"))]
     entry: Vec<SocketAddr>,
-    /// Whose mix: market or colibri
+    /// Deployment that defines the workload: market or colibri
     #[bpaf(argument("NAME"), fallback(Deployment::Market))]
     deployment: Deployment,
-    /// How long to send, in seconds
+    /// Duration of the arrivals, in seconds
     #[bpaf(argument("N"), fallback(20))]
     seconds: u64,
-    /// Requests a second
+    /// Requests per second
     #[bpaf(argument("R"), fallback(20.0))]
     rate: f64,
-    /// How many times faster than real time the fleet runs
+    /// Factor by which the fleet runs faster than real time
     #[bpaf(argument("X"), fallback(4.0))]
     speed: f64,
-    /// Seed of the mix
+    /// Seed of the workload
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Leave the long prompts out
+    /// Omit the long prompts
     no_long: bool,
 }
 
--- a/standin/src/cmd/mod.rs
+++ b/standin/src/cmd/mod.rs
@@ -1,5 +1,4 @@
-//! One file per subcommand; this one only dispatches. The stand-ins themselves, which
-//! do no more than listen, stand in `listen`.
+//! Dispatches to the subcommands, one module each. The subcommands that run a single stand-in are in `listen`.
 
 mod compare;
 mod demo;
@@ -35,29 +34,30 @@
     /// Runs a weight store stand-in
     Weights(#[bpaf(external(listen::weights_args))] listen::WeightsArgs),
     #[bpaf(command)]
-    /// Starts a whole fleet, sends a deployment's mix, and prints what came of it
+    /// Starts a fleet, sends a deployment's workload and prints the results
     Demo(#[bpaf(external(demo::args))] demo::Args),
     #[bpaf(command)]
-    /// Drives entries that run already
+    /// Sends a workload to entries that are already running
     Load(#[bpaf(external(load::args))] load::Args),
     #[bpaf(command)]
     /// Compares pickers and queue orders under the same arrivals
     Compare(#[bpaf(external(compare::args))] compare::Args),
     #[bpaf(command)]
-    /// Measures what entry and sidecar add against calling the engine directly
+    /// Measures the latency that the entry and the sidecar add to a direct call of the engine
     Overhead(#[bpaf(external(overhead::args))] overhead::Args),
     #[bpaf(command)]
-    /// Measures how what a process uses grows with the fleet and the load
+    /// Measures how a process's CPU and memory use grows with the fleet and the load
     Scale(#[bpaf(external(scale::args))] scale::Args),
     #[bpaf(command)]
-    /// Runs a fleet under random faults from a seed
+    /// Runs a fleet under random faults derived from a seed
     Soak(#[bpaf(external(soak::args))] soak::Args),
     #[bpaf(command("site-soak"))]
-    /// Runs a site of the users' platform under random faults from a seed
+    /// Runs a site of the users' platform under random faults derived from a seed
     SiteSoak(#[bpaf(external(site_soak::args))] site_soak::Args),
 }
 
-/// Threads of a tool that drives a fleet; a stand-in has one, so that many fit a machine.
+/// Worker threads of a tool that sends requests to a fleet. A stand-in uses one thread, so that many of them fit
+/// on one machine.
 const DRIVER_THREADS: usize = 4;
 
 impl Command {
--- a/standin/src/cmd/overhead.rs
+++ b/standin/src/cmd/overhead.rs
@@ -1,10 +1,11 @@
-//! Measures what entry and sidecar add against calling the engine directly.
+//! Measures the latency that the entry and the sidecar add to a direct call of the engine.
 //!
 //! Usage: standin overhead [--seconds N] [--output N] [--speed X]
 //!
-//! One entry, one sidecar and one engine stand-in, at 1, 64 and 512 streams at once, direct and
-//! through by turns; then memory under prompts of a million tokens. At a speed of some 20 the engine is the bottleneck, and the difference is
-//! what a first token is held up; at 2000 it is the system, and tokens a second is what it can do.
+//! Runs one entry, one sidecar and one engine stand-in with 1, 64 and 512 concurrent streams, alternating between
+//! direct calls and calls through the entry; then measures memory under prompts of a million tokens. At a speed of
+//! about 20 the engine is the bottleneck, and the difference is the delay added to a first token. At a speed of
+//! 2000 the system is the bottleneck, and tokens per second is its throughput.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -17,20 +18,20 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// How long each number of streams is measured, each way, in seconds
+    /// Duration of the run for each number of streams and each route, in seconds
     #[bpaf(argument("N"), fallback(5))]
     seconds: u64,
-    /// Output tokens of each prompt
+    /// Output tokens per prompt
     #[bpaf(argument("N"), fallback(100))]
     output: u64,
-    /// How many times faster than real time the engine runs
+    /// Factor by which the engine runs faster than real time
     #[bpaf(argument("X"), fallback(20.0))]
     speed: f64,
 }
 
-/// Prompts of a million tokens at once.
+/// Numbers of concurrent prompts of a million tokens.
 const LARGE: [usize; 3] = [0, 1, 10];
-/// Streams at once.
+/// Numbers of concurrent streams.
 const STREAMS: [usize; 3] = [1, 64, 512];
 
 /// Runs the subcommand.
--- a/standin/src/cmd/scale.rs
+++ b/standin/src/cmd/scale.rs
@@ -1,9 +1,9 @@
-//! Measures slopes for docs/CAPACITY.md.
+//! Measures how resource use grows with each dimension of scale, for docs/CAPACITY.md.
 //!
 //! Usage: standin scale [--only members|listed|workspaces|claims|requests] [--seconds N] [--json FILE]
 //!
-//! Real entries and sidecars on loopback, at most some two hundred processes and well under half
-//! of the machine's memory. For each step it prints the points, the fitted line and its residual.
+//! Runs real entries and sidecars on loopback, at most about two hundred processes and well under half of the
+//! machine's memory. For each step it prints the points, the fitted line and its residual.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,10 +17,10 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// Only this step: members, listed, workspaces, claims or requests
+    /// Run only this step: members, listed, workspaces, claims or requests
     #[bpaf(argument("STEP"), optional)]
     only: Option<String>,
-    /// How long each point is measured, in seconds
+    /// Duration of each point's run, in seconds
     #[bpaf(argument("N"), fallback(8))]
     seconds: u64,
     /// Write the series to this file as JSON
@@ -28,21 +28,21 @@
     json: Option<PathBuf>,
 }
 
-/// Sidecars before one entry.
+/// Numbers of sidecars connected to one entry.
 const MEMBERS: [usize; 4] = [20, 50, 100, 200];
-/// VMs on the platform's list.
+/// Numbers of VMs on the platform's list.
 const LISTED: [usize; 4] = [1_000, 4_000, 8_000, 12_000];
-/// How often the list is read meanwhile.
+/// Interval at which the entry reads the VM list, in milliseconds.
 const LISTED_POLL_MS: u64 = 1_000;
-/// Workspaces in the configuration.
+/// Numbers of workspaces in the configuration.
 const WORKSPACES: [usize; 3] = [1_000, 10_000, 35_000];
-/// Changes measured at each size.
+/// Configuration changes applied at each number of workspaces.
 const CHANGES: u64 = 20;
-/// Claims a second through one entry.
+/// Rates of idempotency key claims through one entry, per second.
 const CLAIMS: [u64; 4] = [20, 50, 100, 200];
-/// Requests a second through one entry.
+/// Request rates through one entry, per second.
 const REQUESTS: [u64; 4] = [25, 50, 100, 200];
-/// Output tokens of each.
+/// Output tokens per request, one series of rates for each value.
 const OUTPUT: [u64; 2] = [1, 101];
 
 /// Runs the subcommand.
--- a/standin/src/cmd/site_soak.rs
+++ b/standin/src/cmd/site_soak.rs
@@ -1,10 +1,11 @@
-//! Runs a small site of the users' platform under random faults from a seed, and prints every breach.
+//! Runs a small site of the users' platform under random faults derived from a seed and prints every violated
+//! guarantee.
 //!
 //! Usage: standin site-soak [--seed S] [--seeds N] [--at-once N] [--rounds N] [--seconds N] [--entries N] [--callers N] [--fatal] [--limits] [--evacuations] [--words]
 //!
-//! Entries are killed, paused, stopped and told to reload; the ways from callers, to the store and to replicas
-//! are delayed, reset, cut one way or silenced; the store and the replicas answer badly; keys change. It ends
-//! with status 1 if a promise was broken.
+//! Entries are killed, suspended, shut down and made to reload. Connections from callers, to the store and to
+//! replicas are delayed, reset, cut in one direction or blackholed. The store and the replicas return faulty
+//! responses, and keys change. The exit status is 1 if a guarantee was violated.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -22,31 +23,31 @@
     /// First seed
     #[bpaf(argument("S"), fallback(1))]
     seed: u64,
-    /// How many seeds to run
+    /// Number of seeds to run
     #[bpaf(argument("N"), fallback(1))]
     seeds: u64,
-    /// How many of them to run at the same time
+    /// Number of seeds to run concurrently
     #[bpaf(argument("N"), fallback(1))]
     at_once: usize,
-    /// Rounds of faults and calm for each seed
+    /// Rounds per seed, each with a phase of faults and a phase without
     #[bpaf(argument("N"), fallback(2))]
     rounds: u32,
-    /// How long faults are injected in each round, in seconds
+    /// Duration of fault injection in each round, in seconds
     #[bpaf(argument("N"), fallback(6))]
     seconds: u64,
-    /// Entries
+    /// Number of entries
     #[bpaf(argument("N"), fallback(3))]
     entries: usize,
-    /// Callers at once
+    /// Number of concurrent callers
     #[bpaf(argument("N"), fallback(16))]
     callers: usize,
-    /// Have one more caller come again and again with work under which engines end
+    /// Add a caller that keeps sending requests that terminate engines
     fatal: bool,
-    /// Have an engine and a plain replica name a limit of requests a second
+    /// Have an engine and a plain replica announce a limit of requests per second
     limits: bool,
-    /// Empty a failure domain every now and then, and take that back
+    /// Evacuate a failure domain at intervals and revert the evacuation
     evacuations: bool,
-    /// Have replicas say in their answers that they leave or want rest, and the store come back from older copies
+    /// Have replicas announce draining or request backoff in responses, and recover the store from older copies
     words: bool,
 }
 
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -1,11 +1,12 @@
-//! Runs the whole fleet under random faults, and prints the ledger and every breach.
+//! Runs a fleet under random faults and prints the ledger and every violated guarantee.
 //!
 //! Usage: standin soak [--seconds N] [--seed S] [--deployment market|colibri] [--load SHARE]
 //!                     [--speed X] [--engines N] [--json FILE]
 //!
-//! Processes are killed, frozen and stopped in the planned way; the log and the VM list go
-//! out, slow down and lose answers; operators race. All from the seed. It ends with status 1
-//! if the ledger does not balance, an invariant was breached, or memory stayed held.
+//! Processes are killed, suspended and shut down. The log and the VM list become unavailable; the log also
+//! responds slowly and loses responses. Two operators change the same item concurrently. All faults derive from
+//! the seed. The exit status is 1 if the ledger does not balance, an invariant was violated, or engine memory
+//! stayed reserved.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -26,22 +27,22 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// How long to inject faults, in seconds
+    /// Duration of fault injection, in seconds
     #[bpaf(argument("N"), fallback(60))]
     seconds: u64,
-    /// Seed of the faults and of the mix
+    /// Seed of the faults and of the workload
     #[bpaf(argument("S"), fallback(1))]
     seed: u64,
-    /// Whose fleet and mix: market or colibri
+    /// Deployment that defines the fleet and the workload: market or colibri
     #[bpaf(argument("NAME"), fallback(Deployment::Market))]
     deployment: Deployment,
-    /// Share of the engines' capacity that the mix asks for
+    /// Offered load as a share of the engines' capacity
     #[bpaf(argument("SHARE"), fallback(0.5))]
     load: f64,
-    /// How many times faster than real time the fleet runs
+    /// Factor by which the fleet runs faster than real time
     #[bpaf(argument("X"), fallback(10.0))]
     speed: f64,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(9))]
     engines: usize,
     /// Write the report to this file as JSON
@@ -49,7 +50,7 @@
     json: Option<PathBuf>,
 }
 
-/// Longest that memory may stay held after the last answer: two leases of a span.
+/// Time after the last response within which all KV memory must be free: two lease periods of a span.
 const FREED_WITHIN: Duration = Duration::from_secs(5);
 
 /// Runs the subcommand.
--- a/standin/src/compare.rs
+++ b/standin/src/compare.rs
@@ -1,4 +1,4 @@
-//! Compares ways of picking and queueing in one run: the same arrivals against fresh fleets.
+//! Compares combinations of picker and queue order by sending the same arrivals to a new fleet for each.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -14,16 +14,16 @@
 use crate::report::{self, Floor, Report};
 use crate::run::{self, Drive};
 
-/// A picker with a queue order.
+/// A combination of picker and queue order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Way {
-    /// The entries' picker.
+    /// Picker of the entries, as in the setting `entry.picker`.
     pub picker: &'static str,
-    /// The sidecars' queue order.
+    /// Queue order of the sidecars, as in the setting `sidecar.order`.
     pub order: &'static str,
 }
 
-/// What is compared; the first is ours, the others are baselines.
+/// Combinations to compare: the project's default first, then the baselines.
 pub const WAYS: [Way; 4] = [
     Way { picker: "quoted", order: "slack" },
     Way { picker: "least-outstanding", order: "fifo" },
@@ -31,44 +31,44 @@
     Way { picker: "round-robin", order: "fifo" },
 ];
 
-/// What every way is given.
+/// Workload and fleet size, the same for every combination.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Whose workload.
+    /// Deployment that defines the workload.
     pub deployment: Deployment,
-    /// Share of the engines' capacity.
+    /// Offered load as a share of the engines' capacity.
     pub load: f64,
-    /// How long arrivals come.
+    /// Duration of the arrivals.
     pub span: Duration,
-    /// Seed of the arrivals.
+    /// Seed from which the arrivals are generated.
     pub seed: u64,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How many times faster than real time.
+    /// Factor by which the fleet runs faster than real time.
     pub speed: f64,
 }
 
-/// One way's reports, with the long prompts and without them.
+/// Reports of one combination, with and without the long prompts.
 #[derive(Clone, Debug, Serialize)]
 pub struct Compared {
-    /// The way.
+    /// Combination that both reports belong to.
     pub way: Way,
-    /// With long prompts.
+    /// Report of the run that includes the long prompts.
     pub with_long: Report,
-    /// Without.
+    /// Report of the run that omits the long prompts.
     pub without_long: Report,
 }
 
-/// Share of an engine's bare prefill rate that is left beside decoding.
+/// Share of an engine's prefill rate that remains available while it also decodes.
 pub const MIXED_RATE: f64 = 0.75;
 
-/// Requests a second that ask for `load` of what `engines` can do.
+/// Returns the request rate, per second, that offers the share `load` of the capacity of `engines`.
 pub fn rate(deployment: Deployment, load: f64, engines: usize, sizes: &Sizes) -> f64 {
     let capacity = engines as f64 * sizes.prefill_per_s * sizes.speed * MIXED_RATE;
     load * capacity / deployment.mean_tokens(|_| true)
 }
 
-/// Runs one way.
+/// Runs one combination, with and without the long prompts, on a new fleet each time.
 pub async fn compare(way: Way, setup: &Setup) -> Result<Compared> {
     let with_long = one(way, setup, true).await?;
     let without_long = one(way, setup, false).await?;
@@ -105,7 +105,7 @@
     Ok(report)
 }
 
-/// All ways as a table in Markdown.
+/// Formats all comparisons as a Markdown table.
 pub fn table(all: &[Compared]) -> String {
     let mut out = String::from(
         "| way | class | sent | whole | ttft p50 ms | p95 | p99 | x p50 | x p95 | p95 without long | slowdown |\n\
@@ -136,10 +136,10 @@
     out
 }
 
-/// Width and height of the plot.
+/// Width and height of the plot, in pixels.
 const SIZE: (u32, u32) = (900, 420);
 
-/// Draws p95 time to first token by class and way, on a logarithmic scale, as SVG.
+/// Draws the p95 time to first token by class and combination as an SVG with a logarithmic scale.
 pub fn plot(all: &[Compared], title: &str, file: &Path) -> Result<()> {
     draw(all, title, file).map_err(|error| eyre!("step=plot file={}: {error}", file.display()))
 }
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: a time model of a continuously batching model engine.
+//! Engine stand-in: a timing model of an inference engine with continuous batching, served over HTTP.
 
 pub mod model;
 pub mod server;
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -1,29 +1,29 @@
-//! The engine's time model: steps that decode one token for each running sequence
-//! and prefill one chunk of the most urgent prompt. It does no I/O.
+//! Timing model of the engine. Each step decodes one token for every decoding sequence and prefills one chunk of
+//! the prompt with the highest priority. The model does no I/O.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 use coord::prefix::{Cache, Chain};
 
-/// Sizes and speeds of an engine.
+/// Capacity and speed of an engine.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Prompt tokens prefilled a second.
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_per_s: f64,
-    /// Time of a step that decodes nothing.
+    /// Base time of a step that decodes, before the time per sequence.
     pub step: Duration,
-    /// Additional time of a step for each sequence it decodes.
+    /// Additional time of a step for each sequence that it decodes.
     pub per_sequence: Duration,
-    /// Most prompt tokens prefilled in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub chunk: u64,
     /// KV memory, in tokens.
     pub memory: u64,
-    /// Most sequences at once.
+    /// Maximum number of concurrent sequences.
     pub slots: usize,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How many times faster than real time it runs.
+    /// Factor by which the engine runs faster than real time.
     pub speed: f64,
 }
 
@@ -42,28 +42,28 @@
     }
 }
 
-/// Share of the shorter of decode and prefill that a step cannot overlap with the other.
+/// Share of the shorter of decode and prefill that a step cannot overlap with the longer one.
 const NOT_OVERLAPPED: f64 = 0.25;
 
-/// Number of a sequence within its engine.
+/// Identifies a sequence or span within its engine.
 pub type Id = u64;
 
-/// A prompt for the engine.
+/// A prompt submitted to the engine.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// The caller's name for it.
+    /// Request id given by the caller.
     pub request: String,
-    /// Larger goes first.
+    /// Priority; prompts with a larger value are admitted and prefilled first.
     pub priority: i32,
-    /// Tokens to prefill, output tokens of an earlier attempt among them.
+    /// Tokens of the context, including remote spans and the output tokens of an earlier attempt.
     pub tokens: u64,
-    /// Tokens of it that stand in spans on other engines and take no memory here.
+    /// Tokens of the context held in spans on other engines, which use no memory on this engine.
     pub remote: u64,
-    /// Output tokens given by an earlier attempt.
+    /// Output tokens already emitted by an earlier attempt.
     pub resume_after: u64,
-    /// Output tokens in all; 0 for a span, which gives none.
+    /// Total output tokens; 0 for a span, which is only prefilled.
     pub output: u64,
-    /// Prefix chain, for the cache.
+    /// Prefix chain under which the prompt is looked up in the prefix cache.
     pub chain: Chain,
 }
 
@@ -75,23 +75,23 @@
     given: u64,
 }
 
-/// Something that a step brought about.
+/// Result of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Output token number `index` of a sequence.
+    /// A sequence emitted an output token.
     Token {
-        /// The sequence.
+        /// Sequence that emitted the token.
         id: Id,
-        /// The token's number in the answer.
+        /// Zero-based index of the token in the response.
         index: u64,
-        /// Whether it is the last.
+        /// Whether the token is the last of the response.
         last: bool,
     },
-    /// A span is prefilled; its memory stays held.
+    /// A span is prefilled; its memory stays allocated until the span is cancelled.
     SpanReady(Id),
 }
 
-/// The engine.
+/// Scheduler state of an engine: waiting prompts, running sequences, spans and KV memory.
 pub struct Model {
     sizes: Sizes,
     waiting: BTreeMap<(std::cmp::Reverse<i32>, Id), Prompt>,
@@ -103,7 +103,7 @@
 }
 
 impl Model {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(sizes: Sizes) -> Self {
         let cache = Cache::new(sizes.cache_blocks);
         Self {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes a prompt; `None` if it can never fit.
+    /// Queues a prompt and returns its id, or `None` if the prompt exceeds the engine's total memory.
     pub fn submit(&mut self, prompt: Prompt) -> Option<Id> {
         if needed(&prompt) > self.sizes.memory {
             return None;
@@ -129,7 +129,7 @@
         Some(id)
     }
 
-    /// Stops a sequence or frees a span.
+    /// Removes a waiting prompt or a running sequence, or frees a span.
     pub fn cancel(&mut self, id: Id) {
         self.waiting.retain(|(_, other), _| *other != id);
         if let Some(sequence) = self.running.remove(&id) {
@@ -141,12 +141,12 @@
         self.admit();
     }
 
-    /// Whether a step has anything to do.
+    /// Returns whether any sequence is running.
     pub fn is_busy(&self) -> bool {
         !self.running.is_empty()
     }
 
-    /// Does one step; returns how long it takes and what it brings about at its end.
+    /// Runs one step and returns its duration and the events that take effect at its end.
     pub fn step(&mut self) -> (Duration, Vec<Event>) {
         let mut events = Vec::new();
         let decoding: Vec<Id> =
@@ -160,7 +160,7 @@
             prefill = Duration::from_secs_f64(chunk as f64 / self.sizes.prefill_per_s);
             self.prefilled(id, &mut events);
         }
-        // Decoding waits for memory and prefill for arithmetic, so in one step they mostly overlap.
+        // Decoding is bound by memory bandwidth and prefill by compute, so they mostly overlap in one step.
         let time = decode.max(prefill) + decode.min(prefill).mul_f64(NOT_OVERLAPPED);
         for id in decoding {
             self.decode(id, &mut events);
@@ -169,7 +169,7 @@
         (time.div_f64(self.sizes.speed), events)
     }
 
-    /// Prefills a chunk of the most urgent prompt.
+    /// Prefills a chunk of the prompt with the highest priority and returns its id and the chunk's tokens.
     fn prefill(&mut self) -> Option<(Id, u64)> {
         let open = self.running.iter_mut().filter(|(_, sequence)| sequence.prefill_left > 0);
         let (id, sequence) = open.min_by_key(|(id, sequence)| (std::cmp::Reverse(sequence.prompt.priority), **id))?;
@@ -214,52 +214,52 @@
             self.held += memory;
             let cached = Chain::bytes(self.cache.shared(&prompt.chain)) / crate::text::BYTES_PER_TOKEN as u64;
             let local = prompt.tokens - prompt.remote;
-            // The last token is always prefilled, so that there is something to go on from.
+            // The last token is always prefilled, even on a full cache hit, because decoding starts from its output.
             let prefill_left = local.saturating_sub(cached).max(1);
             let given = prompt.resume_after;
             self.running.insert(key.1, Sequence { prompt, memory, prefill_left, given });
         }
     }
 
-    /// KV memory held, in tokens.
+    /// Returns the allocated KV memory, in tokens.
     pub fn held(&self) -> u64 {
         self.held
     }
 
-    /// Number of sequences running.
+    /// Returns the number of running sequences.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Number of prompts waiting.
+    /// Returns the number of waiting prompts.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Prompt tokens still to be prefilled.
+    /// Returns the prompt tokens of running sequences that are not prefilled yet.
     pub fn prefill_left(&self) -> u64 {
         self.running.values().map(|sequence| sequence.prefill_left).sum()
     }
 
-    /// Names of the requests running or waiting.
+    /// Returns the ids and request ids of all running sequences and waiting prompts.
     pub fn requests(&self) -> Vec<(Id, String)> {
         let running = self.running.iter().map(|(id, sequence)| (*id, sequence.prompt.request.clone()));
         let waiting = self.waiting.iter().map(|((_, id), prompt)| (*id, prompt.request.clone()));
         running.chain(waiting).collect()
     }
 
-    /// The spans held.
+    /// Returns the ids of the prefilled spans whose memory is allocated.
     pub fn spans(&self) -> Vec<Id> {
         self.spans.keys().copied().collect()
     }
 
-    /// How many times faster than real time it runs.
+    /// Returns the factor by which the engine runs faster than real time.
     pub fn speed(&self) -> f64 {
         self.sizes.speed
     }
 }
 
-/// KV memory that a prompt needs from start to finish.
+/// Returns the KV memory, in tokens, that a prompt needs until its last output token.
 fn needed(prompt: &Prompt) -> u64 {
     prompt.tokens - prompt.remote + prompt.output.saturating_sub(prompt.resume_after)
 }
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in's HTTP form: prompts, spans, load, orders, and its faults.
+//! HTTP server of the engine stand-in: prompts, spans, load reports, load orders and fault injection.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -23,7 +23,7 @@
 use super::model::{Event, Id, Model, Prompt, Sizes};
 use crate::text;
 
-/// What a restart would lose.
+/// Mutable state of the engine, which a restart discards.
 struct Inner {
     model: Model,
     outputs: HashMap<Id, mpsc::UnboundedSender<(u64, bool)>>,
@@ -34,31 +34,31 @@
     orders: u64,
 }
 
-/// What the engine serves, as its orders had it.
+/// Model, adapters and role set by the last accepted order.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Loaded {
-    /// The model's version.
+    /// Version of the model.
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters loaded with the model.
     pub adapters: Vec<String>,
-    /// The engine's role.
+    /// Role of the engine.
     pub role: String,
 }
 
-/// Load as the engine reports it, late.
+/// Load that the engine reports at `/load`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Load {
-    /// Sequences running.
+    /// Number of running sequences.
     pub running: usize,
-    /// Prompts waiting.
+    /// Number of waiting prompts.
     pub waiting: usize,
-    /// KV memory held, in tokens.
+    /// Allocated KV memory, in tokens.
     pub held_tokens: u64,
-    /// Prompt tokens still to be prefilled.
+    /// Prompt tokens of running sequences that are not prefilled yet.
     pub prefill_left: u64,
 }
 
-/// A running engine stand-in.
+/// Engine stand-in, shared by its step loop and its HTTP handlers.
 pub struct Engine {
     inner: Mutex<Inner>,
     work: Notify,
@@ -70,7 +70,8 @@
 }
 
 impl Engine {
-    /// An idle engine; it checks fences or does not, and reports its load late by `load_lag`.
+    /// Creates an idle engine that refreshes its reported load every `load_lag`, and that rejects orders with an old
+    /// fence if `checks_fence` is set.
     pub fn new(sizes: Sizes, checks_fence: bool, load_lag: Duration) -> Arc<Self> {
         let inner = Inner {
             model: Model::new(sizes),
@@ -96,7 +97,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Waits while the engine is frozen.
+    /// Waits until an injected suspension ends.
     async fn thaw(&self) {
         loop {
             let until = *self.frozen_until.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Steps for the life of the process.
+    /// Runs steps for the life of the process.
     pub async fn run(self: Arc<Self>) {
         tokio::spawn(self.clone().report());
         let mut clock = Instant::now();
@@ -119,7 +120,8 @@
                 continue;
             }
             let (time, events) = self.lock().model.step();
-            // The model's own clock keeps its rate although timers are coarse.
+            // Steps are scheduled from the model's clock, at most 50 ms in the past, so that coarse timers do not
+            // lower the token rate.
             clock = (clock + time).max(Instant::now() - Duration::from_millis(50));
             tokio::time::sleep_until(clock).await;
             self.emit(events);
@@ -181,7 +183,7 @@
     }
 }
 
-/// Cancels a sequence whose caller went away.
+/// Cancels a sequence when dropped, so that a disconnected client frees its memory.
 struct Guarded {
     engine: Arc<Engine>,
     id: Id,
@@ -193,7 +195,7 @@
         Self { engine, id, armed: true }
     }
 
-    /// Lets the sequence live on without its caller.
+    /// Keeps the sequence when the guard is dropped.
     fn disarm(mut self) {
         self.armed = false;
     }
@@ -207,7 +209,7 @@
     }
 }
 
-/// All routes of an engine stand-in.
+/// Returns the routes of an engine stand-in.
 pub fn router(engine: Arc<Engine>) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(chat))
@@ -264,7 +266,7 @@
     let resume_after: u64 = number(headers, "x-resume-after");
     let seed: u64 = number(headers, "x-span-digest");
     let remote: u64 = number(headers, "x-span-tokens");
-    // A prompt that stands in spans comes without its text.
+    // A prompt whose context is held in spans carries only the digest and token count of that context.
     let digest = if remote > 0 { seed } else { text::digest(bytes, 0) };
     let local = if remote > 0 { 0 } else { (bytes.len() / text::BYTES_PER_TOKEN) as u64 };
     let output = wanted.max_completion_tokens.or(wanted.max_tokens).unwrap_or(16 + digest % 48);
@@ -291,7 +293,7 @@
         let first = outputs.recv().await?;
         let mut bytes = Vec::new();
         let mut last = writer.token(first, &mut bytes);
-        // What is ready already goes into the same packet.
+        // Tokens that are already available are written in the same frame.
         while !last && let Ok(more) = outputs.try_recv() {
             last = writer.token(more, &mut bytes);
         }
@@ -310,7 +312,8 @@
 }
 
 impl Writer {
-    /// Writes a token's event, and the end after the last.
+    /// Writes the event of a token, and after the last token the usage and the end marker. Returns whether the
+    /// token was the last.
     fn token(&mut self, (index, last): (u64, bool), out: &mut Vec<u8>) -> bool {
         self.given += 1;
         let token = text::token(self.digest, index);
@@ -332,12 +335,12 @@
 
 #[derive(Deserialize)]
 struct SpanWanted {
-    /// Digest of the spans before.
+    /// Digest of the preceding spans.
     #[serde(default)]
     digest: u64,
 }
 
-/// Prefills a span of a prompt and keeps its memory until it is freed.
+/// Prefills a span of a prompt and keeps its memory allocated until the span is freed.
 async fn span(
     State(engine): State<Arc<Engine>>,
     Path(name): Path<String>,
@@ -365,7 +368,7 @@
     while !engine.lock().spans_ready.contains_key(&id) {
         let _ = progress.changed().await;
     }
-    // From here on the span is held until it is freed by name.
+    // A prefilled span stays allocated until it is freed by name, even if the client disconnects.
     guard.disarm();
     Json(json!({ "tokens": tokens, "digest": text::digest(&body, wanted.digest) })).into_response()
 }
@@ -414,7 +417,7 @@
     loaded: Loaded,
 }
 
-/// Takes an order to load or change role, unless its fence is old and the engine checks.
+/// Applies an order to load a model or change role. Rejects an order with an old fence if the engine checks fences.
 async fn order(State(engine): State<Arc<Engine>>, Json(order): Json<Order>) -> StatusCode {
     engine.thaw().await;
     let mut inner = engine.lock();
@@ -432,13 +435,13 @@
     Json(json!({ "loaded": inner.loaded, "orders": inner.orders, "fence": inner.guard.newest() }))
 }
 
-/// A fault to switch on.
+/// Fault to inject.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Fault {
-    /// Stand still, deaf to all calls, for so many milliseconds.
+    /// Suspends the engine and all its handlers for the given number of milliseconds.
     FreezeMs(u64),
-    /// End the process at once.
+    /// Exits the process immediately with status 1.
     Die,
 }
 
