--- a/standin/src/fleet/control.rs
+++ b/standin/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! Starting, signalling and ending a fleet's processes, by id.
+//! Starts, signals and ends the processes of a fleet, always by process id.
 
 use std::fmt::Write as _;
 use std::io::{Read as _, Seek as _, SeekFrom};
@@ -12,11 +12,11 @@
 use super::place::binary;
 use super::{Fleet, OPERATOR_ENV, OPERATOR_KEY, Process, TICKET_ENV};
 
-/// How long a process may take to end after SIGTERM.
+/// Time allowed for a process to exit after SIGTERM.
 const END: Duration = Duration::from_secs(10);
-/// How long a process may take from its launch to its first line.
+/// Time allowed from the launch of a process to its `step=start` log line.
 const BEGIN: Duration = Duration::from_secs(10);
-/// Time between two looks at a process.
+/// Interval between two checks of a process or its log.
 const POLL: Duration = Duration::from_millis(10);
 
 impl Fleet {
@@ -54,34 +54,34 @@
             .wrap_err_with(|| format!("step=start-process name={name}"))
     }
 
-    /// Where a process logs to.
+    /// Returns the file that a process writes its output and its log to.
     pub fn log_file(&self, name: &str) -> PathBuf {
         self.spec.dir.join(format!("{name}.log"))
     }
 
-    /// Log files of all processes of the system.
+    /// Returns the log files of all processes of the fleet.
     pub fn log_files(&self) -> Vec<PathBuf> {
         self.processes.keys().map(|name| self.log_file(name)).collect()
     }
 
-    /// Names of the processes that run, in order.
+    /// Returns the names of all started processes in alphabetical order, including those that have exited.
     pub fn names(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
     }
 
-    /// The process id of a process.
+    /// Returns the id of a process; `None` if the fleet has no process of that name.
     pub fn pid(&self, name: &str) -> Option<u32> {
         self.processes.get(name).map(|process| process.child.id())
     }
 
-    /// Sends a signal to a process.
+    /// Sends a signal to a process; fails if the fleet has no process of that name.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
         let pid = self.pid(name).ok_or_else(|| eyre!("step=signal: no process {name}"))?;
         let pid = Pid::from_raw(pid as i32).ok_or_else(|| eyre!("step=signal: no process {name}"))?;
         kill_process(pid, signal).wrap_err_with(|| format!("step=signal name={name}"))
     }
 
-    /// Kills a process at once and reaps it.
+    /// Kills a process with SIGKILL and reaps it.
     pub fn kill(&mut self, name: &str) -> Result<()> {
         let process = self.processes.get_mut(name).ok_or_else(|| eyre!("step=kill: no process {name}"))?;
         let _ = process.child.kill();
@@ -89,14 +89,14 @@
         Ok(())
     }
 
-    /// Starts a killed or ended process again with the same settings.
+    /// Restarts an exited process with the same program and arguments.
     pub fn restart(&mut self, name: &str) -> Result<()> {
         let process = self.processes.get(name).ok_or_else(|| eyre!("step=restart: no process {name}"))?;
         let (program, args) = (process.program.clone(), process.args.clone());
         self.run(name, program, args)
     }
 
-    /// Waits until a process has come so far that a signal to end finds it watching for one, or has ended.
+    /// Waits until a process has written its `step=start` log line, after which it handles SIGTERM, or has exited.
     pub async fn wait_begun(&mut self, name: &str) -> Result<()> {
         let log = self.log_file(name);
         let process = self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-begun: no process {name}"))?;
@@ -111,7 +111,7 @@
         Err(eyre!("step=wait-begun: {name} has not begun"))
     }
 
-    /// Waits until a process has ended by itself; whether it ended in time and well.
+    /// Waits until a process exits by itself; returns whether it exited within `limit` with status 0.
     pub async fn wait_end(&mut self, name: &str, limit: Duration) -> Result<bool> {
         let process = self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-end: no process {name}"))?;
         let start = std::time::Instant::now();
@@ -124,7 +124,8 @@
         Ok(false)
     }
 
-    /// Ends all processes: with a request first, then by force. Returns what did not end well by itself.
+    /// Ends all processes. Entries and sidecars are sent SIGTERM first; the remaining processes are killed. Returns the
+    /// names of the entries and sidecars that did not exit in time with status 0, each followed by a blank.
     pub async fn close(mut self) -> Result<String> {
         let names: Vec<String> = self.names();
         let ours = |name: &&String| name.starts_with("entry-") || name.starts_with("sidecar-");
@@ -146,7 +147,7 @@
     }
 }
 
-/// Whether a log has the line with which a process begins, behind what earlier runs wrote.
+/// Returns whether the log has a `step=start` line after its first `logged_before` bytes, which earlier runs wrote.
 fn has_begun(log: &Path, logged_before: u64) -> Result<bool> {
     let mut file = std::fs::File::open(log).wrap_err_with(|| format!("step=open-log path={}", log.display()))?;
     file.seek(SeekFrom::Start(logged_before)).wrap_err("step=read-log")?;
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet on loopback: the stand-ins, sidecars and entries as separate processes.
+//! Runs a fleet on loopback: stand-ins, sidecars and entries as separate processes.
 //!
-//! Used by the demo, the experiments and the tests. It ends only processes that it
-//! started, by id, and leaves their logs behind.
+//! The demo, the experiments and the tests use it. It ends only processes that it started, by id, and keeps their
+//! logs.
 
 mod control;
 pub mod place;
@@ -20,57 +20,57 @@
 use crate::engine::model::Sizes;
 use crate::mix::{Deployment, WORKSPACES};
 
-/// Key that operators of a fleet use.
+/// Bearer key of the operators of a fleet.
 pub const OPERATOR_KEY: &str = "operator-key-of-a-stand-in-fleet";
-/// Environment variable that carries the operators' key to entries.
+/// Environment variable that passes the operators' key to entries.
 const OPERATOR_ENV: &str = "SORRELPASS_OPERATOR_SECRET";
-/// Environment variable that carries the tickets' key to entries.
+/// Environment variable that passes the ticket signing key to entries.
 const TICKET_ENV: &str = "SORRELPASS_TICKET_SECRET";
-/// How long a fleet may take to be ready.
+/// Time allowed for a process to listen and for an entry to be ready.
 const READY: Duration = Duration::from_secs(30);
 
-/// The bearer key of a workspace of a fleet.
+/// Returns the bearer key of a workspace of a fleet.
 pub fn workspace_key(number: usize) -> String {
     format!("key-of-workspace-{number}")
 }
 
-/// What a fleet is made of.
+/// Size, settings and working directory of a fleet.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Whose fleet it is.
+    /// Deployment that defines the failure domains, the model and the service.
     pub deployment: Deployment,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines, each with its sidecar.
+    /// Number of engines, each with a sidecar of its own.
     pub engines: usize,
-    /// Plain services, each with its sidecar.
+    /// Number of plain services, each with a sidecar of its own.
     pub services: usize,
-    /// Whether the sidecars of plain services stand beside one stand-in, to save processes.
+    /// Whether the sidecars of all plain services share one stand-in, which saves processes.
     pub shared_service: bool,
-    /// Sizes and speeds of the engines.
+    /// Capacity and speed of the engines.
     pub sizes: Sizes,
-    /// Whether engines check fences.
+    /// Whether engines reject orders with an old fence.
     pub checks_fence: bool,
-    /// How entries pick.
+    /// Picker of the entries, as in the setting `entry.picker`.
     pub picker: String,
-    /// Order of the sidecars' queues.
+    /// Queue order of the sidecars, as in the setting `sidecar.order`.
     pub order: String,
-    /// How late the VM list is, in milliseconds.
+    /// Delay until a change shows in the VM list, in milliseconds.
     pub vms_lag_ms: u64,
-    /// How often entries read the VM list, in milliseconds.
+    /// Interval at which entries read the VM list, in milliseconds.
     pub vms_poll_ms: u64,
-    /// How long the log keeps records, in milliseconds.
+    /// Retention period of the log's records, in milliseconds.
     pub retention_ms: u64,
-    /// Lines added to every entry's section.
+    /// Lines appended to the `[entry]` section of every entry's settings.
     pub entry_settings: String,
-    /// Lines added to every sidecar's section.
+    /// Lines appended to the `[sidecar]` section of every sidecar's settings.
     pub sidecar_settings: String,
-    /// Where logs and settings go.
+    /// Directory of the log files and settings files.
     pub dir: PathBuf,
 }
 
 impl Spec {
-    /// A small fleet for tests, ten times faster than real time.
+    /// Returns the specification of a small fleet for tests, ten times faster than real time.
     pub fn small(name: &str) -> Self {
         Self {
             deployment: Deployment::Market,
@@ -92,35 +92,35 @@
     }
 }
 
-/// A fresh folder for a fleet's logs and settings.
+/// Returns the path of a directory for a fleet's logs and settings, distinct for each name and process id.
 pub fn scratch(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("sorrelpass-{name}-{}", std::process::id()))
 }
 
-/// A process of the fleet.
+/// A process of the fleet, with the program and arguments needed to restart it.
 struct Process {
     child: Child,
     program: PathBuf,
     args: Vec<String>,
-    /// Bytes of its log that earlier runs of it wrote.
+    /// Size of the log file, in bytes, when this run started.
     logged_before: u64,
 }
 
-/// A running fleet.
+/// A running fleet; its processes are killed when it is dropped.
 pub struct Fleet {
-    /// What it is made of.
+    /// Specification that the fleet was started from.
     pub spec: Spec,
-    /// A client for its APIs.
+    /// HTTP client for the APIs of the fleet's processes.
     pub client: Client,
     processes: BTreeMap<String, Process>,
-    /// Callers' addresses of the entries.
+    /// Addresses at which the entries accept requests from callers.
     pub entries: Vec<String>,
-    /// Address of each process by name; for entries that of the peers' wire.
+    /// Address of each process by name; for an entry its peer address.
     pub addresses: HashMap<String, String>,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every entry is ready.
+    /// Starts a fleet, publishes its first configuration and waits until every entry is ready.
     pub async fn start(spec: Spec) -> Result<Self> {
         std::fs::create_dir_all(&spec.dir).wrap_err_with(|| format!("step=make-folder path={}", spec.dir.display()))?;
         let mut fleet = Self {
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// Starts engine number `number` and its sidecar, and lists its VM.
+    /// Starts an engine and its sidecar and registers its VM on the platform's list.
     pub async fn add_engine(&mut self, number: usize) -> Result<()> {
         let name = format!("{}-{number}", self.spec.deployment.model());
         let address = free_address()?;
@@ -250,7 +250,7 @@
         self.list_vm(endpoint, &vm).await
     }
 
-    /// Puts a VM on the platform's list.
+    /// Registers a VM on the platform's list.
     pub async fn list_vm(&self, name: &str, vm: &Value) -> Result<()> {
         let (status, _) =
             self.client.json("PUT", &self.addresses["vms"], &format!("/vms/{name}"), "", Some(vm)).await?;
@@ -275,7 +275,7 @@
         self.spawn(name, "sorrelpass", vec!["entry".to_owned(), file])
     }
 
-    /// The changes that make a fleet's first configuration.
+    /// Returns the changes that create a fleet's first configuration.
     fn first_changes(&self) -> Value {
         let deployment = self.spec.deployment;
         let mut changes = vec![
@@ -291,7 +291,7 @@
         Value::from(changes)
     }
 
-    /// Lists the entries' VMs, plans and confirms changes at the first entry, and returns the revision.
+    /// Registers the entries' VMs, then plans and confirms changes at the first entry. Returns the revision.
     pub async fn publish(&self, changes: &Value) -> Result<u64> {
         for number in 0..self.spec.entries {
             let name = format!("entry-{number}");
@@ -302,7 +302,7 @@
         self.publish_at(0, changes).await
     }
 
-    /// Plans and confirms changes at an entry, and returns the revision.
+    /// Plans and confirms changes at the entry with the index `entry`. Returns the revision.
     pub async fn publish_at(&self, entry: usize, changes: &Value) -> Result<u64> {
         let entry = &self.entries[entry];
         self.wait_listening(entry).await?;
@@ -314,7 +314,7 @@
         verdict["revision"].as_u64().ok_or_else(|| eyre!("step=confirm status={status}: {verdict}"))
     }
 
-    /// Waits until something listens on `address`.
+    /// Waits until a TCP connection to `address` succeeds.
     pub async fn wait_listening(&self, address: &str) -> Result<()> {
         let start = std::time::Instant::now();
         while start.elapsed() < READY {
@@ -326,7 +326,7 @@
         bail!("step=wait-listening peer={address}: nothing listens after {} s", READY.as_secs())
     }
 
-    /// Waits until an entry is ready for callers and every sidecar answers.
+    /// Waits until an entry is ready for callers and counts every endpoint and entry of the fleet as a member.
     pub async fn wait_ready(&self, entry: &str) -> Result<()> {
         let start = std::time::Instant::now();
         let wanted = self.spec.engines + self.spec.services + self.spec.entries;
@@ -341,14 +341,14 @@
         bail!("step=wait-ready peer={entry}: not ready after {} s", READY.as_secs())
     }
 
-    /// Switches a fault on at a stand-in.
+    /// Injects a fault into a stand-in.
     pub async fn fault(&self, name: &str, fault: &Value) -> Result<()> {
         let address = self.addresses.get(name).ok_or_else(|| eyre!("step=fault: no stand-in {name}"))?;
         let (status, _) = self.client.json("POST", address, "/fault", "", Some(fault)).await?;
         if status == 204 { Ok(()) } else { bail!("step=fault name={name} status={status}") }
     }
 
-    /// How often each key ran, over all services that answer.
+    /// Returns how often each key was executed, summed over all services that respond.
     pub async fn runs(&self) -> HashMap<String, u64> {
         let mut all = HashMap::new();
         for number in 0..self.spec.services {
@@ -362,7 +362,7 @@
         all
     }
 
-    /// KV tokens held at all engines that answer.
+    /// Returns the allocated KV memory, in tokens, summed over all engines that respond.
     pub async fn held_tokens(&self) -> u64 {
         let mut held = 0;
         for number in 0..self.spec.engines {
@@ -374,7 +374,7 @@
         held
     }
 
-    /// Invariants that any process said were breached.
+    /// Returns the log lines of all processes that report a violated invariant or a panic.
     pub fn breaches(&self) -> Result<Vec<String>> {
         let mut found = Vec::new();
         for file in self.log_files() {
--- a/standin/src/fleet/place.rs
+++ b/standin/src/fleet/place.rs
@@ -1,4 +1,4 @@
-//! Where a fleet's processes come from and where they listen.
+//! Finds the binaries of a fleet's processes and assigns their ports.
 
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -7,37 +7,38 @@
 
 use eyre::{Result, WrapErr, bail, eyre};
 
-/// First port that a fleet may use. They lie below those from which the system takes ports
-/// for outgoing connections, so that a port handed out stays free until it is listened on.
+/// First port of fleets. Their ports lie below the range from which the system assigns ports to outgoing
+/// connections, so that an assigned port stays free until a process listens on it.
 const FIRST_PORT: u16 = 10_000;
-/// Ports that a fleet may use, from the first on.
+/// Number of ports available to fleets, from [`FIRST_PORT`] on.
 const PORTS: u16 = 20_000;
-/// Ports between the starting points of two processes that use fleets at once. The first of them tells that they are used.
+/// Distance between the ports at which two concurrent processes start to search. Each process listens on the first
+/// port of its block to reserve the block.
 const PORTS_APART: u16 = 500;
 
-/// Ports of a soak, above those of fleets: an entry of it is down now and then, and its port must not look free
-/// to a test that runs beside it.
+/// Number of ports available to soaks. They lie above those of fleets, because the entries of a soak go down at
+/// times and a concurrent test must not take their ports as free.
 const SOAK_PORTS: u16 = 2_000;
 
-/// The ports of this process.
+/// Ports from which this process assigns addresses.
 struct Range {
     first: u16,
     count: u16,
     next: AtomicU16,
-    /// Keeps other processes from starting where this one does, for as long as it lives.
+    /// Listener that reserves this process's block of ports until the process exits.
     _claim: Option<TcpListener>,
 }
 
 static RANGE: OnceLock<Range> = OnceLock::new();
 
-/// Takes ports from those of soaks from now on; has no effect once an address was handed out.
+/// Selects the port range of soaks for this process. Has no effect once an address was assigned.
 pub fn use_soak_ports() {
     let range = Range { first: FIRST_PORT + PORTS, count: SOAK_PORTS, next: AtomicU16::new(0), _claim: None };
-    // Fails only if the range is chosen already.
+    // Fails only if a range is already selected.
     let _ = RANGE.set(range);
 }
 
-/// A free address on loopback, handed out once in this process.
+/// Returns a free loopback address. Within a process, an address repeats only after all ports of the range.
 pub fn free_address() -> Result<String> {
     let range = RANGE.get_or_init(|| {
         let (start, _claim) = claim();
@@ -45,8 +46,8 @@
     });
     for _ in 0..range.count {
         let port = range.first + range.next.fetch_add(1, Ordering::Relaxed) % range.count;
-        // Asked by connecting: a listener of ours would live on for a moment in a child that another
-        // thread forks just then, and be found in the way.
+        // The check connects instead of binding, because a child process that another thread forks at the same time
+        // inherits a bound listener and briefly keeps the port in use.
         if TcpStream::connect(("127.0.0.1", port)).is_err() {
             return Ok(format!("127.0.0.1:{port}"));
         }
@@ -54,8 +55,8 @@
     bail!("step=find-port: no free port")
 }
 
-/// Where this process starts to look for ports, and what keeps others from starting there: of two that look for free ports
-/// at the same time in the same place both find the same ones free.
+/// Reserves a block of ports and returns the offset of its first port and the listener that holds the reservation.
+/// Two processes that searched the same block at the same time would find the same ports free.
 fn claim() -> (u16, Option<TcpListener>) {
     let places = PORTS / PORTS_APART;
     let own = (std::process::id() % u32::from(places)) as u16;
@@ -65,7 +66,8 @@
     claimed.next().unwrap_or((own * PORTS_APART, None))
 }
 
-/// The binary `name` beside the one that runs, or beside the folder of test binaries.
+/// Returns the path of the binary `name` in the directory of the current executable or in the parent directory,
+/// which holds the binaries when the current executable is a test.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe().wrap_err("step=find-binary")?;
     let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|path| path.is_file());
--- a/standin/src/history.rs
+++ b/standin/src/history.rs
@@ -1,40 +1,40 @@
-//! A small checker of concurrent histories: is there an order of the operations, one after
-//! the other, that respects real time and that a sequential specification allows?
+//! Linearizability checker for concurrent histories: searches for a sequential order of the operations that
+//! respects real time and that a sequential specification allows.
 //!
-//! The search is exhaustive with memory of dead ends (after Wing and Gong, and Lowe), so it
-//! is meant for histories of one key or item at a time, a few dozen operations long. Its own
-//! tests, in `tests/history.rs`, show that it rejects wrong histories.
+//! The search is exhaustive and memoizes failed states (the algorithm of Wing and Gong with Lowe's extension), so
+//! it suits histories of a single key or item with a few dozen operations. The tests in `tests/history.rs` show
+//! that it rejects wrong histories.
 
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::time::Instant;
 
-/// What operations may do, one at a time.
+/// A sequential specification: the results that each operation may return in each state.
 pub trait Specification {
-    /// The state between operations.
+    /// State between operations.
     type State: Clone + Eq + Hash;
-    /// An operation with what it returned.
+    /// An operation together with its result.
     type Operation;
 
-    /// The state before any operation.
+    /// Returns the state before any operation.
     fn initial(&self) -> Self::State;
 
-    /// States after `operation` in `state`; none if it could not have returned what it did.
+    /// Returns the possible states after `operation` in `state`, empty if the operation cannot return its result there.
     fn after(&self, state: &Self::State, operation: &Self::Operation) -> Vec<Self::State>;
 }
 
-/// An operation that was called and has returned.
+/// A completed operation of a history.
 #[derive(Clone, Debug)]
 pub struct Call<O> {
-    /// When it was called.
+    /// Time of the invocation.
     pub called: Instant,
-    /// When it returned.
+    /// Time of the return.
     pub returned: Instant,
-    /// What it was and what it returned.
+    /// The operation together with its result.
     pub operation: O,
 }
 
-/// Whether some order explains the history. At most 64 operations.
+/// Returns whether the history is linearizable. Panics if it has more than 64 operations.
 pub fn is_linearizable<S: Specification>(specification: &S, history: &[Call<S::Operation>]) -> bool {
     assert!(history.len() <= u64::BITS as usize, "split the history by key first");
     let mut dead = HashSet::new();
@@ -55,7 +55,7 @@
         return false;
     }
     let open = || history.iter().enumerate().filter(|(index, _)| done & (1 << index) == 0);
-    // Only what was called before every other open one returned may come next.
+    // An operation may come next only if it was invoked before any other remaining operation returned.
     let Some(first_return) = open().map(|(_, call)| call.returned).min() else { return true };
     open().filter(|(_, call)| call.called <= first_return).any(|(index, call)| {
         let states = specification.after(state, &call.operation);
@@ -63,22 +63,23 @@
     })
 }
 
-/// A call that may run once under a key, and what its caller was told.
+/// Result of a call under an idempotency key, as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnceCall {
-    /// The whole answer, which names the run that it is of.
+    /// Complete response; its text identifies the execution that it belongs to.
     Answer(String),
-    /// It did not run.
+    /// Failure stating that the call was not executed.
     NotRun,
-    /// Nothing is known.
+    /// The caller cannot tell whether the operation took effect.
     Unknown,
 }
 
-/// At most one run per key: every answer is of the same run, and nothing runs after that.
+/// Specifies at most one execution per key: all responses belong to the same execution, and after an execution no
+/// call reports that it was not executed.
 pub struct AtMostOnce;
 
 impl Specification for AtMostOnce {
-    /// Whether it may have run, and the answer once one is known.
+    /// Whether the key was executed, and the response once one was received.
     type State = (bool, Option<String>);
     type Operation = OnceCall;
 
@@ -92,7 +93,7 @@
                 vec![(true, Some(text.clone()))]
             }
             OnceCall::Answer(_) => Vec::new(),
-            // "Not run" speaks of the call: once the key has run it would be false.
+            // After the key was executed, a call must not report that it was not.
             OnceCall::NotRun if *ran => Vec::new(),
             OnceCall::NotRun => vec![(false, None)],
             OnceCall::Unknown => vec![(*ran, answer.clone()), (true, answer.clone())],
@@ -100,34 +101,36 @@
     }
 }
 
-/// A confirm of a plan that replaces one item, and its verdict.
+/// Confirmation of a plan that replaces one configuration item, with its verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Confirm {
-    /// Accepted at a revision, from a plan on a base.
+    /// The plan was accepted.
     Accepted {
-        /// The plan's base.
+        /// Revision that the plan is based on.
         base: u64,
-        /// Its revision.
+        /// Revision at which the plan was accepted.
         revision: u64,
     },
-    /// Refused: a plan accepted at this revision came first.
+    /// The plan was rejected, because another plan was accepted after its base revision.
     Conflict {
-        /// The plan's base.
+        /// Revision that the plan is based on.
         base: u64,
-        /// The winner's revision.
+        /// Revision at which the other plan was accepted.
         winner: u64,
     },
-    /// Nothing is known.
+    /// The caller cannot tell whether the operation took effect.
     Unknown,
 }
 
-/// One item under racing plans: a plan is accepted iff nothing was accepted after its base.
+/// Specifies one configuration item under concurrent plans: a plan is accepted if and only if no other plan was
+/// accepted after its base revision.
 ///
-/// What a confirm of unknown outcome did shows in the revision of a later conflict.
+/// A confirmation with an unknown result leaves the state unchanged. If it was accepted after all, a later conflict
+/// names its revision.
 pub struct Item;
 
 impl Specification for Item {
-    /// Revision of the last accepted plan.
+    /// Revision of the most recently accepted plan.
     type State = u64;
     type Operation = Confirm;
 
--- a/standin/src/ledger.rs
+++ b/standin/src/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger: every request sent must come to a whole answer or an honest failure.
+//! Ledger of the load tool. Every request must end with a complete response or with a failure whose statements
+//! about execution are true.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -7,30 +8,30 @@
 
 use crate::client::Seen;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole right answer.
+    /// The response was complete and correct.
     Whole,
-    /// An honest failure, with its code and what it says of whether it ran.
+    /// The response was an error body.
     Failed {
-        /// The code.
+        /// Error code, or `-` if the body carried none.
         code: String,
-        /// What it says.
+        /// Value of the error body's `ran` field, or `-` if the body carried none.
         ran: String,
     },
-    /// The answer of somebody else, or a wrong one that claims to be whole.
+    /// The response was complete but wrong, such as the response to another request.
     MixedUp,
-    /// The connection broke because its entry was killed or frozen: nobody is left to answer.
+    /// The connection broke because its entry was killed, suspended or shut down.
     EntryDown,
-    /// No answer within the time allowed, or one that broke off without a word.
+    /// No response arrived within the deadline, or the response ended early without an error.
     Lost(String),
 }
 
-/// Time beyond a deadline within which an answer still counts as in time.
+/// Tolerance beyond a deadline within which a response still counts as in time.
 const GRACE: Duration = Duration::from_millis(1_000);
 
-/// Judges what a caller saw.
+/// Returns the outcome of a request from what its client received; `right` tells whether the text is correct.
 pub fn judge(seen: &Seen, right: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
     if seen.took > deadline + GRACE {
         return Outcome::Lost(format!("late: {} ms", seen.took.as_millis()));
@@ -48,72 +49,73 @@
     if right(&seen.text) { Outcome::Whole } else { Outcome::MixedUp }
 }
 
-/// One request and what became of it.
+/// Record of one request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// The entry that it was sent to.
+    /// Index of the entry that the request was sent to.
     pub entry: usize,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// When its answer was over.
+    /// Time at which the response ended.
     pub ended: Instant,
-    /// Its class.
+    /// Name of the workload class.
     pub class: &'static str,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Prompt tokens.
+    /// Prompt tokens; 0 for a plain service call.
     pub tokens: u64,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Time to the first token, or to the whole answer of a call; none for a prompt that was not streamed.
+    /// Time to the first token, or to the end of a plain service call's response; `None` for a prompt that was not
+    /// streamed.
     pub ttft: Option<Duration>,
-    /// Time to the end.
+    /// Time from sending the request to the end of the response.
     pub took: Duration,
-    /// Times between tokens.
+    /// Time between each token and the one before it.
     pub gaps: Vec<Duration>,
-    /// The key under which it may run once.
+    /// Idempotency key of the call; `None` for prompts and reads.
     pub once: Option<String>,
-    /// When the failure said to come back.
+    /// Delay after which the error body allows a retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Line {
-    /// Whether it came to what must never be.
+    /// Returns whether the outcome violates a guarantee.
     pub fn is_breach(&self) -> bool {
         matches!(self.outcome, Outcome::Lost(_) | Outcome::MixedUp)
     }
 }
 
-/// All requests of a run.
+/// Records of all requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// One line a request.
+    /// One record per request, in the order in which the requests ended.
     pub lines: Vec<Line>,
 }
 
-/// The ledger's sums.
+/// Totals of a ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Sums {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Whole answers.
+    /// Number of complete and correct responses.
     pub whole: usize,
-    /// Honest failures, by code and what they said of whether they ran.
+    /// Number of error responses, by error code and `ran` value.
     pub failed: BTreeMap<String, usize>,
-    /// Requests whose entry was killed or frozen under them.
+    /// Number of requests whose entry was killed, suspended or shut down while they were in flight.
     pub entry_down: usize,
-    /// Requests without an answer in time.
+    /// Number of requests without a complete response or an error by their deadline.
     pub lost: usize,
-    /// Answers that were not the request's own.
+    /// Number of complete but wrong responses.
     pub mixed_up: usize,
-    /// Keys that ran more than once.
+    /// Number of requests whose key was executed more than once.
     pub doubled: usize,
-    /// Requests that were told that they did not run, and ran.
+    /// Number of requests that were executed although their error response states that they were not.
     pub false_no: usize,
 }
 
 impl Sums {
-    /// Whether every promise that the ledger can tell was kept.
+    /// Returns whether every guarantee that the ledger can check was kept.
     pub fn balances(&self) -> bool {
         let failed: usize = self.failed.values().sum();
         self.sent == self.whole + failed + self.entry_down
@@ -122,7 +124,7 @@
 }
 
 impl Ledger {
-    /// Adds up, against how often each key ran at the services.
+    /// Computes the totals; `runs` holds how often the services executed each key.
     pub fn sums(&self, runs: &HashMap<String, u64>) -> Sums {
         let mut sums = Sums { sent: self.lines.len(), ..Sums::default() };
         for line in &self.lines {
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the outside systems, the fleet that tests and the demo start,
-//! and the load and experiment tool. Never shipped; no simulator of a cluster.
+//! Small stand-ins for external systems, the fleet that the tests and the demo start, and the load and experiment
+//! tool. The crate is not shipped and does not simulate a cluster.
 
 pub mod client;
 pub mod compare;
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log stand-in: offsets, a rate limit, retention, and its faults.
+//! Stand-in for the append-only log, with offsets, an append rate limit, retention and fault injection.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,14 +15,14 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Sizes of a log stand-in.
+/// Limits of a log stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
-    /// Appends a second over all streams.
+    /// Append limit per second, over all streams.
     pub appends_per_s: f64,
-    /// How long records are kept.
+    /// Retention period of records.
     pub retention: Duration,
-    /// Most records that one read gives.
+    /// Maximum number of records in the response to a read.
     pub batch: usize,
 }
 
@@ -44,19 +44,19 @@
     end: u64,
 }
 
-/// The faults switched on.
+/// Faults to inject; a request replaces the faults of the previous one.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
-    /// Answer nothing but errors for so many milliseconds.
+    /// Duration of an outage, in milliseconds, during which every call fails.
     outage_ms: u64,
-    /// Take this much longer for every call.
+    /// Additional delay of every call, in milliseconds.
     slow_ms: u64,
-    /// Take the next so many appends, but answer with an error.
+    /// Number of subsequent appends that are stored but answered with an error.
     lose_answers: u32,
-    /// Drop every record before this offset of every stream now.
+    /// Offset before which all records of every stream are deleted.
     trim_before: u64,
-    /// Drop every record of this stream now.
+    /// Stream whose records are all deleted.
     trim_stream: String,
 }
 
@@ -71,7 +71,7 @@
     reads: u64,
 }
 
-/// A running log stand-in.
+/// Log stand-in, shared by its HTTP handlers.
 pub struct Log {
     sizes: Sizes,
     inner: Mutex<Inner>,
@@ -79,7 +79,7 @@
 }
 
 impl Log {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new(sizes: Sizes) -> Arc<Self> {
         let now = Instant::now();
         let inner = Inner {
@@ -99,7 +99,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Suffers the faults switched on; an error is the answer to give.
+    /// Applies the injected faults to a call; an error is the status with which the call fails.
     async fn suffer(&self) -> Result<(), StatusCode> {
         let (until, slow) = {
             let inner = self.lock();
@@ -120,7 +120,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// All routes of a log stand-in.
+/// Returns the routes of a log stand-in.
 pub fn router(log: Arc<Log>) -> Router {
     Router::new()
         .route("/streams/{stream}", post(append).get(read))
@@ -195,7 +195,7 @@
     }
 }
 
-/// Whether there is nothing to tell, and the answer.
+/// Returns the response to a read, and whether it is empty, in which case the read may wait for records.
 fn batch(log: &Log, stream: &str, from: u64) -> (bool, Value) {
     let inner = log.lock();
     let Some(stream) = inner.streams.get(stream) else {
@@ -223,7 +223,7 @@
         stream.records.clear();
     }
     drop(inner);
-    // Those who wait for news feel the fault at once.
+    // Wakes waiting reads, so that the fault applies to them immediately.
     log.news.send_modify(|count| *count += 1);
     StatusCode::NO_CONTENT
 }
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The `standin` binary: dispatches to one subcommand.
+//! Entry point of the `standin` binary.
 
 mod cmd;
 
--- a/standin/src/mix.rs
+++ b/standin/src/mix.rs
@@ -1,11 +1,11 @@
-//! Workload definitions: what each deployment's callers send.
+//! Workload definitions: request classes, sizes and arrival times for each deployment.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// A deployment.
+/// A customer deployment, which defines a workload and the names in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
     /// Market Stall Advisory, Kigali.
@@ -26,49 +26,49 @@
     }
 }
 
-/// What one class of callers sends.
+/// Kind of request that a class sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// A prompt.
+    /// A chat completion with uniformly distributed sizes.
     Prompt {
-        /// Fewest and most prompt tokens.
+        /// Minimum and maximum number of prompt tokens.
         tokens: (u64, u64),
-        /// Fewest and most output tokens.
+        /// Minimum and maximum number of output tokens.
         output: (u64, u64),
     },
-    /// A call that only reads.
+    /// A plain service call that only reads.
     Read,
-    /// A call that may run once, under the caller's own key.
+    /// A plain service call with an idempotency key chosen by the caller.
     Once,
-    /// A call that may run once, under a ticket.
+    /// A plain service call with a ticket issued by the entry as its idempotency key.
     Ticket,
 }
 
-/// One class of callers.
+/// A class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Its name in reports.
+    /// Name of the class in reports.
     pub name: &'static str,
-    /// Its share of all requests, in thousandths.
+    /// Share of all requests, in thousandths.
     pub share: u32,
-    /// What it sends.
+    /// Kind and size of the requests.
     pub kind: Kind,
-    /// Time allowed, in real time.
+    /// Deadline of a request in real time, before division by the fleet's speed.
     pub deadline: Duration,
 }
 
 impl Class {
-    /// Whether it is one of the short ones whose slowdown is measured.
+    /// Returns whether all prompts of the class are short, at most 2000 tokens.
     pub fn is_short(&self) -> bool {
         matches!(self.kind, Kind::Prompt { tokens, .. } if tokens.1 <= 2_000)
     }
 
-    /// Whether it is one of those that short requests must not wait behind.
+    /// Returns whether all prompts of the class have at least 100,000 tokens. Short requests must not wait behind them.
     pub fn is_long(&self) -> bool {
         matches!(self.kind, Kind::Prompt { tokens, .. } if tokens.0 >= 100_000)
     }
 
-    /// Mean prompt tokens.
+    /// Returns the mean number of prompt tokens; 0 for plain service calls.
     pub fn mean_tokens(&self) -> f64 {
         match self.kind {
             Kind::Prompt { tokens, .. } => (tokens.0 + tokens.1) as f64 / 2.0,
@@ -122,7 +122,7 @@
 ];
 
 impl Deployment {
-    /// Its classes of callers.
+    /// Returns the request classes of the workload.
     pub fn classes(self) -> &'static [Class] {
         match self {
             Deployment::Market => &MARKET,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Its failure domains.
+    /// Returns the names of the failure domains.
     pub fn domains(self) -> [&'static str; 3] {
         match self {
             Deployment::Market => ["nyabugogo", "kimironko", "kicukiro"],
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Its model.
+    /// Returns the name of the model.
     pub fn model(self) -> &'static str {
         match self {
             Deployment::Market => "market-advisor",
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Its plain service.
+    /// Returns the name of the plain service.
     pub fn service(self) -> &'static str {
         match self {
             Deployment::Market => "stall-ledger",
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Weights of slowdown and of time to first token.
+    /// Returns the sidecars' weights of the slowdown factor and of the time to first token.
     pub fn weights(self) -> (f64, f64) {
         match self {
             Deployment::Market => (2.0, 1.0),
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Mean prompt tokens of a request, over the classes that `keep` keeps.
+    /// Returns the mean number of prompt tokens per request of the workload, counting prompts only of the classes for
+    /// which `keep` returns true.
     pub fn mean_tokens(self, keep: impl Fn(&Class) -> bool) -> f64 {
         self.classes()
             .iter()
@@ -172,31 +173,31 @@
     }
 }
 
-/// One arrival of a workload.
+/// A request of a workload with its arrival time.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, after the start.
+    /// Arrival time, relative to the start of the run.
     pub at: Duration,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// Prompt tokens.
+    /// Prompt tokens; 0 for a plain service call.
     pub tokens: u64,
-    /// Output tokens.
+    /// Output tokens; 0 for a plain service call.
     pub output: u64,
-    /// Which workspace sends it.
+    /// Index of the workspace that sends the request.
     pub workspace: usize,
-    /// Seed of its text.
+    /// Seed of the prompt's text.
     pub seed: u64,
 }
 
-/// Workspaces of a deployment; the first ones are large.
+/// Number of workspaces of a deployment; the first two are large.
 pub const WORKSPACES: usize = 10;
 /// Share of requests that the two large workspaces send.
 const LARGE_SHARE: f64 = 0.5;
 
-/// The arrivals of `seconds` at `rate` requests a second, the same for the same seed.
+/// Generates Poisson arrivals for `span` at `rate` requests per second, identical for equal seeds.
 ///
-/// With `keep`, classes are left out while the others keep their times and sizes.
+/// Classes for which `keep` returns false are omitted; the other classes keep their arrival times and sizes.
 pub fn arrivals(
     deployment: Deployment,
     rate: f64,
--- a/standin/src/overhead.rs
+++ b/standin/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What entry and sidecar add against calling the engine stand-in directly, in one run.
+//! Measures the latency that the entry and the sidecar add to a direct call of the engine stand-in.
 
 use std::time::{Duration, Instant};
 
@@ -14,29 +14,29 @@
 
 /// Bytes in a mebibyte.
 const MIB: f64 = 1_048_576.0;
-/// Prompt tokens of each request: few, so that the engine's time is short.
+/// Prompt tokens per request, few so that the engine's time is short.
 const PROMPT_TOKENS: usize = 64;
 
-/// One number of streams at once.
+/// Results for one number of concurrent streams.
 #[derive(Clone, Debug, Serialize)]
 pub struct Level {
-    /// Streams at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// First token of direct calls, ms.
+    /// Time to first token of direct calls, in milliseconds.
     pub direct_ms: Quantiles,
-    /// First token through entry and sidecar, ms.
+    /// Time to first token through the entry and the sidecar, in milliseconds.
     pub through_ms: Quantiles,
-    /// Output tokens a second of direct calls.
+    /// Output tokens per second of direct calls.
     pub direct_tokens_per_s: f64,
-    /// Output tokens a second through entry and sidecar.
+    /// Output tokens per second through the entry and the sidecar.
     pub through_tokens_per_s: f64,
-    /// Resident memory of the entry, MiB.
+    /// Resident memory of the entry, in MiB.
     pub entry_mib: f64,
-    /// Resident memory of the sidecar, MiB.
+    /// Resident memory of the sidecar, in MiB.
     pub sidecar_mib: f64,
 }
 
-/// Measures every number of streams, direct and through by turns.
+/// Runs each number of concurrent streams directly against the engine and then through the entry.
 pub async fn measure(levels: &[usize], output: u64, speed: f64, span: Duration) -> Result<Vec<Level>> {
     let sizes = Sizes { speed, slots: 4_096, memory: 100_000_000, ..Sizes::default() };
     let settings = "queue = 4096\n".to_owned();
@@ -77,17 +77,17 @@
 /// Peak resident memory while large prompts are in flight.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Large {
-    /// Prompts of a million tokens at once.
+    /// Number of concurrent prompts of a million tokens.
     pub prompts: usize,
-    /// Whole answers.
+    /// Number of complete and correct responses.
     pub whole: usize,
-    /// Of the entry, MiB.
+    /// Peak resident memory of the entry, in MiB.
     pub entry_mib: f64,
-    /// Of the sidecar with the most, MiB.
+    /// Peak resident memory of the sidecar that used the most, in MiB.
     pub sidecar_mib: f64,
 }
 
-/// Measures memory under prompts of a million tokens, on engines that hold them whole.
+/// Measures memory under prompts of a million tokens, on engines whose memory holds a complete prompt.
 pub async fn large(counts: &[usize]) -> Result<Vec<Large>> {
     let sizes = Sizes { speed: 100.0, memory: 20_000_000, ..Sizes::default() };
     let fleet = Fleet::start(Spec { entries: 1, engines: 2, services: 1, sizes, ..Spec::small("large") }).await?;
@@ -128,7 +128,8 @@
     Ok(measured)
 }
 
-/// So many callers, each sending the next prompt when the last answer is over.
+/// Runs `streams` concurrent callers for `span`, each of which sends its next prompt when the previous response has
+/// ended. Returns the times to first token and the output tokens per second.
 async fn closed_loop(
     client: &Client,
     address: &str,
@@ -171,7 +172,7 @@
     (quantiles(done.into_iter().flat_map(|(firsts, _)| firsts)), tokens as f64 / took)
 }
 
-/// The measurements as a table in Markdown.
+/// Formats the results as a Markdown table.
 pub fn table(levels: &[Level]) -> String {
     let mut out = String::from(
         "| streams | direct p50 ms | p99 | through p50 | p99 | added p50 | added p99 | direct tokens/s | through tokens/s | entry MiB | sidecar MiB |\n\
--- a/standin/src/probe.rs
+++ b/standin/src/probe.rs
@@ -1,27 +1,27 @@
-//! What a process uses, read from the system: processor time, memory, and the loopback's bytes.
+//! Reads resource use from `/proc`: CPU time and memory of a process, and traffic on the loopback interface.
 
 use std::fs;
 use std::time::Instant;
 
-/// Clock ticks a second in `/proc/PID/stat`.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 
-/// A reading of one process.
+/// Resource use of one process at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct Reading {
     at: Instant,
-    /// Processor time so far, in seconds.
+    /// CPU time since the process started, in seconds.
     pub cpu_s: f64,
     /// Resident memory, in bytes.
     pub resident: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
-/// Reads a process; `None` if it is gone.
+/// Reads the resource use of a process; `None` if the process has exited.
 pub fn read(pid: u32) -> Option<Reading> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in parentheses may hold blanks.
+    // The process name in parentheses may contain blanks.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -34,13 +34,13 @@
 }
 
 impl Reading {
-    /// Share of one core used since `earlier`.
+    /// Returns the mean number of cores used since `earlier`.
     pub fn cores_since(&self, earlier: &Reading) -> f64 {
         (self.cpu_s - earlier.cpu_s) / (self.at - earlier.at).as_secs_f64().max(1e-9)
     }
 }
 
-/// Bytes and packets that the loopback has carried so far; each counts once.
+/// Returns the bytes and packets that the loopback interface has received since boot; each packet counts once.
 pub fn loopback() -> Option<(u64, u64)> {
     let text = fs::read_to_string("/proc/net/dev").ok()?;
     let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:"))?;
@@ -48,18 +48,18 @@
     Some((*numbers.first()?, *numbers.get(1)?))
 }
 
-/// A line fitted through points by least squares.
+/// A line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 pub struct Fit {
-    /// Value at zero.
+    /// Value of the line at zero.
     pub base: f64,
-    /// Value per unit.
+    /// Increase of the line per unit.
     pub slope: f64,
-    /// Root mean square of what the line leaves over.
+    /// Root mean square of the points' distances from the line.
     pub residual: f64,
 }
 
-/// Fits a line.
+/// Fits a line; its slope is 0 if all points have the same first coordinate.
 pub fn fit(points: &[(f64, f64)]) -> Fit {
     let count = points.len().max(1) as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
--- a/standin/src/report.rs
+++ b/standin/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of what was measured: time to first token, gaps and slowdown by class.
+//! Reports time to first token, gaps between tokens and slowdown factors by class.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,20 +9,20 @@
 
 use crate::ledger::{Ledger, Line, Outcome, Sums};
 
-/// Quantiles in milliseconds.
+/// Quantiles of a distribution; times are in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Quantiles {
-    /// Samples.
+    /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// The quantiles of some times.
+/// Computes the quantiles of `times`; all are 0 if there are no samples.
 pub fn quantiles(times: impl Iterator<Item = Duration>) -> Quantiles {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Quantiles::default() };
     for time in times {
@@ -32,36 +32,36 @@
     Quantiles { count: histogram.len(), p50: at(0.5), p95: at(0.95), p99: at(0.99) }
 }
 
-/// One class of a run.
+/// Results of one class of requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Whole answers.
+    /// Number of complete and correct responses.
     pub whole: usize,
-    /// Time to first token, or to the whole answer of a call.
+    /// Time to the first token, or to the end of a plain service call's response.
     pub ttft_ms: Quantiles,
-    /// Time between tokens.
+    /// Gaps between tokens.
     pub gap_ms: Quantiles,
-    /// Time to first token as a multiple of the same prompt's on an empty engine.
+    /// Time to first token as a multiple of the time that an idle engine needs to prefill the same prompt.
     pub slowdown: Quantiles,
 }
 
-/// A whole run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// By class.
+    /// One row per class, sorted by name.
     pub rows: Vec<Row>,
-    /// The ledger's sums.
+    /// Totals of the ledger.
     pub ledger: Sums,
 }
 
-/// What the engine itself needs for a first token, given a prompt's length.
+/// Estimates the time to first token on an idle engine, which slowdown factors relate to.
 #[derive(Clone, Copy, Debug)]
 pub struct Floor {
-    /// Prompt tokens a second.
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_per_s: f64,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Makes the report of a run.
+/// Summarizes a run by class.
 pub fn report(ledger: &Ledger, sums: Sums, floor: Floor) -> Report {
     let mut classes: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
     for line in &ledger.lines {
@@ -86,7 +86,7 @@
     let first = |line: &&&Line| line.ttft;
     let ratio = |line: &&&Line| {
         let floor = floor.of(line.tokens).as_secs_f64();
-        // A ratio of one is kept as a millisecond.
+        // The quantiles are in milliseconds, so a ratio of 1 is recorded as one millisecond.
         let ratio = line.ttft?.as_secs_f64() / floor;
         (floor > 0.0).then(|| Duration::from_secs_f64(ratio / 1_000.0))
     };
@@ -101,7 +101,7 @@
 }
 
 impl Report {
-    /// The report as a table for people.
+    /// Formats the report as a plain-text table.
     pub fn table(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
--- a/standin/src/run.rs
+++ b/standin/src/run.rs
@@ -1,4 +1,4 @@
-//! Drives a workload against entries: open loop, each arrival at its own time.
+//! Sends a workload to entries in an open loop: each request is sent at its arrival time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use crate::mix::{Arrival, Deployment, Kind};
 use crate::text;
 
-/// One prompt in so many is not streamed.
+/// One of this many prompts is sent without streaming.
 const STREAMED: u64 = 8;
 
-/// How a workload is driven.
+/// Target entries and parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Drive {
-    /// Addresses of the entries; arrivals go round them as behind a balancer.
+    /// Addresses of the entries, to which requests are distributed round-robin as by a load balancer.
     pub entries: Vec<String>,
-    /// Whose workload it is.
+    /// Deployment that defines the model and the service.
     pub deployment: Deployment,
-    /// How many times faster than real time the fleet runs.
+    /// Factor by which the fleet runs faster than real time.
     pub speed: f64,
-    /// Distinguishes keys of several runs against one fleet.
+    /// Prefix of request ids and idempotency keys, which keeps runs against the same fleet distinct.
     pub run: String,
 }
 
-/// Sends all arrivals and waits for all answers.
+/// Sends all requests and waits for all responses.
 pub async fn drive(drive: &Drive, arrivals: Vec<Arrival>) -> Ledger {
     let ledger = Arc::new(Mutex::new(Ledger::default()));
     let drive = Arc::new(drive.clone());
--- a/standin/src/scale.rs
+++ b/standin/src/scale.rs
@@ -1,4 +1,4 @@
-//! Measures how what a process uses grows with the fleet, the configuration and the load.
+//! Measures how a process's CPU and memory use grows with the fleet, the configuration and the load.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -13,23 +13,23 @@
 use crate::probe::{self, Fit, Reading, fit};
 use crate::text;
 
-/// Pause after a change of the fleet before it is measured.
+/// Delay between a change of the fleet and the next reading, in which the fleet becomes idle.
 const SETTLE: Duration = Duration::from_secs(2);
-/// Changes in one plan while the configuration is grown.
+/// Number of changes per plan while workspaces are added to the configuration.
 const CHANGES_PER_PLAN: usize = 2_500;
 /// Bytes in a mebibyte.
 const MIB: f64 = 1_048_576.0;
 
-/// One quantity at several sizes, with its fit.
+/// A quantity at several sizes, with a fitted line.
 #[derive(Clone, Debug, Serialize)]
 pub struct Series {
-    /// What was varied.
+    /// Independent variable.
     pub over: &'static str,
-    /// What was measured, with its unit.
+    /// Dependent variable, with its unit.
     pub what: &'static str,
-    /// Size and value.
+    /// Values of the independent and the dependent variable.
     pub points: Vec<(f64, f64)>,
-    /// The line through them.
+    /// Line fitted to the points.
     pub fit: Fit,
 }
 
@@ -38,7 +38,7 @@
     Series { over, what, points, fit }
 }
 
-/// All series as a table.
+/// Formats all series as plain text.
 pub fn table(all: &[Series]) -> String {
     let mut out = String::new();
     for series in all {
@@ -56,7 +56,7 @@
     probe::read(pid).ok_or_else(|| eyre!("step=read-process: {name} is gone"))
 }
 
-/// What two roles used over a span.
+/// Resource use of an entry and a sidecar, and loopback traffic, over a span of time.
 struct Used {
     entry_cores: f64,
     entry_mib: f64,
@@ -84,7 +84,7 @@
     })
 }
 
-/// One entry and more and more idle sidecars, whose endpoint is one shared stand-in.
+/// Measures one entry with each number of idle sidecars, which share one stand-in as their endpoint.
 pub async fn members(sizes: &[usize], span: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 6] = Default::default();
     for size in sizes {
@@ -116,7 +116,7 @@
     Ok(names.into_iter().zip(points).map(|(name, points)| series("sidecars", name, points)).collect())
 }
 
-/// One entry before a list of more and more VMs that it never calls.
+/// Measures one entry with each number of listed VMs that it never calls.
 pub async fn listed(sizes: &[usize], poll_ms: u64, span: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 3] = Default::default();
     let spec = Spec { entries: 1, engines: 1, services: 1, vms_poll_ms: poll_ms, ..Spec::small("scale-listed") };
@@ -171,7 +171,7 @@
     Err(eyre!("step=wait-revision: {revision} is not in force after 30 s"))
 }
 
-/// Two entries under more and more workspaces: memory, time of a change, start of a fresh entry.
+/// Measures two entries with each number of workspaces: memory, time to apply a change, and start of a new entry.
 pub async fn workspaces(sizes: &[usize], changes: u64) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 5] = Default::default();
     let mut fleet = Fleet::start(Spec { engines: 1, services: 1, ..Spec::small("scale-workspaces") }).await?;
@@ -214,7 +214,7 @@
     Ok(names.into_iter().zip(points).map(|(name, points)| series("workspaces", name, points)).collect())
 }
 
-/// One entry under claims of callers' keys at several rates.
+/// Measures two entries while one of them claims callers' idempotency keys at each rate.
 pub async fn claims(rates: &[u64], span: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 4] = Default::default();
     let fleet = Fleet::start(Spec { entries: 2, engines: 1, services: 2, ..Spec::small("scale-claims") }).await?;
@@ -266,7 +266,7 @@
     tokio::time::sleep_until(start + span).await;
 }
 
-/// One entry and one sidecar under short prompts at several rates.
+/// Measures one entry and one sidecar under short prompts at each rate.
 pub async fn requests(rates: &[u64], output: u64, span: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 4] = Default::default();
     let sizes = Sizes { speed: 100.0, slots: 1_024, memory: 40_000_000, ..Sizes::default() };
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listening, shared by all stand-ins.
+//! HTTP listener shared by all stand-ins.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 /// Serves `router` on `address` for the life of the process.
 pub async fn forever(address: SocketAddr, router: Router) -> Result<()> {
     let listener = TcpListener::bind(address).await.wrap_err_with(|| format!("step=listen address={address}"))?;
-    // Without this the first token waits for the peer's delayed acknowledgement, some 40 ms.
+    // Without TCP_NODELAY the first token waits for the peer's delayed acknowledgement, about 40 ms.
     let listener = listener.tap_io(|stream| drop(stream.set_nodelay(true)));
     axum::serve(listener, router).await.wrap_err("step=serve")
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: answers calls and counts how often each one ran.
+//! Plain service stand-in, which responds to calls and counts the executions of each key.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// A running service stand-in.
+/// Plain service stand-in, shared by its HTTP handlers.
 pub struct Service {
     name: String,
     takes: Duration,
@@ -28,7 +28,7 @@
 }
 
 impl Service {
-    /// A service whose calls take `takes`.
+    /// Creates a service whose calls last for `takes`.
     pub fn new(name: &str, takes: Duration) -> Arc<Self> {
         let state = Counts { runs: HashMap::new(), frozen_until: Instant::now(), lose_answers: 0 };
         Arc::new(Self { name: name.to_owned(), takes, state: Mutex::new(state) })
@@ -49,7 +49,7 @@
     }
 }
 
-/// All routes of a service stand-in.
+/// Returns the routes of a service stand-in.
 pub fn router(service: Arc<Service>) -> Router {
     Router::new()
         .route("/health", get(health))
@@ -68,7 +68,7 @@
     Json(service.lock().runs.clone())
 }
 
-/// What a call is counted under: the caller's key, else the request's id.
+/// Returns the key that a call is counted under: the caller's idempotency key, or the request id without one.
 fn key(headers: &HeaderMap) -> String {
     let of = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
     of("idempotency-key").or_else(|| of("x-request-id")).unwrap_or_default()
@@ -94,7 +94,7 @@
         lost
     };
     if lost {
-        // The effect stands; the caller sees its connection end.
+        // The execution is counted, but the caller's connection breaks.
         let broken = futures_util::stream::iter([Err::<Bytes, _>(std::io::Error::other("lost"))]);
         return Response::new(axum::body::Body::from_stream(broken));
     }
@@ -113,15 +113,15 @@
         .into_response()
 }
 
-/// A fault to switch on.
+/// Fault to inject.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Fault {
-    /// Stand still, deaf to all calls, for so many milliseconds.
+    /// Suspends all calls for the given number of milliseconds.
     FreezeMs(u64),
-    /// Do the next so many calls, but lose their answers.
+    /// Executes the given number of subsequent calls, but breaks their connections instead of responding.
     LoseAnswers(u32),
-    /// End the process at once.
+    /// Exits the process immediately with status 1.
     Die,
 }
 
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -1,4 +1,4 @@
-//! A long run of the whole fleet under random faults from a seed, with a ledger at the end.
+//! Injects random faults, derived from a seed, into a fleet under load.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,50 +16,50 @@
 use crate::ledger::{Ledger, Line, Outcome};
 use crate::report::{Quantiles, quantiles};
 
-/// Shortest and longest pause between faults.
+/// Minimum and maximum delay between two faults, in milliseconds.
 const BETWEEN: (u64, u64) = (500, 3_000);
-/// Longest that a process stays frozen or the platform out, in milliseconds.
+/// Maximum duration of a suspension or outage, in milliseconds.
 const LONGEST: u64 = 3_000;
-/// An accepted change must be in force at every entry that is up within this time.
+/// Time within which an accepted change must be in force at every running entry.
 const IN_FORCE: Duration = Duration::from_secs(7);
-/// How long an entry that was killed or frozen still excuses a broken connection.
+/// Time after an entry is ready again within which a broken connection still counts as caused by its fault.
 const SETTLE: Duration = Duration::from_secs(2);
 
-/// A kind of fault.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A sidecar is killed and started again.
+    /// Kills a sidecar and restarts it.
     KillSidecar,
-    /// An engine is killed and started again.
+    /// Kills an engine and restarts it.
     KillEngine,
-    /// An entry is killed and started again.
+    /// Kills an entry and restarts it.
     KillEntry,
-    /// A sidecar stands still for a while.
+    /// Suspends a sidecar with SIGSTOP and resumes it.
     FreezeSidecar,
-    /// An engine stands still for a while.
+    /// Suspends an engine's step loop and handlers.
     FreezeEngine,
-    /// An entry stands still for a while.
+    /// Suspends an entry with SIGSTOP and resumes it.
     FreezeEntry,
-    /// A service stands still for a while.
+    /// Suspends the calls of a plain service.
     FreezeService,
-    /// A service does calls whose answers are lost.
+    /// Loses the responses to calls that a plain service has executed.
     LoseServiceAnswers,
-    /// The log answers nothing for a while.
+    /// Makes every call of the log fail.
     LogOutage,
-    /// The log is slow for a while.
+    /// Delays the responses of the log.
     LogSlow,
-    /// The log takes appends whose answers are lost.
+    /// Makes the log store appends but answer them with an error.
     LoseAppends,
-    /// The VM list answers nothing for a while.
+    /// Makes every read of the VM list fail.
     VmsOutage,
-    /// A sidecar is stopped in the planned way and started again.
+    /// Shuts a sidecar down with SIGTERM and restarts it.
     StopSidecar,
-    /// An entry is stopped in the planned way and started again.
+    /// Shuts an entry down with SIGTERM and restarts it.
     StopEntry,
-    /// An endpoint is drained, and the drain taken back.
+    /// Drains an endpoint and reverts the drain.
     Drain,
-    /// Two operators change one item at once.
+    /// Confirms two conflicting plans for the same item concurrently.
     RaceOperators,
 }
 
@@ -82,39 +82,39 @@
     Kind::RaceOperators,
 ];
 
-/// An entry that could not be relied on for a while.
+/// Period in which an entry was subject to a fault.
 #[derive(Clone, Copy, Debug)]
 struct Down {
     entry: usize,
     from: Instant,
     until: Instant,
-    /// It was stopped in the planned way: what was in flight must come to its answer.
+    /// Whether the entry was shut down with SIGTERM, so that requests in flight must still be answered.
     planned: bool,
 }
 
 impl Down {
-    /// Whether it excuses that a request's connection broke. A balancer would have sent nothing
-    /// to an entry that is stopping; this tool's callers are not behind one.
+    /// Returns whether the fault explains a request's broken connection. A load balancer sends no new requests to an
+    /// entry that is shutting down, but the callers of this tool connect to entries directly.
     fn excuses(&self, line: &Line) -> bool {
         let flown = if self.planned { line.sent >= self.from } else { line.ended > self.from };
         self.entry == line.entry && line.sent < self.until && flown
     }
 }
 
-/// What came of a soak, besides the ledger.
+/// Results of a soak, in addition to the ledger.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcomes {
-    /// Faults by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<Kind, usize>,
-    /// Accepted changes.
+    /// Number of accepted changes.
     pub accepted: usize,
-    /// Time from acceptance to in force, over all entries that were up.
+    /// Time from the acceptance of a change until it is in force at an entry, in milliseconds.
     pub in_force_ms: Quantiles,
-    /// Breaches that the soak itself saw.
+    /// Violations of guarantees that the soak detected.
     pub breaches: Vec<String>,
 }
 
-/// Injects faults.
+/// Injects faults into a fleet and checks the configuration revisions that its entries report.
 pub struct Injector<'a> {
     fleet: &'a mut Fleet,
     random: SmallRng,
@@ -126,7 +126,7 @@
 }
 
 impl<'a> Injector<'a> {
-    /// An injector whose faults follow from `seed`.
+    /// Creates an injector whose faults are derived from `seed`.
     pub fn new(fleet: &'a mut Fleet, seed: u64) -> Self {
         Self {
             fleet,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Injects faults for `span`, then leaves everything whole again.
+    /// Injects faults for `span`, then clears the faults of the log.
     pub async fn run(&mut self, span: Duration) -> Result<()> {
         let start = Instant::now();
         while start.elapsed() < span {
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Notes that what is sent to `entry` meanwhile may lose its connection.
+    /// Runs `act`, waits until `entry` is ready again, and records the period in which its connections may break.
     async fn unreliable(
         &mut self,
         entry: usize,
@@ -318,7 +318,7 @@
         call.await.ok()?.1["revision"].as_u64()
     }
 
-    /// Waits until a revision is in force at every entry, and notes how long that took.
+    /// Waits until a revision is in force at every entry and records the time to each.
     async fn accepted(&mut self, revision: u64) {
         self.outcomes.accepted += 1;
         let start = Instant::now();
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Checks that no entry shows an older revision than it, or one before it in its place, has shown.
+    /// Checks that no entry reports an older revision than before, even after a restart.
     async fn watch_revisions(&mut self) {
         for entry in 0..self.fleet.spec.entries {
             let Some(seen) = revision_at(&self.fleet.client, &self.fleet.entries[entry]).await else { continue };
@@ -348,7 +348,8 @@
         }
     }
 
-    /// The outcomes; broken connections to entries that were down are told apart in the ledger.
+    /// Returns the results. In the ledger, lost requests that a fault of their entry explains become
+    /// [`Outcome::EntryDown`].
     pub fn close(mut self, ledger: &mut Ledger) -> Outcomes {
         for line in &mut ledger.lines {
             if self.down.iter().any(|down| down.excuses(line)) && matches!(line.outcome, Outcome::Lost(_)) {
--- a/standin/src/text.rs
+++ b/standin/src/text.rs
@@ -1,32 +1,32 @@
-//! Prompt text and the answers that engine stand-ins give to it.
+//! Generates prompt text and the responses of engine stand-ins to it.
 //!
-//! An answer follows from the prompt alone, so that a load tool can tell whether a
-//! caller got the whole answer to its own request and nobody else's.
+//! A response is a function of the prompt alone, so that the load tool can check whether a caller received the
+//! complete response to its own request and no part of another.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Bytes of prompt text per token.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Digests go over pieces of this size, so that a prompt may be cut between them.
+/// Block size of the digest, in bytes; a prompt may be split into spans at block boundaries.
 pub const DIGEST_PIECE: usize = 64 * 1_024;
 
-/// The digest of prompt text that follows text with digest `seed`.
+/// Returns the digest of prompt text that continues text with the digest `seed`; 0 starts a prompt.
 pub fn digest(text: &[u8], seed: u64) -> u64 {
     text.chunks(DIGEST_PIECE).fold(seed, |digest, piece| xxh3_64_with_seed(piece, digest))
 }
 
-/// The output token number `index` of the answer to the prompt with `digest`.
+/// Returns the output token at the zero-based `index` of the response to the prompt with `digest`.
 pub fn token(digest: u64, index: u64) -> String {
     let hash = xxh3_64_with_seed(&index.to_le_bytes(), digest);
     format!(" {:x}", hash & 0xf_ffff)
 }
 
-/// The whole answer.
+/// Returns the complete response of `tokens` tokens to the prompt with `digest`.
 pub fn answer(digest: u64, tokens: u64) -> String {
     (0..tokens).map(|index| token(digest, index)).collect()
 }
 
-/// A prompt of about `tokens` tokens, unlike any with another `seed`.
+/// Returns prompt text of `tokens` tokens, different for each `seed`.
 pub fn prompt(tokens: usize, seed: u64) -> String {
     let bytes = tokens * BYTES_PER_TOKEN;
     let mut text = String::with_capacity(bytes + 16);
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list stand-in: what was registered shows up late.
+//! Stand-in for the platform's VM list, in which changes show after a delay.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,21 +12,21 @@
 use serde::Deserialize;
 use tokio::time::Instant;
 
-/// A running VM list stand-in.
+/// VM list stand-in, shared by its HTTP handlers.
 pub struct Vms {
     lag: Duration,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
-    /// Each change with the time from which it shows.
+    /// Changes that do not show yet: the time from which each shows, and the VM, `None` for a removal.
     pending: Vec<(Instant, String, Option<Vm>)>,
     shown: BTreeMap<String, Vm>,
     outage_until: Instant,
 }
 
 impl Vms {
-    /// An empty list that lags by `lag`.
+    /// Creates an empty list in which changes show after `lag`.
     pub fn new(lag: Duration) -> Arc<Self> {
         let inner = Inner { pending: Vec::new(), shown: BTreeMap::new(), outage_until: Instant::now() };
         Arc::new(Self { lag, inner: Mutex::new(inner) })
@@ -54,7 +54,7 @@
     }
 }
 
-/// All routes of a VM list stand-in.
+/// Returns the routes of a VM list stand-in.
 pub fn router(vms: Arc<Vms>) -> Router {
     Router::new()
         .route("/vms", get(list))
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: a load takes time, and only so many run at once.
+//! Weight store stand-in with a fixed load time and a limit of concurrent loads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use axum::routing::get;
 use tokio::sync::Semaphore;
 
-/// A running weight store stand-in.
+/// Weight store stand-in, shared by its HTTP handlers.
 pub struct Weights {
     takes: Duration,
     at_once: Semaphore,
 }
 
 impl Weights {
-    /// A store that serves `at_once` loads of `takes` each.
+    /// Creates a store that serves up to `at_once` concurrent loads, each for `takes`, and rejects further loads.
     pub fn new(takes: Duration, at_once: usize) -> Arc<Self> {
         Arc::new(Self { takes, at_once: Semaphore::new(at_once) })
     }
 }
 
-/// All routes of a weight store stand-in.
+/// Returns the routes of a weight store stand-in.
 pub fn router(weights: Arc<Weights>) -> Router {
     Router::new().route("/weights/{model}/{version}", get(load)).with_state(weights)
 }
