--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -45,7 +45,10 @@
 
 /// Runs the subcommand.
 pub async fn run(args: Args) -> Result<ExitCode> {
-    ensure!(args.entry.iter().all(|entry| entry.ip().is_loopback()), "step=check-arguments: only loopback is driven");
+    ensure!(
+        args.entry.iter().all(|entry| entry.ip().is_loopback()),
+        "step=check-arguments: every --entry must be a loopback address"
+    );
     let keep = |class: &mix::Class| !(args.no_long && class.is_long());
     let arrivals = mix::arrivals(args.deployment, args.rate, Duration::from_secs(args.seconds), args.seed, keep);
     let drive = Drive {
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -87,7 +87,7 @@
     }
     let held = fleet.held_tokens().await;
     if held > 0 {
-        outcomes.breaches.push(format!("{held} tokens stayed held"));
+        outcomes.breaches.push(format!("{held} tokens of KV memory stayed reserved"));
     }
     outcomes.breaches.extend(fleet.breaches()?);
     let sums = ledger.sums(&fleet.runs().await);
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -87,7 +87,7 @@
         /// Whether the token is the last of the response.
         last: bool,
     },
-    /// A span is prefilled; its memory stays allocated until the span is cancelled.
+    /// A span is prefilled; its memory stays reserved until the span is cancelled.
     SpanReady(Id),
 }
 
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns the allocated KV memory, in tokens.
+    /// Returns the reserved KV memory, in tokens.
     pub fn held(&self) -> u64 {
         self.held
     }
@@ -248,7 +248,7 @@
         running.chain(waiting).collect()
     }
 
-    /// Returns the ids of the prefilled spans whose memory is allocated.
+    /// Returns the ids of the prefilled spans whose memory is reserved.
     pub fn spans(&self) -> Vec<Id> {
         self.spans.keys().copied().collect()
     }
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -52,7 +52,7 @@
     pub running: usize,
     /// Number of waiting prompts.
     pub waiting: usize,
-    /// Allocated KV memory, in tokens.
+    /// Reserved KV memory, in tokens.
     pub held_tokens: u64,
     /// Prompt tokens of running sequences that are not prefilled yet.
     pub prefill_left: u64,
@@ -340,7 +340,7 @@
     digest: u64,
 }
 
-/// Prefills a span of a prompt and keeps its memory allocated until the span is freed.
+/// Prefills a span of a prompt and keeps its memory reserved until the span is freed.
 async fn span(
     State(engine): State<Arc<Engine>>,
     Path(name): Path<String>,
@@ -368,7 +368,7 @@
     while !engine.lock().spans_ready.contains_key(&id) {
         let _ = progress.changed().await;
     }
-    // A prefilled span stays allocated until it is freed by name, even if the client disconnects.
+    // A prefilled span stays reserved until it is freed by name, even if the client disconnects.
     guard.disarm();
     Json(json!({ "tokens": tokens, "digest": text::digest(&body, wanted.digest) })).into_response()
 }
--- a/standin/src/fleet/control.rs
+++ b/standin/src/fleet/control.rs
@@ -76,14 +76,15 @@
 
     /// Sends a signal to a process; fails if the fleet has no process of that name.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
-        let pid = self.pid(name).ok_or_else(|| eyre!("step=signal: no process {name}"))?;
-        let pid = Pid::from_raw(pid as i32).ok_or_else(|| eyre!("step=signal: no process {name}"))?;
+        let pid = self.pid(name).ok_or_else(|| eyre!("step=signal: the fleet has no process {name}"))?;
+        let pid = Pid::from_raw(pid as i32).ok_or_else(|| eyre!("step=signal: the fleet has no process {name}"))?;
         kill_process(pid, signal).wrap_err_with(|| format!("step=signal name={name}"))
     }
 
     /// Kills a process with SIGKILL and reaps it.
     pub fn kill(&mut self, name: &str) -> Result<()> {
-        let process = self.processes.get_mut(name).ok_or_else(|| eyre!("step=kill: no process {name}"))?;
+        let process =
+            self.processes.get_mut(name).ok_or_else(|| eyre!("step=kill: the fleet has no process {name}"))?;
         let _ = process.child.kill();
         process.child.wait().wrap_err_with(|| format!("step=kill name={name}"))?;
         Ok(())
@@ -91,7 +92,7 @@
 
     /// Restarts an exited process with the same program and arguments.
     pub fn restart(&mut self, name: &str) -> Result<()> {
-        let process = self.processes.get(name).ok_or_else(|| eyre!("step=restart: no process {name}"))?;
+        let process = self.processes.get(name).ok_or_else(|| eyre!("step=restart: the fleet has no process {name}"))?;
         let (program, args) = (process.program.clone(), process.args.clone());
         self.run(name, program, args)
     }
@@ -99,21 +100,23 @@
     /// Waits until a process has written its `step=start` log line, after which it handles SIGTERM, or has exited.
     pub async fn wait_begun(&mut self, name: &str) -> Result<()> {
         let log = self.log_file(name);
-        let process = self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-begun: no process {name}"))?;
+        let process =
+            self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-started: the fleet has no process {name}"))?;
         let start = std::time::Instant::now();
         while start.elapsed() < BEGIN {
-            let has_ended = process.child.try_wait().wrap_err("step=wait-begun")?.is_some();
+            let has_ended = process.child.try_wait().wrap_err("step=wait-started")?.is_some();
             if has_ended || has_begun(&log, process.logged_before)? {
                 return Ok(());
             }
             tokio::time::sleep(POLL).await;
         }
-        Err(eyre!("step=wait-begun: {name} has not begun"))
+        Err(eyre!("step=wait-started: {name} wrote no step=start log line within {BEGIN:?}"))
     }
 
     /// Waits until a process exits by itself; returns whether it exited within `limit` with status 0.
     pub async fn wait_end(&mut self, name: &str, limit: Duration) -> Result<bool> {
-        let process = self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-end: no process {name}"))?;
+        let process =
+            self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-end: the fleet has no process {name}"))?;
         let start = std::time::Instant::now();
         while start.elapsed() < limit {
             if let Some(status) = process.child.try_wait().wrap_err("step=wait-end")? {
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -343,7 +343,7 @@
 
     /// Injects a fault into a stand-in.
     pub async fn fault(&self, name: &str, fault: &Value) -> Result<()> {
-        let address = self.addresses.get(name).ok_or_else(|| eyre!("step=fault: no stand-in {name}"))?;
+        let address = self.addresses.get(name).ok_or_else(|| eyre!("step=fault: the fleet has no stand-in {name}"))?;
         let (status, _) = self.client.json("POST", address, "/fault", "", Some(fault)).await?;
         if status == 204 { Ok(()) } else { bail!("step=fault name={name} status={status}") }
     }
@@ -362,7 +362,7 @@
         all
     }
 
-    /// Returns the allocated KV memory, in tokens, summed over all engines that respond.
+    /// Returns the reserved KV memory, in tokens, summed over all engines that respond.
     pub async fn held_tokens(&self) -> u64 {
         let mut held = 0;
         for number in 0..self.spec.engines {
--- a/standin/src/fleet/place.rs
+++ b/standin/src/fleet/place.rs
@@ -52,7 +52,7 @@
             return Ok(format!("127.0.0.1:{port}"));
         }
     }
-    bail!("step=find-port: no free port")
+    bail!("step=find-port: every port of the range is in use")
 }
 
 /// Reserves a block of ports and returns the offset of its first port and the listener that holds the reservation.
--- a/standin/src/history.rs
+++ b/standin/src/history.rs
@@ -36,7 +36,7 @@
 
 /// Returns whether the history is linearizable. Panics if it has more than 64 operations.
 pub fn is_linearizable<S: Specification>(specification: &S, history: &[Call<S::Operation>]) -> bool {
-    assert!(history.len() <= u64::BITS as usize, "split the history by key first");
+    assert!(history.len() <= u64::BITS as usize, "history has more than 64 operations; split it by key");
     let mut dead = HashSet::new();
     search(specification, history, 0, &specification.initial(), &mut dead)
 }
--- a/standin/src/ledger.rs
+++ b/standin/src/ledger.rs
@@ -34,7 +34,7 @@
 /// Returns the outcome of a request from what its client received; `right` tells whether the text is correct.
 pub fn judge(seen: &Seen, right: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
     if seen.took > deadline + GRACE {
-        return Outcome::Lost(format!("late: {} ms", seen.took.as_millis()));
+        return Outcome::Lost(format!("response ended after {} ms, past its deadline", seen.took.as_millis()));
     }
     if seen.failure.is_some() {
         let ran = seen.ran().unwrap_or("-").to_owned();
@@ -44,7 +44,7 @@
         return Outcome::Lost(error.clone());
     }
     if !seen.ended {
-        return Outcome::Lost("the answer broke off without a word".to_owned());
+        return Outcome::Lost("response ended early without an error".to_owned());
     }
     if right(&seen.text) { Outcome::Whole } else { Outcome::MixedUp }
 }
--- a/standin/src/scale.rs
+++ b/standin/src/scale.rs
@@ -52,8 +52,8 @@
 }
 
 fn reading(fleet: &Fleet, name: &str) -> Result<Reading> {
-    let pid = fleet.pid(name).ok_or_else(|| eyre!("step=read-process: no process {name}"))?;
-    probe::read(pid).ok_or_else(|| eyre!("step=read-process: {name} is gone"))
+    let pid = fleet.pid(name).ok_or_else(|| eyre!("step=read-process: the fleet has no process {name}"))?;
+    probe::read(pid).ok_or_else(|| eyre!("step=read-process: process {name} has exited"))
 }
 
 /// Resource use of an entry and a sidecar, and loopback traffic, over a span of time.
@@ -168,7 +168,7 @@
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    Err(eyre!("step=wait-revision: {revision} is not in force after 30 s"))
+    Err(eyre!("step=wait-revision: revision {revision} is not in force at entry-{entry} after 30 s"))
 }
 
 /// Measures two entries with each number of workspaces: memory, time to apply a change, and start of a new entry.
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -95,7 +95,9 @@
     };
     if lost {
         // The execution is counted, but the caller's connection breaks.
-        let broken = futures_util::stream::iter([Err::<Bytes, _>(std::io::Error::other("lost"))]);
+        let broken = futures_util::stream::iter([Err::<Bytes, _>(std::io::Error::other(
+            "response dropped by an injected fault",
+        ))]);
         return Response::new(axum::body::Body::from_stream(broken));
     }
     let status: u16 = if head.uri.path() == "/teapot" { 418 } else { 200 };
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -269,7 +269,7 @@
     async fn stop(&mut self, name: &str) -> Result<()> {
         self.fleet.signal(name, Signal::TERM)?;
         if !self.fleet.wait_end(name, Duration::from_secs(60)).await? {
-            self.outcomes.breaches.push(format!("{name} did not end by itself within a minute"));
+            self.outcomes.breaches.push(format!("{name} did not exit within 60 s of SIGTERM"));
             self.fleet.kill(name)?;
         }
         self.fleet.restart(name)
@@ -291,7 +291,9 @@
         let (Some(one), Some(other)) = plans else { return Ok(()) };
         let (first, second) = tokio::join!(self.confirm(0, &one), self.confirm(1, &other));
         if let (Some(first), Some(second)) = (first, second) {
-            self.outcomes.breaches.push(format!("two racing plans on one base were accepted: {first} and {second}"));
+            self.outcomes
+                .breaches
+                .push(format!("two conflicting plans were both accepted: revisions {first} and {second}"));
         }
         if let Some(revision) = first.or(second) {
             self.accepted(revision).await;
@@ -342,7 +344,9 @@
             let Some(seen) = revision_at(&self.fleet.client, &self.fleet.entries[entry]).await else { continue };
             let last = self.revisions.entry(entry).or_default();
             if seen < *last && seen > 0 {
-                self.outcomes.breaches.push(format!("entry-{entry} went from revision {last} back to {seen}"));
+                self.outcomes
+                    .breaches
+                    .push(format!("entry-{entry} returned from revision {last} to older revision {seen}"));
             }
             *last = seen.max(*last);
         }
