--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -159,39 +159,39 @@
         headers.push(("content-type".to_owned(), "application/json".to_owned()));
         headers.push(("x-deadline-ms".to_owned(), prompt.deadline.as_millis().to_string()));
         let start = Instant::now();
-        let mut seen = Seen::default();
-        if let Err(error) = self.read(address, prompt, &headers, start, &mut seen).await {
-            seen.error = Some(format!("{error:#}"));
+        let mut received = Seen::default();
+        if let Err(error) = self.receive(address, prompt, &headers, start, &mut received).await {
+            received.error = Some(format!("{error:#}"));
         }
-        seen.took = start.elapsed();
-        seen
+        received.took = start.elapsed();
+        received
     }
 
-    async fn read(
+    async fn receive(
         &self,
         address: &str,
         prompt: &Prompt,
         headers: &[(String, String)],
         start: Instant,
-        seen: &mut Seen,
+        received: &mut Seen,
     ) -> Result<()> {
         let response = self.send("POST", address, "/v1/chat/completions", headers, prompt.body()).await?;
-        seen.status = response.status().as_u16();
+        received.status = response.status().as_u16();
         let mut body = response.into_body();
-        if seen.status != 200 || !prompt.stream {
+        if received.status != 200 || !prompt.stream {
             let bytes = body.collect().await.wrap_err("step=read")?.to_bytes();
-            return whole(&bytes, seen);
+            return parse_response(&bytes, received);
         }
         let mut buffer = BytesMut::new();
-        let mut last = start;
+        let mut last_token_at = start;
         while let Some(frame) = body.frame().await {
             let frame = frame.wrap_err("step=read")?;
             let Ok(data) = frame.into_data() else { continue };
             buffer.extend_from_slice(&data);
-            while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
-                let line = buffer.split_to(end + 1);
+            while let Some(newline) = buffer.iter().position(|byte| *byte == b'\n') {
+                let line = buffer.split_to(newline + 1);
                 if let Some(data) = line.trim_ascii_end().strip_prefix(b"data: ") {
-                    event(data, start, &mut last, seen)?;
+                    apply_event(data, start, &mut last_token_at, received)?;
                 }
             }
         }
@@ -208,54 +208,54 @@
         body: impl Into<Bytes>,
     ) -> Seen {
         let start = Instant::now();
-        let mut seen = Seen::default();
-        let outcome = async {
+        let mut received = Seen::default();
+        let exchange = async {
             let response = self.send(method, address, path, headers, body).await?;
-            seen.status = response.status().as_u16();
+            received.status = response.status().as_u16();
             let bytes = response.into_body().collect().await.wrap_err("step=read")?.to_bytes();
-            seen.text = String::from_utf8_lossy(&bytes).into_owned();
-            if seen.status >= 400 {
-                seen.failure = serde_json::from_slice(&bytes).ok();
+            received.text = String::from_utf8_lossy(&bytes).into_owned();
+            if received.status >= 400 {
+                received.failure = serde_json::from_slice(&bytes).ok();
             }
-            seen.ended = true;
+            received.ended = true;
             Ok::<(), eyre::Report>(())
         };
-        if let Err(error) = outcome.await {
-            seen.error = Some(format!("{error:#}"));
+        if let Err(error) = exchange.await {
+            received.error = Some(format!("{error:#}"));
         }
-        seen.took = start.elapsed();
-        seen
+        received.took = start.elapsed();
+        received
     }
 }
 
-fn whole(bytes: &[u8], seen: &mut Seen) -> Result<()> {
+fn parse_response(bytes: &[u8], received: &mut Seen) -> Result<()> {
     let value: Value = serde_json::from_slice(bytes).wrap_err("step=decode")?;
     if value["error"].is_object() {
-        seen.failure = Some(value);
+        received.failure = Some(value);
         return Ok(());
     }
-    seen.text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
-    seen.ended = true;
+    received.text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
+    received.ended = true;
     Ok(())
 }
 
-fn event(data: &[u8], start: Instant, last: &mut Instant, seen: &mut Seen) -> Result<()> {
+fn apply_event(data: &[u8], start: Instant, last_token_at: &mut Instant, received: &mut Seen) -> Result<()> {
     if data == b"[DONE]" {
-        seen.ended = true;
+        received.ended = true;
         return Ok(());
     }
     let value: Value = serde_json::from_slice(data).wrap_err("step=decode")?;
     if value["error"].is_object() {
-        seen.failure = Some(value);
+        received.failure = Some(value);
         return Ok(());
     }
     let Some(token) = value["choices"][0]["delta"]["content"].as_str() else { return Ok(()) };
     let now = Instant::now();
-    match seen.ttft {
-        None => seen.ttft = Some(now - start),
-        Some(_) => seen.gaps.push(now - *last),
+    match received.ttft {
+        None => received.ttft = Some(now - start),
+        Some(_) => received.gaps.push(now - *last_token_at),
     }
-    *last = now;
-    seen.text.push_str(token);
+    *last_token_at = now;
+    received.text.push_str(token);
     Ok(())
 }
--- a/standin/src/cmd/compare.rs
+++ b/standin/src/cmd/compare.rs
@@ -12,8 +12,8 @@
 
 use bpaf::Bpaf;
 use eyre::{Result, WrapErr};
-use standin::compare::{self, Setup, WAYS};
-use standin::mix::Deployment;
+use standin::compare::{self, POLICIES, Setup};
+use standin::workload::Deployment;
 
 /// Arguments of `compare`.
 #[derive(Clone, Debug, Bpaf)]
@@ -50,24 +50,26 @@
     let setup = Setup {
         deployment: args.deployment,
         load: args.load,
-        span: Duration::from_secs(args.seconds),
+        duration: Duration::from_secs(args.seconds),
         seed: args.seed,
         engines: args.engines,
         speed: args.speed,
     };
-    let mut all = Vec::new();
-    for way in WAYS {
-        all.push(compare::compare(way, &setup).await?);
+    let mut comparisons = Vec::new();
+    for policy in POLICIES {
+        comparisons.push(compare::compare(policy, &setup).await?);
     }
-    print!("{}", compare::table(&all));
+    print!("{}", compare::format_table(&comparisons));
     if let Some(file) = &args.svg {
         let title = format!("{:?}, load {}, seed {}", args.deployment, args.load, args.seed);
-        compare::plot(&all, &title, file)?;
+        compare::plot(&comparisons, &title, file)?;
     }
     if let Some(file) = &args.json {
-        let text = serde_json::to_string_pretty(&all).wrap_err("step=encode")?;
+        let text = serde_json::to_string_pretty(&comparisons).wrap_err("step=encode")?;
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
     }
-    let balances = all.iter().all(|one| one.with_long.ledger.balances() && one.without_long.ledger.balances());
-    Ok(if balances { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_balanced = comparisons
+        .iter()
+        .all(|comparison| comparison.with_long.ledger.is_balanced() && comparison.without_long.ledger.is_balanced());
+    Ok(if is_balanced { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -16,10 +16,10 @@
 use eyre::{Result, WrapErr};
 use standin::compare;
 use standin::engine::model::Sizes;
-use standin::fleet::{Fleet, Spec, scratch, workspace_key};
-use standin::mix::{self, Deployment};
-use standin::report::{self, Floor};
-use standin::run::{self, Drive};
+use standin::fleet::{Fleet, Spec, scratch_dir, workspace_key};
+use standin::load_generator::{self, LoadPlan};
+use standin::report::{self, PrefillBaseline};
+use standin::workload::{self, Deployment};
 
 /// Arguments of `demo`.
 #[derive(Clone, Debug, Bpaf)]
@@ -72,33 +72,33 @@
         vms_lag_ms: 500,
         ..Spec::small("demo")
     };
-    let dir = scratch("demo");
+    let dir = scratch_dir("demo");
     let fleet = Fleet::start(Spec { dir: dir.clone(), ..spec }).await?;
     println!("fleet of {} processes is up; logs are in {}", fleet.names().len(), dir.display());
     if args.hold {
-        print_hint(&fleet);
+        print_curl_command(&fleet);
     }
 
-    let keep = |class: &mix::Class| !(args.no_long && class.is_long());
-    let rate = compare::rate(args.deployment, args.load, args.engines, &sizes);
-    let arrivals = mix::arrivals(args.deployment, rate, Duration::from_secs(args.seconds), args.seed, keep);
+    let include = |class: &workload::Class| !(args.no_long && class.is_long());
+    let rate = compare::request_rate(args.deployment, args.load, args.engines, &sizes);
+    let arrivals = workload::arrivals(args.deployment, rate, Duration::from_secs(args.seconds), args.seed, include);
     println!(
         "sending {} requests at {rate:.0} a second for {} s, {} times faster than real time",
         arrivals.len(),
         args.seconds,
         args.speed
     );
-    let drive = Drive {
+    let plan = LoadPlan {
         entries: fleet.entries.clone(),
         deployment: args.deployment,
         speed: args.speed,
-        run: format!("demo{}", args.seed),
+        run_id: format!("demo{}", args.seed),
     };
-    let ledger = run::drive(&drive, arrivals).await;
-    let sums = ledger.sums(&fleet.runs().await);
-    let floor = Floor { prefill_per_s: sizes.prefill_per_s * sizes.speed };
-    let report = report::report(&ledger, sums, floor);
-    print!("{}", report.table());
+    let ledger = load_generator::send_arrivals(&plan, arrivals).await;
+    let totals = ledger.totals(&fleet.runs().await);
+    let baseline = PrefillBaseline { prefill_per_s: sizes.prefill_per_s * sizes.speed };
+    let report = report::summarize(&ledger, totals, baseline);
+    print!("{}", report.format_table());
     if let Some(file) = &args.json {
         let text = serde_json::to_string_pretty(&report).wrap_err("step=encode")?;
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
@@ -108,17 +108,17 @@
         let _ = tokio::signal::ctrl_c().await;
     }
     let breaches = fleet.breaches()?;
-    let balances = report.ledger.balances() && breaches.is_empty();
-    breaches.iter().for_each(|line| println!("breach: {line}"));
+    let is_balanced = report.ledger.is_balanced() && breaches.is_empty();
+    breaches.iter().for_each(|breach| println!("breach: {breach}"));
     let stuck = fleet.close().await?;
     if !stuck.is_empty() {
         println!("did not end in time: {stuck}");
     }
-    println!("{}", if balances { "the ledger balances" } else { "the ledger does NOT balance" });
-    Ok(if balances { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{}", if is_balanced { "the ledger balances" } else { "the ledger does NOT balance" });
+    Ok(if is_balanced { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn print_hint(fleet: &Fleet) {
+fn print_curl_command(fleet: &Fleet) {
     println!("entries: {}", fleet.entries.join(" "));
     println!(
         "curl -N http://{}/v1/chat/completions -H 'Authorization: Bearer {}' -H 'Content-Type: application/json' \\\n  \
--- a/standin/src/cmd/listen.rs
+++ b/standin/src/cmd/listen.rs
@@ -55,7 +55,7 @@
     };
     let engine = Engine::new(sizes, !args.no_fence, LOAD_LAG);
     tokio::spawn(engine.clone().run());
-    serve::forever(args.listen, server::router(engine)).await
+    serve::run(args.listen, server::router(engine)).await
 }
 
 /// Arguments of `service`.
@@ -76,7 +76,7 @@
 /// Runs a plain service stand-in.
 pub async fn service(args: ServiceArgs) -> Result<()> {
     let service = service_standin::Service::new(&args.name, Duration::from_millis(args.takes_ms));
-    serve::forever(args.listen, service_standin::router(service)).await
+    serve::run(args.listen, service_standin::router(service)).await
 }
 
 /// Arguments of `log`.
@@ -96,12 +96,12 @@
 
 /// Runs an append-only log stand-in.
 pub async fn log(args: LogArgs) -> Result<()> {
-    let sizes = log_standin::Sizes {
+    let limits = log_standin::Limits {
         appends_per_s: args.appends_per_s,
         retention: Duration::from_millis(args.retention_ms),
-        ..log_standin::Sizes::default()
+        ..log_standin::Limits::default()
     };
-    serve::forever(args.listen, log_standin::router(log_standin::Log::new(sizes))).await
+    serve::run(args.listen, log_standin::router(log_standin::Log::new(limits))).await
 }
 
 /// Arguments of `vms`.
@@ -119,7 +119,7 @@
 /// Runs a VM list stand-in.
 pub async fn vms(args: VmsArgs) -> Result<()> {
     let vms = vms_standin::Vms::new(Duration::from_millis(args.lag_ms));
-    serve::forever(args.listen, vms_standin::router(vms)).await
+    serve::run(args.listen, vms_standin::router(vms)).await
 }
 
 /// Arguments of `weights`.
@@ -140,5 +140,5 @@
 /// Runs a weight store stand-in.
 pub async fn weights(args: WeightsArgs) -> Result<()> {
     let weights = weights_standin::Weights::new(Duration::from_millis(args.takes_ms), args.at_once);
-    serve::forever(args.listen, weights_standin::router(weights)).await
+    serve::run(args.listen, weights_standin::router(weights)).await
 }
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -13,9 +13,9 @@
 use bpaf::Bpaf;
 use eyre::{Result, ensure};
 use standin::engine::model::Sizes;
-use standin::mix::{self, Deployment};
-use standin::report::{self, Floor};
-use standin::run::{self, Drive};
+use standin::load_generator::{self, LoadPlan};
+use standin::report::{self, PrefillBaseline};
+use standin::workload::{self, Deployment};
 
 /// Arguments of `load`.
 #[derive(Clone, Debug, Bpaf)]
@@ -49,18 +49,19 @@
         args.entry.iter().all(|entry| entry.ip().is_loopback()),
         "step=check-arguments: every --entry must be a loopback address"
     );
-    let keep = |class: &mix::Class| !(args.no_long && class.is_long());
-    let arrivals = mix::arrivals(args.deployment, args.rate, Duration::from_secs(args.seconds), args.seed, keep);
-    let drive = Drive {
+    let include = |class: &workload::Class| !(args.no_long && class.is_long());
+    let arrivals =
+        workload::arrivals(args.deployment, args.rate, Duration::from_secs(args.seconds), args.seed, include);
+    let plan = LoadPlan {
         entries: args.entry.iter().map(SocketAddr::to_string).collect(),
         deployment: args.deployment,
         speed: args.speed,
-        run: format!("load{}", args.seed),
+        run_id: format!("load{}", args.seed),
     };
-    let ledger = run::drive(&drive, arrivals).await;
-    let sums = ledger.sums(&HashMap::new());
-    let floor = Floor { prefill_per_s: Sizes::default().prefill_per_s * args.speed };
-    let report = report::report(&ledger, sums, floor);
-    print!("{}", report.table());
-    Ok(if report.ledger.balances() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let ledger = load_generator::send_arrivals(&plan, arrivals).await;
+    let totals = ledger.totals(&HashMap::new());
+    let baseline = PrefillBaseline { prefill_per_s: Sizes::default().prefill_per_s * args.speed };
+    let report = report::summarize(&ledger, totals, baseline);
+    print!("{}", report.format_table());
+    Ok(if report.ledger.is_balanced() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/standin/src/cmd/mod.rs
+++ b/standin/src/cmd/mod.rs
@@ -84,14 +84,14 @@
         .enable_all()
         .build()
         .wrap_err("step=start-runtime")?;
-    let done = |()| ExitCode::SUCCESS;
+    let success = |()| ExitCode::SUCCESS;
     runtime.block_on(async {
         match command {
-            Command::Engine(args) => listen::engine(args).await.map(done),
-            Command::Service(args) => listen::service(args).await.map(done),
-            Command::Log(args) => listen::log(args).await.map(done),
-            Command::Vms(args) => listen::vms(args).await.map(done),
-            Command::Weights(args) => listen::weights(args).await.map(done),
+            Command::Engine(args) => listen::engine(args).await.map(success),
+            Command::Service(args) => listen::service(args).await.map(success),
+            Command::Log(args) => listen::log(args).await.map(success),
+            Command::Vms(args) => listen::vms(args).await.map(success),
+            Command::Weights(args) => listen::weights(args).await.map(success),
             Command::Demo(args) => demo::run(args).await,
             Command::Load(args) => load::run(args).await,
             Command::Compare(args) => compare::run(args).await,
--- a/standin/src/cmd/overhead.rs
+++ b/standin/src/cmd/overhead.rs
@@ -30,19 +30,20 @@
 }
 
 /// Numbers of concurrent prompts of a million tokens.
-const LARGE: [usize; 3] = [0, 1, 10];
+const LARGE_PROMPT_COUNTS: [usize; 3] = [0, 1, 10];
 /// Numbers of concurrent streams.
-const STREAMS: [usize; 3] = [1, 64, 512];
+const STREAM_COUNTS: [usize; 3] = [1, 64, 512];
 
 /// Runs the subcommand.
 pub async fn run(args: Args) -> Result<ExitCode> {
-    let levels = overhead::measure(&STREAMS, args.output, args.speed, Duration::from_secs(args.seconds)).await?;
-    print!("{}", overhead::table(&levels));
+    let levels =
+        overhead::measure_streams(&STREAM_COUNTS, args.output, args.speed, Duration::from_secs(args.seconds)).await?;
+    print!("{}", overhead::format_table(&levels));
     println!(
         "\n| prompts of a million tokens at once | whole | entry peak MiB | sidecar peak MiB |\n|---|---|---|---|"
     );
-    for large in overhead::large(&LARGE).await? {
-        println!("| {} | {} | {:.1} | {:.1} |", large.prompts, large.whole, large.entry_mib, large.sidecar_mib);
+    for usage in overhead::measure_large_prompts(&LARGE_PROMPT_COUNTS).await? {
+        println!("| {} | {} | {:.1} | {:.1} |", usage.prompts, usage.whole, usage.entry_mib, usage.sidecar_mib);
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/standin/src/cmd/scale.rs
+++ b/standin/src/cmd/scale.rs
@@ -29,48 +29,48 @@
 }
 
 /// Numbers of sidecars connected to one entry.
-const MEMBERS: [usize; 4] = [20, 50, 100, 200];
+const SIDECAR_COUNTS: [usize; 4] = [20, 50, 100, 200];
 /// Numbers of VMs on the platform's list.
-const LISTED: [usize; 4] = [1_000, 4_000, 8_000, 12_000];
+const LISTED_VM_COUNTS: [usize; 4] = [1_000, 4_000, 8_000, 12_000];
 /// Interval at which the entry reads the VM list, in milliseconds.
-const LISTED_POLL_MS: u64 = 1_000;
+const VMS_POLL_MS: u64 = 1_000;
 /// Numbers of workspaces in the configuration.
-const WORKSPACES: [usize; 3] = [1_000, 10_000, 35_000];
+const WORKSPACE_COUNTS: [usize; 3] = [1_000, 10_000, 35_000];
 /// Configuration changes applied at each number of workspaces.
-const CHANGES: u64 = 20;
+const CHANGE_COUNT: u64 = 20;
 /// Rates of idempotency key claims through one entry, per second.
-const CLAIMS: [u64; 4] = [20, 50, 100, 200];
+const CLAIM_RATES: [u64; 4] = [20, 50, 100, 200];
 /// Request rates through one entry, per second.
-const REQUESTS: [u64; 4] = [25, 50, 100, 200];
+const REQUEST_RATES: [u64; 4] = [25, 50, 100, 200];
 /// Output tokens per request, one series of rates for each value.
-const OUTPUT: [u64; 2] = [1, 101];
+const OUTPUT_TOKEN_COUNTS: [u64; 2] = [1, 101];
 
 /// Runs the subcommand.
 pub async fn run(args: Args) -> Result<ExitCode> {
-    let span = Duration::from_secs(args.seconds);
-    let wanted = |step: &str| args.only.as_deref().is_none_or(|only| only == step);
-    let mut all = Vec::new();
-    if wanted("members") {
-        all.extend(scale::members(&MEMBERS, span).await?);
+    let duration = Duration::from_secs(args.seconds);
+    let is_selected = |step: &str| args.only.as_deref().is_none_or(|only| only == step);
+    let mut series = Vec::new();
+    if is_selected("members") {
+        series.extend(scale::measure_members(&SIDECAR_COUNTS, duration).await?);
     }
-    if wanted("listed") {
-        all.extend(scale::listed(&LISTED, LISTED_POLL_MS, span).await?);
+    if is_selected("listed") {
+        series.extend(scale::measure_listed_vms(&LISTED_VM_COUNTS, VMS_POLL_MS, duration).await?);
     }
-    if wanted("workspaces") {
-        all.extend(scale::workspaces(&WORKSPACES, CHANGES).await?);
+    if is_selected("workspaces") {
+        series.extend(scale::measure_workspaces(&WORKSPACE_COUNTS, CHANGE_COUNT).await?);
     }
-    if wanted("claims") {
-        all.extend(scale::claims(&CLAIMS, span).await?);
+    if is_selected("claims") {
+        series.extend(scale::measure_claims(&CLAIM_RATES, duration).await?);
     }
-    if wanted("requests") {
-        for output in OUTPUT {
+    if is_selected("requests") {
+        for output in OUTPUT_TOKEN_COUNTS {
             println!("the following requests/s step has {output} output tokens each: see the order of the series");
-            all.extend(scale::requests(&REQUESTS, output, span).await?);
+            series.extend(scale::measure_requests(&REQUEST_RATES, output, duration).await?);
         }
     }
-    print!("{}", scale::table(&all));
+    print!("{}", scale::format_table(&series));
     if let Some(file) = &args.json {
-        let text = serde_json::to_string_pretty(&all).wrap_err("step=encode")?;
+        let text = serde_json::to_string_pretty(&series).wrap_err("step=encode")?;
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
     }
     Ok(ExitCode::SUCCESS)
--- a/standin/src/cmd/site_soak.rs
+++ b/standin/src/cmd/site_soak.rs
@@ -13,7 +13,7 @@
 use bpaf::Bpaf;
 use eyre::Result;
 use futures_util::{StreamExt, stream};
-use standin::fleet::place;
+use standin::fleet::ports;
 use standin::platform::soak::{self, Plan};
 
 /// Arguments of `site-soak`.
@@ -53,7 +53,7 @@
 
 /// Runs the subcommand.
 pub async fn run(args: Args) -> Result<ExitCode> {
-    place::use_soak_ports();
+    ports::use_soak_ports();
     let faults = Duration::from_secs(args.seconds);
     let plan = |seed| Plan {
         seed,
@@ -69,12 +69,12 @@
     let seeds = stream::iter(args.seed..args.seed + args.seeds);
     let mut reports =
         seeds.map(|seed| async move { (seed, soak::run(&plan(seed)).await) }).buffer_unordered(args.at_once);
-    let mut broken = 0;
+    let mut failed_seeds = 0;
     while let Some((seed, report)) = reports.next().await {
         let report = report?;
         println!("seed {seed}: {} breaches\n{report}", report.breaches.len());
-        broken += u64::from(!report.breaches.is_empty());
+        failed_seeds += u64::from(!report.breaches.is_empty());
     }
-    println!("{} of {} seeds kept every promise that was checked", args.seeds - broken, args.seeds);
-    Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{} of {} seeds kept every promise that was checked", args.seeds - failed_seeds, args.seeds);
+    Ok(if failed_seeds == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -18,10 +18,10 @@
 use standin::compare;
 use standin::engine::model::Sizes;
 use standin::fleet::{Fleet, Spec};
-use standin::mix::{self, Deployment};
-use standin::report::{self, Floor};
-use standin::run::{self, Drive};
+use standin::load_generator::{self, LoadPlan};
+use standin::report::{self, PrefillBaseline};
 use standin::soak::Injector;
+use standin::workload::{self, Deployment};
 
 /// Arguments of `soak`.
 #[derive(Clone, Debug, Bpaf)]
@@ -51,7 +51,7 @@
 }
 
 /// Time after the last response within which all KV memory must be free: two lease periods of a span.
-const FREED_WITHIN: Duration = Duration::from_secs(5);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs the subcommand.
 pub async fn run(args: Args) -> Result<ExitCode> {
@@ -66,51 +66,52 @@
     };
     let mut fleet = Fleet::start(spec).await?;
     println!("fleet of {} processes is up; logs are in {}", fleet.names().len(), fleet.spec.dir.display());
-    let rate = compare::rate(args.deployment, args.load, args.engines, &sizes);
-    let span = Duration::from_secs(args.seconds);
-    let arrivals = mix::arrivals(args.deployment, rate, span, args.seed, |_| true);
+    let rate = compare::request_rate(args.deployment, args.load, args.engines, &sizes);
+    let duration = Duration::from_secs(args.seconds);
+    let arrivals = workload::arrivals(args.deployment, rate, duration, args.seed, |_| true);
     println!("sending {} requests at {rate:.0} a second for {} s, seed {}", arrivals.len(), args.seconds, args.seed);
-    let drive = Drive {
+    let plan = LoadPlan {
         entries: fleet.entries.clone(),
         deployment: args.deployment,
         speed: args.speed,
-        run: format!("soak{}", args.seed),
+        run_id: format!("soak{}", args.seed),
     };
     let mut injector = Injector::new(&mut fleet, args.seed);
-    let (mut ledger, injected) = tokio::join!(run::drive(&drive, arrivals), injector.run(span));
+    let (mut ledger, injected) = tokio::join!(load_generator::send_arrivals(&plan, arrivals), injector.run(duration));
     injected?;
-    let mut outcomes = injector.close(&mut ledger);
+    let mut outcomes = injector.finish(&mut ledger);
 
     let start = Instant::now();
-    while fleet.held_tokens().await > 0 && start.elapsed() < FREED_WITHIN {
+    while fleet.held_tokens().await > 0 && start.elapsed() < RELEASE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let held = fleet.held_tokens().await;
-    if held > 0 {
-        outcomes.breaches.push(format!("{held} tokens of KV memory stayed reserved"));
+    let reserved = fleet.held_tokens().await;
+    if reserved > 0 {
+        outcomes.breaches.push(format!("{reserved} tokens of KV memory stayed reserved"));
     }
     outcomes.breaches.extend(fleet.breaches()?);
-    let sums = ledger.sums(&fleet.runs().await);
-    let report = report::report(&ledger, sums, Floor { prefill_per_s: sizes.prefill_per_s * sizes.speed });
-    print!("{}", report.table());
-    for line in ledger.lines.iter().filter(|line| line.is_breach()) {
-        println!("breach: {} {} entry-{} {:?}", line.class, line.id, line.entry, line.outcome);
+    let totals = ledger.totals(&fleet.runs().await);
+    let report =
+        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: sizes.prefill_per_s * sizes.speed });
+    print!("{}", report.format_table());
+    for record in ledger.records.iter().filter(|record| record.is_breach()) {
+        println!("breach: {} {} entry-{} {:?}", record.class, record.id, record.entry, record.outcome);
     }
     let faults: usize = outcomes.faults.values().sum();
     println!("faults: {faults} {}", json!(outcomes.faults));
     println!("changes accepted: {}, in force within ms: {}", outcomes.accepted, json!(outcomes.in_force_ms));
-    println!("tokens held at the end: {held}");
+    println!("tokens held at the end: {reserved}");
     outcomes.breaches.iter().for_each(|breach| println!("breach: {breach}"));
     if let Some(file) = &args.json {
         let text =
             serde_json::to_string_pretty(&json!({ "report": report, "soak": outcomes })).wrap_err("step=encode")?;
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
     }
-    let kept = report.ledger.balances() && outcomes.breaches.is_empty();
+    let is_passed = report.ledger.is_balanced() && outcomes.breaches.is_empty();
     let stuck = fleet.close().await?;
     if !stuck.is_empty() {
         println!("did not end in time: {stuck}");
     }
-    println!("{}", if kept { "every promise that was checked was kept" } else { "promises were BROKEN" });
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{}", if is_passed { "every promise that was checked was kept" } else { "promises were BROKEN" });
+    Ok(if is_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -43,10 +43,10 @@
 }
 
 /// Share of the shorter of decode and prefill that a step cannot overlap with the longer one.
-const NOT_OVERLAPPED: f64 = 0.25;
+const NON_OVERLAPPING_SHARE: f64 = 0.25;
 
 /// Identifies a sequence or span within its engine.
-pub type Id = u64;
+pub type SequenceId = u64;
 
 /// A prompt submitted to the engine.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
     /// Tokens of the context, including remote spans and the output tokens of an earlier attempt.
     pub tokens: u64,
     /// Tokens of the context held in spans on other engines, which use no memory on this engine.
-    pub remote: u64,
+    pub remote_tokens: u64,
     /// Output tokens already emitted by an earlier attempt.
     pub resume_after: u64,
     /// Total output tokens; 0 for a span, which is only prefilled.
@@ -71,8 +71,8 @@
 struct Sequence {
     prompt: Prompt,
     memory: u64,
-    prefill_left: u64,
-    given: u64,
+    remaining_prefill: u64,
+    emitted: u64,
 }
 
 /// Result of a step.
@@ -81,25 +81,25 @@
     /// A sequence emitted an output token.
     Token {
         /// Sequence that emitted the token.
-        id: Id,
+        id: SequenceId,
         /// Zero-based index of the token in the response.
         index: u64,
         /// Whether the token is the last of the response.
         last: bool,
     },
     /// A span is prefilled; its memory stays reserved until the span is cancelled.
-    SpanReady(Id),
+    SpanReady(SequenceId),
 }
 
 /// Scheduler state of an engine: waiting prompts, running sequences, spans and KV memory.
 pub struct Model {
     sizes: Sizes,
-    waiting: BTreeMap<(std::cmp::Reverse<i32>, Id), Prompt>,
-    running: BTreeMap<Id, Sequence>,
-    spans: HashMap<Id, u64>,
+    waiting: BTreeMap<(std::cmp::Reverse<i32>, SequenceId), Prompt>,
+    running: BTreeMap<SequenceId, Sequence>,
+    spans: HashMap<SequenceId, u64>,
     cache: Cache,
-    held: u64,
-    next: Id,
+    reserved: u64,
+    next_id: SequenceId,
 }
 
 impl Model {
@@ -112,31 +112,31 @@
             running: BTreeMap::new(),
             spans: HashMap::new(),
             cache,
-            held: 0,
-            next: 1,
+            reserved: 0,
+            next_id: 1,
         }
     }
 
     /// Queues a prompt and returns its id, or `None` if the prompt exceeds the engine's total memory.
-    pub fn submit(&mut self, prompt: Prompt) -> Option<Id> {
-        if needed(&prompt) > self.sizes.memory {
+    pub fn submit(&mut self, prompt: Prompt) -> Option<SequenceId> {
+        if memory_needed(&prompt) > self.sizes.memory {
             return None;
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.waiting.insert((std::cmp::Reverse(prompt.priority), id), prompt);
         self.admit();
         Some(id)
     }
 
     /// Removes a waiting prompt or a running sequence, or frees a span.
-    pub fn cancel(&mut self, id: Id) {
+    pub fn cancel(&mut self, id: SequenceId) {
         self.waiting.retain(|(_, other), _| *other != id);
         if let Some(sequence) = self.running.remove(&id) {
-            self.held -= sequence.memory;
+            self.reserved -= sequence.memory;
         }
         if let Some(memory) = self.spans.remove(&id) {
-            self.held -= memory;
+            self.reserved -= memory;
         }
         self.admit();
     }
@@ -149,40 +149,41 @@
     /// Runs one step and returns its duration and the events that take effect at its end.
     pub fn step(&mut self) -> (Duration, Vec<Event>) {
         let mut events = Vec::new();
-        let decoding: Vec<Id> =
-            self.running.iter().filter(|(_, sequence)| sequence.prefill_left == 0).map(|(id, _)| *id).collect();
-        let mut decode = Duration::ZERO;
+        let decoding: Vec<SequenceId> =
+            self.running.iter().filter(|(_, sequence)| sequence.remaining_prefill == 0).map(|(id, _)| *id).collect();
+        let mut decode_time = Duration::ZERO;
         if !decoding.is_empty() {
-            decode = self.sizes.step + self.sizes.per_sequence * decoding.len() as u32;
+            decode_time = self.sizes.step + self.sizes.per_sequence * decoding.len() as u32;
         }
-        let mut prefill = Duration::ZERO;
-        if let Some((id, chunk)) = self.prefill() {
-            prefill = Duration::from_secs_f64(chunk as f64 / self.sizes.prefill_per_s);
-            self.prefilled(id, &mut events);
+        let mut prefill_time = Duration::ZERO;
+        if let Some((id, chunk)) = self.prefill_chunk() {
+            prefill_time = Duration::from_secs_f64(chunk as f64 / self.sizes.prefill_per_s);
+            self.finish_prefill(id, &mut events);
         }
         // Decoding is bound by memory bandwidth and prefill by compute, so they mostly overlap in one step.
-        let time = decode.max(prefill) + decode.min(prefill).mul_f64(NOT_OVERLAPPED);
+        let step_time = decode_time.max(prefill_time) + decode_time.min(prefill_time).mul_f64(NON_OVERLAPPING_SHARE);
         for id in decoding {
-            self.decode(id, &mut events);
+            self.decode_token(id, &mut events);
         }
         self.admit();
-        (time.div_f64(self.sizes.speed), events)
+        (step_time.div_f64(self.sizes.speed), events)
     }
 
     /// Prefills a chunk of the prompt with the highest priority and returns its id and the chunk's tokens.
-    fn prefill(&mut self) -> Option<(Id, u64)> {
-        let open = self.running.iter_mut().filter(|(_, sequence)| sequence.prefill_left > 0);
-        let (id, sequence) = open.min_by_key(|(id, sequence)| (std::cmp::Reverse(sequence.prompt.priority), **id))?;
-        let chunk = sequence.prefill_left.min(self.sizes.chunk);
-        sequence.prefill_left -= chunk;
+    fn prefill_chunk(&mut self) -> Option<(SequenceId, u64)> {
+        let prefilling = self.running.iter_mut().filter(|(_, sequence)| sequence.remaining_prefill > 0);
+        let (id, sequence) =
+            prefilling.min_by_key(|(id, sequence)| (std::cmp::Reverse(sequence.prompt.priority), **id))?;
+        let chunk = sequence.remaining_prefill.min(self.sizes.chunk);
+        sequence.remaining_prefill -= chunk;
         Some((*id, chunk))
     }
 
-    fn prefilled(&mut self, id: Id, events: &mut Vec<Event>) {
-        let Some(sequence) = self.running.get(&id).filter(|sequence| sequence.prefill_left == 0) else { return };
+    fn finish_prefill(&mut self, id: SequenceId, events: &mut Vec<Event>) {
+        let Some(sequence) = self.running.get(&id).filter(|sequence| sequence.remaining_prefill == 0) else { return };
         self.cache.insert(&sequence.prompt.chain);
         if sequence.prompt.output > 0 {
-            self.decode(id, events);
+            self.decode_token(id, events);
             return;
         }
         let memory = sequence.memory;
@@ -191,39 +192,39 @@
         events.push(Event::SpanReady(id));
     }
 
-    fn decode(&mut self, id: Id, events: &mut Vec<Event>) {
+    fn decode_token(&mut self, id: SequenceId, events: &mut Vec<Event>) {
         let Some(sequence) = self.running.get_mut(&id) else { return };
-        let index = sequence.given;
-        sequence.given += 1;
-        let last = sequence.given >= sequence.prompt.output;
+        let index = sequence.emitted;
+        sequence.emitted += 1;
+        let last = sequence.emitted >= sequence.prompt.output;
         events.push(Event::Token { id, index, last });
         if last {
-            self.held -= sequence.memory;
+            self.reserved -= sequence.memory;
             self.running.remove(&id);
         }
     }
 
     fn admit(&mut self) {
         while let Some((key, prompt)) = self.waiting.first_key_value() {
-            let memory = needed(prompt);
-            if self.running.len() >= self.sizes.slots || self.held + memory > self.sizes.memory {
+            let memory = memory_needed(prompt);
+            if self.running.len() >= self.sizes.slots || self.reserved + memory > self.sizes.memory {
                 return;
             }
             let (key, prompt) = (*key, prompt.clone());
             self.waiting.remove(&key);
-            self.held += memory;
+            self.reserved += memory;
             let cached = Chain::bytes(self.cache.shared(&prompt.chain)) / crate::text::BYTES_PER_TOKEN as u64;
-            let local = prompt.tokens - prompt.remote;
+            let local_tokens = prompt.tokens - prompt.remote_tokens;
             // The last token is always prefilled, even on a full cache hit, because decoding starts from its output.
-            let prefill_left = local.saturating_sub(cached).max(1);
-            let given = prompt.resume_after;
-            self.running.insert(key.1, Sequence { prompt, memory, prefill_left, given });
+            let remaining_prefill = local_tokens.saturating_sub(cached).max(1);
+            let emitted = prompt.resume_after;
+            self.running.insert(key.1, Sequence { prompt, memory, remaining_prefill, emitted });
         }
     }
 
     /// Returns the reserved KV memory, in tokens.
-    pub fn held(&self) -> u64 {
-        self.held
+    pub fn reserved(&self) -> u64 {
+        self.reserved
     }
 
     /// Returns the number of running sequences.
@@ -237,19 +238,19 @@
     }
 
     /// Returns the prompt tokens of running sequences that are not prefilled yet.
-    pub fn prefill_left(&self) -> u64 {
-        self.running.values().map(|sequence| sequence.prefill_left).sum()
+    pub fn remaining_prefill(&self) -> u64 {
+        self.running.values().map(|sequence| sequence.remaining_prefill).sum()
     }
 
     /// Returns the ids and request ids of all running sequences and waiting prompts.
-    pub fn requests(&self) -> Vec<(Id, String)> {
+    pub fn requests(&self) -> Vec<(SequenceId, String)> {
         let running = self.running.iter().map(|(id, sequence)| (*id, sequence.prompt.request.clone()));
         let waiting = self.waiting.iter().map(|((_, id), prompt)| (*id, prompt.request.clone()));
         running.chain(waiting).collect()
     }
 
     /// Returns the ids of the prefilled spans whose memory is reserved.
-    pub fn spans(&self) -> Vec<Id> {
+    pub fn spans(&self) -> Vec<SequenceId> {
         self.spans.keys().copied().collect()
     }
 
@@ -260,6 +261,6 @@
 }
 
 /// Returns the KV memory, in tokens, that a prompt needs until its last output token.
-fn needed(prompt: &Prompt) -> u64 {
-    prompt.tokens - prompt.remote + prompt.output.saturating_sub(prompt.resume_after)
+fn memory_needed(prompt: &Prompt) -> u64 {
+    prompt.tokens - prompt.remote_tokens + prompt.output.saturating_sub(prompt.resume_after)
 }
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -20,18 +20,18 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-use super::model::{Event, Id, Model, Prompt, Sizes};
+use super::model::{Event, Model, Prompt, SequenceId, Sizes};
 use crate::text;
 
 /// Mutable state of the engine, which a restart discards.
-struct Inner {
+struct EngineState {
     model: Model,
-    outputs: HashMap<Id, mpsc::UnboundedSender<(u64, bool)>>,
-    spans_ready: HashMap<Id, bool>,
-    span_names: HashMap<String, Id>,
-    guard: Guard,
+    outputs: HashMap<SequenceId, mpsc::UnboundedSender<(u64, bool)>>,
+    ready_spans: HashMap<SequenceId, bool>,
+    span_ids: HashMap<String, SequenceId>,
+    fence_guard: Guard,
     loaded: Loaded,
-    orders: u64,
+    order_count: u64,
 }
 
 /// Model, adapters and role set by the last accepted order.
@@ -60,47 +60,47 @@
 
 /// Engine stand-in, shared by its step loop and its HTTP handlers.
 pub struct Engine {
-    inner: Mutex<Inner>,
-    work: Notify,
-    progress: watch::Sender<u64>,
-    frozen_until: Mutex<Instant>,
-    lagging: Mutex<Load>,
+    state: Mutex<EngineState>,
+    work_available: Notify,
+    steps_run: watch::Sender<u64>,
+    suspended_until: Mutex<Instant>,
+    reported_load: Mutex<Load>,
     checks_fence: bool,
-    load_lag: Duration,
+    load_report_delay: Duration,
 }
 
 impl Engine {
     /// Creates an idle engine that refreshes its reported load every `load_lag`, and that rejects orders with an old
     /// fence if `checks_fence` is set.
-    pub fn new(sizes: Sizes, checks_fence: bool, load_lag: Duration) -> Arc<Self> {
-        let inner = Inner {
+    pub fn new(sizes: Sizes, checks_fence: bool, load_report_delay: Duration) -> Arc<Self> {
+        let state = EngineState {
             model: Model::new(sizes),
             outputs: HashMap::new(),
-            spans_ready: HashMap::new(),
-            span_names: HashMap::new(),
-            guard: Guard::default(),
+            ready_spans: HashMap::new(),
+            span_ids: HashMap::new(),
+            fence_guard: Guard::default(),
             loaded: Loaded::default(),
-            orders: 0,
+            order_count: 0,
         };
         Arc::new(Self {
-            inner: Mutex::new(inner),
-            work: Notify::new(),
-            progress: watch::channel(0).0,
-            frozen_until: Mutex::new(Instant::now()),
-            lagging: Mutex::default(),
+            state: Mutex::new(state),
+            work_available: Notify::new(),
+            steps_run: watch::channel(0).0,
+            suspended_until: Mutex::new(Instant::now()),
+            reported_load: Mutex::default(),
             checks_fence,
-            load_lag,
+            load_report_delay,
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, EngineState> {
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Waits until an injected suspension ends.
-    async fn thaw(&self) {
+    async fn wait_until_resumed(&self) {
         loop {
-            let until = *self.frozen_until.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+            let until = *self.suspended_until.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
             if until <= Instant::now() {
                 return;
             }
@@ -110,100 +110,100 @@
 
     /// Runs steps for the life of the process.
     pub async fn run(self: Arc<Self>) {
-        tokio::spawn(self.clone().report());
-        let mut clock = Instant::now();
+        tokio::spawn(self.clone().report_load());
+        let mut step_end = Instant::now();
         loop {
-            self.thaw().await;
+            self.wait_until_resumed().await;
             if !self.lock().model.is_busy() {
-                self.work.notified().await;
-                clock = Instant::now();
+                self.work_available.notified().await;
+                step_end = Instant::now();
                 continue;
             }
             let (time, events) = self.lock().model.step();
             // Steps are scheduled from the model's clock, at most 50 ms in the past, so that coarse timers do not
             // lower the token rate.
-            clock = (clock + time).max(Instant::now() - Duration::from_millis(50));
-            tokio::time::sleep_until(clock).await;
+            step_end = (step_end + time).max(Instant::now() - Duration::from_millis(50));
+            tokio::time::sleep_until(step_end).await;
             self.emit(events);
         }
     }
 
     fn emit(&self, events: Vec<Event>) {
-        let mut inner = self.lock();
+        let mut state = self.lock();
         for event in events {
             match event {
                 Event::Token { id, index, last } => {
-                    let taken = inner.outputs.get(&id).is_some_and(|output| output.send((index, last)).is_ok());
-                    if last || !taken {
-                        inner.outputs.remove(&id);
+                    let is_delivered = state.outputs.get(&id).is_some_and(|output| output.send((index, last)).is_ok());
+                    if last || !is_delivered {
+                        state.outputs.remove(&id);
                     }
-                    if !taken && !last {
-                        inner.model.cancel(id);
+                    if !is_delivered && !last {
+                        state.model.cancel(id);
                     }
                 }
-                Event::SpanReady(id) => drop(inner.spans_ready.insert(id, true)),
+                Event::SpanReady(id) => drop(state.ready_spans.insert(id, true)),
             }
         }
-        drop(inner);
-        self.progress.send_modify(|count| *count += 1);
+        drop(state);
+        self.steps_run.send_modify(|count| *count += 1);
     }
 
-    async fn report(self: Arc<Self>) {
+    async fn report_load(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(self.load_lag).await;
+            tokio::time::sleep(self.load_report_delay).await;
             let load = self.load();
-            *self.lagging.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = load;
+            *self.reported_load.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = load;
         }
     }
 
     fn load(&self) -> Load {
-        let inner = self.lock();
+        let state = self.lock();
         Load {
-            running: inner.model.running(),
-            waiting: inner.model.waiting(),
-            held_tokens: inner.model.held(),
-            prefill_left: inner.model.prefill_left(),
+            running: state.model.running(),
+            waiting: state.model.waiting(),
+            held_tokens: state.model.reserved(),
+            prefill_left: state.model.remaining_prefill(),
         }
     }
 
-    fn submit(&self, prompt: Prompt) -> Option<(Id, mpsc::UnboundedReceiver<(u64, bool)>)> {
-        let mut inner = self.lock();
-        let id = inner.model.submit(prompt)?;
+    fn submit(&self, prompt: Prompt) -> Option<(SequenceId, mpsc::UnboundedReceiver<(u64, bool)>)> {
+        let mut state = self.lock();
+        let id = state.model.submit(prompt)?;
         let (output, receiver) = mpsc::unbounded_channel();
-        inner.outputs.insert(id, output);
-        drop(inner);
-        self.work.notify_one();
+        state.outputs.insert(id, output);
+        drop(state);
+        self.work_available.notify_one();
         Some((id, receiver))
     }
 
-    fn cancel(&self, id: Id) {
-        let mut inner = self.lock();
-        inner.outputs.remove(&id);
-        inner.model.cancel(id);
+    fn cancel(&self, id: SequenceId) {
+        let mut state = self.lock();
+        state.outputs.remove(&id);
+        state.model.cancel(id);
     }
 }
 
 /// Cancels a sequence when dropped, so that a disconnected client frees its memory.
-struct Guarded {
+struct CancelOnDrop {
     engine: Arc<Engine>,
-    id: Id,
-    armed: bool,
+    id: SequenceId,
+    is_armed: bool,
 }
 
-impl Guarded {
-    fn new(engine: Arc<Engine>, id: Id) -> Self {
-        Self { engine, id, armed: true }
+impl CancelOnDrop {
+    fn new(engine: Arc<Engine>, id: SequenceId) -> Self {
+        Self { engine, id, is_armed: true }
     }
 
     /// Keeps the sequence when the guard is dropped.
     fn disarm(mut self) {
-        self.armed = false;
+        self.is_armed = false;
     }
 }
 
-impl Drop for Guarded {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        if self.armed {
+        if self.is_armed {
             self.engine.cancel(self.id);
         }
     }
@@ -214,21 +214,21 @@
     Router::new()
         .route("/v1/chat/completions", post(chat))
         .route("/v1/completions", post(completions))
-        .route("/spans/{name}", post(span))
+        .route("/spans/{name}", post(prefill_span))
         .route("/spans/{name}", delete(free_span))
-        .route("/kv", get(kv))
-        .route("/cancel/{name}", post(cancel))
-        .route("/load", get(load))
-        .route("/health", get(health))
-        .route("/orders", post(order))
-        .route("/loaded", get(loaded))
-        .route("/fault", post(fault))
+        .route("/kv", get(get_kv))
+        .route("/cancel/{name}", post(cancel_request))
+        .route("/load", get(get_load))
+        .route("/health", get(get_health))
+        .route("/orders", post(apply_order))
+        .route("/loaded", get(get_loaded))
+        .route("/fault", post(inject_fault))
         .layer(DefaultBodyLimit::disable())
         .with_state(engine)
 }
 
 #[derive(Deserialize)]
-struct Wanted<'a> {
+struct CompletionRequest<'a> {
     #[serde(borrow, default)]
     messages: Option<&'a RawValue>,
     #[serde(borrow, default)]
@@ -240,42 +240,42 @@
     model: String,
 }
 
-fn number<T: std::str::FromStr + Default>(headers: &HeaderMap, name: &str) -> T {
+fn header_number<T: std::str::FromStr + Default>(headers: &HeaderMap, name: &str) -> T {
     let text = headers.get(name).and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
 async fn chat(State(engine): State<Arc<Engine>>, headers: HeaderMap, body: Bytes) -> Response {
-    prompt(engine, &headers, &body, true).await
+    run_completion(engine, &headers, &body, true).await
 }
 
 async fn completions(State(engine): State<Arc<Engine>>, headers: HeaderMap, body: Bytes) -> Response {
-    prompt(engine, &headers, &body, false).await
+    run_completion(engine, &headers, &body, false).await
 }
 
-async fn prompt(engine: Arc<Engine>, headers: &HeaderMap, body: &Bytes, chat: bool) -> Response {
-    engine.thaw().await;
-    let wanted: Wanted = match serde_json::from_slice(body) {
-        Ok(wanted) => wanted,
+async fn run_completion(engine: Arc<Engine>, headers: &HeaderMap, body: &Bytes, chat: bool) -> Response {
+    engine.wait_until_resumed().await;
+    let completion: CompletionRequest = match serde_json::from_slice(body) {
+        Ok(completion) => completion,
         Err(error) => return (StatusCode::BAD_REQUEST, error.to_string()).into_response(),
     };
-    let Some(raw) = (if chat { wanted.messages } else { wanted.prompt }) else {
+    let Some(prompt_json) = (if chat { completion.messages } else { completion.prompt }) else {
         return (StatusCode::BAD_REQUEST, "no prompt").into_response();
     };
-    let bytes = raw.get().as_bytes();
-    let resume_after: u64 = number(headers, "x-resume-after");
-    let seed: u64 = number(headers, "x-span-digest");
-    let remote: u64 = number(headers, "x-span-tokens");
+    let bytes = prompt_json.get().as_bytes();
+    let resume_after: u64 = header_number(headers, "x-resume-after");
+    let seed: u64 = header_number(headers, "x-span-digest");
+    let remote: u64 = header_number(headers, "x-span-tokens");
     // A prompt whose context is held in spans carries only the digest and token count of that context.
     let digest = if remote > 0 { seed } else { text::digest(bytes, 0) };
     let local = if remote > 0 { 0 } else { (bytes.len() / text::BYTES_PER_TOKEN) as u64 };
-    let output = wanted.max_completion_tokens.or(wanted.max_tokens).unwrap_or(16 + digest % 48);
+    let output = completion.max_completion_tokens.or(completion.max_tokens).unwrap_or(16 + digest % 48);
     let prompt_tokens = local + remote;
     let prompt = Prompt {
         request: headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("-").to_owned(),
-        priority: number(headers, "x-priority"),
+        priority: header_number(headers, "x-priority"),
         tokens: prompt_tokens + resume_after,
-        remote,
+        remote_tokens: remote,
         resume_after,
         output,
         chain: Chain::of(bytes),
@@ -286,74 +286,76 @@
     let Some((id, outputs)) = engine.submit(prompt) else {
         return (StatusCode::UNPROCESSABLE_ENTITY, "the prompt exceeds the engine's memory").into_response();
     };
-    let guard = Guarded::new(engine, id);
-    let writer = Writer { chat, model: wanted.model, digest, prompt_tokens, given: 0 };
-    let events = stream::unfold(Some((guard, writer, outputs)), |state| async move {
-        let (guard, mut writer, mut outputs) = state?;
+    let guard = CancelOnDrop::new(engine, id);
+    let event_writer = EventWriter { chat, model: completion.model, digest, prompt_tokens, tokens_written: 0 };
+    let events = stream::unfold(Some((guard, event_writer, outputs)), |state| async move {
+        let (guard, mut event_writer, mut outputs) = state?;
         let first = outputs.recv().await?;
         let mut bytes = Vec::new();
-        let mut last = writer.token(first, &mut bytes);
+        let mut last = event_writer.token(first, &mut bytes);
         // Tokens that are already available are written in the same frame.
         while !last && let Ok(more) = outputs.try_recv() {
-            last = writer.token(more, &mut bytes);
+            last = event_writer.token(more, &mut bytes);
         }
-        let next = if last { None } else { Some((guard, writer, outputs)) };
+        let next = if last { None } else { Some((guard, event_writer, outputs)) };
         Some((Ok::<Bytes, std::convert::Infallible>(Bytes::from(bytes)), next))
     });
     ([(header::CONTENT_TYPE, "text/event-stream")], Body::from_stream(events)).into_response()
 }
 
-struct Writer {
+struct EventWriter {
     chat: bool,
     model: String,
     digest: u64,
     prompt_tokens: u64,
-    given: u64,
+    tokens_written: u64,
 }
 
-impl Writer {
+impl EventWriter {
     /// Writes the event of a token, and after the last token the usage and the end marker. Returns whether the
     /// token was the last.
-    fn token(&mut self, (index, last): (u64, bool), out: &mut Vec<u8>) -> bool {
-        self.given += 1;
+    fn token(&mut self, (index, last): (u64, bool), buffer: &mut Vec<u8>) -> bool {
+        self.tokens_written += 1;
         let token = text::token(self.digest, index);
-        let part =
+        let content =
             if self.chat { format!("\"delta\":{{\"content\":\"{token}\"}}") } else { format!("\"text\":\"{token}\"") };
-        let finish = if last { "\"length\"" } else { "null" };
+        let finish_reason = if last { "\"length\"" } else { "null" };
         let model = &self.model;
         let line = format!(
-            "data: {{\"id\":\"e\",\"model\":\"{model}\",\"choices\":[{{\"index\":0,{part},\"finish_reason\":{finish}}}]}}\n\n"
+            "data: {{\"id\":\"e\",\"model\":\"{model}\",\"choices\":[{{\"index\":0,{content},\"finish_reason\":{finish_reason}}}]}}\n\n"
         );
-        out.extend_from_slice(line.as_bytes());
+        buffer.extend_from_slice(line.as_bytes());
         if last {
             let usage = json!({ "prompt_tokens": self.prompt_tokens, "completion_tokens": index + 1, "total_tokens": self.prompt_tokens + index + 1 });
-            out.extend_from_slice(format!("data: {{\"choices\":[],\"usage\":{usage}}}\n\ndata: [DONE]\n\n").as_bytes());
+            buffer.extend_from_slice(
+                format!("data: {{\"choices\":[],\"usage\":{usage}}}\n\ndata: [DONE]\n\n").as_bytes(),
+            );
         }
         last
     }
 }
 
 #[derive(Deserialize)]
-struct SpanWanted {
+struct SpanQuery {
     /// Digest of the preceding spans.
     #[serde(default)]
     digest: u64,
 }
 
 /// Prefills a span of a prompt and keeps its memory reserved until the span is freed.
-async fn span(
+async fn prefill_span(
     State(engine): State<Arc<Engine>>,
     Path(name): Path<String>,
-    Query(wanted): Query<SpanWanted>,
+    Query(query): Query<SpanQuery>,
     body: Bytes,
 ) -> Response {
-    engine.thaw().await;
+    engine.wait_until_resumed().await;
     let tokens = (body.len() / text::BYTES_PER_TOKEN) as u64;
     let prompt = Prompt {
         request: name.clone(),
         priority: 0,
         tokens,
-        remote: 0,
+        remote_tokens: 0,
         resume_after: 0,
         output: 0,
         chain: Chain::default(),
@@ -361,78 +363,78 @@
     let Some(id) = engine.lock().model.submit(prompt) else {
         return (StatusCode::UNPROCESSABLE_ENTITY, "the span exceeds the engine's memory").into_response();
     };
-    engine.lock().span_names.insert(name, id);
-    engine.work.notify_one();
-    let guard = Guarded::new(engine.clone(), id);
-    let mut progress = engine.progress.subscribe();
-    while !engine.lock().spans_ready.contains_key(&id) {
-        let _ = progress.changed().await;
+    engine.lock().span_ids.insert(name, id);
+    engine.work_available.notify_one();
+    let guard = CancelOnDrop::new(engine.clone(), id);
+    let mut steps_run = engine.steps_run.subscribe();
+    while !engine.lock().ready_spans.contains_key(&id) {
+        let _ = steps_run.changed().await;
     }
     // A prefilled span stays reserved until it is freed by name, even if the client disconnects.
     guard.disarm();
-    Json(json!({ "tokens": tokens, "digest": text::digest(&body, wanted.digest) })).into_response()
+    Json(json!({ "tokens": tokens, "digest": text::digest(&body, query.digest) })).into_response()
 }
 
 async fn free_span(State(engine): State<Arc<Engine>>, Path(name): Path<String>) -> StatusCode {
-    engine.thaw().await;
-    let id = engine.lock().span_names.remove(&name);
+    engine.wait_until_resumed().await;
+    let id = engine.lock().span_ids.remove(&name);
     if let Some(id) = id {
-        engine.lock().spans_ready.remove(&id);
+        engine.lock().ready_spans.remove(&id);
         engine.cancel(id);
-        engine.work.notify_one();
+        engine.work_available.notify_one();
     }
     StatusCode::NO_CONTENT
 }
 
-async fn kv(State(engine): State<Arc<Engine>>) -> Json<Value> {
-    engine.thaw().await;
-    let inner = engine.lock();
-    let requests: Vec<String> = inner.model.requests().into_iter().map(|(_, request)| request).collect();
-    let spans: Vec<&String> = inner.span_names.keys().collect();
-    Json(json!({ "held_tokens": inner.model.held(), "requests": requests, "spans": spans }))
+async fn get_kv(State(engine): State<Arc<Engine>>) -> Json<Value> {
+    engine.wait_until_resumed().await;
+    let state = engine.lock();
+    let requests: Vec<String> = state.model.requests().into_iter().map(|(_, request)| request).collect();
+    let spans: Vec<&String> = state.span_ids.keys().collect();
+    Json(json!({ "held_tokens": state.model.reserved(), "requests": requests, "spans": spans }))
 }
 
-async fn cancel(State(engine): State<Arc<Engine>>, Path(name): Path<String>) -> StatusCode {
-    engine.thaw().await;
-    let found: Vec<Id> =
+async fn cancel_request(State(engine): State<Arc<Engine>>, Path(name): Path<String>) -> StatusCode {
+    engine.wait_until_resumed().await;
+    let ids: Vec<SequenceId> =
         engine.lock().model.requests().into_iter().filter(|(_, request)| *request == name).map(|(id, _)| id).collect();
-    found.into_iter().for_each(|id| engine.cancel(id));
+    ids.into_iter().for_each(|id| engine.cancel(id));
     StatusCode::NO_CONTENT
 }
 
-async fn load(State(engine): State<Arc<Engine>>) -> Json<Load> {
-    engine.thaw().await;
-    Json(engine.lagging.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone())
+async fn get_load(State(engine): State<Arc<Engine>>) -> Json<Load> {
+    engine.wait_until_resumed().await;
+    Json(engine.reported_load.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone())
 }
 
-async fn health(State(engine): State<Arc<Engine>>) -> &'static str {
-    engine.thaw().await;
+async fn get_health(State(engine): State<Arc<Engine>>) -> &'static str {
+    engine.wait_until_resumed().await;
     "ok\n"
 }
 
 #[derive(Deserialize)]
-struct Order {
+struct LoadOrder {
     fence: u64,
     #[serde(flatten)]
     loaded: Loaded,
 }
 
 /// Applies an order to load a model or change role. Rejects an order with an old fence if the engine checks fences.
-async fn order(State(engine): State<Arc<Engine>>, Json(order): Json<Order>) -> StatusCode {
-    engine.thaw().await;
-    let mut inner = engine.lock();
-    if engine.checks_fence && !inner.guard.admit(Fence(order.fence)) {
+async fn apply_order(State(engine): State<Arc<Engine>>, Json(order): Json<LoadOrder>) -> StatusCode {
+    engine.wait_until_resumed().await;
+    let mut state = engine.lock();
+    if engine.checks_fence && !state.fence_guard.admit(Fence(order.fence)) {
         return StatusCode::CONFLICT;
     }
-    inner.orders += 1;
-    inner.loaded = order.loaded;
+    state.order_count += 1;
+    state.loaded = order.loaded;
     StatusCode::NO_CONTENT
 }
 
-async fn loaded(State(engine): State<Arc<Engine>>) -> Json<Value> {
-    engine.thaw().await;
-    let inner = engine.lock();
-    Json(json!({ "loaded": inner.loaded, "orders": inner.orders, "fence": inner.guard.newest() }))
+async fn get_loaded(State(engine): State<Arc<Engine>>) -> Json<Value> {
+    engine.wait_until_resumed().await;
+    let state = engine.lock();
+    Json(json!({ "loaded": state.loaded, "orders": state.order_count, "fence": state.fence_guard.newest() }))
 }
 
 /// Fault to inject.
@@ -445,11 +447,11 @@
     Die,
 }
 
-async fn fault(State(engine): State<Arc<Engine>>, Json(fault): Json<Fault>) -> StatusCode {
+async fn inject_fault(State(engine): State<Arc<Engine>>, Json(fault): Json<Fault>) -> StatusCode {
     match fault {
         Fault::FreezeMs(ms) => {
             let until = Instant::now() + Duration::from_millis(ms);
-            *engine.frozen_until.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = until;
+            *engine.suspended_until.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = until;
         }
         Fault::Die => std::process::exit(1),
     }
--- a/standin/src/fleet/control.rs
+++ b/standin/src/fleet/control.rs
@@ -9,15 +9,15 @@
 use eyre::{Result, WrapErr, eyre};
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::place::binary;
+use super::ports::binary;
 use super::{Fleet, OPERATOR_ENV, OPERATOR_KEY, Process, TICKET_ENV};
 
 /// Time allowed for a process to exit after SIGTERM.
-const END: Duration = Duration::from_secs(10);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time allowed from the launch of a process to its `step=start` log line.
-const BEGIN: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between two checks of a process or its log.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Fleet {
     pub(super) fn write_settings(&self, name: &str, text: &str) -> Result<String> {
@@ -28,28 +28,28 @@
 
     pub(super) fn spawn(&mut self, name: &str, program: &str, args: Vec<String>) -> Result<()> {
         let program = binary(program)?;
-        self.run(name, program, args)
+        self.spawn_path(name, program, args)
     }
 
-    fn run(&mut self, name: &str, program: PathBuf, args: Vec<String>) -> Result<()> {
-        let logged_before = std::fs::metadata(self.log_file(name)).map_or(0, |log| log.len());
+    fn spawn_path(&mut self, name: &str, program: PathBuf, args: Vec<String>) -> Result<()> {
+        let log_offset = std::fs::metadata(self.log_file(name)).map_or(0, |log| log.len());
         let child = self.launch(name, &program, &args)?;
-        self.processes.insert(name.to_owned(), Process { child, program, args, logged_before });
+        self.processes.insert(name.to_owned(), Process { child, program, args, log_offset });
         Ok(())
     }
 
     fn launch(&self, name: &str, program: &Path, args: &[String]) -> Result<Child> {
         let path = self.log_file(name);
-        let open = || std::fs::OpenOptions::new().create(true).append(true).open(&path);
-        let log = open().wrap_err_with(|| format!("step=open-log path={}", path.display()))?;
-        let errors = open().wrap_err_with(|| format!("step=open-log path={}", path.display()))?;
+        let open_log = || std::fs::OpenOptions::new().create(true).append(true).open(&path);
+        let stdout = open_log().wrap_err_with(|| format!("step=open-log path={}", path.display()))?;
+        let stderr = open_log().wrap_err_with(|| format!("step=open-log path={}", path.display()))?;
         Command::new(program)
             .args(args)
             .env(OPERATOR_ENV, OPERATOR_KEY)
             .env(TICKET_ENV, "ticket-key-of-a-stand-in-fleet")
             .stdin(Stdio::null())
-            .stdout(log)
-            .stderr(errors)
+            .stdout(stdout)
+            .stderr(stderr)
             .spawn()
             .wrap_err_with(|| format!("step=start-process name={name}"))
     }
@@ -94,35 +94,35 @@
     pub fn restart(&mut self, name: &str) -> Result<()> {
         let process = self.processes.get(name).ok_or_else(|| eyre!("step=restart: the fleet has no process {name}"))?;
         let (program, args) = (process.program.clone(), process.args.clone());
-        self.run(name, program, args)
+        self.spawn_path(name, program, args)
     }
 
     /// Waits until a process has written its `step=start` log line, after which it handles SIGTERM, or has exited.
-    pub async fn wait_begun(&mut self, name: &str) -> Result<()> {
+    pub async fn wait_started(&mut self, name: &str) -> Result<()> {
         let log = self.log_file(name);
         let process =
             self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-started: the fleet has no process {name}"))?;
         let start = std::time::Instant::now();
-        while start.elapsed() < BEGIN {
-            let has_ended = process.child.try_wait().wrap_err("step=wait-started")?.is_some();
-            if has_ended || has_begun(&log, process.logged_before)? {
+        while start.elapsed() < START_TIMEOUT {
+            let has_exited = process.child.try_wait().wrap_err("step=wait-started")?.is_some();
+            if has_exited || has_started(&log, process.log_offset)? {
                 return Ok(());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(eyre!("step=wait-started: {name} wrote no step=start log line within {BEGIN:?}"))
+        Err(eyre!("step=wait-started: {name} wrote no step=start log line within {START_TIMEOUT:?}"))
     }
 
     /// Waits until a process exits by itself; returns whether it exited within `limit` with status 0.
-    pub async fn wait_end(&mut self, name: &str, limit: Duration) -> Result<bool> {
+    pub async fn wait_end(&mut self, name: &str, timeout: Duration) -> Result<bool> {
         let process =
             self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-end: the fleet has no process {name}"))?;
         let start = std::time::Instant::now();
-        while start.elapsed() < limit {
+        while start.elapsed() < timeout {
             if let Some(status) = process.child.try_wait().wrap_err("step=wait-end")? {
                 return Ok(status.success());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(false)
     }
@@ -131,15 +131,15 @@
     /// names of the entries and sidecars that did not exit in time with status 0, each followed by a blank.
     pub async fn close(mut self) -> Result<String> {
         let names: Vec<String> = self.names();
-        let ours = |name: &&String| name.starts_with("entry-") || name.starts_with("sidecar-");
-        for name in names.iter().filter(ours) {
+        let has_graceful_exit = |name: &&String| name.starts_with("entry-") || name.starts_with("sidecar-");
+        for name in names.iter().filter(has_graceful_exit) {
             let _ = self.signal(name, Signal::CONT);
-            self.wait_begun(name).await?;
+            self.wait_started(name).await?;
             let _ = self.signal(name, Signal::TERM);
         }
         let mut stuck = String::new();
-        for name in names.iter().filter(ours) {
-            if !self.wait_end(name, END).await? {
+        for name in names.iter().filter(has_graceful_exit) {
+            if !self.wait_end(name, EXIT_TIMEOUT).await? {
                 let _ = write!(stuck, "{name} ");
             }
         }
@@ -151,9 +151,9 @@
 }
 
 /// Returns whether the log has a `step=start` line after its first `logged_before` bytes, which earlier runs wrote.
-fn has_begun(log: &Path, logged_before: u64) -> Result<bool> {
+fn has_started(log: &Path, log_offset: u64) -> Result<bool> {
     let mut file = std::fs::File::open(log).wrap_err_with(|| format!("step=open-log path={}", log.display()))?;
-    file.seek(SeekFrom::Start(logged_before)).wrap_err("step=read-log")?;
+    file.seek(SeekFrom::Start(log_offset)).wrap_err("step=read-log")?;
     let mut text = Vec::new();
     file.read_to_end(&mut text).wrap_err("step=read-log")?;
     Ok(String::from_utf8_lossy(&text).contains("step=start "))
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -4,9 +4,9 @@
 //! logs.
 
 mod control;
-pub mod place;
+pub mod ports;
 
-pub use place::{binary, free_address};
+pub use ports::{binary, free_address};
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
 
 use crate::client::Client;
 use crate::engine::model::Sizes;
-use crate::mix::{Deployment, WORKSPACES};
+use crate::workload::{Deployment, WORKSPACE_COUNT};
 
 /// Bearer key of the operators of a fleet.
 pub const OPERATOR_KEY: &str = "operator-key-of-a-stand-in-fleet";
@@ -27,7 +27,7 @@
 /// Environment variable that passes the ticket signing key to entries.
 const TICKET_ENV: &str = "SORRELPASS_TICKET_SECRET";
 /// Time allowed for a process to listen and for an entry to be ready.
-const READY: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the bearer key of a workspace of a fleet.
 pub fn workspace_key(number: usize) -> String {
@@ -46,7 +46,7 @@
     /// Number of plain services, each with a sidecar of its own.
     pub services: usize,
     /// Whether the sidecars of all plain services share one stand-in, which saves processes.
-    pub shared_service: bool,
+    pub shares_service: bool,
     /// Capacity and speed of the engines.
     pub sizes: Sizes,
     /// Whether engines reject orders with an old fence.
@@ -77,7 +77,7 @@
             entries: 2,
             engines: 3,
             services: 2,
-            shared_service: false,
+            shares_service: false,
             sizes: Sizes { speed: 10.0, ..Sizes::default() },
             checks_fence: true,
             picker: "quoted".into(),
@@ -87,13 +87,13 @@
             retention_ms: 24 * 3_600 * 1_000,
             entry_settings: String::new(),
             sidecar_settings: String::new(),
-            dir: scratch(name),
+            dir: scratch_dir(name),
         }
     }
 }
 
 /// Returns the path of a directory for a fleet's logs and settings, distinct for each name and process id.
-pub fn scratch(name: &str) -> PathBuf {
+pub fn scratch_dir(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("sorrelpass-{name}-{}", std::process::id()))
 }
 
@@ -103,7 +103,7 @@
     program: PathBuf,
     args: Vec<String>,
     /// Size of the log file, in bytes, when this run started.
-    logged_before: u64,
+    log_offset: u64,
 }
 
 /// A running fleet; its processes are killed when it is dropped.
@@ -131,12 +131,12 @@
             addresses: HashMap::new(),
         };
         fleet.start_platform().await?;
-        let entries = fleet.allot_entries()?;
+        let entries = fleet.assign_entry_addresses()?;
         fleet.start_endpoints().await?;
         for (name, listen, peer) in &entries {
             fleet.start_entry(name, listen, peer)?;
         }
-        fleet.publish(&fleet.first_changes()).await?;
+        fleet.publish(&fleet.initial_changes()).await?;
         for entry in fleet.entries.clone() {
             fleet.wait_ready(&entry).await?;
         }
@@ -146,9 +146,9 @@
     async fn start_platform(&mut self) -> Result<()> {
         let retention = self.spec.retention_ms.to_string();
         let lag = self.spec.vms_lag_ms.to_string();
-        let parts: [(&str, &[&str]); 3] =
+        let stand_ins: [(&str, &[&str]); 3] =
             [("log", &["--retention-ms", &retention]), ("vms", &["--lag-ms", &lag]), ("weights", &[])];
-        for (name, args) in parts {
+        for (name, args) in stand_ins {
             let address = free_address()?;
             self.addresses.insert(name.to_owned(), address.clone());
             let mut all = vec![name.to_owned(), "--listen".to_owned(), address];
@@ -162,25 +162,25 @@
         Ok(())
     }
 
-    fn domain(&self, number: usize) -> &'static str {
-        self.spec.deployment.domains()[number % 3]
+    fn failure_domain(&self, number: usize) -> &'static str {
+        self.spec.deployment.failure_domains()[number % 3]
     }
 
-    fn allot_entries(&mut self) -> Result<Vec<(String, String, String)>> {
-        let mut allotted = Vec::new();
+    fn assign_entry_addresses(&mut self) -> Result<Vec<(String, String, String)>> {
+        let mut assigned = Vec::new();
         for number in 0..self.spec.entries {
             let name = format!("entry-{number}");
             let (listen, peer) = (free_address()?, free_address()?);
             self.entries.push(listen.clone());
             self.addresses.insert(name.clone(), peer.clone());
-            allotted.push((name, listen, peer));
+            assigned.push((name, listen, peer));
         }
-        Ok(allotted)
+        Ok(assigned)
     }
 
-    fn peers(&self) -> String {
-        let peers = (0..self.spec.entries).filter_map(|number| self.addresses.get(&format!("entry-{number}")));
-        peers.cloned().collect::<Vec<_>>().join(",")
+    fn peer_addresses(&self) -> String {
+        let peer_addresses = (0..self.spec.entries).filter_map(|number| self.addresses.get(&format!("entry-{number}")));
+        peer_addresses.cloned().collect::<Vec<_>>().join(",")
     }
 
     async fn start_endpoints(&mut self) -> Result<()> {
@@ -190,7 +190,7 @@
         for number in 0..self.spec.services {
             let name = format!("{}-{number}", self.spec.deployment.service());
             let shared = format!("{}-0", self.spec.deployment.service());
-            match self.addresses.get(&shared).filter(|_| self.spec.shared_service).cloned() {
+            match self.addresses.get(&shared).filter(|_| self.spec.shares_service).cloned() {
                 Some(address) => drop(self.addresses.insert(name.clone(), address)),
                 None => {
                     let address = free_address()?;
@@ -227,16 +227,16 @@
         let address = free_address()?;
         self.addresses.insert(name.clone(), address.clone());
         let sizes = &self.spec.sizes;
-        let (slowdown, ttft) = self.spec.deployment.weights();
+        let (slowdown, ttft) = self.spec.deployment.latency_weights();
         let gap_ms = (sizes.step.div_f64(sizes.speed).as_millis()).max(1);
         let text = format!(
             "[process]\nname = {name}\nfailure_domain = {}\n\n[sidecar]\nlisten = {address}\nendpoint = {endpoint}\n\
              endpoint_address = {}\nservice = {service}\nkind = {kind}\nentries = {}\norder = {}\n\
              slowdown_weight = {slowdown}\nttft_weight = {ttft}\nslots = {}\nmemory_tokens = {}\n\
              prefill_tokens_per_s = {}\ngap_ms = {gap_ms}\nprobe_ms = 300\n{}\n",
-            self.domain(number),
+            self.failure_domain(number),
             self.addresses[endpoint],
-            self.peers(),
+            self.peer_addresses(),
             self.spec.order,
             sizes.slots,
             sizes.memory,
@@ -246,7 +246,7 @@
         let file = self.write_settings(&name, &text)?;
         self.spawn(&name, "sorrelpass", vec!["sidecar".to_owned(), file])?;
         let vm = json!({ "name": endpoint, "address": address, "role": "endpoint", "service": service,
-            "failure_domain": self.domain(number), "leaving": false });
+            "failure_domain": self.failure_domain(number), "leaving": false });
         self.list_vm(endpoint, &vm).await
     }
 
@@ -259,12 +259,12 @@
 
     fn start_entry(&mut self, name: &str, listen: &str, peer: &str) -> Result<()> {
         let number: usize = name.rsplit('-').next().and_then(|text| text.parse().ok()).unwrap_or(0);
-        let domain = self.domain(number);
+        let failure_domain = self.failure_domain(number);
         let text = format!(
-            "[process]\nname = {name}\nfailure_domain = {domain}\n\n[entry]\nlisten = {listen}\npeer_listen = {peer}\n\
+            "[process]\nname = {name}\nfailure_domain = {failure_domain}\n\n[entry]\nlisten = {listen}\npeer_listen = {peer}\n\
              peers = {}\npicker = {}\noperator_secret_env = {OPERATOR_ENV}\nticket_secret_env = {TICKET_ENV}\n{}\n\n\
              [platform]\nlog_address = {}\nvms_address = {}\nvms_poll_ms = {}\n",
-            self.peers(),
+            self.peer_addresses(),
             self.spec.picker,
             self.spec.entry_settings,
             self.addresses["log"],
@@ -276,14 +276,14 @@
     }
 
     /// Returns the changes that create a fleet's first configuration.
-    fn first_changes(&self) -> Value {
+    fn initial_changes(&self) -> Value {
         let deployment = self.spec.deployment;
         let mut changes = vec![
             json!({ "put_intent": { "model": deployment.model(), "service": deployment.model(), "workspaces": ["*"],
                 "deadline_ms": 30_000, "deadline_ceiling_ms": 600_000, "context_tokens": 1_100_000 } }),
             json!({ "put_service": { "name": deployment.service(), "repeatable": false, "deadline_ms": 10_000 } }),
         ];
-        for number in 0..WORKSPACES {
+        for number in 0..WORKSPACE_COUNT {
             let digest = blake3::hash(workspace_key(number).as_bytes()).to_hex().to_string();
             let weight = if number < 2 { 2.0 } else { 1.0 };
             changes.push(json!({ "put_workspace": { "name": format!("workspace-{number}"), "key_digest": digest, "weight": weight } }));
@@ -296,7 +296,7 @@
         for number in 0..self.spec.entries {
             let name = format!("entry-{number}");
             let vm = json!({ "name": name, "address": self.addresses[&name], "role": "entry", "service": "",
-                "failure_domain": self.domain(number), "leaving": false });
+                "failure_domain": self.failure_domain(number), "leaving": false });
             self.list_vm(&name, &vm).await?;
         }
         self.publish_at(0, changes).await
@@ -317,28 +317,28 @@
     /// Waits until a TCP connection to `address` succeeds.
     pub async fn wait_listening(&self, address: &str) -> Result<()> {
         let start = std::time::Instant::now();
-        while start.elapsed() < READY {
+        while start.elapsed() < READY_TIMEOUT {
             if tokio::net::TcpStream::connect(address).await.is_ok() {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        bail!("step=wait-listening peer={address}: nothing listens after {} s", READY.as_secs())
+        bail!("step=wait-listening peer={address}: nothing listens after {} s", READY_TIMEOUT.as_secs())
     }
 
     /// Waits until an entry is ready for callers and counts every endpoint and entry of the fleet as a member.
     pub async fn wait_ready(&self, entry: &str) -> Result<()> {
         let start = std::time::Instant::now();
-        let wanted = self.spec.engines + self.spec.services + self.spec.entries;
-        while start.elapsed() < READY {
+        let expected_members = self.spec.engines + self.spec.services + self.spec.entries;
+        while start.elapsed() < READY_TIMEOUT {
             if let Ok((200, body)) = self.client.json("GET", entry, "/readyz", "", None).await
-                && body["members"].as_u64().unwrap_or(0) >= wanted as u64
+                && body["members"].as_u64().unwrap_or(0) >= expected_members as u64
             {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        bail!("step=wait-ready peer={entry}: not ready after {} s", READY.as_secs())
+        bail!("step=wait-ready peer={entry}: not ready after {} s", READY_TIMEOUT.as_secs())
     }
 
     /// Injects a fault into a stand-in.
@@ -364,26 +364,26 @@
 
     /// Returns the reserved KV memory, in tokens, summed over all engines that respond.
     pub async fn held_tokens(&self) -> u64 {
-        let mut held = 0;
+        let mut reserved = 0;
         for number in 0..self.spec.engines {
             let name = format!("{}-{number}", self.spec.deployment.model());
             if let Ok((200, kv)) = self.client.json("GET", &self.addresses[&name], "/kv", "", None).await {
-                held += kv["held_tokens"].as_u64().unwrap_or(0);
+                reserved += kv["held_tokens"].as_u64().unwrap_or(0);
             }
         }
-        held
+        reserved
     }
 
     /// Returns the log lines of all processes that report a violated invariant or a panic.
     pub fn breaches(&self) -> Result<Vec<String>> {
-        let mut found = Vec::new();
+        let mut breaches = Vec::new();
         for file in self.log_files() {
             let text = String::from_utf8_lossy(&std::fs::read(&file).unwrap_or_default()).into_owned();
-            found.extend(
+            breaches.extend(
                 text.lines().filter(|line| line.contains("invariant") || line.contains("panicked")).map(str::to_owned),
             );
         }
-        Ok(found)
+        Ok(breaches)
     }
 }
 
--- a/standin/src/history.rs
+++ b/standin/src/history.rs
@@ -20,7 +20,7 @@
     fn initial(&self) -> Self::State;
 
     /// Returns the possible states after `operation` in `state`, empty if the operation cannot return its result there.
-    fn after(&self, state: &Self::State, operation: &Self::Operation) -> Vec<Self::State>;
+    fn next_states(&self, state: &Self::State, operation: &Self::Operation) -> Vec<Self::State>;
 }
 
 /// A completed operation of a history.
@@ -37,29 +37,29 @@
 /// Returns whether the history is linearizable. Panics if it has more than 64 operations.
 pub fn is_linearizable<S: Specification>(specification: &S, history: &[Call<S::Operation>]) -> bool {
     assert!(history.len() <= u64::BITS as usize, "history has more than 64 operations; split it by key");
-    let mut dead = HashSet::new();
-    search(specification, history, 0, &specification.initial(), &mut dead)
+    let mut visited = HashSet::new();
+    search(specification, history, 0, &specification.initial(), &mut visited)
 }
 
 fn search<S: Specification>(
     specification: &S,
     history: &[Call<S::Operation>],
-    done: u64,
+    linearized: u64,
     state: &S::State,
-    dead: &mut HashSet<(u64, S::State)>,
+    visited: &mut HashSet<(u64, S::State)>,
 ) -> bool {
-    if done.count_ones() as usize == history.len() {
+    if linearized.count_ones() as usize == history.len() {
         return true;
     }
-    if !dead.insert((done, state.clone())) {
+    if !visited.insert((linearized, state.clone())) {
         return false;
     }
-    let open = || history.iter().enumerate().filter(|(index, _)| done & (1 << index) == 0);
+    let remaining = || history.iter().enumerate().filter(|(index, _)| linearized & (1 << index) == 0);
     // An operation may come next only if it was invoked before any other remaining operation returned.
-    let Some(first_return) = open().map(|(_, call)| call.returned).min() else { return true };
-    open().filter(|(_, call)| call.called <= first_return).any(|(index, call)| {
-        let states = specification.after(state, &call.operation);
-        states.iter().any(|next| search(specification, history, done | 1 << index, next, dead))
+    let Some(earliest_return) = remaining().map(|(_, call)| call.returned).min() else { return true };
+    remaining().filter(|(_, call)| call.called <= earliest_return).any(|(index, call)| {
+        let states = specification.next_states(state, &call.operation);
+        states.iter().any(|next| search(specification, history, linearized | 1 << index, next, visited))
     })
 }
 
@@ -87,16 +87,16 @@
         (false, None)
     }
 
-    fn after(&self, (ran, answer): &Self::State, operation: &OnceCall) -> Vec<Self::State> {
+    fn next_states(&self, (is_executed, response): &Self::State, operation: &OnceCall) -> Vec<Self::State> {
         match operation {
-            OnceCall::Answer(text) if answer.as_ref().is_none_or(|known| known == text) => {
+            OnceCall::Answer(text) if response.as_ref().is_none_or(|first_response| first_response == text) => {
                 vec![(true, Some(text.clone()))]
             }
             OnceCall::Answer(_) => Vec::new(),
             // After the key was executed, a call must not report that it was not.
-            OnceCall::NotRun if *ran => Vec::new(),
+            OnceCall::NotRun if *is_executed => Vec::new(),
             OnceCall::NotRun => vec![(false, None)],
-            OnceCall::Unknown => vec![(*ran, answer.clone()), (true, answer.clone())],
+            OnceCall::Unknown => vec![(*is_executed, response.clone()), (true, response.clone())],
         }
     }
 }
@@ -138,7 +138,7 @@
         0
     }
 
-    fn after(&self, last: &u64, operation: &Confirm) -> Vec<u64> {
+    fn next_states(&self, last: &u64, operation: &Confirm) -> Vec<u64> {
         match operation {
             Confirm::Accepted { base, revision } if last <= base && last < revision => vec![*revision],
             Confirm::Accepted { .. } => Vec::new(),
--- a/standin/src/ledger.rs
+++ b/standin/src/ledger.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The response was complete and correct.
-    Whole,
+    Complete,
     /// The response was an error body.
     Failed {
         /// Error code, or `-` if the body carried none.
@@ -29,29 +29,29 @@
 }
 
 /// Tolerance beyond a deadline within which a response still counts as in time.
-const GRACE: Duration = Duration::from_millis(1_000);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1_000);
 
 /// Returns the outcome of a request from what its client received; `right` tells whether the text is correct.
-pub fn judge(seen: &Seen, right: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
-    if seen.took > deadline + GRACE {
-        return Outcome::Lost(format!("response ended after {} ms, past its deadline", seen.took.as_millis()));
+pub fn classify(received: &Seen, is_correct: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
+    if received.took > deadline + DEADLINE_TOLERANCE {
+        return Outcome::Lost(format!("response ended after {} ms, past its deadline", received.took.as_millis()));
     }
-    if seen.failure.is_some() {
-        let ran = seen.ran().unwrap_or("-").to_owned();
-        return Outcome::Failed { code: seen.code().to_owned(), ran };
+    if received.failure.is_some() {
+        let ran = received.ran().unwrap_or("-").to_owned();
+        return Outcome::Failed { code: received.code().to_owned(), ran };
     }
-    if let Some(error) = &seen.error {
+    if let Some(error) = &received.error {
         return Outcome::Lost(error.clone());
     }
-    if !seen.ended {
+    if !received.ended {
         return Outcome::Lost("response ended early without an error".to_owned());
     }
-    if right(&seen.text) { Outcome::Whole } else { Outcome::MixedUp }
+    if is_correct(&received.text) { Outcome::Complete } else { Outcome::MixedUp }
 }
 
 /// Record of one request and its outcome.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct RequestRecord {
     /// Index of the entry that the request was sent to.
     pub entry: usize,
     /// Time at which the request was sent.
@@ -70,16 +70,16 @@
     /// streamed.
     pub ttft: Option<Duration>,
     /// Time from sending the request to the end of the response.
-    pub took: Duration,
+    pub duration: Duration,
     /// Time between each token and the one before it.
     pub gaps: Vec<Duration>,
     /// Idempotency key of the call; `None` for prompts and reads.
-    pub once: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Delay after which the error body allows a retry.
     pub retry_after: Option<Duration>,
 }
 
-impl Line {
+impl RequestRecord {
     /// Returns whether the outcome violates a guarantee.
     pub fn is_breach(&self) -> bool {
         matches!(self.outcome, Outcome::Lost(_) | Outcome::MixedUp)
@@ -90,12 +90,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// One record per request, in the order in which the requests ended.
-    pub lines: Vec<Line>,
+    pub records: Vec<RequestRecord>,
 }
 
 /// Totals of a ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Sums {
+pub struct Totals {
     /// Number of requests sent.
     pub sent: usize,
     /// Number of complete and correct responses.
@@ -114,9 +114,9 @@
     pub false_no: usize,
 }
 
-impl Sums {
+impl Totals {
     /// Returns whether every guarantee that the ledger can check was kept.
-    pub fn balances(&self) -> bool {
+    pub fn is_balanced(&self) -> bool {
         let failed: usize = self.failed.values().sum();
         self.sent == self.whole + failed + self.entry_down
             && self.lost + self.mixed_up + self.doubled + self.false_no == 0
@@ -125,22 +125,22 @@
 
 impl Ledger {
     /// Computes the totals; `runs` holds how often the services executed each key.
-    pub fn sums(&self, runs: &HashMap<String, u64>) -> Sums {
-        let mut sums = Sums { sent: self.lines.len(), ..Sums::default() };
-        for line in &self.lines {
-            match &line.outcome {
-                Outcome::Whole => sums.whole += 1,
-                Outcome::Failed { code, ran } => *sums.failed.entry(format!("{code} ran={ran}")).or_default() += 1,
-                Outcome::EntryDown => sums.entry_down += 1,
-                Outcome::MixedUp => sums.mixed_up += 1,
-                Outcome::Lost(_) => sums.lost += 1,
+    pub fn totals(&self, run_counts: &HashMap<String, u64>) -> Totals {
+        let mut totals = Totals { sent: self.records.len(), ..Totals::default() };
+        for record in &self.records {
+            match &record.outcome {
+                Outcome::Complete => totals.whole += 1,
+                Outcome::Failed { code, ran } => *totals.failed.entry(format!("{code} ran={ran}")).or_default() += 1,
+                Outcome::EntryDown => totals.entry_down += 1,
+                Outcome::MixedUp => totals.mixed_up += 1,
+                Outcome::Lost(_) => totals.lost += 1,
             }
-            let Some(key) = &line.once else { continue };
-            let ran = runs.get(key).copied().unwrap_or(0);
-            sums.doubled += usize::from(ran > 1);
-            let told_no = matches!(&line.outcome, Outcome::Failed { ran, .. } if ran == "no");
-            sums.false_no += usize::from(told_no && ran > 0);
+            let Some(key) = &record.idempotency_key else { continue };
+            let ran = run_counts.get(key).copied().unwrap_or(0);
+            totals.doubled += usize::from(ran > 1);
+            let was_reported_unexecuted = matches!(&record.outcome, Outcome::Failed { ran, .. } if ran == "no");
+            totals.false_no += usize::from(was_reported_unexecuted && ran > 0);
         }
-        sums
+        totals
     }
 }
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -17,18 +17,18 @@
 
 /// Limits of a log stand-in.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
+pub struct Limits {
     /// Append limit per second, over all streams.
     pub appends_per_s: f64,
     /// Retention period of records.
     pub retention: Duration,
     /// Maximum number of records in the response to a read.
-    pub batch: usize,
+    pub max_read_records: usize,
 }
 
-impl Default for Sizes {
+impl Default for Limits {
     fn default() -> Self {
-        Self { appends_per_s: 300.0, retention: Duration::from_secs(24 * 3_600), batch: 1_000 }
+        Self { appends_per_s: 300.0, retention: Duration::from_secs(24 * 3_600), max_read_records: 1_000 }
     }
 }
 
@@ -60,62 +60,62 @@
     trim_stream: String,
 }
 
-struct Inner {
+struct LogState {
     streams: HashMap<String, Stream>,
-    level: f64,
-    filled: Instant,
+    append_tokens: f64,
+    refilled_at: Instant,
     outage_until: Instant,
-    slow: Duration,
+    delay: Duration,
     lose_answers: u32,
-    appends: u64,
-    reads: u64,
+    append_count: u64,
+    read_count: u64,
 }
 
 /// Log stand-in, shared by its HTTP handlers.
 pub struct Log {
-    sizes: Sizes,
-    inner: Mutex<Inner>,
-    news: watch::Sender<u64>,
+    limits: Limits,
+    state: Mutex<LogState>,
+    changes: watch::Sender<u64>,
 }
 
 impl Log {
     /// Creates an empty log.
-    pub fn new(sizes: Sizes) -> Arc<Self> {
+    pub fn new(limits: Limits) -> Arc<Self> {
         let now = Instant::now();
-        let inner = Inner {
+        let state = LogState {
             streams: HashMap::new(),
-            level: sizes.appends_per_s,
-            filled: now,
+            append_tokens: limits.appends_per_s,
+            refilled_at: now,
             outage_until: now,
-            slow: Duration::ZERO,
+            delay: Duration::ZERO,
             lose_answers: 0,
-            appends: 0,
-            reads: 0,
+            append_count: 0,
+            read_count: 0,
         };
-        Arc::new(Self { sizes, inner: Mutex::new(inner), news: watch::channel(0).0 })
+        Arc::new(Self { limits, state: Mutex::new(state), changes: watch::channel(0).0 })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LogState> {
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Applies the injected faults to a call; an error is the status with which the call fails.
-    async fn suffer(&self) -> Result<(), StatusCode> {
-        let (until, slow) = {
-            let inner = self.lock();
-            (inner.outage_until, inner.slow)
+    async fn apply_faults(&self) -> Result<(), StatusCode> {
+        let (outage_until, delay) = {
+            let state = self.lock();
+            (state.outage_until, state.delay)
         };
-        if until > Instant::now() {
+        if outage_until > Instant::now() {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
-        if !slow.is_zero() {
-            tokio::time::sleep(slow).await;
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
         Ok(())
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
@@ -124,112 +124,112 @@
 pub fn router(log: Arc<Log>) -> Router {
     Router::new()
         .route("/streams/{stream}", post(append).get(read))
-        .route("/fault", post(fault))
-        .route("/counts", get(counts))
+        .route("/fault", post(inject_fault))
+        .route("/counts", get(get_counts))
         .layer(DefaultBodyLimit::max(4 * 1_024 * 1_024))
         .with_state(log)
 }
 
 #[derive(Deserialize)]
-struct Append {
+struct AppendBody {
     payload: Box<RawValue>,
 }
 
-async fn append(State(log): State<Arc<Log>>, Path(stream): Path<String>, Json(append): Json<Append>) -> Response {
-    if let Err(status) = log.suffer().await {
+async fn append(State(log): State<Arc<Log>>, Path(stream): Path<String>, Json(append): Json<AppendBody>) -> Response {
+    if let Err(status) = log.apply_faults().await {
         return status.into_response();
     }
-    let (offset, lost) = {
-        let mut inner = log.lock();
+    let (offset, is_response_lost) = {
+        let mut state = log.lock();
         let now = Instant::now();
-        let gained = (now - inner.filled).as_secs_f64() * log.sizes.appends_per_s;
-        inner.level = (inner.level + gained).min(log.sizes.appends_per_s);
-        inner.filled = now;
-        if inner.level < 1.0 {
+        let refill = (now - state.refilled_at).as_secs_f64() * log.limits.appends_per_s;
+        state.append_tokens = (state.append_tokens + refill).min(log.limits.appends_per_s);
+        state.refilled_at = now;
+        if state.append_tokens < 1.0 {
             return StatusCode::TOO_MANY_REQUESTS.into_response();
         }
-        inner.level -= 1.0;
-        inner.appends += 1;
-        let lost = inner.lose_answers > 0;
-        inner.lose_answers = inner.lose_answers.saturating_sub(1);
-        let stream = inner.streams.entry(stream).or_default();
+        state.append_tokens -= 1.0;
+        state.append_count += 1;
+        let is_response_lost = state.lose_answers > 0;
+        state.lose_answers = state.lose_answers.saturating_sub(1);
+        let stream = state.streams.entry(stream).or_default();
         let offset = stream.end;
         stream.end += 1;
-        stream.records.push_back(Record { offset, at_ms: wall_ms(), payload: Arc::from(append.payload) });
-        let keep_from = wall_ms().saturating_sub(log.sizes.retention.as_millis() as u64);
-        while stream.records.front().is_some_and(|record| record.at_ms < keep_from) {
+        stream.records.push_back(Record { offset, at_ms: unix_time_ms(), payload: Arc::from(append.payload) });
+        let oldest_kept_ms = unix_time_ms().saturating_sub(log.limits.retention.as_millis() as u64);
+        while stream.records.front().is_some_and(|record| record.at_ms < oldest_kept_ms) {
             stream.records.pop_front();
         }
-        (offset, lost)
+        (offset, is_response_lost)
     };
-    log.news.send_modify(|count| *count += 1);
-    if lost {
+    log.changes.send_modify(|count| *count += 1);
+    if is_response_lost {
         return StatusCode::GATEWAY_TIMEOUT.into_response();
     }
     Json(json!({ "offset": offset })).into_response()
 }
 
 #[derive(Deserialize)]
-struct Read {
+struct ReadQuery {
     from: u64,
     #[serde(default)]
     wait_ms: u64,
 }
 
-async fn read(State(log): State<Arc<Log>>, Path(stream): Path<String>, Query(read): Query<Read>) -> Response {
-    if let Err(status) = log.suffer().await {
+async fn read(State(log): State<Arc<Log>>, Path(stream): Path<String>, Query(read): Query<ReadQuery>) -> Response {
+    if let Err(status) = log.apply_faults().await {
         return status.into_response();
     }
-    log.lock().reads += 1;
-    let until = Instant::now() + Duration::from_millis(read.wait_ms);
-    let mut news = log.news.subscribe();
+    log.lock().read_count += 1;
+    let deadline = Instant::now() + Duration::from_millis(read.wait_ms);
+    let mut changes = log.changes.subscribe();
     loop {
-        let found = batch(&log, &stream, read.from);
-        if !found.0 || Instant::now() >= until {
-            return Json(found.1).into_response();
+        let batch = read_batch(&log, &stream, read.from);
+        if !batch.0 || Instant::now() >= deadline {
+            return Json(batch.1).into_response();
         }
-        let _ = tokio::time::timeout_at(until, news.changed()).await;
-        if let Err(status) = log.suffer().await {
+        let _ = tokio::time::timeout_at(deadline, changes.changed()).await;
+        if let Err(status) = log.apply_faults().await {
             return status.into_response();
         }
     }
 }
 
 /// Returns the response to a read, and whether it is empty, in which case the read may wait for records.
-fn batch(log: &Log, stream: &str, from: u64) -> (bool, Value) {
-    let inner = log.lock();
-    let Some(stream) = inner.streams.get(stream) else {
+fn read_batch(log: &Log, stream: &str, from: u64) -> (bool, Value) {
+    let state = log.lock();
+    let Some(stream) = state.streams.get(stream) else {
         return (true, json!({ "entries": [], "oldest": 0, "end": 0 }));
     };
     let oldest = stream.records.front().map_or(stream.end, |record| record.offset);
     let skip = from.saturating_sub(oldest) as usize;
-    let records = stream.records.iter().skip(skip).take(log.sizes.batch);
+    let records = stream.records.iter().skip(skip).take(log.limits.max_read_records);
     let entries: Vec<Value> = records
         .map(|record| json!({ "offset": record.offset, "at_ms": record.at_ms, "payload": record.payload }))
         .collect();
-    let nothing = entries.is_empty() && from >= oldest;
-    (nothing, json!({ "entries": entries, "oldest": oldest, "end": stream.end }))
+    let is_empty = entries.is_empty() && from >= oldest;
+    (is_empty, json!({ "entries": entries, "oldest": oldest, "end": stream.end }))
 }
 
-async fn fault(State(log): State<Arc<Log>>, Json(faults): Json<Faults>) -> StatusCode {
-    let mut inner = log.lock();
-    inner.outage_until = Instant::now() + Duration::from_millis(faults.outage_ms);
-    inner.slow = Duration::from_millis(faults.slow_ms);
-    inner.lose_answers = faults.lose_answers;
-    for stream in inner.streams.values_mut() {
+async fn inject_fault(State(log): State<Arc<Log>>, Json(faults): Json<Faults>) -> StatusCode {
+    let mut state = log.lock();
+    state.outage_until = Instant::now() + Duration::from_millis(faults.outage_ms);
+    state.delay = Duration::from_millis(faults.slow_ms);
+    state.lose_answers = faults.lose_answers;
+    for stream in state.streams.values_mut() {
         stream.records.retain(|record| record.offset >= faults.trim_before);
     }
-    if let Some(stream) = inner.streams.get_mut(&faults.trim_stream) {
+    if let Some(stream) = state.streams.get_mut(&faults.trim_stream) {
         stream.records.clear();
     }
-    drop(inner);
+    drop(state);
     // Wakes waiting reads, so that the fault applies to them immediately.
-    log.news.send_modify(|count| *count += 1);
+    log.changes.send_modify(|count| *count += 1);
     StatusCode::NO_CONTENT
 }
 
-async fn counts(State(log): State<Arc<Log>>) -> Json<Value> {
-    let inner = log.lock();
-    let ends: HashMap<&String, u64> = inner.streams.iter().map(|(name, stream)| (name, stream.end)).collect();
-    Json(json!({ "appends": inner.appends, "reads": inner.reads, "ends": ends }))
+async fn get_counts(State(log): State<Arc<Log>>) -> Json<Value> {
+    let state = log.lock();
+    let end_offsets: HashMap<&String, u64> = state.streams.iter().map(|(name, stream)| (name, stream.end)).collect();
+    Json(json!({ "appends": state.append_count, "reads": state.read_count, "ends": end_offsets }))
 }
--- a/standin/src/overhead.rs
+++ b/standin/src/overhead.rs
@@ -8,18 +8,18 @@
 use crate::client::{Client, Prompt};
 use crate::engine::model::Sizes;
 use crate::fleet::{Fleet, Spec, workspace_key};
-use crate::probe;
-use crate::report::{Quantiles, quantiles};
+use crate::report::{Quantiles, compute_quantiles};
+use crate::resource_usage;
 use crate::text;
 
 /// Bytes in a mebibyte.
-const MIB: f64 = 1_048_576.0;
+const BYTES_PER_MIB: f64 = 1_048_576.0;
 /// Prompt tokens per request, few so that the engine's time is short.
 const PROMPT_TOKENS: usize = 64;
 
 /// Results for one number of concurrent streams.
 #[derive(Clone, Debug, Serialize)]
-pub struct Level {
+pub struct StreamLevel {
     /// Number of concurrent streams.
     pub streams: usize,
     /// Time to first token of direct calls, in milliseconds.
@@ -37,7 +37,12 @@
 }
 
 /// Runs each number of concurrent streams directly against the engine and then through the entry.
-pub async fn measure(levels: &[usize], output: u64, speed: f64, span: Duration) -> Result<Vec<Level>> {
+pub async fn measure_streams(
+    stream_counts: &[usize],
+    output: u64,
+    speed: f64,
+    duration: Duration,
+) -> Result<Vec<StreamLevel>> {
     let sizes = Sizes { speed, slots: 4_096, memory: 100_000_000, ..Sizes::default() };
     let settings = "queue = 4096\n".to_owned();
     let entry_settings = "threads = 3\nquote_timeout_ms = 2000\n".to_owned();
@@ -54,29 +59,33 @@
     let model = fleet.spec.deployment.model();
     let engine = fleet.addresses[&format!("{model}-0")].clone();
     let entry = fleet.entries[0].clone();
-    let mut measured = Vec::new();
-    for streams in levels {
-        let direct = closed_loop(&fleet.client, &engine, model, *streams, output, span).await;
-        let through = closed_loop(&fleet.client, &entry, model, *streams, output, span).await;
-        let resident =
-            |name: &str| fleet.pid(name).and_then(probe::read).map_or(0.0, |read| read.resident as f64 / MIB);
-        measured.push(Level {
+    let mut results = Vec::new();
+    for streams in stream_counts {
+        let direct = run_closed_loop(&fleet.client, &engine, model, *streams, output, duration).await;
+        let through_entry = run_closed_loop(&fleet.client, &entry, model, *streams, output, duration).await;
+        let resident_mib = |name: &str| {
+            fleet
+                .pid(name)
+                .and_then(resource_usage::read_process)
+                .map_or(0.0, |usage| usage.resident_bytes as f64 / BYTES_PER_MIB)
+        };
+        results.push(StreamLevel {
             streams: *streams,
             direct_ms: direct.0,
-            through_ms: through.0,
+            through_ms: through_entry.0,
             direct_tokens_per_s: direct.1,
-            through_tokens_per_s: through.1,
-            entry_mib: resident("entry-0"),
-            sidecar_mib: resident(&format!("sidecar-{model}-0")),
+            through_tokens_per_s: through_entry.1,
+            entry_mib: resident_mib("entry-0"),
+            sidecar_mib: resident_mib(&format!("sidecar-{model}-0")),
         });
     }
     fleet.close().await?;
-    Ok(measured)
+    Ok(results)
 }
 
 /// Peak resident memory while large prompts are in flight.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Large {
+pub struct LargePromptUsage {
     /// Number of concurrent prompts of a million tokens.
     pub prompts: usize,
     /// Number of complete and correct responses.
@@ -88,11 +97,11 @@
 }
 
 /// Measures memory under prompts of a million tokens, on engines whose memory holds a complete prompt.
-pub async fn large(counts: &[usize]) -> Result<Vec<Large>> {
+pub async fn measure_large_prompts(counts: &[usize]) -> Result<Vec<LargePromptUsage>> {
     let sizes = Sizes { speed: 100.0, memory: 20_000_000, ..Sizes::default() };
     let fleet = Fleet::start(Spec { entries: 1, engines: 2, services: 1, sizes, ..Spec::small("large") }).await?;
     let model = fleet.spec.deployment.model();
-    let mut measured = Vec::new();
+    let mut results = Vec::new();
     for count in counts {
         let prompts: Vec<Prompt> = (0..*count)
             .map(|seed| Prompt {
@@ -105,47 +114,52 @@
                 headers: Vec::new(),
             })
             .collect();
-        let sent =
+        let requests =
             futures_util::future::join_all(prompts.iter().map(|prompt| fleet.client.prompt(&fleet.entries[0], prompt)));
-        tokio::pin!(sent);
-        let mut peak = Large { prompts: *count, whole: 0, entry_mib: 0.0, sidecar_mib: 0.0 };
-        let resident =
-            |name: &str| fleet.pid(name).and_then(probe::read).map_or(0.0, |read| read.resident as f64 / MIB);
-        let seen = loop {
-            peak.entry_mib = resident("entry-0").max(peak.entry_mib);
+        tokio::pin!(requests);
+        let mut peak = LargePromptUsage { prompts: *count, whole: 0, entry_mib: 0.0, sidecar_mib: 0.0 };
+        let resident_mib = |name: &str| {
+            fleet
+                .pid(name)
+                .and_then(resource_usage::read_process)
+                .map_or(0.0, |usage| usage.resident_bytes as f64 / BYTES_PER_MIB)
+        };
+        let received = loop {
+            peak.entry_mib = resident_mib("entry-0").max(peak.entry_mib);
             for number in 0..2 {
-                peak.sidecar_mib = resident(&format!("sidecar-{model}-{number}")).max(peak.sidecar_mib);
+                peak.sidecar_mib = resident_mib(&format!("sidecar-{model}-{number}")).max(peak.sidecar_mib);
             }
             tokio::select! {
-                seen = &mut sent => break seen,
+                received = &mut requests => break received,
                 () = tokio::time::sleep(Duration::from_millis(2)) => {}
             }
         };
-        peak.whole = prompts.iter().zip(seen).filter(|(prompt, seen)| seen.text == prompt.expected()).count();
-        measured.push(peak);
+        peak.whole =
+            prompts.iter().zip(received).filter(|(prompt, received)| received.text == prompt.expected()).count();
+        results.push(peak);
     }
     fleet.close().await?;
-    Ok(measured)
+    Ok(results)
 }
 
 /// Runs `streams` concurrent callers for `span`, each of which sends its next prompt when the previous response has
 /// ended. Returns the times to first token and the output tokens per second.
-async fn closed_loop(
+async fn run_closed_loop(
     client: &Client,
     address: &str,
     model: &str,
     streams: usize,
     output: u64,
-    span: Duration,
+    duration: Duration,
 ) -> (Quantiles, f64) {
     let start = Instant::now();
     let callers = (0..streams).map(|caller| {
         let (client, address, model) = (client.clone(), address.to_owned(), model.to_owned());
         tokio::spawn(async move {
-            let mut firsts = Vec::new();
+            let mut ttfts = Vec::new();
             let mut tokens = 0;
             let mut seed = caller as u64;
-            while start.elapsed() < span {
+            while start.elapsed() < duration {
                 seed += streams as u64;
                 let prompt = Prompt {
                     model: model.clone(),
@@ -156,24 +170,24 @@
                     deadline: Duration::from_secs(30),
                     headers: Vec::new(),
                 };
-                let seen = client.prompt(&address, &prompt).await;
-                if seen.ended {
-                    firsts.extend(seen.ttft);
+                let received = client.prompt(&address, &prompt).await;
+                if received.ended {
+                    ttfts.extend(received.ttft);
                     tokens += output;
                 }
             }
-            (firsts, tokens)
+            (ttfts, tokens)
         })
     });
     let all = futures_util::future::join_all(callers).await;
-    let took = start.elapsed().as_secs_f64();
-    let done: Vec<(Vec<Duration>, u64)> = all.into_iter().flatten().collect();
-    let tokens: u64 = done.iter().map(|(_, tokens)| tokens).sum();
-    (quantiles(done.into_iter().flat_map(|(firsts, _)| firsts)), tokens as f64 / took)
+    let elapsed_s = start.elapsed().as_secs_f64();
+    let caller_results: Vec<(Vec<Duration>, u64)> = all.into_iter().flatten().collect();
+    let tokens: u64 = caller_results.iter().map(|(_, tokens)| tokens).sum();
+    (compute_quantiles(caller_results.into_iter().flat_map(|(ttfts, _)| ttfts)), tokens as f64 / elapsed_s)
 }
 
 /// Formats the results as a Markdown table.
-pub fn table(levels: &[Level]) -> String {
+pub fn format_table(levels: &[StreamLevel]) -> String {
     let mut out = String::from(
         "| streams | direct p50 ms | p99 | through p50 | p99 | added p50 | added p99 | direct tokens/s | through tokens/s | entry MiB | sidecar MiB |\n\
          |---|---|---|---|---|---|---|---|---|---|---|\n",
--- a/standin/src/report.rs
+++ b/standin/src/report.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::ledger::{Ledger, Line, Outcome, Sums};
+use crate::ledger::{Ledger, Outcome, RequestRecord, Totals};
 
 /// Quantiles of a distribution; times are in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -23,13 +23,13 @@
 }
 
 /// Computes the quantiles of `times`; all are 0 if there are no samples.
-pub fn quantiles(times: impl Iterator<Item = Duration>) -> Quantiles {
+pub fn compute_quantiles(times: impl Iterator<Item = Duration>) -> Quantiles {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Quantiles::default() };
     for time in times {
         let _ = histogram.record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX).max(1));
     }
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
-    Quantiles { count: histogram.len(), p50: at(0.5), p95: at(0.95), p99: at(0.99) }
+    let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
+    Quantiles { count: histogram.len(), p50: quantile_ms(0.5), p95: quantile_ms(0.95), p99: quantile_ms(0.99) }
 }
 
 /// Results of one class of requests.
@@ -55,54 +55,54 @@
     /// One row per class, sorted by name.
     pub rows: Vec<Row>,
     /// Totals of the ledger.
-    pub ledger: Sums,
+    pub ledger: Totals,
 }
 
 /// Estimates the time to first token on an idle engine, which slowdown factors relate to.
 #[derive(Clone, Copy, Debug)]
-pub struct Floor {
+pub struct PrefillBaseline {
     /// Prefill rate, in prompt tokens per second.
     pub prefill_per_s: f64,
 }
 
-impl Floor {
-    fn of(&self, tokens: u64) -> Duration {
+impl PrefillBaseline {
+    fn ttft(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.prefill_per_s)
     }
 }
 
 /// Summarizes a run by class.
-pub fn report(ledger: &Ledger, sums: Sums, floor: Floor) -> Report {
-    let mut classes: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
-    for line in &ledger.lines {
-        classes.entry(line.class).or_default().push(line);
+pub fn summarize(ledger: &Ledger, totals: Totals, baseline: PrefillBaseline) -> Report {
+    let mut classes: BTreeMap<&str, Vec<&RequestRecord>> = BTreeMap::new();
+    for record in &ledger.records {
+        classes.entry(record.class).or_default().push(record);
     }
-    let rows = classes.into_iter().map(|(class, lines)| row(class, &lines, floor)).collect();
-    Report { rows, ledger: sums }
+    let rows = classes.into_iter().map(|(class, records)| summarize_class(class, &records, baseline)).collect();
+    Report { rows, ledger: totals }
 }
 
-fn row(class: &str, lines: &[&Line], floor: Floor) -> Row {
-    let whole: Vec<&&Line> = lines.iter().filter(|line| line.outcome == Outcome::Whole).collect();
-    let first = |line: &&&Line| line.ttft;
-    let ratio = |line: &&&Line| {
-        let floor = floor.of(line.tokens).as_secs_f64();
+fn summarize_class(class: &str, records: &[&RequestRecord], baseline: PrefillBaseline) -> Row {
+    let complete: Vec<&&RequestRecord> = records.iter().filter(|record| record.outcome == Outcome::Complete).collect();
+    let ttft = |record: &&&RequestRecord| record.ttft;
+    let slowdown = |record: &&&RequestRecord| {
+        let baseline = baseline.ttft(record.tokens).as_secs_f64();
         // The quantiles are in milliseconds, so a ratio of 1 is recorded as one millisecond.
-        let ratio = line.ttft?.as_secs_f64() / floor;
-        (floor > 0.0).then(|| Duration::from_secs_f64(ratio / 1_000.0))
+        let slowdown = record.ttft?.as_secs_f64() / baseline;
+        (baseline > 0.0).then(|| Duration::from_secs_f64(slowdown / 1_000.0))
     };
     Row {
         class: class.to_owned(),
-        sent: lines.len(),
-        whole: whole.len(),
-        ttft_ms: quantiles(whole.iter().filter_map(first)),
-        gap_ms: quantiles(whole.iter().flat_map(|line| line.gaps.iter().copied())),
-        slowdown: quantiles(whole.iter().filter_map(ratio)),
+        sent: records.len(),
+        whole: complete.len(),
+        ttft_ms: compute_quantiles(complete.iter().filter_map(ttft)),
+        gap_ms: compute_quantiles(complete.iter().flat_map(|record| record.gaps.iter().copied())),
+        slowdown: compute_quantiles(complete.iter().filter_map(slowdown)),
     }
 }
 
 impl Report {
     /// Formats the report as a plain-text table.
-    pub fn table(&self) -> String {
+    pub fn format_table(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
             out,
@@ -124,14 +124,21 @@
                 row.slowdown.p95
             );
         }
-        let sums = &self.ledger;
-        let failed: usize = sums.failed.values().sum();
+        let totals = &self.ledger;
+        let failed: usize = totals.failed.values().sum();
         let _ = writeln!(
             out,
             "ledger: sent {} = whole {} + honest failures {} + entry down {}; lost {}, doubled {}, mixed up {}, false \"not run\" {}",
-            sums.sent, sums.whole, failed, sums.entry_down, sums.lost, sums.doubled, sums.mixed_up, sums.false_no
+            totals.sent,
+            totals.whole,
+            failed,
+            totals.entry_down,
+            totals.lost,
+            totals.doubled,
+            totals.mixed_up,
+            totals.false_no
         );
-        for (code, count) in &sums.failed {
+        for (code, count) in &totals.failed {
             let _ = writeln!(out, "  {count} x {code}");
         }
         out
--- a/standin/src/scale.rs
+++ b/standin/src/scale.rs
@@ -10,15 +10,15 @@
 use crate::client::Prompt;
 use crate::engine::model::Sizes;
 use crate::fleet::{Fleet, OPERATOR_KEY, Spec, workspace_key};
-use crate::probe::{self, Fit, Reading, fit};
+use crate::resource_usage::{self, LinearFit, ProcessUsage, fit_line};
 use crate::text;
 
 /// Delay between a change of the fleet and the next reading, in which the fleet becomes idle.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_DELAY: Duration = Duration::from_secs(2);
 /// Number of changes per plan while workspaces are added to the configuration.
 const CHANGES_PER_PLAN: usize = 2_500;
 /// Bytes in a mebibyte.
-const MIB: f64 = 1_048_576.0;
+const BYTES_PER_MIB: f64 = 1_048_576.0;
 
 /// A quantity at several sizes, with a fitted line.
 #[derive(Clone, Debug, Serialize)]
@@ -30,20 +30,20 @@
     /// Values of the independent and the dependent variable.
     pub points: Vec<(f64, f64)>,
     /// Line fitted to the points.
-    pub fit: Fit,
+    pub fit: LinearFit,
 }
 
-fn series(over: &'static str, what: &'static str, points: Vec<(f64, f64)>) -> Series {
-    let fit = fit(&points);
+fn fit_series(over: &'static str, what: &'static str, points: Vec<(f64, f64)>) -> Series {
+    let fit = fit_line(&points);
     Series { over, what, points, fit }
 }
 
 /// Formats all series as plain text.
-pub fn table(all: &[Series]) -> String {
+pub fn format_table(all_series: &[Series]) -> String {
     let mut out = String::new();
-    for series in all {
+    for series in all_series {
         let points: Vec<String> = series.points.iter().map(|(x, y)| format!("{x:.0}: {y:.4}")).collect();
-        let Fit { base, slope, residual } = series.fit;
+        let LinearFit { base, slope, residual } = series.fit;
         let _ = writeln!(out, "{} over {}", series.what, series.over);
         let _ = writeln!(out, "  {}", points.join("  "));
         let _ = writeln!(out, "  = {base:.5} + {slope:.3e} each, residual {residual:.5}");
@@ -51,13 +51,13 @@
     out
 }
 
-fn reading(fleet: &Fleet, name: &str) -> Result<Reading> {
+fn read_usage(fleet: &Fleet, name: &str) -> Result<ProcessUsage> {
     let pid = fleet.pid(name).ok_or_else(|| eyre!("step=read-process: the fleet has no process {name}"))?;
-    probe::read(pid).ok_or_else(|| eyre!("step=read-process: process {name} has exited"))
+    resource_usage::read_process(pid).ok_or_else(|| eyre!("step=read-process: process {name} has exited"))
 }
 
 /// Resource use of an entry and a sidecar, and loopback traffic, over a span of time.
-struct Used {
+struct Usage {
     entry_cores: f64,
     entry_mib: f64,
     sidecar_cores: f64,
@@ -66,41 +66,41 @@
     packets_per_s: f64,
 }
 
-async fn used(fleet: &Fleet, sidecar: &str, during: impl Future<Output = ()>) -> Result<Used> {
-    let (entry, side) = (reading(fleet, "entry-0")?, reading(fleet, sidecar)?);
-    let wire = probe::loopback().unwrap_or_default();
+async fn measure_usage(fleet: &Fleet, sidecar: &str, activity: impl Future<Output = ()>) -> Result<Usage> {
+    let (entry, sidecar_before) = (read_usage(fleet, "entry-0")?, read_usage(fleet, sidecar)?);
+    let loopback_before = resource_usage::read_loopback().unwrap_or_default();
     let start = Instant::now();
-    during.await;
-    let span = start.elapsed().as_secs_f64();
-    let wire_after = probe::loopback().unwrap_or_default();
-    let (entry_after, side_after) = (reading(fleet, "entry-0")?, reading(fleet, sidecar)?);
-    Ok(Used {
+    activity.await;
+    let span_s = start.elapsed().as_secs_f64();
+    let loopback_after = resource_usage::read_loopback().unwrap_or_default();
+    let (entry_after, sidecar_after) = (read_usage(fleet, "entry-0")?, read_usage(fleet, sidecar)?);
+    Ok(Usage {
         entry_cores: entry_after.cores_since(&entry),
-        entry_mib: entry_after.resident as f64 / MIB,
-        sidecar_cores: side_after.cores_since(&side),
-        sidecar_mib: side_after.resident as f64 / MIB,
-        bytes_per_s: wire_after.0.saturating_sub(wire.0) as f64 / span,
-        packets_per_s: wire_after.1.saturating_sub(wire.1) as f64 / span,
+        entry_mib: entry_after.resident_bytes as f64 / BYTES_PER_MIB,
+        sidecar_cores: sidecar_after.cores_since(&sidecar_before),
+        sidecar_mib: sidecar_after.resident_bytes as f64 / BYTES_PER_MIB,
+        bytes_per_s: loopback_after.0.saturating_sub(loopback_before.0) as f64 / span_s,
+        packets_per_s: loopback_after.1.saturating_sub(loopback_before.1) as f64 / span_s,
     })
 }
 
 /// Measures one entry with each number of idle sidecars, which share one stand-in as their endpoint.
-pub async fn members(sizes: &[usize], span: Duration) -> Result<Vec<Series>> {
+pub async fn measure_members(sizes: &[usize], duration: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 6] = Default::default();
     for size in sizes {
         let spec =
-            Spec { entries: 1, engines: 0, services: *size, shared_service: true, ..Spec::small("scale-members") };
+            Spec { entries: 1, engines: 0, services: *size, shares_service: true, ..Spec::small("scale-members") };
         let fleet = Fleet::start(spec).await?;
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(SETTLE_DELAY).await;
         let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.service());
-        let used = used(&fleet, &sidecar, tokio::time::sleep(span)).await?;
+        let usage = measure_usage(&fleet, &sidecar, tokio::time::sleep(duration)).await?;
         let values = [
-            used.entry_cores,
-            used.entry_mib,
-            used.sidecar_cores,
-            used.sidecar_mib,
-            used.bytes_per_s / 1_024.0,
-            used.packets_per_s,
+            usage.entry_cores,
+            usage.entry_mib,
+            usage.sidecar_cores,
+            usage.sidecar_mib,
+            usage.bytes_per_s / 1_024.0,
+            usage.packets_per_s,
         ];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
         fleet.close().await?;
@@ -113,27 +113,27 @@
         "loopback, whole fleet, idle, KiB/s (health checks beside the endpoint among them)",
         "loopback, whole fleet, idle, packets/s",
     ];
-    Ok(names.into_iter().zip(points).map(|(name, points)| series("sidecars", name, points)).collect())
+    Ok(names.into_iter().zip(points).map(|(name, points)| fit_series("sidecars", name, points)).collect())
 }
 
 /// Measures one entry with each number of listed VMs that it never calls.
-pub async fn listed(sizes: &[usize], poll_ms: u64, span: Duration) -> Result<Vec<Series>> {
+pub async fn measure_listed_vms(sizes: &[usize], poll_ms: u64, duration: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 3] = Default::default();
     let spec = Spec { entries: 1, engines: 1, services: 1, vms_poll_ms: poll_ms, ..Spec::small("scale-listed") };
     let fleet = Fleet::start(spec).await?;
     let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.model());
-    let mut listed = 0;
+    let mut listed_count = 0;
     for size in sizes {
-        for number in listed..*size {
+        for number in listed_count..*size {
             let name = format!("listed-{number}");
             let vm = json!({ "name": name, "address": "127.0.0.1:1", "role": "endpoint", "service": "elsewhere",
                 "failure_domain": format!("domain-{}", number % 11), "leaving": false });
             fleet.list_vm(&name, &vm).await?;
         }
-        listed = *size;
-        tokio::time::sleep(SETTLE).await;
-        let used = used(&fleet, &sidecar, tokio::time::sleep(span)).await?;
-        let values = [used.entry_cores, used.entry_mib, used.bytes_per_s / 1_024.0];
+        listed_count = *size;
+        tokio::time::sleep(SETTLE_DELAY).await;
+        let usage = measure_usage(&fleet, &sidecar, tokio::time::sleep(duration)).await?;
+        let values = [usage.entry_cores, usage.entry_mib, usage.bytes_per_s / 1_024.0];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
     }
     fleet.close().await?;
@@ -141,11 +141,11 @@
     Ok(names
         .into_iter()
         .zip(points)
-        .map(|(name, points)| series("VMs listed, one poll a second", name, points))
+        .map(|(name, points)| fit_series("VMs listed, one poll a second", name, points))
         .collect())
 }
 
-async fn grow(fleet: &Fleet, from: usize, to: usize) -> Result<u64> {
+async fn add_workspaces(fleet: &Fleet, from: usize, to: usize) -> Result<u64> {
     let mut revision = 0;
     let numbers: Vec<usize> = (from..to).collect();
     for chunk in numbers.chunks(CHANGES_PER_PLAN) {
@@ -172,35 +172,36 @@
 }
 
 /// Measures two entries with each number of workspaces: memory, time to apply a change, and start of a new entry.
-pub async fn workspaces(sizes: &[usize], changes: u64) -> Result<Vec<Series>> {
+pub async fn measure_workspaces(sizes: &[usize], changes: u64) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 5] = Default::default();
     let mut fleet = Fleet::start(Spec { engines: 1, services: 1, ..Spec::small("scale-workspaces") }).await?;
-    let mut grown = 0;
+    let mut workspace_count = 0;
     for size in sizes {
-        let revision = grow(&fleet, grown, *size).await?;
-        grown = *size;
+        let revision = add_workspaces(&fleet, workspace_count, *size).await?;
+        workspace_count = *size;
         wait_revision(&fleet, 1, revision).await?;
-        tokio::time::sleep(SETTLE).await;
-        let before = reading(&fleet, "entry-1")?;
-        let mut in_force = Vec::new();
+        tokio::time::sleep(SETTLE_DELAY).await;
+        let before = read_usage(&fleet, "entry-1")?;
+        let mut apply_times_ms = Vec::new();
         for number in 0..changes {
             let body = json!([{ "put_service": { "name": "probe", "deadline_ms": number + 1 } }]);
             let revision = fleet.publish(&body).await?;
             let accepted = Instant::now();
             wait_revision(&fleet, 1, revision).await?;
-            in_force.push(accepted.elapsed().as_secs_f64() * 1e3);
+            apply_times_ms.push(accepted.elapsed().as_secs_f64() * 1e3);
         }
-        let after = reading(&fleet, "entry-1")?;
-        let per_change = (after.cpu_s - before.cpu_s) * 1e3 / changes as f64;
+        let after = read_usage(&fleet, "entry-1")?;
+        let cpu_ms_per_change = (after.cpu_s - before.cpu_s) * 1e3 / changes as f64;
         fleet.kill("entry-1")?;
         let started = Instant::now();
         fleet.restart("entry-1")?;
         fleet.wait_ready(&fleet.entries[1]).await?;
-        let fresh = started.elapsed().as_secs_f64() * 1e3;
+        let restart_ms = started.elapsed().as_secs_f64() * 1e3;
         let (_, config) = fleet.client.json("GET", &fleet.entries[0], "/v1/intents", OPERATOR_KEY, None).await?;
-        let snapshot = config.to_string().len() as f64 / MIB;
-        let worst = in_force.into_iter().fold(0.0, f64::max);
-        let values = [after.resident as f64 / MIB, per_change, worst, fresh, snapshot];
+        let config_mib = config.to_string().len() as f64 / BYTES_PER_MIB;
+        let max_apply_ms = apply_times_ms.into_iter().fold(0.0, f64::max);
+        let values =
+            [after.resident_bytes as f64 / BYTES_PER_MIB, cpu_ms_per_change, max_apply_ms, restart_ms, config_mib];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
     }
     fleet.close().await?;
@@ -211,48 +212,48 @@
         "fresh entry from start to ready, ms",
         "configuration as JSON, MiB",
     ];
-    Ok(names.into_iter().zip(points).map(|(name, points)| series("workspaces", name, points)).collect())
+    Ok(names.into_iter().zip(points).map(|(name, points)| fit_series("workspaces", name, points)).collect())
 }
 
 /// Measures two entries while one of them claims callers' idempotency keys at each rate.
-pub async fn claims(rates: &[u64], span: Duration) -> Result<Vec<Series>> {
+pub async fn measure_claims(rates: &[u64], duration: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 4] = Default::default();
     let fleet = Fleet::start(Spec { entries: 2, engines: 1, services: 2, ..Spec::small("scale-claims") }).await?;
     let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.service());
-    let mut claimed = 0;
+    let mut claimed_keys = 0;
     for rate in rates {
-        let before = appends(&fleet).await;
-        let followed = reading(&fleet, "entry-1")?;
-        let used = used(&fleet, &sidecar, pay_at(&fleet, *rate, span)).await?;
-        claimed += rate * span.as_secs();
-        let follower = reading(&fleet, "entry-1")?;
+        let before = append_count(&fleet).await;
+        let follower_before = read_usage(&fleet, "entry-1")?;
+        let usage = measure_usage(&fleet, &sidecar, send_claims(&fleet, *rate, duration)).await?;
+        claimed_keys += rate * duration.as_secs();
+        let follower_after = read_usage(&fleet, "entry-1")?;
         let values = [
-            used.entry_cores,
-            follower.cores_since(&followed),
-            (appends(&fleet).await - before) / span.as_secs_f64(),
-            follower.resident as f64 / MIB,
+            usage.entry_cores,
+            follower_after.cores_since(&follower_before),
+            (append_count(&fleet).await - before) / duration.as_secs_f64(),
+            follower_after.resident_bytes as f64 / BYTES_PER_MIB,
         ];
-        let at = [*rate as f64, *rate as f64, *rate as f64, claimed as f64];
-        points.iter_mut().zip(at).zip(values).for_each(|((points, at), value)| points.push((at, value)));
+        let x_values = [*rate as f64, *rate as f64, *rate as f64, claimed_keys as f64];
+        points.iter_mut().zip(x_values).zip(values).for_each(|((points, x), value)| points.push((x, value)));
     }
     fleet.close().await?;
     let [serving, following, appended, resident] = points;
     Ok(vec![
-        series("claims/s through it", "entry, cores, with the calls themselves", serving),
-        series("claims/s through another entry", "entry that only follows the claims, cores", following),
-        series("claims/s through one entry", "log appends/s", appended),
-        series("keys remembered", "entry that only follows the claims, resident MiB", resident),
+        fit_series("claims/s through it", "entry, cores, with the calls themselves", serving),
+        fit_series("claims/s through another entry", "entry that only follows the claims, cores", following),
+        fit_series("claims/s through one entry", "log appends/s", appended),
+        fit_series("keys remembered", "entry that only follows the claims, resident MiB", resident),
     ])
 }
 
-async fn appends(fleet: &Fleet) -> f64 {
+async fn append_count(fleet: &Fleet) -> f64 {
     let counts = fleet.client.json("GET", &fleet.addresses["log"], "/counts", "", None).await;
     counts.ok().and_then(|(_, counts)| counts["appends"].as_f64()).unwrap_or(0.0)
 }
 
-async fn pay_at(fleet: &Fleet, rate: u64, span: Duration) {
+async fn send_claims(fleet: &Fleet, rate: u64, duration: Duration) {
     let start = tokio::time::Instant::now();
-    let count = rate * span.as_secs();
+    let count = rate * duration.as_secs();
     let calls = (0..count).map(|number| async move {
         tokio::time::sleep_until(start + Duration::from_secs_f64(number as f64 / rate as f64)).await;
         let headers = [
@@ -263,29 +264,29 @@
         fleet.client.call("POST", &fleet.entries[0], &path, &headers, "levy").await;
     });
     futures_util::future::join_all(calls).await;
-    tokio::time::sleep_until(start + span).await;
+    tokio::time::sleep_until(start + duration).await;
 }
 
 /// Measures one entry and one sidecar under short prompts at each rate.
-pub async fn requests(rates: &[u64], output: u64, span: Duration) -> Result<Vec<Series>> {
+pub async fn measure_requests(rates: &[u64], output: u64, duration: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 4] = Default::default();
     let sizes = Sizes { speed: 100.0, slots: 1_024, memory: 40_000_000, ..Sizes::default() };
     let fleet =
         Fleet::start(Spec { entries: 1, engines: 1, services: 1, sizes, ..Spec::small("scale-requests") }).await?;
     let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.model());
     for rate in rates {
-        let used = used(&fleet, &sidecar, prompts_at(&fleet, *rate, output, span)).await?;
-        let values = [used.entry_cores, used.entry_mib, used.sidecar_cores, used.sidecar_mib];
+        let usage = measure_usage(&fleet, &sidecar, send_prompts(&fleet, *rate, output, duration)).await?;
+        let values = [usage.entry_cores, usage.entry_mib, usage.sidecar_cores, usage.sidecar_mib];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*rate as f64, value)));
     }
     fleet.close().await?;
     let names = ["entry, cores", "entry, resident MiB", "sidecar, cores", "sidecar, resident MiB"];
-    Ok(names.into_iter().zip(points).map(|(name, points)| series("requests/s", name, points)).collect())
+    Ok(names.into_iter().zip(points).map(|(name, points)| fit_series("requests/s", name, points)).collect())
 }
 
-async fn prompts_at(fleet: &Fleet, rate: u64, output: u64, span: Duration) {
+async fn send_prompts(fleet: &Fleet, rate: u64, output: u64, duration: Duration) {
     let start = tokio::time::Instant::now();
-    let count = rate * span.as_secs();
+    let count = rate * duration.as_secs();
     let calls = (0..count).map(|number| async move {
         tokio::time::sleep_until(start + Duration::from_secs_f64(number as f64 / rate as f64)).await;
         let prompt = Prompt {
@@ -300,5 +301,5 @@
         fleet.client.prompt(&fleet.entries[0], &prompt).await;
     });
     futures_util::future::join_all(calls).await;
-    tokio::time::sleep_until(start + span).await;
+    tokio::time::sleep_until(start + duration).await;
 }
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -13,22 +13,22 @@
 
 use crate::client::Client;
 use crate::fleet::{Fleet, OPERATOR_KEY};
-use crate::ledger::{Ledger, Line, Outcome};
-use crate::report::{Quantiles, quantiles};
+use crate::ledger::{Ledger, Outcome, RequestRecord};
+use crate::report::{Quantiles, compute_quantiles};
 
 /// Minimum and maximum delay between two faults, in milliseconds.
-const BETWEEN: (u64, u64) = (500, 3_000);
+const FAULT_INTERVAL_MS: (u64, u64) = (500, 3_000);
 /// Maximum duration of a suspension or outage, in milliseconds.
-const LONGEST: u64 = 3_000;
+const MAX_FAULT_MS: u64 = 3_000;
 /// Time within which an accepted change must be in force at every running entry.
-const IN_FORCE: Duration = Duration::from_secs(7);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(7);
 /// Time after an entry is ready again within which a broken connection still counts as caused by its fault.
-const SETTLE: Duration = Duration::from_secs(2);
+const RECOVERY_PERIOD: Duration = Duration::from_secs(2);
 
 /// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Kills a sidecar and restarts it.
     KillSidecar,
     /// Kills an engine and restarts it.
@@ -63,41 +63,41 @@
     RaceOperators,
 }
 
-const KINDS: [Kind; 16] = [
-    Kind::KillSidecar,
-    Kind::KillEngine,
-    Kind::KillEntry,
-    Kind::FreezeSidecar,
-    Kind::FreezeEngine,
-    Kind::FreezeEntry,
-    Kind::FreezeService,
-    Kind::LoseServiceAnswers,
-    Kind::LogOutage,
-    Kind::LogSlow,
-    Kind::LoseAppends,
-    Kind::VmsOutage,
-    Kind::StopSidecar,
-    Kind::StopEntry,
-    Kind::Drain,
-    Kind::RaceOperators,
+const FAULT_KINDS: [FaultKind; 16] = [
+    FaultKind::KillSidecar,
+    FaultKind::KillEngine,
+    FaultKind::KillEntry,
+    FaultKind::FreezeSidecar,
+    FaultKind::FreezeEngine,
+    FaultKind::FreezeEntry,
+    FaultKind::FreezeService,
+    FaultKind::LoseServiceAnswers,
+    FaultKind::LogOutage,
+    FaultKind::LogSlow,
+    FaultKind::LoseAppends,
+    FaultKind::VmsOutage,
+    FaultKind::StopSidecar,
+    FaultKind::StopEntry,
+    FaultKind::Drain,
+    FaultKind::RaceOperators,
 ];
 
 /// Period in which an entry was subject to a fault.
 #[derive(Clone, Copy, Debug)]
-struct Down {
+struct FaultPeriod {
     entry: usize,
     from: Instant,
     until: Instant,
     /// Whether the entry was shut down with SIGTERM, so that requests in flight must still be answered.
-    planned: bool,
+    is_planned: bool,
 }
 
-impl Down {
+impl FaultPeriod {
     /// Returns whether the fault explains a request's broken connection. A load balancer sends no new requests to an
     /// entry that is shutting down, but the callers of this tool connect to entries directly.
-    fn excuses(&self, line: &Line) -> bool {
-        let flown = if self.planned { line.sent >= self.from } else { line.ended > self.from };
-        self.entry == line.entry && line.sent < self.until && flown
+    fn explains(&self, record: &RequestRecord) -> bool {
+        let is_affected = if self.is_planned { record.sent >= self.from } else { record.ended > self.from };
+        self.entry == record.entry && record.sent < self.until && is_affected
     }
 }
 
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcomes {
     /// Number of injected faults by kind.
-    pub faults: BTreeMap<Kind, usize>,
+    pub faults: BTreeMap<FaultKind, usize>,
     /// Number of accepted changes.
     pub accepted: usize,
     /// Time from the acceptance of a change until it is in force at an entry, in milliseconds.
@@ -117,12 +117,12 @@
 /// Injects faults into a fleet and checks the configuration revisions that its entries report.
 pub struct Injector<'a> {
     fleet: &'a mut Fleet,
-    random: SmallRng,
-    down: Vec<Down>,
+    rng: SmallRng,
+    fault_periods: Vec<FaultPeriod>,
     outcomes: Outcomes,
-    in_force: Vec<Duration>,
+    in_force_times: Vec<Duration>,
     revisions: BTreeMap<usize, u64>,
-    changes: u64,
+    change_count: u64,
 }
 
 impl<'a> Injector<'a> {
@@ -130,12 +130,12 @@
     pub fn new(fleet: &'a mut Fleet, seed: u64) -> Self {
         Self {
             fleet,
-            random: SmallRng::seed_from_u64(seed),
-            down: Vec::new(),
+            rng: SmallRng::seed_from_u64(seed),
+            fault_periods: Vec::new(),
             outcomes: Outcomes::default(),
-            in_force: Vec::new(),
+            in_force_times: Vec::new(),
             revisions: BTreeMap::new(),
-            changes: 0,
+            change_count: 0,
         }
     }
 
@@ -143,126 +143,129 @@
     pub async fn run(&mut self, span: Duration) -> Result<()> {
         let start = Instant::now();
         while start.elapsed() < span {
-            let pause = self.random.random_range(BETWEEN.0..BETWEEN.1);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
-            let kind = *KINDS.choose(&mut self.random).unwrap_or(&Kind::LogSlow);
+            let delay_ms = self.rng.random_range(FAULT_INTERVAL_MS.0..FAULT_INTERVAL_MS.1);
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+            let kind = *FAULT_KINDS.choose(&mut self.rng).unwrap_or(&FaultKind::LogSlow);
             *self.outcomes.faults.entry(kind).or_default() += 1;
             self.inject(kind).await?;
-            if !matches!(kind, Kind::LogOutage) {
-                self.changes += 1;
-                let changes = json!([{ "put_service": { "name": "beat", "deadline_ms": self.changes } }]);
-                let entry = self.entry();
+            if !matches!(kind, FaultKind::LogOutage) {
+                self.change_count += 1;
+                let changes = json!([{ "put_service": { "name": "beat", "deadline_ms": self.change_count } }]);
+                let entry = self.random_entry();
                 self.change(entry, &changes).await;
             }
-            self.watch_revisions().await;
+            self.check_revisions().await;
         }
         self.fleet.fault("log", &json!({})).await
     }
 
-    fn engine(&mut self) -> String {
-        let number = self.random.random_range(0..self.fleet.spec.engines);
+    fn random_engine(&mut self) -> String {
+        let number = self.rng.random_range(0..self.fleet.spec.engines);
         format!("{}-{number}", self.fleet.spec.deployment.model())
     }
 
-    fn service(&mut self) -> String {
-        let number = self.random.random_range(0..self.fleet.spec.services);
+    fn random_service(&mut self) -> String {
+        let number = self.rng.random_range(0..self.fleet.spec.services);
         format!("{}-{number}", self.fleet.spec.deployment.service())
     }
 
-    fn sidecar(&mut self) -> String {
-        let endpoint = if self.random.random_bool(0.7) { self.engine() } else { self.service() };
+    fn random_sidecar(&mut self) -> String {
+        let endpoint = if self.rng.random_bool(0.7) { self.random_engine() } else { self.random_service() };
         format!("sidecar-{endpoint}")
     }
 
-    fn entry(&mut self) -> usize {
-        self.random.random_range(0..self.fleet.spec.entries)
+    fn random_entry(&mut self) -> usize {
+        self.rng.random_range(0..self.fleet.spec.entries)
     }
 
-    async fn a_while(&mut self) {
-        let ms = self.random.random_range(200..LONGEST);
+    async fn sleep_random(&mut self) {
+        let ms = self.rng.random_range(200..MAX_FAULT_MS);
         tokio::time::sleep(Duration::from_millis(ms)).await;
     }
 
-    async fn inject(&mut self, kind: Kind) -> Result<()> {
-        let ms = self.random.random_range(200..LONGEST);
+    async fn inject(&mut self, kind: FaultKind) -> Result<()> {
+        let ms = self.rng.random_range(200..MAX_FAULT_MS);
         match kind {
-            Kind::KillSidecar => {
-                let name = self.sidecar();
+            FaultKind::KillSidecar => {
+                let name = self.random_sidecar();
                 self.kill(&name).await
             }
-            Kind::KillEngine => {
-                let name = self.engine();
+            FaultKind::KillEngine => {
+                let name = self.random_engine();
                 self.kill(&name).await
             }
-            Kind::KillEntry => {
-                let entry = self.entry();
-                self.unreliable(entry, false, async |this| this.kill(&format!("entry-{entry}")).await).await
+            FaultKind::KillEntry => {
+                let entry = self.random_entry();
+                self.with_fault_period(entry, false, async |injector| injector.kill(&format!("entry-{entry}")).await)
+                    .await
             }
-            Kind::FreezeSidecar => {
-                let name = self.sidecar();
+            FaultKind::FreezeSidecar => {
+                let name = self.random_sidecar();
                 self.freeze(&name).await
             }
-            Kind::FreezeEntry => {
-                let entry = self.entry();
-                self.unreliable(entry, false, async |this| this.freeze(&format!("entry-{entry}")).await).await
+            FaultKind::FreezeEntry => {
+                let entry = self.random_entry();
+                self.with_fault_period(entry, false, async |injector| injector.freeze(&format!("entry-{entry}")).await)
+                    .await
             }
-            Kind::FreezeEngine => {
-                let name = self.engine();
+            FaultKind::FreezeEngine => {
+                let name = self.random_engine();
                 self.fleet.fault(&name, &json!({ "freeze_ms": ms })).await
             }
-            Kind::FreezeService => {
-                let name = self.service();
+            FaultKind::FreezeService => {
+                let name = self.random_service();
                 self.fleet.fault(&name, &json!({ "freeze_ms": ms })).await
             }
-            Kind::LoseServiceAnswers => {
-                let name = self.service();
+            FaultKind::LoseServiceAnswers => {
+                let name = self.random_service();
                 self.fleet.fault(&name, &json!({ "lose_answers": 3 })).await
             }
-            Kind::LogOutage => self.fleet.fault("log", &json!({ "outage_ms": ms })).await,
-            Kind::LogSlow => {
+            FaultKind::LogOutage => self.fleet.fault("log", &json!({ "outage_ms": ms })).await,
+            FaultKind::LogSlow => {
                 self.fleet.fault("log", &json!({ "slow_ms": ms / 10 })).await?;
-                self.a_while().await;
+                self.sleep_random().await;
                 self.fleet.fault("log", &json!({})).await
             }
-            Kind::LoseAppends => self.fleet.fault("log", &json!({ "lose_answers": 5 })).await,
-            Kind::VmsOutage => self.fleet.fault("vms", &json!({ "outage_ms": ms })).await,
-            Kind::StopSidecar => {
-                let name = self.sidecar();
+            FaultKind::LoseAppends => self.fleet.fault("log", &json!({ "lose_answers": 5 })).await,
+            FaultKind::VmsOutage => self.fleet.fault("vms", &json!({ "outage_ms": ms })).await,
+            FaultKind::StopSidecar => {
+                let name = self.random_sidecar();
                 self.stop(&name).await
             }
-            Kind::StopEntry => {
-                let entry = self.entry();
-                self.unreliable(entry, true, async |this| this.stop(&format!("entry-{entry}")).await).await
+            FaultKind::StopEntry => {
+                let entry = self.random_entry();
+                self.with_fault_period(entry, true, async |injector| injector.stop(&format!("entry-{entry}")).await)
+                    .await
             }
-            Kind::Drain => self.drain().await,
-            Kind::RaceOperators => self.race().await,
+            FaultKind::Drain => self.drain_endpoint().await,
+            FaultKind::RaceOperators => self.race_operators().await,
         }
     }
 
     /// Runs `act`, waits until `entry` is ready again, and records the period in which its connections may break.
-    async fn unreliable(
+    async fn with_fault_period(
         &mut self,
         entry: usize,
-        planned: bool,
-        act: impl AsyncFnOnce(&mut Self) -> Result<()>,
+        is_planned: bool,
+        fault: impl AsyncFnOnce(&mut Self) -> Result<()>,
     ) -> Result<()> {
         let from = Instant::now();
-        act(self).await?;
+        fault(self).await?;
         let address = self.fleet.entries[entry].clone();
         self.fleet.wait_ready(&address).await?;
-        self.down.push(Down { entry, from, until: Instant::now() + SETTLE, planned });
+        self.fault_periods.push(FaultPeriod { entry, from, until: Instant::now() + RECOVERY_PERIOD, is_planned });
         Ok(())
     }
 
     async fn kill(&mut self, name: &str) -> Result<()> {
         self.fleet.kill(name)?;
-        self.a_while().await;
+        self.sleep_random().await;
         self.fleet.restart(name)
     }
 
     async fn freeze(&mut self, name: &str) -> Result<()> {
         self.fleet.signal(name, Signal::STOP)?;
-        self.a_while().await;
+        self.sleep_random().await;
         self.fleet.signal(name, Signal::CONT)
     }
 
@@ -275,28 +278,28 @@
         self.fleet.restart(name)
     }
 
-    async fn drain(&mut self) -> Result<()> {
-        let name = self.engine();
+    async fn drain_endpoint(&mut self) -> Result<()> {
+        let name = self.random_engine();
         self.change(0, &json!([{ "drain": name }])).await;
-        self.a_while().await;
+        self.sleep_random().await;
         self.change(0, &json!([{ "undrain": name }])).await;
         Ok(())
     }
 
-    async fn race(&mut self) -> Result<()> {
-        self.changes += 1;
+    async fn race_operators(&mut self) -> Result<()> {
+        self.change_count += 1;
         let put = |deadline_ms: u64| json!([{ "put_service": { "name": "raced", "deadline_ms": deadline_ms } }]);
-        let (one, other) = (put(self.changes * 2), put(self.changes * 2 + 1));
-        let plans = (self.plan(0, &one).await, self.plan(1, &other).await);
-        let (Some(one), Some(other)) = plans else { return Ok(()) };
-        let (first, second) = tokio::join!(self.confirm(0, &one), self.confirm(1, &other));
+        let (first_plan, second_plan) = (put(self.change_count * 2), put(self.change_count * 2 + 1));
+        let plans = (self.plan(0, &first_plan).await, self.plan(1, &second_plan).await);
+        let (Some(first_plan), Some(second_plan)) = plans else { return Ok(()) };
+        let (first, second) = tokio::join!(self.confirm(0, &first_plan), self.confirm(1, &second_plan));
         if let (Some(first), Some(second)) = (first, second) {
             self.outcomes
                 .breaches
                 .push(format!("two conflicting plans were both accepted: revisions {first} and {second}"));
         }
         if let Some(revision) = first.or(second) {
-            self.accepted(revision).await;
+            self.await_in_force(revision).await;
         }
         Ok(())
     }
@@ -304,29 +307,33 @@
     async fn change(&mut self, entry: usize, changes: &serde_json::Value) {
         let Some(plan) = self.plan(entry, changes).await else { return };
         if let Some(revision) = self.confirm(entry, &plan).await {
-            self.accepted(revision).await;
+            self.await_in_force(revision).await;
         }
     }
 
     async fn plan(&self, entry: usize, changes: &serde_json::Value) -> Option<String> {
         let body = json!({ "changes": changes });
-        let call = self.fleet.client.json("POST", &self.fleet.entries[entry], "/v1/intents", OPERATOR_KEY, Some(&body));
-        Some(call.await.ok()?.1["plan"].as_str()?.to_owned())
+        let response =
+            self.fleet.client.json("POST", &self.fleet.entries[entry], "/v1/intents", OPERATOR_KEY, Some(&body));
+        Some(response.await.ok()?.1["plan"].as_str()?.to_owned())
     }
 
     async fn confirm(&self, entry: usize, plan: &str) -> Option<u64> {
         let path = format!("/v1/plans/{plan}/confirm");
-        let call = self.fleet.client.json("POST", &self.fleet.entries[entry], &path, OPERATOR_KEY, None);
-        call.await.ok()?.1["revision"].as_u64()
+        let response = self.fleet.client.json("POST", &self.fleet.entries[entry], &path, OPERATOR_KEY, None);
+        response.await.ok()?.1["revision"].as_u64()
     }
 
     /// Waits until a revision is in force at every entry and records the time to each.
-    async fn accepted(&mut self, revision: u64) {
+    async fn await_in_force(&mut self, revision: u64) {
         self.outcomes.accepted += 1;
         let start = Instant::now();
         for entry in 0..self.fleet.spec.entries {
-            while revision_at(&self.fleet.client, &self.fleet.entries[entry]).await.is_none_or(|seen| seen < revision) {
-                if start.elapsed() > IN_FORCE {
+            while revision_at(&self.fleet.client, &self.fleet.entries[entry])
+                .await
+                .is_none_or(|reported| reported < revision)
+            {
+                if start.elapsed() > IN_FORCE_TIMEOUT {
                     self.outcomes
                         .breaches
                         .push(format!("revision {revision} is not in force at entry-{entry} after 7 s"));
@@ -334,33 +341,35 @@
                 }
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
-            self.in_force.push(start.elapsed());
+            self.in_force_times.push(start.elapsed());
         }
     }
 
     /// Checks that no entry reports an older revision than before, even after a restart.
-    async fn watch_revisions(&mut self) {
+    async fn check_revisions(&mut self) {
         for entry in 0..self.fleet.spec.entries {
-            let Some(seen) = revision_at(&self.fleet.client, &self.fleet.entries[entry]).await else { continue };
-            let last = self.revisions.entry(entry).or_default();
-            if seen < *last && seen > 0 {
+            let Some(reported) = revision_at(&self.fleet.client, &self.fleet.entries[entry]).await else { continue };
+            let newest = self.revisions.entry(entry).or_default();
+            if reported < *newest && reported > 0 {
                 self.outcomes
                     .breaches
-                    .push(format!("entry-{entry} returned from revision {last} to older revision {seen}"));
+                    .push(format!("entry-{entry} returned from revision {newest} to older revision {reported}"));
             }
-            *last = seen.max(*last);
+            *newest = reported.max(*newest);
         }
     }
 
     /// Returns the results. In the ledger, lost requests that a fault of their entry explains become
     /// [`Outcome::EntryDown`].
-    pub fn close(mut self, ledger: &mut Ledger) -> Outcomes {
-        for line in &mut ledger.lines {
-            if self.down.iter().any(|down| down.excuses(line)) && matches!(line.outcome, Outcome::Lost(_)) {
-                line.outcome = Outcome::EntryDown;
+    pub fn finish(mut self, ledger: &mut Ledger) -> Outcomes {
+        for record in &mut ledger.records {
+            if self.fault_periods.iter().any(|fault_periods| fault_periods.explains(record))
+                && matches!(record.outcome, Outcome::Lost(_))
+            {
+                record.outcome = Outcome::EntryDown;
             }
         }
-        self.outcomes.in_force_ms = quantiles(self.in_force.iter().copied());
+        self.outcomes.in_force_ms = compute_quantiles(self.in_force_times.iter().copied());
         self.outcomes
     }
 }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -14,41 +14,41 @@
 
 /// VM list stand-in, shared by its HTTP handlers.
 pub struct Vms {
-    lag: Duration,
-    inner: Mutex<Inner>,
+    delay: Duration,
+    state: Mutex<ListState>,
 }
 
-struct Inner {
+struct ListState {
     /// Changes that do not show yet: the time from which each shows, and the VM, `None` for a removal.
     pending: Vec<(Instant, String, Option<Vm>)>,
-    shown: BTreeMap<String, Vm>,
+    visible: BTreeMap<String, Vm>,
     outage_until: Instant,
 }
 
 impl Vms {
     /// Creates an empty list in which changes show after `lag`.
-    pub fn new(lag: Duration) -> Arc<Self> {
-        let inner = Inner { pending: Vec::new(), shown: BTreeMap::new(), outage_until: Instant::now() };
-        Arc::new(Self { lag, inner: Mutex::new(inner) })
+    pub fn new(delay: Duration) -> Arc<Self> {
+        let state = ListState { pending: Vec::new(), visible: BTreeMap::new(), outage_until: Instant::now() };
+        Arc::new(Self { delay, state: Mutex::new(state) })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ListState> {
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn change(&self, name: String, vm: Option<Vm>) {
-        let shows = Instant::now() + self.lag;
-        self.lock().pending.push((shows, name, vm));
+    fn queue_change(&self, name: String, vm: Option<Vm>) {
+        let visible_at = Instant::now() + self.delay;
+        self.lock().pending.push((visible_at, name, vm));
     }
 }
 
-impl Inner {
-    fn settle(&mut self) {
+impl ListState {
+    fn apply_due_changes(&mut self) {
         let now = Instant::now();
-        for (_, name, vm) in self.pending.extract_if(.., |(shows, ..)| *shows <= now) {
+        for (_, name, vm) in self.pending.extract_if(.., |(visible_at, ..)| *visible_at <= now) {
             match vm {
-                Some(vm) => drop(self.shown.insert(name, vm)),
-                None => drop(self.shown.remove(&name)),
+                Some(vm) => drop(self.visible.insert(name, vm)),
+                None => drop(self.visible.remove(&name)),
             }
         }
     }
@@ -57,28 +57,28 @@
 /// Returns the routes of a VM list stand-in.
 pub fn router(vms: Arc<Vms>) -> Router {
     Router::new()
-        .route("/vms", get(list))
+        .route("/vms", get(list_vms))
         .route("/vms/{name}", put(register).delete(remove))
-        .route("/fault", post(fault))
+        .route("/fault", post(inject_fault))
         .with_state(vms)
 }
 
-async fn list(State(vms): State<Arc<Vms>>) -> Result<Json<Vec<Vm>>, StatusCode> {
-    let mut inner = vms.lock();
-    if inner.outage_until > Instant::now() {
+async fn list_vms(State(vms): State<Arc<Vms>>) -> Result<Json<Vec<Vm>>, StatusCode> {
+    let mut state = vms.lock();
+    if state.outage_until > Instant::now() {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
-    inner.settle();
-    Ok(Json(inner.shown.values().cloned().collect()))
+    state.apply_due_changes();
+    Ok(Json(state.visible.values().cloned().collect()))
 }
 
 async fn register(State(vms): State<Arc<Vms>>, Path(name): Path<String>, Json(vm): Json<Vm>) -> StatusCode {
-    vms.change(name, Some(vm));
+    vms.queue_change(name, Some(vm));
     StatusCode::NO_CONTENT
 }
 
 async fn remove(State(vms): State<Arc<Vms>>, Path(name): Path<String>) -> StatusCode {
-    vms.change(name, None);
+    vms.queue_change(name, None);
     StatusCode::NO_CONTENT
 }
 
@@ -87,7 +87,7 @@
     outage_ms: u64,
 }
 
-async fn fault(State(vms): State<Arc<Vms>>, Json(fault): Json<Fault>) -> StatusCode {
+async fn inject_fault(State(vms): State<Arc<Vms>>, Json(fault): Json<Fault>) -> StatusCode {
     vms.lock().outage_until = Instant::now() + Duration::from_millis(fault.outage_ms);
     StatusCode::NO_CONTENT
 }
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -11,24 +11,24 @@
 
 /// Weight store stand-in, shared by its HTTP handlers.
 pub struct Weights {
-    takes: Duration,
-    at_once: Semaphore,
+    load_duration: Duration,
+    permits: Semaphore,
 }
 
 impl Weights {
     /// Creates a store that serves up to `at_once` concurrent loads, each for `takes`, and rejects further loads.
-    pub fn new(takes: Duration, at_once: usize) -> Arc<Self> {
-        Arc::new(Self { takes, at_once: Semaphore::new(at_once) })
+    pub fn new(load_duration: Duration, permits: usize) -> Arc<Self> {
+        Arc::new(Self { load_duration, permits: Semaphore::new(permits) })
     }
 }
 
 /// Returns the routes of a weight store stand-in.
 pub fn router(weights: Arc<Weights>) -> Router {
-    Router::new().route("/weights/{model}/{version}", get(load)).with_state(weights)
+    Router::new().route("/weights/{model}/{version}", get(load_weights)).with_state(weights)
 }
 
-async fn load(State(weights): State<Arc<Weights>>, Path(_): Path<(String, String)>) -> StatusCode {
-    let Ok(_permit) = weights.at_once.try_acquire() else { return StatusCode::TOO_MANY_REQUESTS };
-    tokio::time::sleep(weights.takes).await;
+async fn load_weights(State(weights): State<Arc<Weights>>, Path(_): Path<(String, String)>) -> StatusCode {
+    let Ok(_permit) = weights.permits.try_acquire() else { return StatusCode::TOO_MANY_REQUESTS };
+    tokio::time::sleep(weights.load_duration).await;
     StatusCode::OK
 }
--- a/standin/src/mix.rs
+++ b/standin/src/workload.rs
@@ -28,7 +28,7 @@
 
 /// Kind of request that a class sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A chat completion with uniformly distributed sizes.
     Prompt {
         /// Minimum and maximum number of prompt tokens.
@@ -39,7 +39,7 @@
     /// A plain service call that only reads.
     Read,
     /// A plain service call with an idempotency key chosen by the caller.
-    Once,
+    Idempotent,
     /// A plain service call with a ticket issued by the entry as its idempotency key.
     Ticket,
 }
@@ -50,9 +50,9 @@
     /// Name of the class in reports.
     pub name: &'static str,
     /// Share of all requests, in thousandths.
-    pub share: u32,
+    pub share_per_mille: u32,
     /// Kind and size of the requests.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Deadline of a request in real time, before division by the fleet's speed.
     pub deadline: Duration,
 }
@@ -60,65 +60,85 @@
 impl Class {
     /// Returns whether all prompts of the class are short, at most 2000 tokens.
     pub fn is_short(&self) -> bool {
-        matches!(self.kind, Kind::Prompt { tokens, .. } if tokens.1 <= 2_000)
+        matches!(self.kind, RequestKind::Prompt { tokens, .. } if tokens.1 <= 2_000)
     }
 
     /// Returns whether all prompts of the class have at least 100,000 tokens. Short requests must not wait behind them.
     pub fn is_long(&self) -> bool {
-        matches!(self.kind, Kind::Prompt { tokens, .. } if tokens.0 >= 100_000)
+        matches!(self.kind, RequestKind::Prompt { tokens, .. } if tokens.0 >= 100_000)
     }
 
     /// Returns the mean number of prompt tokens; 0 for plain service calls.
     pub fn mean_tokens(&self) -> f64 {
         match self.kind {
-            Kind::Prompt { tokens, .. } => (tokens.0 + tokens.1) as f64 / 2.0,
+            RequestKind::Prompt { tokens, .. } => (tokens.0 + tokens.1) as f64 / 2.0,
             _ => 0.0,
         }
     }
 }
 
-const fn prompt(tokens: (u64, u64), output: (u64, u64)) -> Kind {
-    Kind::Prompt { tokens, output }
+const fn prompt(tokens: (u64, u64), output: (u64, u64)) -> RequestKind {
+    RequestKind::Prompt { tokens, output }
 }
 
 const MARKET: [Class; 7] = [
-    Class { name: "question", share: 600, kind: prompt((800, 2_000), (12, 40)), deadline: Duration::from_secs(20) },
-    Class { name: "review", share: 200, kind: prompt((8_000, 32_000), (40, 120)), deadline: Duration::from_secs(60) },
-    Class { name: "audit", share: 20, kind: prompt((100_000, 300_000), (60, 200)), deadline: Duration::from_secs(300) },
+    Class {
+        name: "question",
+        share_per_mille: 600,
+        kind: prompt((800, 2_000), (12, 40)),
+        deadline: Duration::from_secs(20),
+    },
+    Class {
+        name: "review",
+        share_per_mille: 200,
+        kind: prompt((8_000, 32_000), (40, 120)),
+        deadline: Duration::from_secs(60),
+    },
+    Class {
+        name: "audit",
+        share_per_mille: 20,
+        kind: prompt((100_000, 300_000), (60, 200)),
+        deadline: Duration::from_secs(300),
+    },
     Class {
         name: "year-audit",
-        share: 1,
+        share_per_mille: 1,
         kind: prompt((900_000, 1_000_000), (60, 200)),
         deadline: Duration::from_secs(600),
     },
-    Class { name: "receipt", share: 80, kind: Kind::Read, deadline: Duration::from_secs(10) },
-    Class { name: "payment", share: 60, kind: Kind::Once, deadline: Duration::from_secs(10) },
-    Class { name: "levy", share: 39, kind: Kind::Ticket, deadline: Duration::from_secs(10) },
+    Class { name: "receipt", share_per_mille: 80, kind: RequestKind::Read, deadline: Duration::from_secs(10) },
+    Class { name: "payment", share_per_mille: 60, kind: RequestKind::Idempotent, deadline: Duration::from_secs(10) },
+    Class { name: "levy", share_per_mille: 39, kind: RequestKind::Ticket, deadline: Duration::from_secs(10) },
 ];
 
 const COLIBRI: [Class; 7] = [
-    Class { name: "wording", share: 500, kind: prompt((600, 2_000), (20, 60)), deadline: Duration::from_secs(20) },
+    Class {
+        name: "wording",
+        share_per_mille: 500,
+        kind: prompt((600, 2_000), (20, 60)),
+        deadline: Duration::from_secs(20),
+    },
     Class {
         name: "guest-list",
-        share: 260,
+        share_per_mille: 260,
         kind: prompt((4_000, 40_000), (60, 200)),
         deadline: Duration::from_secs(60),
     },
     Class {
         name: "dossier",
-        share: 30,
+        share_per_mille: 30,
         kind: prompt((100_000, 350_000), (60, 200)),
         deadline: Duration::from_secs(300),
     },
     Class {
         name: "archive",
-        share: 1,
+        share_per_mille: 1,
         kind: prompt((900_000, 1_000_000), (60, 200)),
         deadline: Duration::from_secs(600),
     },
-    Class { name: "seating", share: 79, kind: Kind::Read, deadline: Duration::from_secs(10) },
-    Class { name: "rsvp", share: 90, kind: Kind::Once, deadline: Duration::from_secs(10) },
-    Class { name: "reminder", share: 40, kind: Kind::Ticket, deadline: Duration::from_secs(10) },
+    Class { name: "seating", share_per_mille: 79, kind: RequestKind::Read, deadline: Duration::from_secs(10) },
+    Class { name: "rsvp", share_per_mille: 90, kind: RequestKind::Idempotent, deadline: Duration::from_secs(10) },
+    Class { name: "reminder", share_per_mille: 40, kind: RequestKind::Ticket, deadline: Duration::from_secs(10) },
 ];
 
 impl Deployment {
@@ -131,7 +151,7 @@
     }
 
     /// Returns the names of the failure domains.
-    pub fn domains(self) -> [&'static str; 3] {
+    pub fn failure_domains(self) -> [&'static str; 3] {
         match self {
             Deployment::Market => ["nyabugogo", "kimironko", "kicukiro"],
             Deployment::Colibri => ["leon", "queretaro", "celaya"],
@@ -155,7 +175,7 @@
     }
 
     /// Returns the sidecars' weights of the slowdown factor and of the time to first token.
-    pub fn weights(self) -> (f64, f64) {
+    pub fn latency_weights(self) -> (f64, f64) {
         match self {
             Deployment::Market => (2.0, 1.0),
             Deployment::Colibri => (1.0, 2.0),
@@ -164,11 +184,11 @@
 
     /// Returns the mean number of prompt tokens per request of the workload, counting prompts only of the classes for
     /// which `keep` returns true.
-    pub fn mean_tokens(self, keep: impl Fn(&Class) -> bool) -> f64 {
+    pub fn mean_tokens(self, include: impl Fn(&Class) -> bool) -> f64 {
         self.classes()
             .iter()
-            .filter(|class| keep(class))
-            .map(|class| class.mean_tokens() * f64::from(class.share) / 1_000.0)
+            .filter(|class| include(class))
+            .map(|class| class.mean_tokens() * f64::from(class.share_per_mille) / 1_000.0)
             .sum()
     }
 }
@@ -191,9 +211,9 @@
 }
 
 /// Number of workspaces of a deployment; the first two are large.
-pub const WORKSPACES: usize = 10;
+pub const WORKSPACE_COUNT: usize = 10;
 /// Share of requests that the two large workspaces send.
-const LARGE_SHARE: f64 = 0.5;
+const LARGE_WORKSPACE_SHARE: f64 = 0.5;
 
 /// Generates Poisson arrivals for `span` at `rate` requests per second, identical for equal seeds.
 ///
@@ -201,42 +221,41 @@
 pub fn arrivals(
     deployment: Deployment,
     rate: f64,
-    span: Duration,
+    duration: Duration,
     seed: u64,
-    keep: impl Fn(&Class) -> bool,
+    include: impl Fn(&Class) -> bool,
 ) -> Vec<Arrival> {
-    let mut random = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut at = 0.0;
     let mut arrivals = Vec::new();
     loop {
-        let uniform: f64 = random.random::<f64>().max(1e-12);
+        let uniform: f64 = rng.random::<f64>().max(1e-12);
         at -= uniform.ln() / rate;
-        if at >= span.as_secs_f64() {
+        if at >= duration.as_secs_f64() {
             return arrivals;
         }
-        let class = pick(deployment.classes(), random.random_range(0..1_000));
+        let class = pick_class(deployment.classes(), rng.random_range(0..1_000));
         let (tokens, output) = match class.kind {
-            Kind::Prompt { tokens, output } => {
-                (random.random_range(tokens.0..=tokens.1), random.random_range(output.0..=output.1))
+            RequestKind::Prompt { tokens, output } => {
+                (rng.random_range(tokens.0..=tokens.1), rng.random_range(output.0..=output.1))
             }
             _ => (0, 0),
         };
-        let large: bool = random.random_bool(LARGE_SHARE);
-        let workspace = if large { random.random_range(0..2) } else { random.random_range(2..WORKSPACES) };
-        let arrival =
-            Arrival { at: Duration::from_secs_f64(at), class, tokens, output, workspace, seed: random.random() };
-        if keep(&class) {
+        let is_large: bool = rng.random_bool(LARGE_WORKSPACE_SHARE);
+        let workspace = if is_large { rng.random_range(0..2) } else { rng.random_range(2..WORKSPACE_COUNT) };
+        let arrival = Arrival { at: Duration::from_secs_f64(at), class, tokens, output, workspace, seed: rng.random() };
+        if include(&class) {
             arrivals.push(arrival);
         }
     }
 }
 
-fn pick(classes: &[Class], mut draw: u32) -> Class {
+fn pick_class(classes: &[Class], mut remaining_draw: u32) -> Class {
     for class in classes {
-        if draw < class.share {
+        if remaining_draw < class.share_per_mille {
             return *class;
         }
-        draw -= class.share;
+        remaining_draw -= class.share_per_mille;
     }
     classes[0]
 }
