--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -47,7 +47,7 @@
 
     /// Returns the text that an engine stand-in generates for this prompt.
     pub fn expected(&self) -> String {
-        text::answer(text::digest(self.messages().as_bytes(), 0), self.output)
+        text::response_text(text::prompt_digest(self.messages().as_bytes(), 0), self.output)
     }
 
     /// Returns the JSON request body.
--- a/standin/src/cmd/compare.rs
+++ b/standin/src/cmd/compare.rs
@@ -57,7 +57,7 @@
     };
     let mut comparisons = Vec::new();
     for policy in POLICIES {
-        comparisons.push(compare::compare(policy, &setup).await?);
+        comparisons.push(compare::run_policy(policy, &setup).await?);
     }
     print!("{}", compare::format_table(&comparisons));
     if let Some(file) = &args.svg {
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -110,9 +110,9 @@
     let breaches = fleet.breaches()?;
     let is_balanced = report.ledger.is_balanced() && breaches.is_empty();
     breaches.iter().for_each(|breach| println!("breach: {breach}"));
-    let stuck = fleet.close().await?;
-    if !stuck.is_empty() {
-        println!("did not end in time: {stuck}");
+    let stuck_processes = fleet.close().await?;
+    if !stuck_processes.is_empty() {
+        println!("did not end in time: {stuck_processes}");
     }
     println!("{}", if is_balanced { "the ledger balances" } else { "the ledger does NOT balance" });
     Ok(if is_balanced { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/standin/src/cmd/listen.rs
+++ b/standin/src/cmd/listen.rs
@@ -19,7 +19,7 @@
 use standin::{log as log_standin, serve, service as service_standin, vms as vms_standin, weights as weights_standin};
 
 /// Delay of the load that an engine reports.
-const LOAD_LAG: Duration = Duration::from_millis(200);
+const LOAD_REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// Arguments of `engine`.
 #[derive(Clone, Debug, Bpaf)]
@@ -53,7 +53,7 @@
         slots: args.slots,
         ..Sizes::default()
     };
-    let engine = Engine::new(sizes, !args.no_fence, LOAD_LAG);
+    let engine = Engine::new(sizes, !args.no_fence, LOAD_REPORT_DELAY);
     tokio::spawn(engine.clone().run());
     serve::run(args.listen, server::router(engine)).await
 }
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -77,8 +77,9 @@
         run_id: format!("soak{}", args.seed),
     };
     let mut injector = Injector::new(&mut fleet, args.seed);
-    let (mut ledger, injected) = tokio::join!(load_generator::send_arrivals(&plan, arrivals), injector.run(duration));
-    injected?;
+    let (mut ledger, injection_result) =
+        tokio::join!(load_generator::send_arrivals(&plan, arrivals), injector.run(duration));
+    injection_result?;
     let mut outcomes = injector.finish(&mut ledger);
 
     let start = Instant::now();
@@ -108,9 +109,9 @@
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
     }
     let is_passed = report.ledger.is_balanced() && outcomes.breaches.is_empty();
-    let stuck = fleet.close().await?;
-    if !stuck.is_empty() {
-        println!("did not end in time: {stuck}");
+    let stuck_processes = fleet.close().await?;
+    if !stuck_processes.is_empty() {
+        println!("did not end in time: {stuck_processes}");
     }
     println!("{}", if is_passed { "every promise that was checked was kept" } else { "promises were BROKEN" });
     Ok(if is_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/standin/src/compare.rs
+++ b/standin/src/compare.rs
@@ -69,7 +69,7 @@
 }
 
 /// Runs one combination, with and without the long prompts, on a new fleet each time.
-pub async fn compare(policy: Policy, setup: &Setup) -> Result<Comparison> {
+pub async fn run_policy(policy: Policy, setup: &Setup) -> Result<Comparison> {
     let with_long = run_once(policy, setup, true).await?;
     let without_long = run_once(policy, setup, false).await?;
     Ok(Comparison { way: policy, with_long, without_long })
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -12,11 +12,11 @@
     /// Prefill rate, in prompt tokens per second.
     pub prefill_per_s: f64,
     /// Base time of a step that decodes, before the time per sequence.
-    pub step: Duration,
+    pub decode_base_time: Duration,
     /// Additional time of a step for each sequence that it decodes.
-    pub per_sequence: Duration,
+    pub decode_time_per_sequence: Duration,
     /// Maximum number of prompt tokens prefilled in one step.
-    pub chunk: u64,
+    pub max_prefill_chunk: u64,
     /// KV memory, in tokens.
     pub memory: u64,
     /// Maximum number of concurrent sequences.
@@ -31,9 +31,9 @@
     fn default() -> Self {
         Self {
             prefill_per_s: 30_000.0,
-            step: Duration::from_millis(18),
-            per_sequence: Duration::from_micros(60),
-            chunk: 768,
+            decode_base_time: Duration::from_millis(18),
+            decode_time_per_sequence: Duration::from_micros(60),
+            max_prefill_chunk: 768,
             memory: 400_000,
             slots: 64,
             cache_blocks: 4_096,
@@ -92,7 +92,7 @@
 }
 
 /// Scheduler state of an engine: waiting prompts, running sequences, spans and KV memory.
-pub struct Model {
+pub struct TimingModel {
     sizes: Sizes,
     waiting: BTreeMap<(std::cmp::Reverse<i32>, SequenceId), Prompt>,
     running: BTreeMap<SequenceId, Sequence>,
@@ -102,7 +102,7 @@
     next_id: SequenceId,
 }
 
-impl Model {
+impl TimingModel {
     /// Creates an idle engine.
     pub fn new(sizes: Sizes) -> Self {
         let cache = Cache::new(sizes.cache_blocks);
@@ -153,7 +153,7 @@
             self.running.iter().filter(|(_, sequence)| sequence.remaining_prefill == 0).map(|(id, _)| *id).collect();
         let mut decode_time = Duration::ZERO;
         if !decoding.is_empty() {
-            decode_time = self.sizes.step + self.sizes.per_sequence * decoding.len() as u32;
+            decode_time = self.sizes.decode_base_time + self.sizes.decode_time_per_sequence * decoding.len() as u32;
         }
         let mut prefill_time = Duration::ZERO;
         if let Some((id, chunk)) = self.prefill_chunk() {
@@ -174,7 +174,7 @@
         let prefilling = self.running.iter_mut().filter(|(_, sequence)| sequence.remaining_prefill > 0);
         let (id, sequence) =
             prefilling.min_by_key(|(id, sequence)| (std::cmp::Reverse(sequence.prompt.priority), **id))?;
-        let chunk = sequence.remaining_prefill.min(self.sizes.chunk);
+        let chunk = sequence.remaining_prefill.min(self.sizes.max_prefill_chunk);
         sequence.remaining_prefill -= chunk;
         Some((*id, chunk))
     }
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -20,23 +20,23 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-use super::model::{Event, Model, Prompt, SequenceId, Sizes};
+use super::model::{Event, Prompt, SequenceId, Sizes, TimingModel};
 use crate::text;
 
 /// Mutable state of the engine, which a restart discards.
 struct EngineState {
-    model: Model,
+    model: TimingModel,
     outputs: HashMap<SequenceId, mpsc::UnboundedSender<(u64, bool)>>,
     ready_spans: HashMap<SequenceId, bool>,
     span_ids: HashMap<String, SequenceId>,
     fence_guard: Guard,
-    loaded: Loaded,
+    loaded: LoadedModel,
     order_count: u64,
 }
 
 /// Model, adapters and role set by the last accepted order.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// Version of the model.
     pub version: String,
     /// Adapters loaded with the model.
@@ -70,16 +70,16 @@
 }
 
 impl Engine {
-    /// Creates an idle engine that refreshes its reported load every `load_lag`, and that rejects orders with an old
-    /// fence if `checks_fence` is set.
+    /// Creates an idle engine that refreshes its reported load every `load_report_delay`. It rejects orders with an
+    /// old fence if `checks_fence` is set.
     pub fn new(sizes: Sizes, checks_fence: bool, load_report_delay: Duration) -> Arc<Self> {
         let state = EngineState {
-            model: Model::new(sizes),
+            model: TimingModel::new(sizes),
             outputs: HashMap::new(),
             ready_spans: HashMap::new(),
             span_ids: HashMap::new(),
             fence_guard: Guard::default(),
-            loaded: Loaded::default(),
+            loaded: LoadedModel::default(),
             order_count: 0,
         };
         Arc::new(Self {
@@ -265,17 +265,17 @@
     let bytes = prompt_json.get().as_bytes();
     let resume_after: u64 = header_number(headers, "x-resume-after");
     let seed: u64 = header_number(headers, "x-span-digest");
-    let remote: u64 = header_number(headers, "x-span-tokens");
+    let remote_tokens: u64 = header_number(headers, "x-span-tokens");
     // A prompt whose context is held in spans carries only the digest and token count of that context.
-    let digest = if remote > 0 { seed } else { text::digest(bytes, 0) };
-    let local = if remote > 0 { 0 } else { (bytes.len() / text::BYTES_PER_TOKEN) as u64 };
+    let digest = if remote_tokens > 0 { seed } else { text::prompt_digest(bytes, 0) };
+    let local_tokens = if remote_tokens > 0 { 0 } else { (bytes.len() / text::BYTES_PER_TOKEN) as u64 };
     let output = completion.max_completion_tokens.or(completion.max_tokens).unwrap_or(16 + digest % 48);
-    let prompt_tokens = local + remote;
+    let prompt_tokens = local_tokens + remote_tokens;
     let prompt = Prompt {
         request: headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("-").to_owned(),
         priority: header_number(headers, "x-priority"),
         tokens: prompt_tokens + resume_after,
-        remote_tokens: remote,
+        remote_tokens,
         resume_after,
         output,
         chain: Chain::of(bytes),
@@ -316,7 +316,7 @@
     /// token was the last.
     fn token(&mut self, (index, last): (u64, bool), buffer: &mut Vec<u8>) -> bool {
         self.tokens_written += 1;
-        let token = text::token(self.digest, index);
+        let token = text::response_token(self.digest, index);
         let content =
             if self.chat { format!("\"delta\":{{\"content\":\"{token}\"}}") } else { format!("\"text\":\"{token}\"") };
         let finish_reason = if last { "\"length\"" } else { "null" };
@@ -372,7 +372,7 @@
     }
     // A prefilled span stays reserved until it is freed by name, even if the client disconnects.
     guard.disarm();
-    Json(json!({ "tokens": tokens, "digest": text::digest(&body, query.digest) })).into_response()
+    Json(json!({ "tokens": tokens, "digest": text::prompt_digest(&body, query.digest) })).into_response()
 }
 
 async fn free_span(State(engine): State<Arc<Engine>>, Path(name): Path<String>) -> StatusCode {
@@ -416,7 +416,7 @@
 struct LoadOrder {
     fence: u64,
     #[serde(flatten)]
-    loaded: Loaded,
+    loaded: LoadedModel,
 }
 
 /// Applies an order to load a model or change role. Rejects an order with an old fence if the engine checks fences.
--- a/standin/src/fleet/control.rs
+++ b/standin/src/fleet/control.rs
@@ -113,7 +113,7 @@
         Err(eyre!("step=wait-started: {name} wrote no step=start log line within {START_TIMEOUT:?}"))
     }
 
-    /// Waits until a process exits by itself; returns whether it exited within `limit` with status 0.
+    /// Waits until a process exits by itself; returns whether it exited within `timeout` with status 0.
     pub async fn wait_end(&mut self, name: &str, timeout: Duration) -> Result<bool> {
         let process =
             self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-end: the fleet has no process {name}"))?;
@@ -137,20 +137,20 @@
             self.wait_started(name).await?;
             let _ = self.signal(name, Signal::TERM);
         }
-        let mut stuck = String::new();
+        let mut stuck_processes = String::new();
         for name in names.iter().filter(has_graceful_exit) {
             if !self.wait_end(name, EXIT_TIMEOUT).await? {
-                let _ = write!(stuck, "{name} ");
+                let _ = write!(stuck_processes, "{name} ");
             }
         }
         for name in &names {
             let _ = self.kill(name);
         }
-        Ok(stuck)
+        Ok(stuck_processes)
     }
 }
 
-/// Returns whether the log has a `step=start` line after its first `logged_before` bytes, which earlier runs wrote.
+/// Returns whether the log has a `step=start` line after its first `log_offset` bytes, which earlier runs wrote.
 fn has_started(log: &Path, log_offset: u64) -> Result<bool> {
     let mut file = std::fs::File::open(log).wrap_err_with(|| format!("step=open-log path={}", log.display()))?;
     file.seek(SeekFrom::Start(log_offset)).wrap_err("step=read-log")?;
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -151,9 +151,9 @@
         for (name, args) in stand_ins {
             let address = free_address()?;
             self.addresses.insert(name.to_owned(), address.clone());
-            let mut all = vec![name.to_owned(), "--listen".to_owned(), address];
-            all.extend(args.iter().map(|arg| (*arg).to_owned()));
-            self.spawn(name, "standin", all)?;
+            let mut command_line = vec![name.to_owned(), "--listen".to_owned(), address];
+            command_line.extend(args.iter().map(|arg| (*arg).to_owned()));
+            self.spawn(name, "standin", command_line)?;
         }
         for name in ["log", "vms"] {
             let address = self.addresses[name].clone();
@@ -228,7 +228,7 @@
         self.addresses.insert(name.clone(), address.clone());
         let sizes = &self.spec.sizes;
         let (slowdown, ttft) = self.spec.deployment.latency_weights();
-        let gap_ms = (sizes.step.div_f64(sizes.speed).as_millis()).max(1);
+        let gap_ms = (sizes.decode_base_time.div_f64(sizes.speed).as_millis()).max(1);
         let text = format!(
             "[process]\nname = {name}\nfailure_domain = {}\n\n[sidecar]\nlisten = {address}\nendpoint = {endpoint}\n\
              endpoint_address = {}\nservice = {service}\nkind = {kind}\nentries = {}\norder = {}\n\
--- a/standin/src/ledger.rs
+++ b/standin/src/ledger.rs
@@ -31,7 +31,7 @@
 /// Tolerance beyond a deadline within which a response still counts as in time.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1_000);
 
-/// Returns the outcome of a request from what its client received; `right` tells whether the text is correct.
+/// Returns the outcome of a request from what its client received; `is_correct` tells whether the text is correct.
 pub fn classify(received: &Seen, is_correct: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
     if received.took > deadline + DEADLINE_TOLERANCE {
         return Outcome::Lost(format!("response ended after {} ms, past its deadline", received.took.as_millis()));
@@ -55,9 +55,9 @@
     /// Index of the entry that the request was sent to.
     pub entry: usize,
     /// Time at which the request was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// Time at which the response ended.
-    pub ended: Instant,
+    pub ended_at: Instant,
     /// Name of the workload class.
     pub class: &'static str,
     /// Request id.
@@ -124,7 +124,7 @@
 }
 
 impl Ledger {
-    /// Computes the totals; `runs` holds how often the services executed each key.
+    /// Computes the totals; `run_counts` holds how often the services executed each key.
     pub fn totals(&self, run_counts: &HashMap<String, u64>) -> Totals {
         let mut totals = Totals { sent: self.records.len(), ..Totals::default() };
         for record in &self.records {
--- a/standin/src/load_generator.rs
+++ b/standin/src/load_generator.rs
@@ -37,7 +37,7 @@
     let start = Instant::now();
     let mut tasks = Vec::new();
     for (number, arrival) in arrivals.into_iter().enumerate() {
-        tokio::time::sleep_until(start + arrival.at).await;
+        tokio::time::sleep_until(start + arrival.offset).await;
         let (plan, client, ledger) = (plan.clone(), client.clone(), ledger.clone());
         tasks.push(tokio::spawn(async move {
             let record = send_request(&plan, &client, number, &arrival).await;
@@ -53,7 +53,7 @@
 async fn send_request(plan: &LoadPlan, client: &Client, number: usize, arrival: &Arrival) -> RequestRecord {
     let entry_number = number % plan.entries.len();
     let entry = &plan.entries[entry_number];
-    let sent = std::time::Instant::now();
+    let sent_at = std::time::Instant::now();
     let id = format!("{}-{number}", plan.run_id);
     let key = workspace_key(arrival.workspace);
     let deadline = arrival.class.deadline.div_f64(plan.speed).max(Duration::from_millis(500));
@@ -78,8 +78,8 @@
     };
     RequestRecord {
         entry: entry_number,
-        sent,
-        ended: std::time::Instant::now(),
+        sent_at,
+        ended_at: std::time::Instant::now(),
         class: arrival.class.name,
         id,
         tokens: arrival.tokens,
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -116,8 +116,8 @@
 }
 
 fn unix_time_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Returns the routes of a log stand-in.
--- a/standin/src/overhead.rs
+++ b/standin/src/overhead.rs
@@ -142,8 +142,8 @@
     Ok(results)
 }
 
-/// Runs `streams` concurrent callers for `span`, each of which sends its next prompt when the previous response has
-/// ended. Returns the times to first token and the output tokens per second.
+/// Runs `streams` concurrent callers for `duration`. Each caller sends its next prompt when the previous response
+/// has ended. Returns the times to first token and the output tokens per second.
 async fn run_closed_loop(
     client: &Client,
     address: &str,
--- a/standin/src/report.rs
+++ b/standin/src/report.rs
@@ -34,7 +34,7 @@
 
 /// Results of one class of requests.
 #[derive(Clone, Debug, Serialize)]
-pub struct Row {
+pub struct ClassReport {
     /// Name of the class.
     pub class: String,
     /// Number of requests sent.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// One row per class, sorted by name.
-    pub rows: Vec<Row>,
+    pub rows: Vec<ClassReport>,
     /// Totals of the ledger.
     pub ledger: Totals,
 }
@@ -81,7 +81,7 @@
     Report { rows, ledger: totals }
 }
 
-fn summarize_class(class: &str, records: &[&RequestRecord], baseline: PrefillBaseline) -> Row {
+fn summarize_class(class: &str, records: &[&RequestRecord], baseline: PrefillBaseline) -> ClassReport {
     let complete: Vec<&&RequestRecord> = records.iter().filter(|record| record.outcome == Outcome::Complete).collect();
     let ttft = |record: &&&RequestRecord| record.ttft;
     let slowdown = |record: &&&RequestRecord| {
@@ -90,7 +90,7 @@
         let slowdown = record.ttft?.as_secs_f64() / baseline;
         (baseline > 0.0).then(|| Duration::from_secs_f64(slowdown / 1_000.0))
     };
-    Row {
+    ClassReport {
         class: class.to_owned(),
         sent: records.len(),
         whole: complete.len(),
--- a/standin/src/scale.rs
+++ b/standin/src/scale.rs
@@ -57,7 +57,7 @@
 }
 
 /// Resource use of an entry and a sidecar, and loopback traffic, over a span of time.
-struct Usage {
+struct FleetUsage {
     entry_cores: f64,
     entry_mib: f64,
     sidecar_cores: f64,
@@ -66,7 +66,7 @@
     packets_per_s: f64,
 }
 
-async fn measure_usage(fleet: &Fleet, sidecar: &str, activity: impl Future<Output = ()>) -> Result<Usage> {
+async fn measure_usage(fleet: &Fleet, sidecar: &str, activity: impl Future<Output = ()>) -> Result<FleetUsage> {
     let (entry, sidecar_before) = (read_usage(fleet, "entry-0")?, read_usage(fleet, sidecar)?);
     let loopback_before = resource_usage::read_loopback().unwrap_or_default();
     let start = Instant::now();
@@ -74,7 +74,7 @@
     let span_s = start.elapsed().as_secs_f64();
     let loopback_after = resource_usage::read_loopback().unwrap_or_default();
     let (entry_after, sidecar_after) = (read_usage(fleet, "entry-0")?, read_usage(fleet, sidecar)?);
-    Ok(Usage {
+    Ok(FleetUsage {
         entry_cores: entry_after.cores_since(&entry),
         entry_mib: entry_after.resident_bytes as f64 / BYTES_PER_MIB,
         sidecar_cores: sidecar_after.cores_since(&sidecar_before),
@@ -181,7 +181,7 @@
         workspace_count = *size;
         wait_revision(&fleet, 1, revision).await?;
         tokio::time::sleep(SETTLE_DELAY).await;
-        let before = read_usage(&fleet, "entry-1")?;
+        let usage_before = read_usage(&fleet, "entry-1")?;
         let mut apply_times_ms = Vec::new();
         for number in 0..changes {
             let body = json!([{ "put_service": { "name": "probe", "deadline_ms": number + 1 } }]);
@@ -190,8 +190,8 @@
             wait_revision(&fleet, 1, revision).await?;
             apply_times_ms.push(accepted.elapsed().as_secs_f64() * 1e3);
         }
-        let after = read_usage(&fleet, "entry-1")?;
-        let cpu_ms_per_change = (after.cpu_s - before.cpu_s) * 1e3 / changes as f64;
+        let usage_after = read_usage(&fleet, "entry-1")?;
+        let cpu_ms_per_change = (usage_after.cpu_s - usage_before.cpu_s) * 1e3 / changes as f64;
         fleet.kill("entry-1")?;
         let started = Instant::now();
         fleet.restart("entry-1")?;
@@ -200,8 +200,13 @@
         let (_, config) = fleet.client.json("GET", &fleet.entries[0], "/v1/intents", OPERATOR_KEY, None).await?;
         let config_mib = config.to_string().len() as f64 / BYTES_PER_MIB;
         let max_apply_ms = apply_times_ms.into_iter().fold(0.0, f64::max);
-        let values =
-            [after.resident_bytes as f64 / BYTES_PER_MIB, cpu_ms_per_change, max_apply_ms, restart_ms, config_mib];
+        let values = [
+            usage_after.resident_bytes as f64 / BYTES_PER_MIB,
+            cpu_ms_per_change,
+            max_apply_ms,
+            restart_ms,
+            config_mib,
+        ];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
     }
     fleet.close().await?;
@@ -222,7 +227,7 @@
     let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.service());
     let mut claimed_keys = 0;
     for rate in rates {
-        let before = append_count(&fleet).await;
+        let appends_before = append_count(&fleet).await;
         let follower_before = read_usage(&fleet, "entry-1")?;
         let usage = measure_usage(&fleet, &sidecar, send_claims(&fleet, *rate, duration)).await?;
         claimed_keys += rate * duration.as_secs();
@@ -230,7 +235,7 @@
         let values = [
             usage.entry_cores,
             follower_after.cores_since(&follower_before),
-            (append_count(&fleet).await - before) / duration.as_secs_f64(),
+            (append_count(&fleet).await - appends_before) / duration.as_secs_f64(),
             follower_after.resident_bytes as f64 / BYTES_PER_MIB,
         ];
         let x_values = [*rate as f64, *rate as f64, *rate as f64, claimed_keys as f64];
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -28,7 +28,7 @@
 }
 
 impl Service {
-    /// Creates a service whose calls last for `takes`.
+    /// Creates a service whose calls last for `call_duration`.
     pub fn new(name: &str, call_duration: Duration) -> Arc<Self> {
         let state = ServiceState { run_counts: HashMap::new(), suspended_until: Instant::now(), lose_answers: 0 };
         Arc::new(Self { name: name.to_owned(), call_duration, state: Mutex::new(state) })
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -96,8 +96,8 @@
     /// Returns whether the fault explains a request's broken connection. A load balancer sends no new requests to an
     /// entry that is shutting down, but the callers of this tool connect to entries directly.
     fn explains(&self, record: &RequestRecord) -> bool {
-        let is_affected = if self.is_planned { record.sent >= self.from } else { record.ended > self.from };
-        self.entry == record.entry && record.sent < self.until && is_affected
+        let is_affected = if self.is_planned { record.sent_at >= self.from } else { record.ended_at > self.from };
+        self.entry == record.entry && record.sent_at < self.until && is_affected
     }
 }
 
@@ -139,10 +139,10 @@
         }
     }
 
-    /// Injects faults for `span`, then clears the faults of the log.
-    pub async fn run(&mut self, span: Duration) -> Result<()> {
+    /// Injects faults for `duration`, then clears the faults of the log.
+    pub async fn run(&mut self, duration: Duration) -> Result<()> {
         let start = Instant::now();
-        while start.elapsed() < span {
+        while start.elapsed() < duration {
             let delay_ms = self.rng.random_range(FAULT_INTERVAL_MS.0..FAULT_INTERVAL_MS.1);
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             let kind = *FAULT_KINDS.choose(&mut self.rng).unwrap_or(&FaultKind::LogSlow);
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Runs `act`, waits until `entry` is ready again, and records the period in which its connections may break.
+    /// Runs `fault`, waits until `entry` is ready again, and records the period in which its connections may break.
     async fn with_fault_period(
         &mut self,
         entry: usize,
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -26,7 +26,7 @@
 }
 
 impl Vms {
-    /// Creates an empty list in which changes show after `lag`.
+    /// Creates an empty list in which changes show after `delay`.
     pub fn new(delay: Duration) -> Arc<Self> {
         let state = ListState { pending: Vec::new(), visible: BTreeMap::new(), outage_until: Instant::now() };
         Arc::new(Self { delay, state: Mutex::new(state) })
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -16,7 +16,8 @@
 }
 
 impl Weights {
-    /// Creates a store that serves up to `at_once` concurrent loads, each for `takes`, and rejects further loads.
+    /// Creates a store that serves up to `permits` concurrent loads, each of which takes `load_duration`, and rejects
+    /// further loads with status 429.
     pub fn new(load_duration: Duration, permits: usize) -> Arc<Self> {
         Arc::new(Self { load_duration, permits: Semaphore::new(permits) })
     }
--- a/standin/src/workload.rs
+++ b/standin/src/workload.rs
@@ -183,7 +183,7 @@
     }
 
     /// Returns the mean number of prompt tokens per request of the workload, counting prompts only of the classes for
-    /// which `keep` returns true.
+    /// which `include` returns true.
     pub fn mean_tokens(self, include: impl Fn(&Class) -> bool) -> f64 {
         self.classes()
             .iter()
@@ -197,7 +197,7 @@
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Arrival time, relative to the start of the run.
-    pub at: Duration,
+    pub offset: Duration,
     /// Class of the request.
     pub class: Class,
     /// Prompt tokens; 0 for a plain service call.
@@ -215,9 +215,9 @@
 /// Share of requests that the two large workspaces send.
 const LARGE_WORKSPACE_SHARE: f64 = 0.5;
 
-/// Generates Poisson arrivals for `span` at `rate` requests per second, identical for equal seeds.
+/// Generates Poisson arrivals for `duration` at `rate` requests per second, identical for equal seeds.
 ///
-/// Classes for which `keep` returns false are omitted; the other classes keep their arrival times and sizes.
+/// Classes for which `include` returns false are omitted; the other classes keep their arrival times and sizes.
 pub fn arrivals(
     deployment: Deployment,
     rate: f64,
@@ -226,12 +226,12 @@
     include: impl Fn(&Class) -> bool,
 ) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut at = 0.0;
+    let mut offset = 0.0;
     let mut arrivals = Vec::new();
     loop {
         let uniform: f64 = rng.random::<f64>().max(1e-12);
-        at -= uniform.ln() / rate;
-        if at >= duration.as_secs_f64() {
+        offset -= uniform.ln() / rate;
+        if offset >= duration.as_secs_f64() {
             return arrivals;
         }
         let class = pick_class(deployment.classes(), rng.random_range(0..1_000));
@@ -243,7 +243,8 @@
         };
         let is_large: bool = rng.random_bool(LARGE_WORKSPACE_SHARE);
         let workspace = if is_large { rng.random_range(0..2) } else { rng.random_range(2..WORKSPACE_COUNT) };
-        let arrival = Arrival { at: Duration::from_secs_f64(at), class, tokens, output, workspace, seed: rng.random() };
+        let arrival =
+            Arrival { offset: Duration::from_secs_f64(offset), class, tokens, output, workspace, seed: rng.random() };
         if include(&class) {
             arrivals.push(arrival);
         }
