--- a/standin/src/cmd/mod.rs
+++ b/standin/src/cmd/mod.rs
@@ -58,7 +58,7 @@
 
 /// Worker threads of a tool that sends requests to a fleet. A stand-in uses one thread, so that many of them fit
 /// on one machine.
-const DRIVER_THREADS: usize = 4;
+const TOOL_WORKER_THREADS: usize = 4;
 
 impl Command {
     fn is_standin(&self) -> bool {
@@ -80,7 +80,7 @@
 
 fn run(command: Command) -> Result<ExitCode> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(if command.is_standin() { 1 } else { DRIVER_THREADS })
+        .worker_threads(if command.is_standin() { 1 } else { TOOL_WORKER_THREADS })
         .enable_all()
         .build()
         .wrap_err("step=start-runtime")?;
--- a/standin/src/cmd/site_soak.rs
+++ b/standin/src/cmd/site_soak.rs
@@ -1,7 +1,8 @@
 //! Runs a small site of the users' platform under random faults derived from a seed and prints every violated
 //! guarantee.
 //!
-//! Usage: standin site-soak [--seed S] [--seeds N] [--at-once N] [--rounds N] [--seconds N] [--entries N] [--callers N] [--fatal] [--limits] [--evacuations] [--words]
+//! Usage: standin site-soak [--seed S] [--seeds N] [--at-once N] [--rounds N] [--seconds N] [--entries N] [--callers N]
+//!                          [--fatal] [--limits] [--evacuations] [--words]
 //!
 //! Entries are killed, suspended, shut down and made to reload. Connections from callers, to the store and to
 //! replicas are delayed, reset, cut in one direction or blackholed. The store and the replicas return faulty
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -47,7 +47,7 @@
 
 /// Load that the engine reports at `/load`.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Number of running sequences.
     pub running: usize,
     /// Number of waiting prompts.
@@ -64,7 +64,7 @@
     work_available: Notify,
     steps_run: watch::Sender<u64>,
     suspended_until: Mutex<Instant>,
-    reported_load: Mutex<Load>,
+    reported_load: Mutex<LoadReport>,
     checks_fence: bool,
     load_report_delay: Duration,
 }
@@ -156,9 +156,9 @@
         }
     }
 
-    fn load(&self) -> Load {
+    fn load(&self) -> LoadReport {
         let state = self.lock();
-        Load {
+        LoadReport {
             running: state.model.running(),
             waiting: state.model.waiting(),
             held_tokens: state.model.reserved(),
@@ -253,13 +253,13 @@
     run_completion(engine, &headers, &body, false).await
 }
 
-async fn run_completion(engine: Arc<Engine>, headers: &HeaderMap, body: &Bytes, chat: bool) -> Response {
+async fn run_completion(engine: Arc<Engine>, headers: &HeaderMap, body: &Bytes, is_chat: bool) -> Response {
     engine.wait_until_resumed().await;
     let completion: CompletionRequest = match serde_json::from_slice(body) {
         Ok(completion) => completion,
         Err(error) => return (StatusCode::BAD_REQUEST, error.to_string()).into_response(),
     };
-    let Some(prompt_json) = (if chat { completion.messages } else { completion.prompt }) else {
+    let Some(prompt_json) = (if is_chat { completion.messages } else { completion.prompt }) else {
         return (StatusCode::BAD_REQUEST, "no prompt").into_response();
     };
     let bytes = prompt_json.get().as_bytes();
@@ -287,7 +287,7 @@
         return (StatusCode::UNPROCESSABLE_ENTITY, "the prompt exceeds the engine's memory").into_response();
     };
     let guard = CancelOnDrop::new(engine, id);
-    let event_writer = EventWriter { chat, model: completion.model, digest, prompt_tokens, tokens_written: 0 };
+    let event_writer = EventWriter { is_chat, model: completion.model, digest, prompt_tokens, tokens_written: 0 };
     let events = stream::unfold(Some((guard, event_writer, outputs)), |state| async move {
         let (guard, mut event_writer, mut outputs) = state?;
         let first = outputs.recv().await?;
@@ -304,7 +304,7 @@
 }
 
 struct EventWriter {
-    chat: bool,
+    is_chat: bool,
     model: String,
     digest: u64,
     prompt_tokens: u64,
@@ -317,8 +317,11 @@
     fn token(&mut self, (index, last): (u64, bool), buffer: &mut Vec<u8>) -> bool {
         self.tokens_written += 1;
         let token = text::response_token(self.digest, index);
-        let content =
-            if self.chat { format!("\"delta\":{{\"content\":\"{token}\"}}") } else { format!("\"text\":\"{token}\"") };
+        let content = if self.is_chat {
+            format!("\"delta\":{{\"content\":\"{token}\"}}")
+        } else {
+            format!("\"text\":\"{token}\"")
+        };
         let finish_reason = if last { "\"length\"" } else { "null" };
         let model = &self.model;
         let line = format!(
@@ -402,7 +405,7 @@
     StatusCode::NO_CONTENT
 }
 
-async fn get_load(State(engine): State<Arc<Engine>>) -> Json<Load> {
+async fn get_load(State(engine): State<Arc<Engine>>) -> Json<LoadReport> {
     engine.wait_until_resumed().await;
     Json(engine.reported_load.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone())
 }
--- a/standin/src/workload.rs
+++ b/standin/src/workload.rs
@@ -77,7 +77,7 @@
     }
 }
 
-const fn prompt(tokens: (u64, u64), output: (u64, u64)) -> RequestKind {
+const fn prompt_kind(tokens: (u64, u64), output: (u64, u64)) -> RequestKind {
     RequestKind::Prompt { tokens, output }
 }
 
@@ -85,25 +85,25 @@
     Class {
         name: "question",
         share_per_mille: 600,
-        kind: prompt((800, 2_000), (12, 40)),
+        kind: prompt_kind((800, 2_000), (12, 40)),
         deadline: Duration::from_secs(20),
     },
     Class {
         name: "review",
         share_per_mille: 200,
-        kind: prompt((8_000, 32_000), (40, 120)),
+        kind: prompt_kind((8_000, 32_000), (40, 120)),
         deadline: Duration::from_secs(60),
     },
     Class {
         name: "audit",
         share_per_mille: 20,
-        kind: prompt((100_000, 300_000), (60, 200)),
+        kind: prompt_kind((100_000, 300_000), (60, 200)),
         deadline: Duration::from_secs(300),
     },
     Class {
         name: "year-audit",
         share_per_mille: 1,
-        kind: prompt((900_000, 1_000_000), (60, 200)),
+        kind: prompt_kind((900_000, 1_000_000), (60, 200)),
         deadline: Duration::from_secs(600),
     },
     Class { name: "receipt", share_per_mille: 80, kind: RequestKind::Read, deadline: Duration::from_secs(10) },
@@ -115,25 +115,25 @@
     Class {
         name: "wording",
         share_per_mille: 500,
-        kind: prompt((600, 2_000), (20, 60)),
+        kind: prompt_kind((600, 2_000), (20, 60)),
         deadline: Duration::from_secs(20),
     },
     Class {
         name: "guest-list",
         share_per_mille: 260,
-        kind: prompt((4_000, 40_000), (60, 200)),
+        kind: prompt_kind((4_000, 40_000), (60, 200)),
         deadline: Duration::from_secs(60),
     },
     Class {
         name: "dossier",
         share_per_mille: 30,
-        kind: prompt((100_000, 350_000), (60, 200)),
+        kind: prompt_kind((100_000, 350_000), (60, 200)),
         deadline: Duration::from_secs(300),
     },
     Class {
         name: "archive",
         share_per_mille: 1,
-        kind: prompt((900_000, 1_000_000), (60, 200)),
+        kind: prompt_kind((900_000, 1_000_000), (60, 200)),
         deadline: Duration::from_secs(600),
     },
     Class { name: "seating", share_per_mille: 79, kind: RequestKind::Read, deadline: Duration::from_secs(10) },
