--- a/standin/src/cmd/compare.rs
+++ b/standin/src/cmd/compare.rs
@@ -45,7 +45,7 @@
     json: Option<PathBuf>,
 }
 
-/// Runs the subcommand.
+/// Runs and prints all comparisons; the exit status is 1 if the ledger of a run does not balance.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let setup = Setup {
         deployment: args.deployment,
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -58,7 +58,7 @@
     hold: bool,
 }
 
-/// Runs the subcommand.
+/// Runs the demo; the exit status is 1 if the ledger does not balance or an invariant was violated.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let sizes = Sizes { speed: args.speed, ..Sizes::default() };
     let spec = Spec {
--- a/standin/src/cmd/listen.rs
+++ b/standin/src/cmd/listen.rs
@@ -18,7 +18,7 @@
 use standin::engine::server::{self, Engine};
 use standin::{log as log_standin, serve, service as service_standin, vms as vms_standin, weights as weights_standin};
 
-/// Delay of the load that an engine reports.
+/// Interval at which an engine refreshes the load that it reports.
 const LOAD_REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// Arguments of `engine`.
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -43,7 +43,7 @@
     no_long: bool,
 }
 
-/// Runs the subcommand.
+/// Sends the workload and prints the report; the exit status is 1 if the ledger does not balance.
 pub async fn run(args: Args) -> Result<ExitCode> {
     ensure!(
         args.entry.iter().all(|entry| entry.ip().is_loopback()),
--- a/standin/src/cmd/overhead.rs
+++ b/standin/src/cmd/overhead.rs
@@ -34,7 +34,7 @@
 /// Numbers of concurrent streams.
 const STREAM_COUNTS: [usize; 3] = [1, 64, 512];
 
-/// Runs the subcommand.
+/// Runs the measurements and prints them as Markdown tables.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let levels =
         overhead::measure_streams(&STREAM_COUNTS, args.output, args.speed, Duration::from_secs(args.seconds)).await?;
--- a/standin/src/cmd/scale.rs
+++ b/standin/src/cmd/scale.rs
@@ -45,7 +45,7 @@
 /// Output tokens per request, one series of rates for each value.
 const OUTPUT_TOKEN_COUNTS: [u64; 2] = [1, 101];
 
-/// Runs the subcommand.
+/// Runs the selected steps, prints all series and writes them to the JSON file if one is given.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let duration = Duration::from_secs(args.seconds);
     let is_selected = |step: &str| args.only.as_deref().is_none_or(|only| only == step);
--- a/standin/src/cmd/site_soak.rs
+++ b/standin/src/cmd/site_soak.rs
@@ -52,7 +52,7 @@
     words: bool,
 }
 
-/// Runs the subcommand.
+/// Runs all seeds and prints their reports; the exit status is 1 if a seed violated a guarantee.
 pub async fn run(args: Args) -> Result<ExitCode> {
     ports::use_soak_ports();
     let faults = Duration::from_secs(args.seconds);
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -53,7 +53,7 @@
 /// Time after the last response within which all KV memory must be free: two lease periods of a span.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the subcommand.
+/// Runs the soak and prints its report; the exit status is 1 if a guarantee was violated.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let sizes = Sizes { speed: args.speed, ..Sizes::default() };
     let spec = Spec {
