--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! The load tool's HTTP client: prompts whose answers are checked, and calls.
+//! HTTP client of the load tool: sends prompts and plain service calls and records their responses.
 
 use std::time::{Duration, Instant};
 
@@ -14,43 +14,43 @@
 
 use crate::text;
 
-/// A client.
+/// HTTP client with a connection pool; clones share the pool.
 #[derive(Clone)]
 pub struct Client {
     inner: HyperClient<HttpConnector, Full<Bytes>>,
 }
 
-/// A prompt to be sent.
+/// A chat completion request with one user message.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// The model.
+    /// Name of the model that the request asks for.
     pub model: String,
-    /// The workspace's key.
+    /// Bearer key of the workspace.
     pub key: String,
-    /// Text of the one message.
+    /// Text of the user message.
     pub text: String,
-    /// Output tokens wanted.
+    /// Output tokens to request, sent as `max_tokens`.
     pub output: u64,
-    /// Whether to stream.
+    /// Whether the response is requested as a stream of server-sent events.
     pub stream: bool,
-    /// Time allowed.
+    /// Deadline sent in `x-deadline-ms`.
     pub deadline: Duration,
-    /// Headers besides.
+    /// Headers sent in addition to authorization, content type and deadline.
     pub headers: Vec<(String, String)>,
 }
 
 impl Prompt {
-    /// The messages as they stand in the body.
+    /// Returns the JSON text of `messages` exactly as the body contains it, because the answer's digest covers it.
     fn messages(&self) -> String {
         format!("[{{\"role\":\"user\",\"content\":\"{}\"}}]", self.text)
     }
 
-    /// The answer that is right.
+    /// Returns the text that an engine stand-in generates for this prompt.
     pub fn expected(&self) -> String {
-        text::answer(text::digest(self.messages().as_bytes(), 0), self.output)
+        text::response_text(text::prompt_digest(self.messages().as_bytes(), 0), self.output)
     }
 
-    /// The body.
+    /// Returns the JSON request body.
     pub fn body(&self) -> String {
         let Prompt { model, output, stream, .. } = self;
         let messages = self.messages();
@@ -58,39 +58,39 @@
     }
 }
 
-/// What came back.
+/// Outcome of a request as the client received it.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status; 0 if no response arrived.
     pub status: u16,
-    /// Text of the answer.
+    /// Generated text of a completion, or the response body of a plain service call.
     pub text: String,
-    /// Time to the first token.
+    /// Time from sending the request to the first token; `None` without streaming or if no token arrived.
     pub ttft: Option<Duration>,
-    /// Time to the end.
+    /// Time from sending the request to the end of the response or to the error.
     pub took: Duration,
-    /// Longest times between tokens, one for each gap.
+    /// Time between each token and the one before it.
     pub gaps: Vec<Duration>,
-    /// Whether the answer said that it was over.
+    /// Whether the response was complete; a stream is complete once `[DONE]` arrives.
     pub ended: bool,
-    /// The failure's body, if there was one.
+    /// Error body of the response; `None` if the response carried no JSON error.
     pub failure: Option<Value>,
-    /// What went wrong on the way.
+    /// Transport or decoding error on the client's side.
     pub error: Option<String>,
 }
 
 impl Seen {
-    /// The failure's code.
+    /// Returns the error code of the response, or `-` if it carried none.
     pub fn code(&self) -> &str {
         self.failure.as_ref().and_then(|failure| failure["error"]["code"].as_str()).unwrap_or("-")
     }
 
-    /// What the failure says of whether it ran.
+    /// Returns the error body's `ran` field, which states whether the request was executed.
     pub fn ran(&self) -> Option<&str> {
         self.failure.as_ref()?["ran"].as_str()
     }
 
-    /// When the failure says to come back.
+    /// Returns the delay after which the error body allows a retry.
     pub fn retry_after(&self) -> Option<Duration> {
         Some(Duration::from_millis(self.failure.as_ref()?["retry_after_ms"].as_u64()?))
     }
@@ -103,7 +103,7 @@
 }
 
 impl Client {
-    /// A client with its own pool of connections.
+    /// Creates a client with its own connection pool.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -115,7 +115,7 @@
         Self { inner }
     }
 
-    /// Sends a request.
+    /// Sends a request and returns the response with its body unread.
     pub async fn send(
         &self,
         method: &str,
@@ -132,7 +132,7 @@
         self.inner.request(request).await.map_err(|error| eyre!("step=send peer={address}: {error:?}"))
     }
 
-    /// Sends JSON and reads the status and JSON.
+    /// Sends an optional JSON body and returns the status and the JSON response, `Null` if the response is not JSON.
     pub async fn json(
         &self,
         method: &str,
@@ -152,53 +152,53 @@
         Ok((status, serde_json::from_slice(&bytes).unwrap_or(Value::Null)))
     }
 
-    /// Sends a prompt and reads its answer to the end.
+    /// Sends a prompt and reads the response to its end.
     pub async fn prompt(&self, address: &str, prompt: &Prompt) -> Seen {
         let mut headers = prompt.headers.clone();
         headers.push(("authorization".to_owned(), format!("Bearer {}", prompt.key)));
         headers.push(("content-type".to_owned(), "application/json".to_owned()));
         headers.push(("x-deadline-ms".to_owned(), prompt.deadline.as_millis().to_string()));
         let start = Instant::now();
-        let mut seen = Seen::default();
-        if let Err(error) = self.read(address, prompt, &headers, start, &mut seen).await {
-            seen.error = Some(format!("{error:#}"));
+        let mut received = Seen::default();
+        if let Err(error) = self.receive(address, prompt, &headers, start, &mut received).await {
+            received.error = Some(format!("{error:#}"));
         }
-        seen.took = start.elapsed();
-        seen
+        received.took = start.elapsed();
+        received
     }
 
-    async fn read(
+    async fn receive(
         &self,
         address: &str,
         prompt: &Prompt,
         headers: &[(String, String)],
         start: Instant,
-        seen: &mut Seen,
+        received: &mut Seen,
     ) -> Result<()> {
         let response = self.send("POST", address, "/v1/chat/completions", headers, prompt.body()).await?;
-        seen.status = response.status().as_u16();
+        received.status = response.status().as_u16();
         let mut body = response.into_body();
-        if seen.status != 200 || !prompt.stream {
+        if received.status != 200 || !prompt.stream {
             let bytes = body.collect().await.wrap_err("step=read")?.to_bytes();
-            return whole(&bytes, seen);
+            return parse_response(&bytes, received);
         }
         let mut buffer = BytesMut::new();
-        let mut last = start;
+        let mut last_token_at = start;
         while let Some(frame) = body.frame().await {
             let frame = frame.wrap_err("step=read")?;
             let Ok(data) = frame.into_data() else { continue };
             buffer.extend_from_slice(&data);
-            while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
-                let line = buffer.split_to(end + 1);
+            while let Some(newline) = buffer.iter().position(|byte| *byte == b'\n') {
+                let line = buffer.split_to(newline + 1);
                 if let Some(data) = line.trim_ascii_end().strip_prefix(b"data: ") {
-                    event(data, start, &mut last, seen)?;
+                    apply_event(data, start, &mut last_token_at, received)?;
                 }
             }
         }
         Ok(())
     }
 
-    /// Calls a plain service; the text is its JSON body.
+    /// Calls a plain service and keeps the JSON response body as the text.
     pub async fn call(
         &self,
         method: &str,
@@ -208,54 +208,54 @@
         body: impl Into<Bytes>,
     ) -> Seen {
         let start = Instant::now();
-        let mut seen = Seen::default();
-        let outcome = async {
+        let mut received = Seen::default();
+        let exchange = async {
             let response = self.send(method, address, path, headers, body).await?;
-            seen.status = response.status().as_u16();
+            received.status = response.status().as_u16();
             let bytes = response.into_body().collect().await.wrap_err("step=read")?.to_bytes();
-            seen.text = String::from_utf8_lossy(&bytes).into_owned();
-            if seen.status >= 400 {
-                seen.failure = serde_json::from_slice(&bytes).ok();
+            received.text = String::from_utf8_lossy(&bytes).into_owned();
+            if received.status >= 400 {
+                received.failure = serde_json::from_slice(&bytes).ok();
             }
-            seen.ended = true;
+            received.ended = true;
             Ok::<(), eyre::Report>(())
         };
-        if let Err(error) = outcome.await {
-            seen.error = Some(format!("{error:#}"));
+        if let Err(error) = exchange.await {
+            received.error = Some(format!("{error:#}"));
         }
-        seen.took = start.elapsed();
-        seen
+        received.took = start.elapsed();
+        received
     }
 }
 
-fn whole(bytes: &[u8], seen: &mut Seen) -> Result<()> {
+fn parse_response(bytes: &[u8], received: &mut Seen) -> Result<()> {
     let value: Value = serde_json::from_slice(bytes).wrap_err("step=decode")?;
     if value["error"].is_object() {
-        seen.failure = Some(value);
+        received.failure = Some(value);
         return Ok(());
     }
-    seen.text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
-    seen.ended = true;
+    received.text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
+    received.ended = true;
     Ok(())
 }
 
-fn event(data: &[u8], start: Instant, last: &mut Instant, seen: &mut Seen) -> Result<()> {
+fn apply_event(data: &[u8], start: Instant, last_token_at: &mut Instant, received: &mut Seen) -> Result<()> {
     if data == b"[DONE]" {
-        seen.ended = true;
+        received.ended = true;
         return Ok(());
     }
     let value: Value = serde_json::from_slice(data).wrap_err("step=decode")?;
     if value["error"].is_object() {
-        seen.failure = Some(value);
+        received.failure = Some(value);
         return Ok(());
     }
     let Some(token) = value["choices"][0]["delta"]["content"].as_str() else { return Ok(()) };
     let now = Instant::now();
-    match seen.ttft {
-        None => seen.ttft = Some(now - start),
-        Some(_) => seen.gaps.push(now - *last),
+    match received.ttft {
+        None => received.ttft = Some(now - start),
+        Some(_) => received.gaps.push(now - *last_token_at),
     }
-    *last = now;
-    seen.text.push_str(token);
+    *last_token_at = now;
+    received.text.push_str(token);
     Ok(())
 }
--- a/standin/src/cmd/compare.rs
+++ b/standin/src/cmd/compare.rs
@@ -1,10 +1,10 @@
-//! Compares ours with the baselines: pickers and queue orders under the same arrivals.
+//! Compares the project's picker and queue order with baseline combinations under the same arrivals.
 //!
 //! Usage: standin compare [--deployment market|colibri] [--load SHARE] [--seconds N] [--seed N]
 //!                        [--engines N] [--speed X] [--svg FILE] [--json FILE]
 //!
-//! Each way gets a fresh fleet, once with the long prompts and once without; slowdown is the
-//! ratio of the two p95.
+//! Each combination runs on a new fleet twice, with and without the long prompts. The slowdown column is the
+//! ratio of the two p95 times to first token.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,32 +12,32 @@
 
 use bpaf::Bpaf;
 use eyre::{Result, WrapErr};
-use standin::compare::{self, Setup, WAYS};
-use standin::mix::Deployment;
+use standin::compare::{self, POLICIES, Setup};
+use standin::workload::Deployment;
 
 /// Arguments of `compare`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// Whose fleet and mix: market or colibri
+    /// Deployment that defines the fleet and the workload: market or colibri
     #[bpaf(argument("NAME"), fallback(Deployment::Market))]
     deployment: Deployment,
-    /// Share of the engines' capacity that the mix asks for
+    /// Offered load as a share of the engines' capacity
     #[bpaf(argument("SHARE"), fallback(0.8))]
     load: f64,
-    /// How long to send, in seconds
+    /// Duration of the arrivals, in seconds
     #[bpaf(argument("N"), fallback(15))]
     seconds: u64,
-    /// Seed of the mix
+    /// Seed of the workload
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(20))]
     engines: usize,
-    /// How many times faster than real time the fleet runs
+    /// Factor by which the fleet runs faster than real time
     #[bpaf(argument("X"), fallback(4.0))]
     speed: f64,
-    /// Draw p95 by class to this file
+    /// Draw p95 time to first token by class to this SVG file
     #[bpaf(argument("FILE"), optional)]
     svg: Option<PathBuf>,
     /// Write all reports to this file as JSON
@@ -45,29 +45,31 @@
     json: Option<PathBuf>,
 }
 
-/// Runs the subcommand.
+/// Runs and prints all comparisons; the exit status is 1 if the ledger of a run does not balance.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let setup = Setup {
         deployment: args.deployment,
         load: args.load,
-        span: Duration::from_secs(args.seconds),
+        duration: Duration::from_secs(args.seconds),
         seed: args.seed,
         engines: args.engines,
         speed: args.speed,
     };
-    let mut all = Vec::new();
-    for way in WAYS {
-        all.push(compare::compare(way, &setup).await?);
+    let mut comparisons = Vec::new();
+    for policy in POLICIES {
+        comparisons.push(compare::run_policy(policy, &setup).await?);
     }
-    print!("{}", compare::table(&all));
+    print!("{}", compare::format_table(&comparisons));
     if let Some(file) = &args.svg {
         let title = format!("{:?}, load {}, seed {}", args.deployment, args.load, args.seed);
-        compare::plot(&all, &title, file)?;
+        compare::plot(&comparisons, &title, file)?;
     }
     if let Some(file) = &args.json {
-        let text = serde_json::to_string_pretty(&all).wrap_err("step=encode")?;
+        let text = serde_json::to_string_pretty(&comparisons).wrap_err("step=encode")?;
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
     }
-    let balances = all.iter().all(|one| one.with_long.ledger.balances() && one.without_long.ledger.balances());
-    Ok(if balances { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_balanced = comparisons
+        .iter()
+        .all(|comparison| comparison.with_long.ledger.is_balanced() && comparison.without_long.ledger.is_balanced());
+    Ok(if is_balanced { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -1,13 +1,12 @@
-//! Starts a whole fleet, sends a deployment's mix, and prints what came of it.
+//! Starts a fleet, sends a deployment's workload and prints the results.
 //!
 //! Usage: standin demo [--deployment market|colibri] [--seconds N] [--load SHARE] [--speed X]
 //!                     [--engines N] [--seed N] [--picker NAME] [--order NAME] [--no-long]
 //!                     [--json FILE] [--hold]
 //!
-//! The platform, engines, services, sidecars and entries run as separate processes on
-//! loopback. Times in the table are as measured; the fleet runs --speed times faster than
-//! real time. It ends with status 1 if the ledger does not balance. With --hold the fleet
-//! stays up and a ready curl line is printed.
+//! The platform, engines, services, sidecars and entries run as separate processes on loopback. The fleet runs
+//! --speed times faster than real time, and the times in the table are not scaled back. The exit status is 1 if
+//! the ledger does not balance. With --hold the fleet keeps running, and a curl command that calls it is printed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,49 +16,49 @@
 use eyre::{Result, WrapErr};
 use standin::compare;
 use standin::engine::model::Sizes;
-use standin::fleet::{Fleet, Spec, scratch, workspace_key};
-use standin::mix::{self, Deployment};
-use standin::report::{self, Floor};
-use standin::run::{self, Drive};
+use standin::fleet::{Fleet, Spec, scratch_dir, workspace_key};
+use standin::load_generator::{self, LoadPlan};
+use standin::report::{self, PrefillBaseline};
+use standin::workload::{self, Deployment};
 
 /// Arguments of `demo`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(args))]
 pub struct Args {
-    /// Whose fleet and mix: market or colibri
+    /// Deployment that defines the fleet and the workload: market or colibri
     #[bpaf(argument("NAME"), fallback(Deployment::Market))]
     deployment: Deployment,
-    /// How long to send, in seconds
+    /// Duration of the arrivals, in seconds
     #[bpaf(argument("N"), fallback(20))]
     seconds: u64,
-    /// Share of the engines' capacity that the mix asks for
+    /// Offered load as a share of the engines' capacity
     #[bpaf(argument("SHARE"), fallback(0.5))]
     load: f64,
-    /// How many times faster than real time the fleet runs
+    /// Factor by which the fleet runs faster than real time
     #[bpaf(argument("X"), fallback(4.0))]
     speed: f64,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(20))]
     engines: usize,
-    /// Seed of the mix
+    /// Seed of the workload
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// How entries pick
+    /// Picker with which the entries choose an endpoint
     #[bpaf(argument("NAME"), fallback("quoted".to_owned()))]
     picker: String,
-    /// Order of the sidecars' queues
+    /// Queue order of the sidecars
     #[bpaf(argument("NAME"), fallback("slack".to_owned()))]
     order: String,
-    /// Leave the long prompts out
+    /// Omit the long prompts
     no_long: bool,
     /// Write the report to this file as JSON
     #[bpaf(argument("FILE"), optional)]
     json: Option<PathBuf>,
-    /// Keep the fleet up afterwards
+    /// Keep the fleet running after the workload until Ctrl-C
     hold: bool,
 }
 
-/// Runs the subcommand.
+/// Runs the demo; the exit status is 1 if the ledger does not balance or an invariant was violated.
 pub async fn run(args: Args) -> Result<ExitCode> {
     let sizes = Sizes { speed: args.speed, ..Sizes::default() };
     let spec = Spec {
@@ -73,33 +72,33 @@
         vms_lag_ms: 500,
         ..Spec::small("demo")
     };
-    let dir = scratch("demo");
+    let dir = scratch_dir("demo");
     let fleet = Fleet::start(Spec { dir: dir.clone(), ..spec }).await?;
     println!("fleet of {} processes is up; logs are in {}", fleet.names().len(), dir.display());
     if args.hold {
-        print_hint(&fleet);
+        print_curl_command(&fleet);
     }
 
-    let keep = |class: &mix::Class| !(args.no_long && class.is_long());
-    let rate = compare::rate(args.deployment, args.load, args.engines, &sizes);
-    let arrivals = mix::arrivals(args.deployment, rate, Duration::from_secs(args.seconds), args.seed, keep);
+    let include = |class: &workload::Class| !(args.no_long && class.is_long());
+    let rate = compare::request_rate(args.deployment, args.load, args.engines, &sizes);
+    let arrivals = workload::arrivals(args.deployment, rate, Duration::from_secs(args.seconds), args.seed, include);
     println!(
         "sending {} requests at {rate:.0} a second for {} s, {} times faster than real time",
         arrivals.len(),
         args.seconds,
         args.speed
     );
-    let drive = Drive {
+    let plan = LoadPlan {
         entries: fleet.entries.clone(),
         deployment: args.deployment,
         speed: args.speed,
-        run: format!("demo{}", args.seed),
+        run_id: format!("demo{}", args.seed),
     };
-    let ledger = run::drive(&drive, arrivals).await;
-    let sums = ledger.sums(&fleet.runs().await);
-    let floor = Floor { prefill_per_s: sizes.prefill_per_s * sizes.speed };
-    let report = report::report(&ledger, sums, floor);
-    print!("{}", report.table());
+    let ledger = load_generator::send_arrivals(&plan, arrivals).await;
+    let totals = ledger.totals(&fleet.runs().await);
+    let baseline = PrefillBaseline { prefill_per_s: sizes.prefill_per_s * sizes.speed };
+    let report = report::summarize(&ledger, totals, baseline);
+    print!("{}", report.format_table());
     if let Some(file) = &args.json {
         let text = serde_json::to_string_pretty(&report).wrap_err("step=encode")?;
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
@@ -109,17 +108,17 @@
         let _ = tokio::signal::ctrl_c().await;
     }
     let breaches = fleet.breaches()?;
-    let balances = report.ledger.balances() && breaches.is_empty();
-    breaches.iter().for_each(|line| println!("breach: {line}"));
-    let stuck = fleet.close().await?;
-    if !stuck.is_empty() {
-        println!("did not end in time: {stuck}");
+    let is_balanced = report.ledger.is_balanced() && breaches.is_empty();
+    breaches.iter().for_each(|breach| println!("breach: {breach}"));
+    let stuck_processes = fleet.close().await?;
+    if !stuck_processes.is_empty() {
+        println!("did not end in time: {stuck_processes}");
     }
-    println!("{}", if balances { "the ledger balances" } else { "the ledger does NOT balance" });
-    Ok(if balances { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{}", if is_balanced { "the ledger balances" } else { "the ledger does NOT balance" });
+    Ok(if is_balanced { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn print_hint(fleet: &Fleet) {
+fn print_curl_command(fleet: &Fleet) {
     println!("entries: {}", fleet.entries.join(" "));
     println!(
         "curl -N http://{}/v1/chat/completions -H 'Authorization: Bearer {}' -H 'Content-Type: application/json' \\\n  \
--- a/standin/src/cmd/listen.rs
+++ b/standin/src/cmd/listen.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in.
+//! Runs a single stand-in.
 //!
 //! Usage:
 //!   standin engine --listen IP:PORT [--speed X] [--prefill N] [--memory N] [--slots N] [--no-fence]
@@ -7,7 +7,7 @@
 //!   standin vms --listen IP:PORT [--lag-ms N]
 //!   standin weights --listen IP:PORT [--takes-ms N] [--at-once N]
 //!
-//! Each has a small HTTP form and takes faults at POST /fault.
+//! Each stand-in serves a small HTTP API; all but the weight store accept fault injection at POST /fault.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,29 +18,29 @@
 use standin::engine::server::{self, Engine};
 use standin::{log as log_standin, serve, service as service_standin, vms as vms_standin, weights as weights_standin};
 
-/// How late an engine reports its load.
-const LOAD_LAG: Duration = Duration::from_millis(200);
+/// Interval at which an engine refreshes the load that it reports.
+const LOAD_REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// Arguments of `engine`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(engine_args))]
 pub struct EngineArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// How many times faster than real time to run
+    /// Factor by which the engine runs faster than real time
     #[bpaf(argument("X"), fallback(1.0))]
     speed: f64,
-    /// Prompt tokens prefilled a second
+    /// Prefill rate, in prompt tokens per second
     #[bpaf(argument("N"), fallback(30_000.0))]
     prefill: f64,
-    /// KV memory in tokens
+    /// KV memory, in tokens
     #[bpaf(argument("N"), fallback(400_000))]
     memory: u64,
-    /// Most sequences at once
+    /// Maximum number of concurrent sequences
     #[bpaf(argument("N"), fallback(64))]
     slots: usize,
-    /// Take orders under any fence
+    /// Accept load and role orders whatever their fence
     no_fence: bool,
 }
 
@@ -53,22 +53,22 @@
         slots: args.slots,
         ..Sizes::default()
     };
-    let engine = Engine::new(sizes, !args.no_fence, LOAD_LAG);
+    let engine = Engine::new(sizes, !args.no_fence, LOAD_REPORT_DELAY);
     tokio::spawn(engine.clone().run());
-    serve::forever(args.listen, server::router(engine)).await
+    serve::run(args.listen, server::router(engine)).await
 }
 
 /// Arguments of `service`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(service_args))]
 pub struct ServiceArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// Name to answer under
+    /// Service name returned in responses
     #[bpaf(argument("NAME"), fallback("service".to_owned()))]
     name: String,
-    /// How long a call takes, in milliseconds
+    /// Duration of a call, in milliseconds
     #[bpaf(argument("N"), fallback(5))]
     takes_ms: u64,
 }
@@ -76,42 +76,42 @@
 /// Runs a plain service stand-in.
 pub async fn service(args: ServiceArgs) -> Result<()> {
     let service = service_standin::Service::new(&args.name, Duration::from_millis(args.takes_ms));
-    serve::forever(args.listen, service_standin::router(service)).await
+    serve::run(args.listen, service_standin::router(service)).await
 }
 
 /// Arguments of `log`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(log_args))]
 pub struct LogArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// Appends a second over all streams
+    /// Append limit per second, over all streams
     #[bpaf(argument("N"), fallback(300.0))]
     appends_per_s: f64,
-    /// How long records are kept, in milliseconds
+    /// Retention period of records, in milliseconds
     #[bpaf(argument("N"), fallback(86_400_000))]
     retention_ms: u64,
 }
 
 /// Runs an append-only log stand-in.
 pub async fn log(args: LogArgs) -> Result<()> {
-    let sizes = log_standin::Sizes {
+    let limits = log_standin::Limits {
         appends_per_s: args.appends_per_s,
         retention: Duration::from_millis(args.retention_ms),
-        ..log_standin::Sizes::default()
+        ..log_standin::Limits::default()
     };
-    serve::forever(args.listen, log_standin::router(log_standin::Log::new(sizes))).await
+    serve::run(args.listen, log_standin::router(log_standin::Log::new(limits))).await
 }
 
 /// Arguments of `vms`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(vms_args))]
 pub struct VmsArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// How late the list is, in milliseconds
+    /// Delay until a change shows in the list, in milliseconds
     #[bpaf(argument("N"), fallback(500))]
     lag_ms: u64,
 }
@@ -119,20 +119,20 @@
 /// Runs a VM list stand-in.
 pub async fn vms(args: VmsArgs) -> Result<()> {
     let vms = vms_standin::Vms::new(Duration::from_millis(args.lag_ms));
-    serve::forever(args.listen, vms_standin::router(vms)).await
+    serve::run(args.listen, vms_standin::router(vms)).await
 }
 
 /// Arguments of `weights`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(weights_args))]
 pub struct WeightsArgs {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"))]
     listen: SocketAddr,
-    /// How long a load takes, in milliseconds
+    /// Duration of a load, in milliseconds
     #[bpaf(argument("N"), fallback(500))]
     takes_ms: u64,
-    /// Loads at once
+    /// Maximum number of concurrent loads
     #[bpaf(argument("N"), fallback(2))]
     at_once: usize,
 }
@@ -140,5 +140,5 @@
 /// Runs a weight store stand-in.
 pub async fn weights(args: WeightsArgs) -> Result<()> {
     let weights = weights_standin::Weights::new(Duration::from_millis(args.takes_ms), args.at_once);
-    serve::forever(args.listen, weights_standin::router(weights)).await
+    serve::run(args.listen, weights_standin::router(weights)).await
 }
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! A fleet on loopback: the stand-ins, sidecars and entries as separate processes.
+//! Runs a fleet on loopback: stand-ins, sidecars and entries as separate processes.
 //!
-//! Used by the demo, the experiments and the tests. It ends only processes that it
-//! started, by id, and leaves their logs behind.
+//! The demo, the experiments and the tests use it. It ends only processes that it started, by id, and keeps their
+//! logs.
 
 mod control;
-pub mod place;
+pub mod ports;
 
-pub use place::{binary, free_address};
+pub use ports::{binary, free_address};
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
@@ -18,66 +18,66 @@
 
 use crate::client::Client;
 use crate::engine::model::Sizes;
-use crate::mix::{Deployment, WORKSPACES};
+use crate::workload::{Deployment, WORKSPACE_COUNT};
 
-/// Key that operators of a fleet use.
+/// Bearer key of the operators of a fleet.
 pub const OPERATOR_KEY: &str = "operator-key-of-a-stand-in-fleet";
-/// Environment variable that carries the operators' key to entries.
+/// Environment variable that passes the operators' key to entries.
 const OPERATOR_ENV: &str = "SORRELPASS_OPERATOR_SECRET";
-/// Environment variable that carries the tickets' key to entries.
+/// Environment variable that passes the ticket signing key to entries.
 const TICKET_ENV: &str = "SORRELPASS_TICKET_SECRET";
-/// How long a fleet may take to be ready.
-const READY: Duration = Duration::from_secs(30);
+/// Time allowed for a process to listen and for an entry to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The bearer key of a workspace of a fleet.
+/// Returns the bearer key of a workspace of a fleet.
 pub fn workspace_key(number: usize) -> String {
     format!("key-of-workspace-{number}")
 }
 
-/// What a fleet is made of.
+/// Size, settings and working directory of a fleet.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Whose fleet it is.
+    /// Deployment that defines the failure domains, the model and the service.
     pub deployment: Deployment,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines, each with its sidecar.
+    /// Number of engines, each with a sidecar of its own.
     pub engines: usize,
-    /// Plain services, each with its sidecar.
+    /// Number of plain services, each with a sidecar of its own.
     pub services: usize,
-    /// Whether the sidecars of plain services stand beside one stand-in, to save processes.
-    pub shared_service: bool,
-    /// Sizes and speeds of the engines.
+    /// Whether the sidecars of all plain services share one stand-in, which saves processes.
+    pub shares_service: bool,
+    /// Capacity and speed of the engines.
     pub sizes: Sizes,
-    /// Whether engines check fences.
+    /// Whether engines reject orders with an old fence.
     pub checks_fence: bool,
-    /// How entries pick.
+    /// Picker of the entries, as in the setting `entry.picker`.
     pub picker: String,
-    /// Order of the sidecars' queues.
+    /// Queue order of the sidecars, as in the setting `sidecar.order`.
     pub order: String,
-    /// How late the VM list is, in milliseconds.
+    /// Delay until a change shows in the VM list, in milliseconds.
     pub vms_lag_ms: u64,
-    /// How often entries read the VM list, in milliseconds.
+    /// Interval at which entries read the VM list, in milliseconds.
     pub vms_poll_ms: u64,
-    /// How long the log keeps records, in milliseconds.
+    /// Retention period of the log's records, in milliseconds.
     pub retention_ms: u64,
-    /// Lines added to every entry's section.
+    /// Lines appended to the `[entry]` section of every entry's settings.
     pub entry_settings: String,
-    /// Lines added to every sidecar's section.
+    /// Lines appended to the `[sidecar]` section of every sidecar's settings.
     pub sidecar_settings: String,
-    /// Where logs and settings go.
+    /// Directory of the log files and settings files.
     pub dir: PathBuf,
 }
 
 impl Spec {
-    /// A small fleet for tests, ten times faster than real time.
+    /// Returns the specification of a small fleet for tests, ten times faster than real time.
     pub fn small(name: &str) -> Self {
         Self {
             deployment: Deployment::Market,
             entries: 2,
             engines: 3,
             services: 2,
-            shared_service: false,
+            shares_service: false,
             sizes: Sizes { speed: 10.0, ..Sizes::default() },
             checks_fence: true,
             picker: "quoted".into(),
@@ -87,40 +87,40 @@
             retention_ms: 24 * 3_600 * 1_000,
             entry_settings: String::new(),
             sidecar_settings: String::new(),
-            dir: scratch(name),
+            dir: scratch_dir(name),
         }
     }
 }
 
-/// A fresh folder for a fleet's logs and settings.
-pub fn scratch(name: &str) -> PathBuf {
+/// Returns the path of a directory for a fleet's logs and settings, distinct for each name and process id.
+pub fn scratch_dir(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("sorrelpass-{name}-{}", std::process::id()))
 }
 
-/// A process of the fleet.
+/// A process of the fleet, with the program and arguments needed to restart it.
 struct Process {
     child: Child,
     program: PathBuf,
     args: Vec<String>,
-    /// Bytes of its log that earlier runs of it wrote.
-    logged_before: u64,
+    /// Size of the log file, in bytes, when this run started.
+    log_offset: u64,
 }
 
-/// A running fleet.
+/// A running fleet; its processes are killed when it is dropped.
 pub struct Fleet {
-    /// What it is made of.
+    /// Specification that the fleet was started from.
     pub spec: Spec,
-    /// A client for its APIs.
+    /// HTTP client for the APIs of the fleet's processes.
     pub client: Client,
     processes: BTreeMap<String, Process>,
-    /// Callers' addresses of the entries.
+    /// Addresses at which the entries accept requests from callers.
     pub entries: Vec<String>,
-    /// Address of each process by name; for entries that of the peers' wire.
+    /// Address of each process by name; for an entry its peer address.
     pub addresses: HashMap<String, String>,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every entry is ready.
+    /// Starts a fleet, publishes its first configuration and waits until every entry is ready.
     pub async fn start(spec: Spec) -> Result<Self> {
         std::fs::create_dir_all(&spec.dir).wrap_err_with(|| format!("step=make-folder path={}", spec.dir.display()))?;
         let mut fleet = Self {
@@ -131,12 +131,12 @@
             addresses: HashMap::new(),
         };
         fleet.start_platform().await?;
-        let entries = fleet.allot_entries()?;
+        let entries = fleet.assign_entry_addresses()?;
         fleet.start_endpoints().await?;
         for (name, listen, peer) in &entries {
             fleet.start_entry(name, listen, peer)?;
         }
-        fleet.publish(&fleet.first_changes()).await?;
+        fleet.publish(&fleet.initial_changes()).await?;
         for entry in fleet.entries.clone() {
             fleet.wait_ready(&entry).await?;
         }
@@ -146,14 +146,14 @@
     async fn start_platform(&mut self) -> Result<()> {
         let retention = self.spec.retention_ms.to_string();
         let lag = self.spec.vms_lag_ms.to_string();
-        let parts: [(&str, &[&str]); 3] =
+        let stand_ins: [(&str, &[&str]); 3] =
             [("log", &["--retention-ms", &retention]), ("vms", &["--lag-ms", &lag]), ("weights", &[])];
-        for (name, args) in parts {
+        for (name, args) in stand_ins {
             let address = free_address()?;
             self.addresses.insert(name.to_owned(), address.clone());
-            let mut all = vec![name.to_owned(), "--listen".to_owned(), address];
-            all.extend(args.iter().map(|arg| (*arg).to_owned()));
-            self.spawn(name, "standin", all)?;
+            let mut command_line = vec![name.to_owned(), "--listen".to_owned(), address];
+            command_line.extend(args.iter().map(|arg| (*arg).to_owned()));
+            self.spawn(name, "standin", command_line)?;
         }
         for name in ["log", "vms"] {
             let address = self.addresses[name].clone();
@@ -162,25 +162,25 @@
         Ok(())
     }
 
-    fn domain(&self, number: usize) -> &'static str {
-        self.spec.deployment.domains()[number % 3]
+    fn failure_domain(&self, number: usize) -> &'static str {
+        self.spec.deployment.failure_domains()[number % 3]
     }
 
-    fn allot_entries(&mut self) -> Result<Vec<(String, String, String)>> {
-        let mut allotted = Vec::new();
+    fn assign_entry_addresses(&mut self) -> Result<Vec<(String, String, String)>> {
+        let mut assigned = Vec::new();
         for number in 0..self.spec.entries {
             let name = format!("entry-{number}");
             let (listen, peer) = (free_address()?, free_address()?);
             self.entries.push(listen.clone());
             self.addresses.insert(name.clone(), peer.clone());
-            allotted.push((name, listen, peer));
+            assigned.push((name, listen, peer));
         }
-        Ok(allotted)
+        Ok(assigned)
     }
 
-    fn peers(&self) -> String {
-        let peers = (0..self.spec.entries).filter_map(|number| self.addresses.get(&format!("entry-{number}")));
-        peers.cloned().collect::<Vec<_>>().join(",")
+    fn peer_addresses(&self) -> String {
+        let peer_addresses = (0..self.spec.entries).filter_map(|number| self.addresses.get(&format!("entry-{number}")));
+        peer_addresses.cloned().collect::<Vec<_>>().join(",")
     }
 
     async fn start_endpoints(&mut self) -> Result<()> {
@@ -190,7 +190,7 @@
         for number in 0..self.spec.services {
             let name = format!("{}-{number}", self.spec.deployment.service());
             let shared = format!("{}-0", self.spec.deployment.service());
-            match self.addresses.get(&shared).filter(|_| self.spec.shared_service).cloned() {
+            match self.addresses.get(&shared).filter(|_| self.spec.shares_service).cloned() {
                 Some(address) => drop(self.addresses.insert(name.clone(), address)),
                 None => {
                     let address = free_address()?;
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// Starts engine number `number` and its sidecar, and lists its VM.
+    /// Starts an engine and its sidecar and registers its VM on the platform's list.
     pub async fn add_engine(&mut self, number: usize) -> Result<()> {
         let name = format!("{}-{number}", self.spec.deployment.model());
         let address = free_address()?;
@@ -227,16 +227,16 @@
         let address = free_address()?;
         self.addresses.insert(name.clone(), address.clone());
         let sizes = &self.spec.sizes;
-        let (slowdown, ttft) = self.spec.deployment.weights();
-        let gap_ms = (sizes.step.div_f64(sizes.speed).as_millis()).max(1);
+        let (slowdown, ttft) = self.spec.deployment.latency_weights();
+        let gap_ms = (sizes.decode_base_time.div_f64(sizes.speed).as_millis()).max(1);
         let text = format!(
             "[process]\nname = {name}\nfailure_domain = {}\n\n[sidecar]\nlisten = {address}\nendpoint = {endpoint}\n\
              endpoint_address = {}\nservice = {service}\nkind = {kind}\nentries = {}\norder = {}\n\
              slowdown_weight = {slowdown}\nttft_weight = {ttft}\nslots = {}\nmemory_tokens = {}\n\
              prefill_tokens_per_s = {}\ngap_ms = {gap_ms}\nprobe_ms = 300\n{}\n",
-            self.domain(number),
+            self.failure_domain(number),
             self.addresses[endpoint],
-            self.peers(),
+            self.peer_addresses(),
             self.spec.order,
             sizes.slots,
             sizes.memory,
@@ -246,11 +246,11 @@
         let file = self.write_settings(&name, &text)?;
         self.spawn(&name, "sorrelpass", vec!["sidecar".to_owned(), file])?;
         let vm = json!({ "name": endpoint, "address": address, "role": "endpoint", "service": service,
-            "failure_domain": self.domain(number), "leaving": false });
+            "failure_domain": self.failure_domain(number), "leaving": false });
         self.list_vm(endpoint, &vm).await
     }
 
-    /// Puts a VM on the platform's list.
+    /// Registers a VM on the platform's list.
     pub async fn list_vm(&self, name: &str, vm: &Value) -> Result<()> {
         let (status, _) =
             self.client.json("PUT", &self.addresses["vms"], &format!("/vms/{name}"), "", Some(vm)).await?;
@@ -259,12 +259,12 @@
 
     fn start_entry(&mut self, name: &str, listen: &str, peer: &str) -> Result<()> {
         let number: usize = name.rsplit('-').next().and_then(|text| text.parse().ok()).unwrap_or(0);
-        let domain = self.domain(number);
+        let failure_domain = self.failure_domain(number);
         let text = format!(
-            "[process]\nname = {name}\nfailure_domain = {domain}\n\n[entry]\nlisten = {listen}\npeer_listen = {peer}\n\
+            "[process]\nname = {name}\nfailure_domain = {failure_domain}\n\n[entry]\nlisten = {listen}\npeer_listen = {peer}\n\
              peers = {}\npicker = {}\noperator_secret_env = {OPERATOR_ENV}\nticket_secret_env = {TICKET_ENV}\n{}\n\n\
              [platform]\nlog_address = {}\nvms_address = {}\nvms_poll_ms = {}\n",
-            self.peers(),
+            self.peer_addresses(),
             self.spec.picker,
             self.spec.entry_settings,
             self.addresses["log"],
@@ -275,15 +275,15 @@
         self.spawn(name, "sorrelpass", vec!["entry".to_owned(), file])
     }
 
-    /// The changes that make a fleet's first configuration.
-    fn first_changes(&self) -> Value {
+    /// Returns the changes that create a fleet's first configuration.
+    fn initial_changes(&self) -> Value {
         let deployment = self.spec.deployment;
         let mut changes = vec![
             json!({ "put_intent": { "model": deployment.model(), "service": deployment.model(), "workspaces": ["*"],
                 "deadline_ms": 30_000, "deadline_ceiling_ms": 600_000, "context_tokens": 1_100_000 } }),
             json!({ "put_service": { "name": deployment.service(), "repeatable": false, "deadline_ms": 10_000 } }),
         ];
-        for number in 0..WORKSPACES {
+        for number in 0..WORKSPACE_COUNT {
             let digest = blake3::hash(workspace_key(number).as_bytes()).to_hex().to_string();
             let weight = if number < 2 { 2.0 } else { 1.0 };
             changes.push(json!({ "put_workspace": { "name": format!("workspace-{number}"), "key_digest": digest, "weight": weight } }));
@@ -291,18 +291,18 @@
         Value::from(changes)
     }
 
-    /// Lists the entries' VMs, plans and confirms changes at the first entry, and returns the revision.
+    /// Registers the entries' VMs, then plans and confirms changes at the first entry. Returns the revision.
     pub async fn publish(&self, changes: &Value) -> Result<u64> {
         for number in 0..self.spec.entries {
             let name = format!("entry-{number}");
             let vm = json!({ "name": name, "address": self.addresses[&name], "role": "entry", "service": "",
-                "failure_domain": self.domain(number), "leaving": false });
+                "failure_domain": self.failure_domain(number), "leaving": false });
             self.list_vm(&name, &vm).await?;
         }
         self.publish_at(0, changes).await
     }
 
-    /// Plans and confirms changes at an entry, and returns the revision.
+    /// Plans and confirms changes at the entry with the index `entry`. Returns the revision.
     pub async fn publish_at(&self, entry: usize, changes: &Value) -> Result<u64> {
         let entry = &self.entries[entry];
         self.wait_listening(entry).await?;
@@ -314,41 +314,41 @@
         verdict["revision"].as_u64().ok_or_else(|| eyre!("step=confirm status={status}: {verdict}"))
     }
 
-    /// Waits until something listens on `address`.
+    /// Waits until a TCP connection to `address` succeeds.
     pub async fn wait_listening(&self, address: &str) -> Result<()> {
         let start = std::time::Instant::now();
-        while start.elapsed() < READY {
+        while start.elapsed() < READY_TIMEOUT {
             if tokio::net::TcpStream::connect(address).await.is_ok() {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        bail!("step=wait-listening peer={address}: nothing listens after {} s", READY.as_secs())
+        bail!("step=wait-listening peer={address}: nothing listens after {} s", READY_TIMEOUT.as_secs())
     }
 
-    /// Waits until an entry is ready for callers and every sidecar answers.
+    /// Waits until an entry is ready for callers and counts every endpoint and entry of the fleet as a member.
     pub async fn wait_ready(&self, entry: &str) -> Result<()> {
         let start = std::time::Instant::now();
-        let wanted = self.spec.engines + self.spec.services + self.spec.entries;
-        while start.elapsed() < READY {
+        let expected_members = self.spec.engines + self.spec.services + self.spec.entries;
+        while start.elapsed() < READY_TIMEOUT {
             if let Ok((200, body)) = self.client.json("GET", entry, "/readyz", "", None).await
-                && body["members"].as_u64().unwrap_or(0) >= wanted as u64
+                && body["members"].as_u64().unwrap_or(0) >= expected_members as u64
             {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        bail!("step=wait-ready peer={entry}: not ready after {} s", READY.as_secs())
+        bail!("step=wait-ready peer={entry}: not ready after {} s", READY_TIMEOUT.as_secs())
     }
 
-    /// Switches a fault on at a stand-in.
+    /// Injects a fault into a stand-in.
     pub async fn fault(&self, name: &str, fault: &Value) -> Result<()> {
-        let address = self.addresses.get(name).ok_or_else(|| eyre!("step=fault: no stand-in {name}"))?;
+        let address = self.addresses.get(name).ok_or_else(|| eyre!("step=fault: the fleet has no stand-in {name}"))?;
         let (status, _) = self.client.json("POST", address, "/fault", "", Some(fault)).await?;
         if status == 204 { Ok(()) } else { bail!("step=fault name={name} status={status}") }
     }
 
-    /// How often each key ran, over all services that answer.
+    /// Returns how often each key was executed, summed over all services that respond.
     pub async fn runs(&self) -> HashMap<String, u64> {
         let mut all = HashMap::new();
         for number in 0..self.spec.services {
@@ -362,28 +362,28 @@
         all
     }
 
-    /// KV tokens held at all engines that answer.
+    /// Returns the reserved KV memory, in tokens, summed over all engines that respond.
     pub async fn held_tokens(&self) -> u64 {
-        let mut held = 0;
+        let mut reserved = 0;
         for number in 0..self.spec.engines {
             let name = format!("{}-{number}", self.spec.deployment.model());
             if let Ok((200, kv)) = self.client.json("GET", &self.addresses[&name], "/kv", "", None).await {
-                held += kv["held_tokens"].as_u64().unwrap_or(0);
+                reserved += kv["held_tokens"].as_u64().unwrap_or(0);
             }
         }
-        held
+        reserved
     }
 
-    /// Invariants that any process said were breached.
+    /// Returns the log lines of all processes that report a violated invariant or a panic.
     pub fn breaches(&self) -> Result<Vec<String>> {
-        let mut found = Vec::new();
+        let mut breaches = Vec::new();
         for file in self.log_files() {
             let text = String::from_utf8_lossy(&std::fs::read(&file).unwrap_or_default()).into_owned();
-            found.extend(
+            breaches.extend(
                 text.lines().filter(|line| line.contains("invariant") || line.contains("panicked")).map(str::to_owned),
             );
         }
-        Ok(found)
+        Ok(breaches)
     }
 }
 
--- a/standin/src/ledger.rs
+++ b/standin/src/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger: every request sent must come to a whole answer or an honest failure.
+//! Ledger of the load tool. Every request must end with a complete response or with a failure whose statements
+//! about execution are true.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -7,114 +8,115 @@
 
 use crate::client::Seen;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole right answer.
-    Whole,
-    /// An honest failure, with its code and what it says of whether it ran.
+    /// The response was complete and correct.
+    Complete,
+    /// The response was an error body.
     Failed {
-        /// The code.
+        /// Error code, or `-` if the body carried none.
         code: String,
-        /// What it says.
+        /// Value of the error body's `ran` field, or `-` if the body carried none.
         ran: String,
     },
-    /// The answer of somebody else, or a wrong one that claims to be whole.
+    /// The response was complete but wrong, such as the response to another request.
     MixedUp,
-    /// The connection broke because its entry was killed or frozen: nobody is left to answer.
+    /// The connection broke because its entry was killed, suspended or shut down.
     EntryDown,
-    /// No answer within the time allowed, or one that broke off without a word.
+    /// No response arrived within the deadline, or the response ended early without an error.
     Lost(String),
 }
 
-/// Time beyond a deadline within which an answer still counts as in time.
-const GRACE: Duration = Duration::from_millis(1_000);
+/// Tolerance beyond a deadline within which a response still counts as in time.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1_000);
 
-/// Judges what a caller saw.
-pub fn judge(seen: &Seen, right: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
-    if seen.took > deadline + GRACE {
-        return Outcome::Lost(format!("late: {} ms", seen.took.as_millis()));
+/// Returns the outcome of a request from what its client received; `is_correct` tells whether the text is correct.
+pub fn classify(received: &Seen, is_correct: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
+    if received.took > deadline + DEADLINE_TOLERANCE {
+        return Outcome::Lost(format!("response ended after {} ms, past its deadline", received.took.as_millis()));
     }
-    if seen.failure.is_some() {
-        let ran = seen.ran().unwrap_or("-").to_owned();
-        return Outcome::Failed { code: seen.code().to_owned(), ran };
+    if received.failure.is_some() {
+        let ran = received.ran().unwrap_or("-").to_owned();
+        return Outcome::Failed { code: received.code().to_owned(), ran };
     }
-    if let Some(error) = &seen.error {
+    if let Some(error) = &received.error {
         return Outcome::Lost(error.clone());
     }
-    if !seen.ended {
-        return Outcome::Lost("the answer broke off without a word".to_owned());
+    if !received.ended {
+        return Outcome::Lost("response ended early without an error".to_owned());
     }
-    if right(&seen.text) { Outcome::Whole } else { Outcome::MixedUp }
+    if is_correct(&received.text) { Outcome::Complete } else { Outcome::MixedUp }
 }
 
-/// One request and what became of it.
+/// Record of one request and its outcome.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// The entry that it was sent to.
+pub struct RequestRecord {
+    /// Index of the entry that the request was sent to.
     pub entry: usize,
-    /// When it was sent.
-    pub sent: Instant,
-    /// When its answer was over.
-    pub ended: Instant,
-    /// Its class.
+    /// Time at which the request was sent.
+    pub sent_at: Instant,
+    /// Time at which the response ended.
+    pub ended_at: Instant,
+    /// Name of the workload class.
     pub class: &'static str,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Prompt tokens.
+    /// Prompt tokens; 0 for a plain service call.
     pub tokens: u64,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Time to the first token, or to the whole answer of a call; none for a prompt that was not streamed.
+    /// Time to the first token, or to the end of a plain service call's response; `None` for a prompt that was not
+    /// streamed.
     pub ttft: Option<Duration>,
-    /// Time to the end.
-    pub took: Duration,
-    /// Times between tokens.
+    /// Time from sending the request to the end of the response.
+    pub duration: Duration,
+    /// Time between each token and the one before it.
     pub gaps: Vec<Duration>,
-    /// The key under which it may run once.
-    pub once: Option<String>,
-    /// When the failure said to come back.
+    /// Idempotency key of the call; `None` for prompts and reads.
+    pub idempotency_key: Option<String>,
+    /// Delay after which the error body allows a retry.
     pub retry_after: Option<Duration>,
 }
 
-impl Line {
-    /// Whether it came to what must never be.
+impl RequestRecord {
+    /// Returns whether the outcome violates a guarantee.
     pub fn is_breach(&self) -> bool {
         matches!(self.outcome, Outcome::Lost(_) | Outcome::MixedUp)
     }
 }
 
-/// All requests of a run.
+/// Records of all requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// One line a request.
-    pub lines: Vec<Line>,
+    /// One record per request, in the order in which the requests ended.
+    pub records: Vec<RequestRecord>,
 }
 
-/// The ledger's sums.
+/// Totals of a ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Sums {
-    /// Requests sent.
+pub struct Totals {
+    /// Number of requests sent.
     pub sent: usize,
-    /// Whole answers.
+    /// Number of complete and correct responses.
     pub whole: usize,
-    /// Honest failures, by code and what they said of whether they ran.
+    /// Number of error responses, by error code and `ran` value.
     pub failed: BTreeMap<String, usize>,
-    /// Requests whose entry was killed or frozen under them.
+    /// Number of requests whose entry was killed, suspended or shut down while they were in flight.
     pub entry_down: usize,
-    /// Requests without an answer in time.
+    /// Number of requests without a complete response or an error by their deadline.
     pub lost: usize,
-    /// Answers that were not the request's own.
+    /// Number of complete but wrong responses.
     pub mixed_up: usize,
-    /// Keys that ran more than once.
+    /// Number of requests whose key was executed more than once.
     pub doubled: usize,
-    /// Requests that were told that they did not run, and ran.
+    /// Number of requests that were executed although their error response states that they were not.
     pub false_no: usize,
 }
 
-impl Sums {
-    /// Whether every promise that the ledger can tell was kept.
-    pub fn balances(&self) -> bool {
+impl Totals {
+    /// Returns whether every guarantee that the ledger can check was kept.
+    pub fn is_balanced(&self) -> bool {
         let failed: usize = self.failed.values().sum();
         self.sent == self.whole + failed + self.entry_down
             && self.lost + self.mixed_up + self.doubled + self.false_no == 0
@@ -122,23 +124,23 @@
 }
 
 impl Ledger {
-    /// Adds up, against how often each key ran at the services.
-    pub fn sums(&self, runs: &HashMap<String, u64>) -> Sums {
-        let mut sums = Sums { sent: self.lines.len(), ..Sums::default() };
-        for line in &self.lines {
-            match &line.outcome {
-                Outcome::Whole => sums.whole += 1,
-                Outcome::Failed { code, ran } => *sums.failed.entry(format!("{code} ran={ran}")).or_default() += 1,
-                Outcome::EntryDown => sums.entry_down += 1,
-                Outcome::MixedUp => sums.mixed_up += 1,
-                Outcome::Lost(_) => sums.lost += 1,
+    /// Computes the totals; `run_counts` holds how often the services executed each key.
+    pub fn totals(&self, run_counts: &HashMap<String, u64>) -> Totals {
+        let mut totals = Totals { sent: self.records.len(), ..Totals::default() };
+        for record in &self.records {
+            match &record.outcome {
+                Outcome::Complete => totals.whole += 1,
+                Outcome::Failed { code, ran } => *totals.failed.entry(format!("{code} ran={ran}")).or_default() += 1,
+                Outcome::EntryDown => totals.entry_down += 1,
+                Outcome::MixedUp => totals.mixed_up += 1,
+                Outcome::Lost(_) => totals.lost += 1,
             }
-            let Some(key) = &line.once else { continue };
-            let ran = runs.get(key).copied().unwrap_or(0);
-            sums.doubled += usize::from(ran > 1);
-            let told_no = matches!(&line.outcome, Outcome::Failed { ran, .. } if ran == "no");
-            sums.false_no += usize::from(told_no && ran > 0);
+            let Some(key) = &record.idempotency_key else { continue };
+            let ran = run_counts.get(key).copied().unwrap_or(0);
+            totals.doubled += usize::from(ran > 1);
+            let was_reported_unexecuted = matches!(&record.outcome, Outcome::Failed { ran, .. } if ran == "no");
+            totals.false_no += usize::from(was_reported_unexecuted && ran > 0);
         }
-        sums
+        totals
     }
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the outside systems, the fleet that tests and the demo start,
-//! and the load and experiment tool. Never shipped; no simulator of a cluster.
+//! Small stand-ins for external systems, the fleet that the tests and the demo start, and the load and experiment
+//! tool. The crate is not shipped and does not simulate a cluster.
 
 pub mod client;
 pub mod compare;
@@ -7,13 +7,12 @@
 pub mod fleet;
 pub mod history;
 pub mod ledger;
+pub mod load_generator;
 pub mod log;
-pub mod mix;
 pub mod overhead;
 pub mod platform;
-pub mod probe;
 pub mod report;
-pub mod run;
+pub mod resource_usage;
 pub mod scale;
 pub mod serve;
 pub mod service;
@@ -21,3 +20,4 @@
 pub mod text;
 pub mod vms;
 pub mod weights;
+pub mod workload;
--- a/standin/src/report.rs
+++ b/standin/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of what was measured: time to first token, gaps and slowdown by class.
+//! Reports time to first token, gaps between tokens and slowdown factors by class.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,102 +7,102 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::ledger::{Ledger, Line, Outcome, Sums};
+use crate::ledger::{Ledger, Outcome, RequestRecord, Totals};
 
-/// Quantiles in milliseconds.
+/// Quantiles of a distribution; times are in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Quantiles {
-    /// Samples.
+    /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// The quantiles of some times.
-pub fn quantiles(times: impl Iterator<Item = Duration>) -> Quantiles {
+/// Computes the quantiles of `times`; all are 0 if there are no samples.
+pub fn compute_quantiles(times: impl Iterator<Item = Duration>) -> Quantiles {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Quantiles::default() };
     for time in times {
         let _ = histogram.record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX).max(1));
     }
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
-    Quantiles { count: histogram.len(), p50: at(0.5), p95: at(0.95), p99: at(0.99) }
+    let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
+    Quantiles { count: histogram.len(), p50: quantile_ms(0.5), p95: quantile_ms(0.95), p99: quantile_ms(0.99) }
 }
 
-/// One class of a run.
+/// Results of one class of requests.
 #[derive(Clone, Debug, Serialize)]
-pub struct Row {
-    /// The class.
+pub struct ClassReport {
+    /// Name of the class.
     pub class: String,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Whole answers.
+    /// Number of complete and correct responses.
     pub whole: usize,
-    /// Time to first token, or to the whole answer of a call.
+    /// Time to the first token, or to the end of a plain service call's response.
     pub ttft_ms: Quantiles,
-    /// Time between tokens.
+    /// Gaps between tokens.
     pub gap_ms: Quantiles,
-    /// Time to first token as a multiple of the same prompt's on an empty engine.
+    /// Time to first token as a multiple of the time that an idle engine needs to prefill the same prompt.
     pub slowdown: Quantiles,
 }
 
-/// A whole run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// By class.
-    pub rows: Vec<Row>,
-    /// The ledger's sums.
-    pub ledger: Sums,
+    /// One row per class, sorted by name.
+    pub rows: Vec<ClassReport>,
+    /// Totals of the ledger.
+    pub ledger: Totals,
 }
 
-/// What the engine itself needs for a first token, given a prompt's length.
+/// Estimates the time to first token on an idle engine, which slowdown factors relate to.
 #[derive(Clone, Copy, Debug)]
-pub struct Floor {
-    /// Prompt tokens a second.
+pub struct PrefillBaseline {
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_per_s: f64,
 }
 
-impl Floor {
-    fn of(&self, tokens: u64) -> Duration {
+impl PrefillBaseline {
+    fn ttft(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.prefill_per_s)
     }
 }
 
-/// Makes the report of a run.
-pub fn report(ledger: &Ledger, sums: Sums, floor: Floor) -> Report {
-    let mut classes: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
-    for line in &ledger.lines {
-        classes.entry(line.class).or_default().push(line);
+/// Summarizes a run by class.
+pub fn summarize(ledger: &Ledger, totals: Totals, baseline: PrefillBaseline) -> Report {
+    let mut classes: BTreeMap<&str, Vec<&RequestRecord>> = BTreeMap::new();
+    for record in &ledger.records {
+        classes.entry(record.class).or_default().push(record);
     }
-    let rows = classes.into_iter().map(|(class, lines)| row(class, &lines, floor)).collect();
-    Report { rows, ledger: sums }
+    let rows = classes.into_iter().map(|(class, records)| summarize_class(class, &records, baseline)).collect();
+    Report { rows, ledger: totals }
 }
 
-fn row(class: &str, lines: &[&Line], floor: Floor) -> Row {
-    let whole: Vec<&&Line> = lines.iter().filter(|line| line.outcome == Outcome::Whole).collect();
-    let first = |line: &&&Line| line.ttft;
-    let ratio = |line: &&&Line| {
-        let floor = floor.of(line.tokens).as_secs_f64();
-        // A ratio of one is kept as a millisecond.
-        let ratio = line.ttft?.as_secs_f64() / floor;
-        (floor > 0.0).then(|| Duration::from_secs_f64(ratio / 1_000.0))
+fn summarize_class(class: &str, records: &[&RequestRecord], baseline: PrefillBaseline) -> ClassReport {
+    let complete: Vec<&&RequestRecord> = records.iter().filter(|record| record.outcome == Outcome::Complete).collect();
+    let ttft = |record: &&&RequestRecord| record.ttft;
+    let slowdown = |record: &&&RequestRecord| {
+        let baseline = baseline.ttft(record.tokens).as_secs_f64();
+        // The quantiles are in milliseconds, so a ratio of 1 is recorded as one millisecond.
+        let slowdown = record.ttft?.as_secs_f64() / baseline;
+        (baseline > 0.0).then(|| Duration::from_secs_f64(slowdown / 1_000.0))
     };
-    Row {
+    ClassReport {
         class: class.to_owned(),
-        sent: lines.len(),
-        whole: whole.len(),
-        ttft_ms: quantiles(whole.iter().filter_map(first)),
-        gap_ms: quantiles(whole.iter().flat_map(|line| line.gaps.iter().copied())),
-        slowdown: quantiles(whole.iter().filter_map(ratio)),
+        sent: records.len(),
+        whole: complete.len(),
+        ttft_ms: compute_quantiles(complete.iter().filter_map(ttft)),
+        gap_ms: compute_quantiles(complete.iter().flat_map(|record| record.gaps.iter().copied())),
+        slowdown: compute_quantiles(complete.iter().filter_map(slowdown)),
     }
 }
 
 impl Report {
-    /// The report as a table for people.
-    pub fn table(&self) -> String {
+    /// Formats the report as a plain-text table.
+    pub fn format_table(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
             out,
@@ -124,14 +124,21 @@
                 row.slowdown.p95
             );
         }
-        let sums = &self.ledger;
-        let failed: usize = sums.failed.values().sum();
+        let totals = &self.ledger;
+        let failed: usize = totals.failed.values().sum();
         let _ = writeln!(
             out,
             "ledger: sent {} = whole {} + honest failures {} + entry down {}; lost {}, doubled {}, mixed up {}, false \"not run\" {}",
-            sums.sent, sums.whole, failed, sums.entry_down, sums.lost, sums.doubled, sums.mixed_up, sums.false_no
+            totals.sent,
+            totals.whole,
+            failed,
+            totals.entry_down,
+            totals.lost,
+            totals.doubled,
+            totals.mixed_up,
+            totals.false_no
         );
-        for (code, count) in &sums.failed {
+        for (code, count) in &totals.failed {
             let _ = writeln!(out, "  {count} x {code}");
         }
         out
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: a load takes time, and only so many run at once.
+//! Weight store stand-in with a fixed load time and a limit of concurrent loads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,26 +9,27 @@
 use axum::routing::get;
 use tokio::sync::Semaphore;
 
-/// A running weight store stand-in.
+/// Weight store stand-in, shared by its HTTP handlers.
 pub struct Weights {
-    takes: Duration,
-    at_once: Semaphore,
+    load_duration: Duration,
+    permits: Semaphore,
 }
 
 impl Weights {
-    /// A store that serves `at_once` loads of `takes` each.
-    pub fn new(takes: Duration, at_once: usize) -> Arc<Self> {
-        Arc::new(Self { takes, at_once: Semaphore::new(at_once) })
+    /// Creates a store that serves up to `permits` concurrent loads, each of which takes `load_duration`, and rejects
+    /// further loads with status 429.
+    pub fn new(load_duration: Duration, permits: usize) -> Arc<Self> {
+        Arc::new(Self { load_duration, permits: Semaphore::new(permits) })
     }
 }
 
-/// All routes of a weight store stand-in.
+/// Returns the routes of a weight store stand-in.
 pub fn router(weights: Arc<Weights>) -> Router {
-    Router::new().route("/weights/{model}/{version}", get(load)).with_state(weights)
+    Router::new().route("/weights/{model}/{version}", get(load_weights)).with_state(weights)
 }
 
-async fn load(State(weights): State<Arc<Weights>>, Path(_): Path<(String, String)>) -> StatusCode {
-    let Ok(_permit) = weights.at_once.try_acquire() else { return StatusCode::TOO_MANY_REQUESTS };
-    tokio::time::sleep(weights.takes).await;
+async fn load_weights(State(weights): State<Arc<Weights>>, Path(_): Path<(String, String)>) -> StatusCode {
+    let Ok(_permit) = weights.permits.try_acquire() else { return StatusCode::TOO_MANY_REQUESTS };
+    tokio::time::sleep(weights.load_duration).await;
     StatusCode::OK
 }
