--- a/sorrelpass/src/cmd/quarantine.rs
+++ b/sorrelpass/src/cmd/quarantine.rs
@@ -13,9 +13,9 @@
 use bpaf::Bpaf;
 use coord::quarantine::Work;
 use eyre::{Result, eyre};
-use platform::store::{Client, Keyed, QUARANTINE};
+use platform::store::{Client, KeyedRecord, QUARANTINE_TOPIC};
 
-use crate::gateway::quarantine::record::{self, Entry};
+use crate::gateway::quarantine::record::{self, Record};
 use crate::util;
 
 /// Timeout of a call to the store, which normally answers within a few milliseconds.
@@ -37,7 +37,7 @@
 pub fn run(args: &Args) -> Result<()> {
     util::with_runtime(async {
         let mut client = Client::new(args.store);
-        let records = client.newest(QUARANTINE, STORE_TIMEOUT).await?.records;
+        let records = client.read_compacted(QUARANTINE_TOPIC, STORE_TIMEOUT).await?.records;
         match args.lift {
             Some(fingerprint) => lift(&mut client, &records, fingerprint).await?,
             None => records.iter().for_each(print_record),
@@ -48,19 +48,19 @@
 }
 
 /// Removes the record of a fingerprint from the store.
-async fn lift(client: &mut Client, records: &[Keyed], fingerprint: Work) -> Result<()> {
+async fn lift(client: &mut Client, records: &[KeyedRecord], fingerprint: Work) -> Result<()> {
     let key = fingerprint.to_string();
     if !records.iter().any(|record| *record.key == *key) {
         return Err(eyre!("step=lift work={fingerprint}: the store has no record of this fingerprint"));
     }
-    client.put(QUARANTINE, &key, &[], STORE_TIMEOUT).await?;
+    client.put(QUARANTINE_TOPIC, &key, &[], STORE_TIMEOUT).await?;
     println!("work={fingerprint} lifted");
     Ok(())
 }
 
-fn print_record(record: &Keyed) {
+fn print_record(record: &KeyedRecord) {
     match record::decode(record) {
-        Ok((fingerprint, Some(Entry { condemned, ends }))) => {
+        Ok((fingerprint, Some(Record { condemned, ends }))) => {
             let runs: Vec<&str> = ends.iter().map(|end| &*end.run).collect();
             let status = if condemned { "condemned" } else { "suspect" };
             println!("work={fingerprint} standing={status} ends={}", runs.join(","));
--- a/sorrelpass/src/gateway/desk/follower.rs
+++ b/sorrelpass/src/gateway/admission/follower.rs
@@ -8,19 +8,19 @@
 
 use tokio::sync::mpsc;
 
-use super::super::link::{Ask, Placement, Report};
+use super::super::peer_protocol::{PromptSpec, Placement, FollowerMessage};
 use super::super::now;
-use super::{Desk, PlacementError, own_id};
+use super::{Queue, PlacementError, own_id};
 
 /// Connection to the leader.
-pub(super) struct LeaderLink {
+pub(super) struct LeaderChannel {
     address: SocketAddr,
-    reports: mpsc::Sender<Report>,
+    reports: mpsc::Sender<FollowerMessage>,
 }
 
-impl Desk {
+impl Queue {
     /// Handles a grant by the leader for a prompt of this entry.
-    pub fn granted(self: &Rc<Self>, number: u64, placement: Placement) {
+    pub fn handle_grant(self: &Rc<Self>, number: u64, placement: Placement) {
         if self.start_prompt(number, placement, true) {
             return;
         }
@@ -29,34 +29,34 @@
     }
 
     /// Refuses a waiting prompt of this entry.
-    pub fn refused(&self, number: u64, retry_after: Duration) {
+    pub fn refuse_prompt(&self, number: u64, retry_after: Duration) {
         let Some(waiter) = self.waiting.borrow_mut().remove(&number) else { return };
         // The caller may have disconnected.
         let _ = waiter.sender.send(Err(PlacementError::Refused(retry_after)));
     }
 
     /// Starts to follow a leader, and reports all running and waiting prompts of this entry to it.
-    pub fn link_up(&self, address: SocketAddr, reports: mpsc::Sender<Report>) {
-        *self.leader.borrow_mut() = Some(LeaderLink { address, reports });
+    pub fn attach_leader(&self, address: SocketAddr, reports: mpsc::Sender<FollowerMessage>) {
+        *self.leader.borrow_mut() = Some(LeaderChannel { address, reports });
         let now = now();
         for (number, running) in &*self.running.borrow() {
-            self.report(Report::Adopt {
+            self.report_to_leader(FollowerMessage::Adopt {
                 number: *number,
                 service: running.service.clone(),
-                ask: Ask::of(&running.job, now),
+                spec: PromptSpec::from_job(&running.job, now),
                 team: running.team.clone(),
-                reading: running.is_prefilling,
+                is_prefilling: running.is_prefilling,
             });
         }
         for (number, waiter) in &*self.waiting.borrow() {
             self.with_planner(&waiter.service, |planner| planner.end(own_id(*number), now));
-            let ask = Ask::of(&waiter.job, now);
-            self.report(Report::Submit { number: *number, service: waiter.service.clone(), ask });
+            let spec = PromptSpec::from_job(&waiter.job, now);
+            self.report_to_leader(FollowerMessage::Submit { number: *number, service: waiter.service.clone(), spec });
         }
     }
 
     /// Stops following a leader, so that this entry plans its waiting prompts itself.
-    pub fn link_down(&self) {
+    pub fn detach_leader(&self) {
         *self.leader.borrow_mut() = None;
         self.expect_reports();
         for (number, waiter) in &*self.waiting.borrow() {
@@ -76,10 +76,10 @@
     }
 
     /// Sends a report to the leader. Returns whether a leader accepted it.
-    pub fn report(&self, report: Report) -> bool {
+    pub fn report_to_leader(&self, report: FollowerMessage) -> bool {
         let mut leader = self.leader.borrow_mut();
-        let Some(link) = &*leader else { return false };
-        if link.reports.try_send(report).is_err() {
+        let Some(channel) = &*leader else { return false };
+        if channel.reports.try_send(report).is_err() {
             // The leader reads too slowly. Dropping the sender closes the connection, after which this entry plans the
             // waiting prompts itself.
             *leader = None;
--- a/sorrelpass/src/gateway/desk/leader.rs
+++ b/sorrelpass/src/gateway/admission/leader.rs
@@ -1,4 +1,4 @@
-//! Admission at a leader: reports of the followers, and grants and orders to them.
+//! Admission at a leader: reports of the followers, and grants and other messages to them.
 
 use std::rc::Rc;
 
@@ -6,24 +6,24 @@
 use rand::seq::IteratorRandom;
 use tokio::sync::mpsc;
 
-use super::super::link::{Order, Placement, Question, Report};
+use super::super::peer_protocol::{LeaderMessage, Placement, SyncRequest, FollowerMessage};
 use super::super::now;
 use super::super::quarantine::Source;
-use super::{Desk, OWN_ENTRY};
+use super::{Queue, OWN_ENTRY};
 
 /// Number of followers that read the store for a leader whose reads it does not answer. The store may refuse one of
 /// them as well.
 const MAX_DELEGATES: usize = 2;
 
-impl Desk {
+impl Queue {
     /// Adds a follower. Returns its local number.
-    pub fn join(&self, orders: mpsc::Sender<Order>) -> u64 {
+    pub fn add_follower(&self, sender: mpsc::Sender<LeaderMessage>) -> u64 {
         let entry = self.next_follower.get();
         self.next_follower.set(entry + 1);
         if self.followers.borrow().is_empty() {
             self.expect_reports();
         }
-        self.followers.borrow_mut().insert(entry, orders);
+        self.followers.borrow_mut().insert(entry, sender);
         self.prefill_started.notify_one();
         entry
     }
@@ -34,7 +34,7 @@
     }
 
     /// Removes a follower and its prompts.
-    pub fn leave(&self, entry: u64) {
+    pub fn remove_follower(&self, entry: u64) {
         self.followers.borrow_mut().remove(&entry);
         for planner in self.planners.borrow_mut().values_mut() {
             planner.end_entry(entry, now());
@@ -43,92 +43,92 @@
     }
 
     /// Handles a report of a follower.
-    pub fn hear(&self, entry: u64, report: Report) {
+    pub fn handle_report(&self, entry: u64, report: FollowerMessage) {
         let now = now();
         let id = |number| Id { entry, number };
         match report {
-            Report::Submit { number, service, ask } => {
-                self.with_planner(&service, |planner| planner.submit(id(number), ask.job(now)));
+            FollowerMessage::Submit { number, service, spec } => {
+                self.with_planner(&service, |planner| planner.submit(id(number), spec.to_job(now)));
             }
-            Report::Adopt { number, service, ask, team, reading } => {
-                self.with_planner(&service, |planner| planner.adopt(id(number), &ask.job(now), team, reading, now));
+            FollowerMessage::Adopt { number, service, spec, team, is_prefilling } => {
+                self.with_planner(&service, |planner| planner.adopt(id(number), &spec.to_job(now), team, is_prefilling, now));
             }
-            Report::FirstEvent { number, service } => {
+            FollowerMessage::FirstEvent { number, service } => {
                 self.with_planner(&service, |planner| planner.first_event(id(number), now));
             }
-            Report::Silent { number, service } => {
+            FollowerMessage::Unresponsive { number, service } => {
                 self.with_planner(&service, |planner| planner.silent(id(number), now))
             }
-            Report::End { number, service } => self.with_planner(&service, |planner| planner.end(id(number), now)),
-            Report::Absent(duration) => {
+            FollowerMessage::End { number, service } => self.with_planner(&service, |planner| planner.end(id(number), now)),
+            FollowerMessage::Suspended(duration) => {
                 self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(Some(entry), duration));
             }
-            Report::Failed { service, engine } => {
+            FollowerMessage::Failed { service, engine } => {
                 self.with_planner(&service, |planner| planner.failed(entry, &engine, now))
             }
-            Report::Rests { service, engine, rest } => {
-                self.with_planner(&service, |planner| planner.rests(entry, &engine, rest, now));
+            FollowerMessage::EngineBackoff { service, engine, backoff } => {
+                self.with_planner(&service, |planner| planner.rests(entry, &engine, backoff, now));
             }
             // Reports about the store, quarantine and plain replicas do not affect planning.
-            Report::Sync(_) | Report::Update { .. } | Report::Quarantine(_) | Report::Leaving(_) => return,
-            Report::Limits(_) | Report::Turn { .. } | Report::Announce(_) | Report::Read { .. } => return,
+            FollowerMessage::SyncRequest(_) | FollowerMessage::SyncResponse { .. } | FollowerMessage::Quarantine(_) | FollowerMessage::Draining(_) => return,
+            FollowerMessage::Limits(_) | FollowerMessage::PermitRequest { .. } | FollowerMessage::Announce(_) | FollowerMessage::DelegatedRead { .. } => return,
         }
         self.request_planning();
     }
 
     /// Distributes an update. An update of this entry goes to its leader if there is one, and otherwise to the
     /// followers. An update of a follower goes to all followers. An update of the leader goes no further.
-    pub fn pass_on<T>(&self, update: T, source: Source, report: fn(T) -> Report, order: fn(T) -> Order) {
+    pub fn propagate<T>(&self, update: T, source: Source, report: fn(T) -> FollowerMessage, leader_message: fn(T) -> LeaderMessage) {
         match source {
             // If the leader is lost meanwhile, the next leader receives the full state.
-            Source::Own if self.has_leader() => drop(self.report(report(update))),
-            Source::Own | Source::Follower => self.broadcast(&order(update)),
+            Source::Own if self.has_leader() => drop(self.report_to_leader(report(update))),
+            Source::Own | Source::Follower => self.broadcast(&leader_message(update)),
             Source::Leader => {}
         }
     }
 
-    /// Sends an order to all followers.
-    pub fn broadcast(&self, order: &Order) {
-        for orders in self.followers.borrow().values() {
+    /// Sends a message to all followers.
+    pub fn broadcast(&self, message: &LeaderMessage) {
+        for sender in self.followers.borrow().values() {
             // A follower that reads too slowly loses its connection, and receives the full state when it joins
             // again.
-            let _ = orders.try_send(order.clone());
+            let _ = sender.try_send(message.clone());
         }
     }
 
-    /// Sends an order to one follower.
-    pub fn tell(&self, entry: u64, order: Order) {
-        if let Some(orders) = self.followers.borrow().get(&entry) {
+    /// Sends a message to one follower.
+    pub fn send_to(&self, entry: u64, message: LeaderMessage) {
+        if let Some(sender) = self.followers.borrow().get(&entry) {
             // A follower that reads too slowly loses its connection, and receives the full state when it joins
             // again.
-            let _ = orders.try_send(order);
+            let _ = sender.try_send(message);
         }
     }
 
     /// Asks some followers to read the store, which did not answer this entry. If all followers read it once their
     /// state is stale, the store would receive as many simultaneous calls as there are entries.
-    pub fn ask_deputies(&self, question: Question) {
+    pub fn delegate_read(&self, request: SyncRequest) {
         let followers = self.followers.borrow();
         let chosen = followers.values().sample(&mut rand::rng(), MAX_DELEGATES);
-        for orders in chosen {
+        for sender in chosen {
             // A follower that reads too slowly loses its connection, and receives the full state when it joins
             // again.
-            let _ = orders.try_send(Order::Read(question));
+            let _ = sender.try_send(LeaderMessage::DelegatedRead(request));
         }
     }
 
     /// Returns whether an entry follows this one.
-    pub fn leads(&self, entry: u64) -> bool {
+    pub fn has_follower(&self, entry: u64) -> bool {
         self.followers.borrow().contains_key(&entry)
     }
 
     /// Returns the number of entries that this one plans for, including itself.
-    pub fn entries(&self) -> usize {
+    pub fn group_size(&self) -> usize {
         self.followers.borrow().len() + 1
     }
 
     /// Returns whether this entry has neither a leader nor followers.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_standalone(&self) -> bool {
         !self.has_leader() && self.followers.borrow().is_empty()
     }
 
@@ -136,26 +136,26 @@
     pub(super) fn deliver_refusal(&self, refusal: Refusal) {
         let Refusal { id, retry_after } = refusal;
         if id.entry == OWN_ENTRY {
-            self.refused(id.number, retry_after);
+            self.refuse_prompt(id.number, retry_after);
             return;
         }
         let followers = self.followers.borrow();
-        let Some(orders) = followers.get(&id.entry) else { return };
+        let Some(sender) = followers.get(&id.entry) else { return };
         // A follower that reads too slowly loses its connection, and looks for another leader.
-        let _ = orders.try_send(Order::Refuse { number: id.number, retry_after });
+        let _ = sender.try_send(LeaderMessage::Refuse { number: id.number, retry_after });
     }
 
     /// Sends a grant to the entry that owns the prompt.
     pub(super) fn deliver_grant(self: &Rc<Self>, grant: Grant) {
-        let Grant { id, team, silent_after } = grant;
-        let placement = Placement { team, silent_after };
+        let Grant { id, team, silent_after: unresponsive_after } = grant;
+        let placement = Placement { team, unresponsive_after };
         if id.entry == OWN_ENTRY {
             self.start_prompt(id.number, placement, false);
             return;
         }
         let followers = self.followers.borrow();
-        let Some(orders) = followers.get(&id.entry) else { return };
+        let Some(sender) = followers.get(&id.entry) else { return };
         // A follower that reads too slowly loses its connection, and with it its granted prompts.
-        let _ = orders.try_send(Order::Grant { number: id.number, placement });
+        let _ = sender.try_send(LeaderMessage::Grant { number: id.number, placement });
     }
 }
--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/admission/mod.rs
@@ -21,8 +21,8 @@
 use coord::time::Moment;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-use self::follower::LeaderLink;
-use super::link::{Ask, BEAT, Order, Placement, Report};
+use self::follower::LeaderChannel;
+use super::peer_protocol::{PromptSpec, HEARTBEAT_INTERVAL, LeaderMessage, Placement, FollowerMessage};
 use super::now;
 use crate::util;
 
@@ -38,7 +38,7 @@
 const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum time between two checks for which the process counts as suspended. Followers give up an unresponsive leader
 /// one heartbeat later.
-const MIN_SUSPENSION: Duration = BEAT.saturating_mul(2);
+const MIN_SUSPENSION: Duration = HEARTBEAT_INTERVAL.saturating_mul(2);
 /// Entry number of this process in prompt ids. Followers have the number of their connection.
 const OWN_ENTRY: u64 = 0;
 
@@ -80,7 +80,7 @@
 }
 
 /// Admission queue of an entry, with its planners.
-pub struct Desk {
+pub struct Queue {
     /// Policy of the planners.
     policy: Policy,
     /// Planners by service.
@@ -92,9 +92,9 @@
     /// Granted prompts of this entry, by number.
     running: RefCell<HashMap<u64, GrantedPrompt>>,
     /// Connection to the leader, or `None` while this entry plans for itself.
-    leader: RefCell<Option<LeaderLink>>,
+    leader: RefCell<Option<LeaderChannel>>,
     /// Followers of this entry, by their local number.
-    followers: RefCell<HashMap<u64, mpsc::Sender<Order>>>,
+    followers: RefCell<HashMap<u64, mpsc::Sender<LeaderMessage>>>,
     next_number: Cell<u64>,
     next_follower: Cell<u64>,
     /// Time of the last log line that explains why prompts wait.
@@ -113,7 +113,7 @@
 /// or give up at the same time, and without a lease the engines would then count as taken for the rest of the process's
 /// life.
 pub struct Lease {
-    desk: Weak<Desk>,
+    queue: Weak<Queue>,
     number: u64,
     /// Granted engines, and the time after which they count as unresponsive.
     pub placement: Placement,
@@ -122,29 +122,29 @@
 impl Lease {
     /// Reports that the engines are unresponsive.
     pub fn report_unresponsive(&self) {
-        if let Some(desk) = self.desk.upgrade() {
-            desk.record_unresponsive(self.number);
+        if let Some(queue) = self.queue.upgrade() {
+            queue.record_unresponsive(self.number);
         }
     }
 
     /// Reports that the first event has arrived, so that prefill is complete.
     pub fn report_first_event(&self) {
-        if let Some(desk) = self.desk.upgrade() {
-            desk.record_first_event(self.number);
+        if let Some(queue) = self.queue.upgrade() {
+            queue.record_first_event(self.number);
         }
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if let Some(desk) = self.desk.upgrade() {
-            desk.finish_prompt(self.number);
+        if let Some(queue) = self.queue.upgrade() {
+            queue.finish_prompt(self.number);
         }
     }
 }
 
 /// Withdraws a waiting prompt on drop, when its caller no longer waits.
-struct WithdrawGuard<'a>(&'a Desk, u64);
+struct WithdrawGuard<'a>(&'a Queue, u64);
 
 impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
@@ -153,7 +153,7 @@
     }
 }
 
-impl Desk {
+impl Queue {
     /// Creates an admission queue without engines.
     pub fn new(policy: Policy) -> Rc<Self> {
         Rc::new(Self {
@@ -188,7 +188,7 @@
     }
 
     /// Records that an engine restarted under the same name.
-    pub fn restarted(&self, service: &Name, engine: &Name) {
+    pub fn reset_engine(&self, service: &Name, engine: &Name) {
         self.with_planner(service, |planner| planner.restarted(engine));
         self.request_planning();
     }
@@ -222,8 +222,8 @@
         let (sender, receiver) = oneshot::channel();
         let withdraw_guard = WithdrawGuard(self, number);
         self.waiting.borrow_mut().insert(number, WaitingPrompt { service: service.clone(), job, sender });
-        let ask = Ask::of(&job, now());
-        if !self.report(Report::Submit { number, service: service.clone(), ask }) {
+        let spec = PromptSpec::from_job(&job, now());
+        if !self.report_to_leader(FollowerMessage::Submit { number, service: service.clone(), spec }) {
             self.with_planner(service, |planner| planner.submit(own_id(number), job));
             self.request_planning();
         }
@@ -240,14 +240,14 @@
             waiting.iter().filter(|(_, waiter)| is_of_service(waiter)).map(|(number, _)| *number).collect();
         drop(waiting);
         for number in numbers {
-            self.refused(number, retry_after);
+            self.refuse_prompt(number, retry_after);
             self.end_prompt(service, number);
         }
     }
 
     /// Returns the engines to poll for their slowdown factor, with their services. The list is empty at a follower,
     /// since only an entry that plans polls.
-    pub fn to_ask(&self) -> Vec<(Name, Name)> {
+    pub fn engines_to_poll(&self) -> Vec<(Name, Name)> {
         if self.has_leader() {
             return Vec::new();
         }
@@ -257,33 +257,33 @@
     }
 
     /// Sets the slowdown factor that an engine reports.
-    pub fn note_pace(&self, service: &Name, engine: &Name, pace: f64) {
+    pub fn record_slowdown(&self, service: &Name, engine: &Name, slowdown: f64) {
         self.with_planner(service, |planner| {
-            if planner.set_pace(engine, pace) {
-                crate::event!("pace", peer = &**engine, pace);
+            if planner.set_pace(engine, slowdown) {
+                crate::event!("pace", peer = &**engine, pace = slowdown);
             }
         });
     }
 
     /// Records that an engine failed a prompt. Services without engines have no planner at any entry, so their failures
     /// are ignored.
-    pub fn failed(&self, service: &Name, engine: &str) {
+    pub fn record_failure(&self, service: &Name, engine: &str) {
         if !self.planners.borrow().contains_key(service) {
             return;
         }
         let engine = Name::from(engine);
         self.with_planner(service, |planner| planner.failed(OWN_ENTRY, &engine, now()));
-        self.report(Report::Failed { service: service.clone(), engine });
+        self.report_to_leader(FollowerMessage::Failed { service: service.clone(), engine });
     }
 
     /// Records that an engine asked this entry for a backoff. Services without engines have no planner at any entry, so
     /// their backoffs are ignored.
-    pub fn rests(&self, service: &Name, engine: &Name, rest: Duration) {
+    pub fn record_backoff(&self, service: &Name, engine: &Name, backoff: Duration) {
         if !self.planners.borrow().contains_key(service) {
             return;
         }
-        self.with_planner(service, |planner| planner.rests(OWN_ENTRY, engine, rest, now()));
-        self.report(Report::Rests { service: service.clone(), engine: engine.clone(), rest });
+        self.with_planner(service, |planner| planner.rests(OWN_ENTRY, engine, backoff, now()));
+        self.report_to_leader(FollowerMessage::EngineBackoff { service: service.clone(), engine: engine.clone(), backoff });
     }
 
     /// Grants engines to waiting prompts after each event, and periodically while prompts wait.
@@ -305,7 +305,7 @@
 
     /// Checks whether this process was suspended, while first events are expected. Otherwise no report can be late, and
     /// the checks would use CPU time of which an entry may have little.
-    pub async fn keep_looking(self: Rc<Self>) {
+    pub async fn watch_for_suspension(self: Rc<Self>) {
         loop {
             self.prefill_started.notified().await;
             self.last_check.set(Some(now()));
@@ -334,7 +334,7 @@
         }
         crate::event!("suspended", for_ms = suspension.as_millis());
         self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(None, suspension));
-        self.report(Report::Absent(suspension));
+        self.report_to_leader(FollowerMessage::Suspended(suspension));
     }
 
     /// Wakes the task that grants engines.
@@ -352,7 +352,7 @@
             None => return,
         };
         self.with_planner(&service, |planner| planner.first_event(own_id(number), now()));
-        self.report(Report::FirstEvent { number, service });
+        self.report_to_leader(FollowerMessage::FirstEvent { number, service });
         self.request_planning();
     }
 
@@ -360,7 +360,7 @@
     fn record_unresponsive(&self, number: u64) {
         let Some(service) = self.running.borrow().get(&number).map(|running| running.service.clone()) else { return };
         self.with_planner(&service, |planner| planner.silent(own_id(number), now()));
-        self.report(Report::Silent { number, service });
+        self.report_to_leader(FollowerMessage::Unresponsive { number, service });
     }
 
     /// Records that a granted prompt is complete.
@@ -372,7 +372,7 @@
     /// Records that a prompt of this entry is complete or withdrawn.
     fn end_prompt(&self, service: &Name, number: u64) {
         self.with_planner(service, |planner| planner.end(own_id(number), now()));
-        self.report(Report::End { number, service: service.clone() });
+        self.report_to_leader(FollowerMessage::End { number, service: service.clone() });
         self.request_planning();
     }
 
@@ -395,7 +395,7 @@
         }
         self.running.borrow_mut().insert(number, GrantedPrompt { service, job, team, is_prefilling: true });
         self.prefill_started.notify_one();
-        let lease = Lease { desk: Rc::downgrade(self), number, placement };
+        let lease = Lease { queue: Rc::downgrade(self), number, placement };
         // If the waiting task is gone, the lease is dropped here and releases the engines.
         drop(sender.send(Ok(lease)));
         true
--- a/sorrelpass/src/gateway/rests.rs
+++ b/sorrelpass/src/gateway/backoff.rs
@@ -10,25 +10,25 @@
 use coord::name::Name;
 use coord::rest::Register;
 use coord::roster::Record;
-use platform::dialect;
+use platform::headers;
 use tokio::sync::Notify;
 
-use super::link::Report;
+use super::peer_protocol::FollowerMessage;
 use super::now;
 use super::state::Gateway;
 use crate::metric;
 
 /// Backoff times that replicas asked this entry to keep.
 #[derive(Default)]
-pub struct Rests {
+pub struct Backoffs {
     register: RefCell<Register>,
     /// Notified when a replica asks for backoff.
-    asked: Notify,
+    requested: Notify,
 }
 
-impl Rests {
+impl Backoffs {
     /// Returns whether this entry must not send requests to a replica now, because the replica asked for backoff.
-    pub fn is_resting(&self, replica: &str) -> bool {
+    pub fn is_backing_off(&self, replica: &str) -> bool {
         !self.register.borrow().left(replica, now()).is_zero()
     }
 
@@ -38,43 +38,43 @@
     }
 
     /// Waits until a replica asks for backoff after this call.
-    pub fn asked(&self) -> impl Future<Output = ()> + '_ {
-        self.asked.notified()
+    pub fn wait_for_request(&self) -> impl Future<Output = ()> + '_ {
+        self.requested.notified()
     }
 }
 
 /// Checks the head of a replica's response for a backoff time, and applies it.
-pub fn said(gateway: &Gateway, record: &Record, response: &dialect::Answer) {
-    let Some(backoff) = response.rest().filter(|_| response.speaks_for_itself()) else { return };
+pub fn observe_response(gateway: &Gateway, record: &Record, response: &headers::ResponseHead) {
+    let Some(backoff) = response.backoff().filter(|_| response.is_authoritative()) else { return };
     if !gateway.roster.borrow().is_newest_run(record) {
         return;
     }
     metric::rest_asked();
-    gateway.rests.register.borrow_mut().hear(&record.id, backoff, now());
-    gateway.desk.rests(&record.service, &record.id, backoff);
-    gateway.rests.asked.notify_waiters();
+    gateway.backoffs.register.borrow_mut().hear(&record.id, backoff, now());
+    gateway.admission.record_backoff(&record.service, &record.id, backoff);
+    gateway.backoffs.requested.notify_waiters();
 }
 
 /// Returns the time until this entry may send a request to at least one replica of a service, or `None` if no replica
 /// of the service accepts new work.
-pub fn soonest(gateway: &Gateway, service: &str) -> Option<Duration> {
-    soonest_of(gateway, service, |_| true)
+pub fn next_available(gateway: &Gateway, service: &str) -> Option<Duration> {
+    next_available_of(gateway, service, |_| true)
 }
 
-/// Returns the same as [`soonest`], but considers only the replicas for which `is_eligible` returns true.
-pub fn soonest_of(gateway: &Gateway, service: &str, is_eligible: impl Fn(&Name) -> bool) -> Option<Duration> {
+/// Returns the same as [`next_available`], but considers only the replicas for which `is_eligible` returns true.
+pub fn next_available_of(gateway: &Gateway, service: &str, is_eligible: impl Fn(&Name) -> bool) -> Option<Duration> {
     let roster = gateway.roster.borrow();
     let candidates = roster.usable(service).map(|record| &record.id).filter(|replica| is_eligible(replica));
-    gateway.rests.register.borrow().soonest(candidates, now())
+    gateway.backoffs.register.borrow().soonest(candidates, now())
 }
 
 /// Returns the current backoffs of engines as reports to a leader that this entry starts to follow.
-pub fn sync_reports(gateway: &Gateway) -> Vec<Report> {
+pub fn sync_reports(gateway: &Gateway) -> Vec<FollowerMessage> {
     let roster = gateway.roster.borrow();
-    let register = gateway.rests.register.borrow();
+    let register = gateway.backoffs.register.borrow();
     let report = |(engine, backoff): (&Name, Duration)| {
         let service = roster.get(engine)?.record.service.clone();
-        Some(Report::Rests { service, engine: engine.clone(), rest: backoff })
+        Some(FollowerMessage::EngineBackoff { service, engine: engine.clone(), backoff })
     };
     register.resting(now()).filter_map(report).collect()
 }
--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -11,14 +11,14 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use platform::dialect;
+use platform::headers;
 
-use super::super::answer::{self, Answer};
-use super::super::attempt::Outgoing;
+use super::super::response::{self, CallerResponse};
+use super::super::upstream::UpstreamRequest;
 use super::super::now;
 use super::super::state::{Gateway, Phase};
-use super::super::work;
-use super::{BUSY_RETRY_AFTER, Job};
+use super::super::fingerprint;
+use super::{BUSY_RETRY_AFTER, PendingRequest};
 use crate::failure::Failure;
 use crate::unread::Watched;
 use crate::{event, metric};
@@ -34,7 +34,7 @@
 
 /// A request whose head has been received and whose body has not been read.
 struct ReceivedRequest {
-    call: dialect::Call,
+    request_head: headers::RequestHead,
     request: Request<Watched<Incoming>>,
     /// Time at which the head was received.
     received_at: Moment,
@@ -43,15 +43,15 @@
 }
 
 /// Handles a request and returns the response. `caller_guard` is dropped when the request is complete.
-pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, caller_guard: Box<dyn Any>) -> Answer {
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>, caller_guard: Box<dyn Any>) -> CallerResponse {
     let started = now();
     let request = request.map(Watched::new);
     let has_unread_body = request.body().unread();
-    let (id, outcome) = match dialect::decode(request.headers()) {
-        Err(malformed) => (Name::default(), Err(Failure::bad_request("malformed", malformed.0))),
-        Ok(call) => (
-            call.id.clone(),
-            serve(&gateway, ReceivedRequest { call, request, received_at: started, caller_guard }).await,
+    let (id, outcome) = match headers::decode(request.headers()) {
+        Err(error) => (Name::default(), Err(Failure::bad_request("malformed", error.0))),
+        Ok(request_head) => (
+            request_head.id.clone(),
+            serve(&gateway, ReceivedRequest { request_head, request, received_at: started, caller_guard }).await,
         ),
     };
     let mut answer = match outcome {
@@ -59,55 +59,55 @@
         Err(failure) => failure_response(failure, &id, started),
     };
     if gateway.phase() != Phase::Serving || has_unread_body.get() {
-        answer::close_after(&mut answer);
+        response::close_after(&mut answer);
     }
     answer
 }
 
 /// Logs and counts a failure, and converts it into the response to the caller.
-fn failure_response(failure: Failure, id: &str, started: Moment) -> Answer {
+fn failure_response(failure: Failure, id: &str, started: Moment) -> CallerResponse {
     event!("give-up", request = %id, code = failure.code, status = failure.status.as_u16(),
         ran = failure.ran.as_str(), reason = %failure.message, after_ms = now().since(started).as_millis());
     metric::request(failure.code);
-    answer::failure(failure, id)
+    response::error_response(failure, id)
 }
 
-async fn serve(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Answer, Failure> {
+async fn serve(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<CallerResponse, Failure> {
     if gateway.phase() == Phase::Closing {
         // The request could not complete before the process stops.
         return Err(Failure::busy("stopping", "this entry is about to end", STOPPING_RETRY_AFTER));
     }
-    let mut job = admit(gateway, received).await?;
-    let response = job.open_before_deadline().await?;
-    job.forward_response(response).await
+    let mut request = admit(gateway, received).await?;
+    let response = request.open_before_deadline().await?;
+    request.forward_response(response).await
 }
 
 /// Reads the body of a request and admits it.
-async fn admit(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Job, Failure> {
-    let ReceivedRequest { call, request, received_at: started, caller_guard } = received;
+async fn admit(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<PendingRequest, Failure> {
+    let ReceivedRequest { request_head, request, received_at: started, caller_guard } = received;
     let in_flight = gateway.begin_request();
     let (head, body) = request.into_parts();
-    let timeout = call.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = request_head.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let body = read_body(gateway, body, timeout).await?;
-    gateway.learn().await;
-    let (route, workspace) = find_route(gateway, &call, head.uri.path())?;
-    if workspace.is_some() && !gateway.has_recent_proof() {
+    gateway.wait_until_synced().await;
+    let (route, workspace) = find_route(gateway, &request_head, head.uri.path())?;
+    if workspace.is_some() && !gateway.is_recently_verified() {
         metric::old_proof();
     }
     let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
     let deadline = started + timeout.min(route.timeout);
-    let outgoing = Outgoing { method: head.method, uri: head.uri, headers: head.headers, body };
-    let work = work::fingerprint(&call.host, &outgoing, workspace.as_ref().map(|workspace| &workspace.name));
-    event!("request", request = %call.id, work = %work, route = %route.name, service = %service, prompt_tokens = call.prompt_tokens.unwrap_or(0),
-        version = gateway.table().version(), proof_age_ms = gateway.proof_age_ms().unwrap_or(0), allowed_ms = timeout.as_millis());
-    Ok(Job {
+    let outgoing = UpstreamRequest { method: head.method, uri: head.uri, headers: head.headers, body };
+    let fingerprint = fingerprint::compute(&request_head.host, &outgoing, workspace.as_ref().map(|workspace| &workspace.name));
+    event!("request", request = %request_head.id, work = %fingerprint, route = %route.name, service = %service, prompt_tokens = request_head.prompt_tokens.unwrap_or(0),
+        version = gateway.table().version(), proof_age_ms = gateway.verification_age_ms().unwrap_or(0), allowed_ms = timeout.as_millis());
+    Ok(PendingRequest {
         gateway: gateway.clone(),
-        call,
+        request_head,
         route,
         workspace,
         service,
         outgoing,
-        work,
+        fingerprint,
         started,
         timeout,
         deadline,
@@ -135,21 +135,21 @@
 
 /// Finds the route and the workspace of a request. While the configuration has not been verified recently, API keys
 /// are not trusted, and a missing route or an unknown key is not reported.
-fn find_route(gateway: &Gateway, call: &dialect::Call, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
+fn find_route(gateway: &Gateway, request_head: &headers::RequestHead, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
         return Err(Failure::busy("no_configuration", "no configuration is known yet", UNVERIFIED_RETRY_AFTER));
     }
-    let Ok(route) = table.route(&call.host, path) else {
+    let Ok(route) = table.route(&request_head.host, path) else {
         return Err(rejection(gateway, StatusCode::NOT_FOUND, "no_route", "no route begins this path"));
     };
     if !table.needs_key(route) {
         return Ok((route.clone(), None));
     }
-    if !gateway.proof_holds() {
+    if !gateway.is_verification_valid() {
         return Err(unverified());
     }
-    match table.workspace(call.api_key.as_deref()) {
+    match table.workspace(request_head.api_key.as_deref()) {
         Ok(workspace) => Ok((route.clone(), Some(workspace.clone()))),
         Err(_) => Err(rejection(gateway, StatusCode::UNAUTHORIZED, "unknown_key", "the key stands for nobody")),
     }
@@ -158,7 +158,7 @@
 /// Returns the failure for a missing route or an unknown key, or [`unverified`] if the routing table may lack changes
 /// that are already in force.
 fn rejection(gateway: &Gateway, status: StatusCode, code: &'static str, message: &str) -> Failure {
-    if gateway.may_deny() { Failure::new(status, code, message) } else { unverified() }
+    if gateway.can_reject_unknown() { Failure::new(status, code, message) } else { unverified() }
 }
 
 /// Returns the failure of a request that the routing table is too old to decide.
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -20,15 +20,15 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode};
-use platform::dialect;
+use platform::headers;
 
 pub use self::intake::handle;
 use self::send::Outcome;
-pub use self::target::Place;
+pub use self::target::ReplicaSlot;
 use self::target::Target;
-use super::answer::{self, Answer};
-use super::attempt::{Connection, Outgoing};
-use super::place::NO_ANSWER;
+use super::response::{self, CallerResponse};
+use super::upstream::{Connection, UpstreamRequest};
+use super::replica_picker::NO_RESPONSE_WEIGHT;
 use super::quarantine::{self, LostConnection};
 use super::state::{Gateway, InFlight};
 use super::{now, relay};
@@ -43,11 +43,11 @@
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// A request that is being handled.
-pub struct Job {
+pub struct PendingRequest {
     /// Shared state of the process.
     pub gateway: Rc<Gateway>,
     /// Decoded head of the request.
-    pub call: dialect::Call,
+    pub request_head: headers::RequestHead,
     /// Route that the host and the path select.
     pub route: Route,
     /// Workspace of the request's API key, or `None` if the route needs no key.
@@ -55,9 +55,9 @@
     /// Service that the route selects.
     pub service: Name,
     /// Request that is sent to replicas.
-    pub outgoing: Outgoing,
+    pub outgoing: UpstreamRequest,
     /// Fingerprint of the request, which is the same for every retry.
-    pub work: Work,
+    pub fingerprint: Work,
     /// Time at which the head of the request was received.
     pub started: Moment,
     /// Timeout that the caller allows.
@@ -79,7 +79,7 @@
 }
 
 /// A response whose head has been received and whose body has not.
-pub struct Opened {
+pub struct OpenResponse {
     /// Replica that sent the response.
     pub record: Record,
     /// Response head, and the body as a stream.
@@ -87,14 +87,14 @@
     /// Connection that carries the body.
     pub connection: Connection,
     /// Guard of the request's slot at the replica.
-    pub place: Place,
+    pub slot: ReplicaSlot,
     /// Time at which the request was sent to the replica.
-    pub sent: Moment,
+    pub sent_at: Moment,
 }
 
-impl Job {
+impl PendingRequest {
     /// Returns the time left until the final response is due.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.since(now())
     }
 
@@ -112,9 +112,9 @@
         self.possible_executions < self.route.max_attempts
     }
 
-    /// Sends the request until a replica opens a response that can be forwarded. With `after_event`, the stream resumes
-    /// after that event.
-    pub async fn open(&mut self, after_event: Option<u64>) -> Result<Opened, Failure> {
+    /// Sends the request until a replica opens a response that can be forwarded. With `last_event_id`, the stream
+    /// resumes after that event.
+    pub async fn open_response(&mut self, last_event_id: Option<u64>) -> Result<OpenResponse, Failure> {
         let mut retry_after = None;
         let mut next = None;
         // Whether the retry budget has been charged for an attempt that was not made.
@@ -128,7 +128,7 @@
                 None => self.next_target(retry_after, is_retry_charged).await?,
             };
             is_retry_charged = false;
-            match self.send(target, after_event).await {
+            match self.send(target, last_event_id).await {
                 Outcome::Opened(opened) => return Ok(*opened),
                 Outcome::Condemned => return Err(self.condemned_failure()),
                 Outcome::DeadlinePassed => return Err(self.deadline_failure()),
@@ -145,7 +145,7 @@
 
     /// Returns whether the request is condemned because it crashes replicas.
     fn is_condemned(&self) -> bool {
-        self.gateway.quarantine.is_condemned(self.work)
+        self.gateway.quarantine.is_condemned(self.fingerprint)
     }
 
     /// Returns the failure of a condemned request. The status does not promise that the request was not executed, since
@@ -159,8 +159,8 @@
 
     /// Reports that the connection to a replica was lost, and briefly waits for the probe of whether the replica
     /// terminated.
-    pub async fn connection_lost(&self, record: &Record, sent_at: Moment, weight: Weight) {
-        let (request, fingerprint) = (self.call.id.clone(), self.work);
+    pub async fn report_lost_connection(&self, record: &Record, sent_at: Moment, weight: Weight) {
+        let (request, fingerprint) = (self.request_head.id.clone(), self.fingerprint);
         LostConnection { request, fingerprint, record: record.clone(), sent_at, weight }.probe(&self.gateway).await;
     }
 
@@ -181,42 +181,43 @@
 
     /// Charges one retry to the budget of the service. Returns whether the budget allows it.
     fn try_retry(&self) -> bool {
-        let is_allowed = self.gateway.take_retry(&self.service);
+        let is_allowed = self.gateway.charge_retry(&self.service);
         if !is_allowed {
-            event!("retry-refused", request = %self.call.id, service = %self.service, reason = "budget");
+            event!("retry-refused", request = %self.request_head.id, service = %self.service, reason = "budget");
         }
         is_allowed
     }
 
-    /// Calls [`Job::open`] from the start of the stream, with the deadline of the request as its timeout.
-    async fn open_before_deadline(&mut self) -> Result<Opened, Failure> {
-        match tokio::time::timeout(self.left(), self.open(None)).await {
+    /// Calls [`PendingRequest::open_response`] from the start of the stream, with the deadline of the request as its
+    /// timeout.
+    async fn open_before_deadline(&mut self) -> Result<OpenResponse, Failure> {
+        match tokio::time::timeout(self.time_left(), self.open_response(None)).await {
             Ok(outcome) => outcome,
             Err(_) => Err(self.deadline_failure()),
         }
     }
 
     /// Forwards a response to the caller: a stream event by event, any other response once it is complete.
-    async fn forward_response(mut self, mut opened: Opened) -> Result<Answer, Failure> {
+    async fn forward_response(mut self, mut opened: OpenResponse) -> Result<CallerResponse, Failure> {
         loop {
             if self.route.streaming && opened.response.status().is_success() {
-                return Ok(relay::start(self, opened));
+                return Ok(relay::stream_response(self, opened));
             }
-            let (record, sent) = (opened.record.clone(), opened.sent);
-            match tokio::time::timeout(self.left(), read_response(opened)).await {
+            let (record, sent_at) = (opened.record.clone(), opened.sent_at);
+            match tokio::time::timeout(self.time_left(), read_response(opened)).await {
                 Err(_) => return Err(self.deadline_failure()),
                 Ok(Ok(answer)) => {
                     let (status, after_ms) = (answer.status().as_u16(), now().since(self.started).as_millis());
-                    event!("done", request = %self.call.id, peer = %record.id, status, after_ms);
+                    event!("done", request = %self.request_head.id, peer = %record.id, status, after_ms);
                     metric::request("ok");
                     if answer.status().is_success() {
-                        quarantine::cleared(&self.gateway, self.work);
+                        quarantine::record_success(&self.gateway, self.fingerprint);
                     }
                     return Ok(answer);
                 }
                 Ok(Err(error)) => {
-                    event!("lost", request = %self.call.id, work = %self.work, peer = %record.id, error = %format!("{error:#}"));
-                    self.connection_lost(&record, sent, Weight::Strong).await;
+                    event!("lost", request = %self.request_head.id, work = %self.fingerprint, peer = %record.id, error = %format!("{error:#}"));
+                    self.report_lost_connection(&record, sent_at, Weight::Strong).await;
                 }
             }
             if !self.can_retry() {
@@ -246,20 +247,20 @@
         if let (Some(replica), false) = (self.tried_replicas.last(), self.has_engines()) {
             // An engine may be busy with other prompts for a long time. A plain replica that does not respond before
             // the deadline has failed.
-            self.record_failure(replica, NO_ANSWER);
+            self.record_failure(replica, NO_RESPONSE_WEIGHT);
         }
         Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(Ran::Unknown)
     }
 }
 
 /// Reads the response body and closes the connection.
-async fn read_response(opened: Opened) -> eyre::Result<Answer> {
+async fn read_response(opened: OpenResponse) -> eyre::Result<CallerResponse> {
     let (head, body) = opened.response.into_parts();
     let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     opened.connection.close();
     let body = body.map_err(|error| eyre::eyre!("step=read-answer peer={}: {error}", opened.record.id))?.to_bytes();
-    let mut answer = Response::new(answer::full(body));
+    let mut answer = Response::new(response::full_body(body));
     *answer.status_mut() = head.status;
-    *answer.headers_mut() = dialect::end_to_end(&head.headers);
+    *answer.headers_mut() = headers::end_to_end(&head.headers);
     Ok(answer)
 }
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -7,19 +7,19 @@
 use coord::quarantine::Weight;
 use coord::roster::Record;
 use hyper::StatusCode;
-use platform::dialect;
+use platform::headers;
 
-use super::super::attempt::{self, Failed};
-use super::super::place::{ERROR_ANSWER, NO_ANSWER, REFUSAL};
-use super::super::{leaving, limits, now, rests};
-use super::target::{Place, Target};
-use super::{Job, Opened};
+use super::super::upstream::{self, SendError};
+use super::super::replica_picker::{ERROR_RESPONSE_WEIGHT, NO_RESPONSE_WEIGHT, REFUSAL_WEIGHT};
+use super::super::{draining, limits, now, backoff};
+use super::target::{ReplicaSlot, Target};
+use super::{PendingRequest, OpenResponse};
 use crate::{event, metric, util};
 
 /// Outcome of an attempt.
 pub(super) enum Outcome {
     /// The replica opened a response that can be forwarded.
-    Opened(Box<Opened>),
+    Opened(Box<OpenResponse>),
     /// The replica proved that it did not execute the request. Contains the retry delay that the replica asked for.
     NotExecuted(Option<Duration>),
     /// The replica may have executed the request, and no usable response arrived.
@@ -37,28 +37,28 @@
     Unresponsive(Box<Target>),
 }
 
-impl Job {
+impl PendingRequest {
     /// Makes one attempt at one replica.
-    pub(super) async fn send(&mut self, target: Target, after_event: Option<u64>) -> Outcome {
+    pub(super) async fn send(&mut self, target: Target, last_event_id: Option<u64>) -> Outcome {
         // Every attempt passes this check, after all waits.
         if self.is_condemned() {
             return Outcome::Condemned;
         }
         // Timers do not run while a VM is suspended, so the deadline is checked again here.
-        if self.left().is_zero() {
+        if self.time_left().is_zero() {
             return Outcome::DeadlinePassed;
         }
-        if self.gateway.open_replica(&target.record.id).is_none() {
-            event!("not-sent", request = %self.call.id, peer = %target.record.id);
+        if self.gateway.available_replica(&target.record.id).is_none() {
+            event!("not-sent", request = %self.request_head.id, peer = %target.record.id);
             return Outcome::ReplicaClosed;
         }
-        let Target { record, helpers, place } = target;
+        let Target { record, helpers, slot } = target;
         metric::sent(&record.failure_domain, util::wall());
         let sent_at = now();
         self.tried_replicas.push(record.id.clone());
-        let head = self.upstream_head(&record, helpers, after_event);
-        event!("send", request = %self.call.id, peer = %record.id, helpers = head.helpers.len(), number = self.attempts + 1, left_ms = head.time_left.as_millis(),
-            after_event = after_event.map_or(-1, |event| event as i64));
+        let head = self.upstream_head(&record, helpers, last_event_id);
+        event!("send", request = %self.request_head.id, peer = %record.id, helpers = head.helpers.len(), number = self.attempts + 1, left_ms = head.time_left.as_millis(),
+            after_event = last_event_id.map_or(-1, |event| event as i64));
         let can_run = self.possible_executions == 0 || self.route.repeatable();
         invariant!(can_run, "a request that may run once is not sent again after it may have run");
         let is_first = self.attempts == 0;
@@ -69,31 +69,31 @@
         let result = tokio::select! {
             // A response that has arrived takes precedence over the reasons to give up the attempt.
             biased;
-            result = attempt::send(&record, &self.outgoing, &head) => result,
-            next = self.fallback_target(&place) => return Outcome::Unresponsive(Box::new(next)),
+            result = upstream::send(&record, &self.outgoing, &head) => result,
+            next = self.fallback_target(&slot) => return Outcome::Unresponsive(Box::new(next)),
             // If the attempt is aborted before the replica starts the request, the replica does not crash.
-            () = self.gateway.quarantine.wait_until_condemned(self.work) => return Outcome::Condemned,
+            () = self.gateway.quarantine.wait_until_condemned(self.fingerprint) => return Outcome::Condemned,
         };
-        if is_first && !matches!(result, Err(Failed::Unsent(_))) {
-            self.gateway.note_first(&self.service);
+        if is_first && !matches!(result, Err(SendError::NotConnected(_))) {
+            self.gateway.record_first_send(&self.service);
         }
         match result {
-            Ok((response, connection)) => self.classify(Opened { record, response, connection, place, sent: sent_at }),
-            Err(Failed::Lost(error)) => {
-                self.record_failure(&record.id, NO_ANSWER);
-                event!("lost", request = %self.call.id, work = %self.work, peer = %record.id, error = %error);
+            Ok((response, connection)) => self.classify(OpenResponse { record, response, connection, slot, sent_at }),
+            Err(SendError::ConnectionLost(error)) => {
+                self.record_failure(&record.id, NO_RESPONSE_WEIGHT);
+                event!("lost", request = %self.request_head.id, work = %self.fingerprint, peer = %record.id, error = %error);
                 // An engine opens its response when it starts the prompt, so before that the prompt may only have been
                 // queued. A plain replica may run a request for a long time before it responds.
                 let weight = if self.has_engines() { Weight::Faint } else { Weight::Strong };
-                self.connection_lost(&record, sent_at, weight).await;
+                self.report_lost_connection(&record, sent_at, weight).await;
                 Outcome::ResponseLost
             }
-            Err(Failed::Unsent(error)) => {
+            Err(SendError::NotConnected(error)) => {
                 self.attempts -= 1;
                 self.possible_executions -= 1;
                 self.failed_connections += 1;
-                self.record_failure(&record.id, NO_ANSWER);
-                event!("connect-failed", request = %self.call.id, peer = %record.id, error = %error);
+                self.record_failure(&record.id, NO_RESPONSE_WEIGHT);
+                event!("connect-failed", request = %self.request_head.id, peer = %record.id, error = %error);
                 Outcome::NotSent
             }
         }
@@ -103,8 +103,8 @@
     /// attempt, and other engines are free. Otherwise, and if the request may not be sent again, the future never
     /// completes. Meanwhile a response of the current engines is still accepted, so that a false alarm costs nothing
     /// while other engines are busy.
-    async fn fallback_target(&self, place: &Place) -> Target {
-        let timeout = match place.unresponsive_after() {
+    async fn fallback_target(&self, slot: &ReplicaSlot) -> Target {
+        let timeout = match slot.unresponsive_after() {
             Some(timeout) if self.can_retry() => timeout,
             _ => return std::future::pending().await,
         };
@@ -112,8 +112,8 @@
         if !self.try_retry() {
             return std::future::pending().await;
         }
-        event!("engines-unresponsive", request = %self.call.id, peer = self.tried_replicas.last().map_or("", |id| id), after_ms = timeout.as_millis());
-        place.report_unresponsive();
+        event!("engines-unresponsive", request = %self.request_head.id, peer = self.tried_replicas.last().map_or("", |id| id), after_ms = timeout.as_millis());
+        slot.report_unresponsive();
         match self.choose_target().await {
             Ok(target) => target,
             Err(_) => std::future::pending().await,
@@ -121,38 +121,38 @@
     }
 
     /// Returns the values that this attempt adds to the caller's headers.
-    fn upstream_head(&self, record: &Record, helpers: Vec<dialect::Helper>, after_event: Option<u64>) -> dialect::Send {
-        dialect::Send {
+    fn upstream_head(&self, record: &Record, helpers: Vec<headers::Helper>, last_event_id: Option<u64>) -> headers::UpstreamHead {
+        headers::UpstreamHead {
             replica: record.id.clone(),
-            time_left: self.left(),
+            time_left: self.time_left(),
             workspace: self.workspace.as_ref().map(|workspace| workspace.name.clone()),
             helpers,
-            after_event,
+            last_event_id,
             priority: None,
         }
     }
 
     /// Classifies a response head, and applies what it reports about the replica.
-    fn classify(&mut self, opened: Opened) -> Outcome {
-        let answer = dialect::answer(opened.response.status(), opened.response.headers(), &self.call.id);
+    fn classify(&mut self, opened: OpenResponse) -> Outcome {
+        let answer = headers::decode_response(opened.response.status(), opened.response.headers(), &self.request_head.id);
         let record = &opened.record;
-        limits::observe_response(&self.gateway, record, &answer, opened.sent);
-        leaving::said(&self.gateway, record, &answer);
-        rests::said(&self.gateway, record, &answer);
+        limits::observe_response(&self.gateway, record, &answer, opened.sent_at);
+        draining::observe_response(&self.gateway, record, &answer);
+        backoff::observe_response(&self.gateway, record, &answer);
         if let Some(load) = answer.load {
-            self.gateway.placer.borrow_mut().told(&record.id, load);
+            self.gateway.replica_picker.borrow_mut().record_load(&record.id, load);
         }
         if answer.is_not_executed {
             return self.handle_refusal(record, &answer);
         }
         let (is_usable, is_error) = (is_usable(&answer), answer.status.is_server_error());
         match (is_usable, is_error) {
-            (false, _) => self.record_failure(&record.id, NO_ANSWER),
-            (true, true) => self.record_failure(&record.id, ERROR_ANSWER),
-            (true, false) => self.gateway.placer.borrow_mut().succeeded(&record.id),
+            (false, _) => self.record_failure(&record.id, NO_RESPONSE_WEIGHT),
+            (true, true) => self.record_failure(&record.id, ERROR_RESPONSE_WEIGHT),
+            (true, false) => self.gateway.replica_picker.borrow_mut().record_success(&record.id),
         }
         if !is_usable || (is_error && self.can_retry()) {
-            event!("lost", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
+            event!("lost", request = %self.request_head.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
             return Outcome::ResponseLost;
         }
         Outcome::Opened(Box::new(opened))
@@ -162,30 +162,30 @@
     /// attributed to it.
     pub(super) fn record_failure(&self, replica: &Name, fault_share: f64) {
         if self.has_engines() {
-            self.gateway.desk.failed(&self.service, replica);
+            self.gateway.admission.record_failure(&self.service, replica);
         } else {
-            self.gateway.placer.borrow_mut().failed(replica, fault_share);
+            self.gateway.replica_picker.borrow_mut().record_failure(replica, fault_share);
         }
     }
 
     /// Handles a replica's proof that it did not execute the request, and records the failure of the responsible
     /// replica.
-    fn handle_refusal(&mut self, record: &Record, answer: &dialect::Answer) -> Outcome {
-        let backoff = answer.rest().unwrap_or_default();
-        event!("not-executed", request = %self.call.id, peer = %record.id, status = answer.status.as_u16(), responsible = answer.responsible_address.as_deref().unwrap_or(""),
+    fn handle_refusal(&mut self, record: &Record, answer: &headers::ResponseHead) -> Outcome {
+        let backoff = answer.backoff().unwrap_or_default();
+        event!("not-executed", request = %self.request_head.id, peer = %record.id, status = answer.status.as_u16(), responsible = answer.responsible_address.as_deref().unwrap_or(""),
             backoff_ms = backoff.as_millis());
         self.possible_executions -= 1;
         let responsible = self.responsible_replica(record, answer);
-        self.record_failure(&responsible, REFUSAL);
+        self.record_failure(&responsible, REFUSAL_WEIGHT);
         if answer.is_misdirected && responsible == record.id {
-            self.gateway.displaced(&record.id);
+            self.gateway.remove_displaced(&record.id);
         }
         Outcome::NotExecuted(answer.retry_after)
     }
 
     /// Returns the replica that is responsible for a refusal: the replica that the response names, or else the one that
     /// responded.
-    fn responsible_replica(&self, record: &Record, answer: &dialect::Answer) -> Name {
+    fn responsible_replica(&self, record: &Record, answer: &headers::ResponseHead) -> Name {
         let roster = self.gateway.roster.borrow();
         let named_replica = answer.responsible_address.as_ref().and_then(|address| {
             let has_address = |record: &&Record| record.address == *address || record.id == *address;
@@ -197,7 +197,7 @@
 
 /// Returns whether a response can be forwarded: it belongs to this request, it has a seal if it reports success, and
 /// its status does not promise without proof that the request was not executed.
-fn is_usable(answer: &dialect::Answer) -> bool {
+fn is_usable(answer: &headers::ResponseHead) -> bool {
     let has_required_seal = answer.is_sealed || !answer.status.is_success();
     answer.matches_request && has_required_seal && !promises_not_executed(answer.status)
 }
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -7,14 +7,14 @@
 use coord::planner::{self, Team};
 use coord::roster::Record;
 use coord::time::Moment;
-use platform::dialect;
+use platform::headers;
 
-use super::super::belief::EMPTIED_RETRY;
-use super::super::desk::{Lease, PlacementError};
-use super::super::hold::{self, Hold};
+use super::super::ingest::EVACUATED_RETRY_AFTER;
+use super::super::admission::{Lease, PlacementError};
+use super::super::reservation::{self, Reservation};
 use super::super::state::{Gateway, Phase};
-use super::super::{limits, now, rests};
-use super::Job;
+use super::super::{limits, now, backoff};
+use super::PendingRequest;
 use crate::{event, metric};
 
 /// Fraction of the route's latency target that a request may wait for a permit of a rate-limited replica. The rest is
@@ -42,13 +42,13 @@
     /// Replica that receives the request.
     pub record: Record,
     /// Engines that prefill parts of the prompt.
-    pub helpers: Vec<dialect::Helper>,
+    pub helpers: Vec<headers::Helper>,
     /// Guard of the request's slot at the replica.
-    pub place: Place,
+    pub slot: ReplicaSlot,
 }
 
 /// A request's slot at a replica, which is released on drop.
-pub enum Place {
+pub enum ReplicaSlot {
     /// Slot at a plain replica.
     Plain {
         /// Guard of the replica's count of outstanding requests.
@@ -59,30 +59,30 @@
         /// Lease of the granted engines.
         lease: Lease,
         /// Memory reservation at other engines, if the prompt exceeds the memory of one engine.
-        _reservation: Option<Hold>,
+        _reservation: Option<Reservation>,
     },
 }
 
-impl Place {
+impl ReplicaSlot {
     /// Returns the time without a response after which the engines count as unresponsive, or `None` if it cannot be
     /// predicted.
     pub(super) fn unresponsive_after(&self) -> Option<Duration> {
         match self {
-            Place::Engine { lease, .. } => lease.placement.silent_after,
-            Place::Plain { .. } => None,
+            ReplicaSlot::Engine { lease, .. } => lease.placement.unresponsive_after,
+            ReplicaSlot::Plain { .. } => None,
         }
     }
 
     /// Reports that the engines are unresponsive.
     pub(super) fn report_unresponsive(&self) {
-        if let Place::Engine { lease, .. } = self {
+        if let ReplicaSlot::Engine { lease, .. } = self {
             lease.report_unresponsive();
         }
     }
 
     /// Reports that the first event of the stream has arrived.
     pub fn first_event(&self) {
-        if let Place::Engine { lease, .. } = self {
+        if let ReplicaSlot::Engine { lease, .. } = self {
             lease.report_first_event();
         }
     }
@@ -96,28 +96,28 @@
 
 impl OutstandingGuard {
     fn begin(gateway: &Rc<Gateway>, replica: &Name) -> Self {
-        gateway.placer.borrow_mut().begin(replica);
+        gateway.replica_picker.borrow_mut().begin_request(replica);
         Self { gateway: gateway.clone(), replica: replica.clone() }
     }
 }
 
 impl Drop for OutstandingGuard {
     fn drop(&mut self) {
-        self.gateway.placer.borrow_mut().end(&self.replica);
+        self.gateway.replica_picker.borrow_mut().end_request(&self.replica);
     }
 }
 
 /// A helper of a team, with the number of tokens for which it reserves memory until the response is complete. The
 /// number is 0 if the helper only prefills.
 struct LocatedHelper {
-    helper: dialect::Helper,
+    helper: headers::Helper,
     reserved_tokens: u64,
 }
 
-impl Job {
+impl PendingRequest {
     /// Chooses the target of the next attempt. A prompt waits here until engines are granted.
     pub(super) async fn choose_target(&self) -> Result<Target, PlacementError> {
-        match self.call.prompt_tokens {
+        match self.request_head.prompt_tokens {
             Some(tokens) if self.has_engines() => self.choose_engine_target(tokens).await,
             _ => self.choose_plain_target().await,
         }
@@ -156,15 +156,15 @@
     fn pick_replica(&self, without_permit: &[Name]) -> Option<Record> {
         let roster = self.gateway.roster.borrow();
         let is_excluded = |id: &Name| {
-            self.tried_replicas.contains(id) || without_permit.contains(id) || self.gateway.rests.is_resting(id)
+            self.tried_replicas.contains(id) || without_permit.contains(id) || self.gateway.backoffs.is_backing_off(id)
         };
-        self.gateway.placer.borrow().pick(&roster, &self.service, self.route.repeat, |id| !is_excluded(id))
+        self.gateway.replica_picker.borrow().pick(&roster, &self.service, self.route.repeat, |id| !is_excluded(id))
     }
 
     /// Opens a slot at a plain replica.
     fn open_plain_slot(&self, record: Record) -> Target {
-        let place = Place::Plain { _guard: OutstandingGuard::begin(&self.gateway, &record.id) };
-        Target { record, helpers: Vec::new(), place }
+        let slot = ReplicaSlot::Plain { _guard: OutstandingGuard::begin(&self.gateway, &record.id) };
+        Target { record, helpers: Vec::new(), slot }
     }
 
     /// Returns how much longer a request may wait for a plain replica.
@@ -175,13 +175,13 @@
     /// Waits for the end of the first backoff of an untried replica. Returns an error if it ends too late.
     async fn wait_for_backoff_end(&self) -> Result<(), PlacementError> {
         let is_untried = |replica: &Name| !self.tried_replicas.contains(replica);
-        let Some(backoff) = rests::soonest_of(&self.gateway, &self.service, is_untried) else {
+        let Some(backoff) = backoff::next_available_of(&self.gateway, &self.service, is_untried) else {
             return Err(self.no_replica_error());
         };
         if backoff > self.max_plain_wait() {
             return Err(self.no_replica_error());
         }
-        event!("backoff-wait", request = %self.call.id, wait_ms = backoff.as_millis());
+        event!("backoff-wait", request = %self.request_head.id, wait_ms = backoff.as_millis());
         tokio::time::sleep(backoff.max(MIN_RECHECK_DELAY)).await;
         Ok(())
     }
@@ -192,15 +192,15 @@
         let max_wait = self.max_plain_wait();
         match limits::take_permit(&self.gateway, without_permit, max_wait).await {
             Ok(permit) => {
-                event!("limit-wait", request = %self.call.id, peer = %permit.replica, wait_ms = permit.after.as_millis());
+                event!("limit-wait", request = %self.request_head.id, peer = %permit.replica, wait_ms = permit.after.as_millis());
                 metric::limit_wait();
                 tokio::time::sleep(permit.after).await;
-                let record = self.gateway.open_replica(&permit.replica);
+                let record = self.gateway.available_replica(&permit.replica);
                 record.map(|record| self.open_plain_slot(record)).ok_or(PlacementError::Exhausted)
             }
             Err(delay) => {
                 let (limited, usable) = self.count_limited_and_usable();
-                event!("limit-refused", request = %self.call.id, service = %self.service, next_ms = delay.as_millis(), limited, usable);
+                event!("limit-refused", request = %self.request_head.id, service = %self.service, next_ms = delay.as_millis(), limited, usable);
                 metric::limit_refusal();
                 // The jitter prevents all refused callers from retrying at the same time, when only one permit is
                 // available.
@@ -222,13 +222,13 @@
             let lease = tokio::select! {
                 // Granted engines are used even if the wait has ended at the same time.
                 biased;
-                result = self.gateway.desk.request_engines(&self.service, job) => result,
+                result = self.gateway.admission.request_engines(&self.service, job) => result,
                 () = tokio::time::sleep(time_left) => return Err(PlacementError::Exhausted),
-                () = self.gateway.quarantine.wait_until_condemned(self.work) => return Err(PlacementError::Exhausted),
+                () = self.gateway.quarantine.wait_until_condemned(self.fingerprint) => return Err(PlacementError::Exhausted),
                 backoff = self.all_in_backoff_beyond(until) => return Err(PlacementError::Refused(with_jitter(backoff))),
                 // The caller of a new request can still retry at another entry. A broken stream continues to wait,
                 // since only this entry can resume it.
-                () = self.gateway.reached(Phase::Closing), if self.attempts == 0 => return Err(PlacementError::Exhausted),
+                () = self.gateway.wait_for_phase(Phase::Closing), if self.attempts == 0 => return Err(PlacementError::Exhausted),
             };
             let lease = match lease {
                 Ok(lease) => lease,
@@ -239,7 +239,7 @@
                 }
                 Err(error) => {
                     let (limited, usable) = self.count_limited_and_usable();
-                    event!("placement-failed", request = %self.call.id, reason = ?error, waited_ms = now().since(self.started).as_millis(), limited, usable);
+                    event!("placement-failed", request = %self.request_head.id, reason = ?error, waited_ms = now().since(self.started).as_millis(), limited, usable);
                     return Err(error);
                 }
             };
@@ -253,16 +253,16 @@
                 tokio::time::sleep(REPLAN_DELAY).await;
                 continue;
             };
-            return Ok(Target { record, helpers, place: Place::Engine { lease, _reservation } });
+            return Ok(Target { record, helpers, slot: ReplicaSlot::Engine { lease, _reservation } });
         }
     }
 
     /// Returns the error of a request that no replica of the service accepts now.
     fn no_replica_error(&self) -> PlacementError {
         if self.gateway.roster.borrow().is_emptied(&self.service) {
-            return PlacementError::Refused(EMPTIED_RETRY);
+            return PlacementError::Refused(EVACUATED_RETRY_AFTER);
         }
-        match rests::soonest(&self.gateway, &self.service) {
+        match backoff::next_available(&self.gateway, &self.service) {
             Some(backoff) if !backoff.is_zero() => PlacementError::Refused(with_jitter(backoff)),
             _ => PlacementError::Exhausted,
         }
@@ -272,8 +272,8 @@
     /// first backoff ends.
     async fn all_in_backoff_beyond(&self, until: Moment) -> Duration {
         loop {
-            let backoff_change = self.gateway.rests.asked();
-            match rests::soonest(&self.gateway, &self.service) {
+            let backoff_change = self.gateway.backoffs.wait_for_request();
+            match backoff::next_available(&self.gateway, &self.service) {
                 Some(backoff) if now() + backoff > until && !backoff.is_zero() => return backoff,
                 _ => backoff_change.await,
             }
@@ -292,25 +292,25 @@
         let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         planner::Job {
             prompt: tokens,
-            output: self.call.output_tokens,
+            output: self.request_head.output_tokens,
             aim: self.started + self.route.aim,
             gap_ms: self.route.gap_aim.as_secs_f64() * 1e3,
             deadline: self.deadline.min(self.started + self.route.patience()),
             priority: workspace_priority.unwrap_or(self.route.priority),
-            work: Some(self.work),
+            work: Some(self.fingerprint),
         }
     }
 
     /// Returns the decoding engine and the helpers of a team. Returns `None` if the decoding engine, or a helper that
     /// must reserve memory, no longer accepts requests.
     fn locate_team(&self, team: &Team) -> Option<(Record, Vec<LocatedHelper>)> {
-        let find_open = |id: &Name| self.gateway.open_replica(id);
+        let find_open = |id: &Name| self.gateway.available_replica(id);
         let mut located = Vec::new();
         for helper in &team.helpers {
             match find_open(&helper.engine) {
                 Some(record) => {
                     let helper = LocatedHelper {
-                        helper: dialect::Helper { address: record.address, reservation: None },
+                        helper: headers::Helper { address: record.address, reservation: None },
                         reserved_tokens: helper.holds,
                     };
                     located.push(helper);
@@ -324,15 +324,15 @@
 
     /// Reserves the memory of a prompt at its helpers, either all of it or none. The reservation is absent if no helper
     /// needs to reserve memory.
-    async fn reserve_memory(&self, located: Vec<LocatedHelper>) -> Option<(Vec<dialect::Helper>, Option<Hold>)> {
+    async fn reserve_memory(&self, located: Vec<LocatedHelper>) -> Option<(Vec<headers::Helper>, Option<Reservation>)> {
         let reserving = located.iter().filter(|located| located.reserved_tokens > 0);
         let demands: Vec<(Name, u64)> =
             reserving.map(|located| (located.helper.address.clone(), located.reserved_tokens)).collect();
-        let mut helpers: Vec<dialect::Helper> = located.into_iter().map(|located| located.helper).collect();
+        let mut helpers: Vec<headers::Helper> = located.into_iter().map(|located| located.helper).collect();
         if demands.is_empty() {
             return Some((helpers, None));
         }
-        let reservation = hold::take(&self.call.id, demands, self.gateway.bounds().hold()).await?;
+        let reservation = reservation::acquire(&self.request_head.id, demands, self.gateway.bounds().hold()).await?;
         for helper in &mut helpers {
             helper.reservation = reservation.id(&helper.address);
         }
--- a/sorrelpass/src/gateway/delegates.rs
+++ b/sorrelpass/src/gateway/delegates.rs
@@ -10,7 +10,7 @@
 
 use coord::time::Moment;
 
-use super::link::{Question, Report};
+use super::peer_protocol::{SyncRequest, FollowerMessage};
 use super::now;
 use super::state::Gateway;
 use super::store_view;
@@ -50,21 +50,21 @@
 
 /// Asks some followers to read the store, if this entry is a leader with followers.
 pub fn delegate(gateway: &Gateway) {
-    if gateway.desk.has_leader() || gateway.desk.is_alone() {
+    if gateway.admission.has_leader() || gateway.admission.is_standalone() {
         return;
     }
-    let number = gateway.facts.delegates.register();
-    gateway.desk.ask_deputies(store_view::sync_request(gateway, number));
+    let number = gateway.store_view.delegates.register();
+    gateway.admission.delegate_read(store_view::sync_request(gateway, number));
 }
 
 /// Reads the store on behalf of the leader and reports the changes to it.
-pub async fn read(gateway: Rc<Gateway>, request: Question) {
+pub async fn read(gateway: Rc<Gateway>, request: SyncRequest) {
     let since = now();
-    gateway.facts.request_read();
-    if tokio::time::timeout(READ_TIMEOUT, gateway.facts.wait_for_read_since(since)).await.is_err() {
+    gateway.store_view.request_read();
+    if tokio::time::timeout(READ_TIMEOUT, gateway.store_view.wait_for_read_since(since)).await.is_err() {
         // No error report is needed: the leader delegated the read to other followers too.
         return;
     }
-    let update = store_view::sync_response(&gateway, request);
-    gateway.desk.report(Report::Read { number: request.number, update });
+    let response = store_view::sync_response(&gateway, request);
+    gateway.admission.report_to_leader(FollowerMessage::DelegatedRead { number: request.number, response });
 }
--- a/sorrelpass/src/gateway/leaving.rs
+++ b/sorrelpass/src/gateway/draining.rs
@@ -5,10 +5,10 @@
 //! leader.
 
 use coord::roster::{Leaver, Record};
-use platform::dialect;
+use platform::headers;
 
-use super::belief;
-use super::link::{Order, Report};
+use super::ingest;
+use super::peer_protocol::{LeaderMessage, FollowerMessage};
 use super::quarantine::Source;
 use super::state::Gateway;
 use crate::{event, metric};
@@ -18,11 +18,11 @@
 const MAX_RUNS_PER_MESSAGE: usize = 512;
 
 /// Applies a replica's report that it is draining, if the head of its response contains one.
-pub fn said(gateway: &Gateway, record: &Record, response: &dialect::Answer) {
-    if !response.leaving {
+pub fn observe_response(gateway: &Gateway, record: &Record, response: &headers::ResponseHead) {
+    if !response.is_draining {
         return;
     }
-    let for_itself = response.speaks_for_itself();
+    let for_itself = response.is_authoritative();
     event!("replica-draining", peer = %record.id, for_itself);
     metric::leaving_told();
     if for_itself {
@@ -33,14 +33,14 @@
 /// Marks runs of replicas as draining, and distributes those that were not marked before.
 pub fn apply_updates(gateway: &Gateway, runs: Vec<Leaver>, source: Source) {
     let origin = match source {
-        Source::Own => belief::Source::Response,
-        Source::Leader | Source::Follower => belief::Source::Peer,
+        Source::Own => ingest::Source::Response,
+        Source::Leader | Source::Follower => ingest::Source::Peer,
     };
-    let new_runs = belief::apply_draining_runs(gateway, runs, origin);
+    let new_runs = ingest::apply_draining_runs(gateway, runs, origin);
     if new_runs.is_empty() {
         return;
     }
-    gateway.desk.pass_on(new_runs, source, Report::Leaving, Order::Leaving);
+    gateway.admission.propagate(new_runs, source, FollowerMessage::Draining, LeaderMessage::Draining);
 }
 
 /// Returns all known draining runs of replicas in messages for an entry that has just connected.
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -13,14 +13,14 @@
 use tokio::time::Instant;
 
 use super::delegates;
-use super::leaving;
+use super::draining;
 use super::limits;
-use super::link::{self, Order, PEER_TIMEOUT, PeerConnection, Report};
+use super::peer_protocol::{self, LeaderMessage, PEER_TIMEOUT, PeerConnection, FollowerMessage};
 use super::membership::{self, Announcement};
 use super::now;
 use super::peers::{self, LeaderConnection, Peer, SearchOutcome};
 use super::quarantine::{self, Source};
-use super::rests;
+use super::backoff;
 use super::state::{Gateway, Phase};
 use super::store_view;
 use crate::{event, warn_event};
@@ -117,11 +117,11 @@
     /// they know, and no new leader within the time in which most entries find one.
     fn needs_list(&self) -> bool {
         let is_leader = rank(&self.gateway, &self.ranked, self.own_address) == 0;
-        let is_verified = self.gateway.has_recent_proof();
+        let is_verified = self.gateway.is_recently_verified();
         self.ranked.is_empty()
             || (is_verified
                 && (is_leader
-                    || !self.gateway.desk.is_alone()
+                    || !self.gateway.admission.is_standalone()
                     || self.failed_searches >= MAX_FAILED_SEARCHES_BEFORE_LIST))
     }
 
@@ -130,7 +130,7 @@
         let Some(ranked) = peers::list_announced(&mut self.client, Some(self.own_address)).await else { return };
         let gateway = &self.gateway;
         gateway.raise_entry_count(ranked.len());
-        gateway.limits.note_known(ranked.len());
+        gateway.limits.record_stored_entries(ranked.len());
         // The share of each rate limit that this entry may use depends on time and on the number of entries.
         limits::apply(gateway);
         self.search.keep(|address| ranked.iter().any(|peer| peer.address == *address));
@@ -150,7 +150,7 @@
     async fn yield_to(&mut self, follower: SocketAddr) {
         let from = self.ranked.iter().position(|peer| peer.address == follower).unwrap_or(0);
         self.gateway.membership.set_ranked(&self.ranked[from..]);
-        self.gateway.facts.sleep_until_woken(MIN_SEARCH_DELAY).await;
+        self.gateway.store_view.sleep_until_woken(MIN_SEARCH_DELAY).await;
     }
 
     /// Handles a search that found no leader. This entry leads if no entry ranks ahead of it; otherwise, it asks the
@@ -160,9 +160,9 @@
         // The next leader reads the store, for itself and its future followers. The others read it only once their
         // data are too old: most of them find the next leader before that.
         let is_next = rank <= NEXT_LEADER_RANK && rank < self.ranked.len();
-        self.gateway.set_searching_reader(!is_next && self.gateway.desk.is_alone());
+        self.gateway.set_searching_reader(!is_next && self.gateway.admission.is_standalone());
         self.failed_searches += 1;
-        if !is_leader && self.gateway.desk.is_alone() && self.gateway.phase() == Phase::Serving {
+        if !is_leader && self.gateway.admission.is_standalone() && self.gateway.phase() == Phase::Serving {
             if let Some(connection) = peers::find_leader_via_seeds(&self.gateway.settings.seeds, self.own_address).await
             {
                 return self.follow(connection).await;
@@ -231,16 +231,16 @@
         // No entry ranks ahead of the leader, so it has none to search for. When it shuts down, it follows the next
         // one at once.
         tokio::select! {
-            () = gateway.reached(Phase::Stopping) => {}
+            () = gateway.wait_for_phase(Phase::Stopping) => {}
             () = gateway.membership.wait_for_ranking_change() => {}
             () = tokio::time::sleep(LIST_REFRESH_INTERVAL) => {}
         }
         return MIN_SEARCH_DELAY;
     }
-    let was_verified = gateway.has_recent_proof();
-    gateway.facts.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
+    let was_verified = gateway.is_recently_verified();
+    gateway.store_view.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     // After an outage of the store, all entries search at the same time, so earlier failures say nothing.
-    let is_recovered = gateway.has_recent_proof() && !was_verified;
+    let is_recovered = gateway.is_recently_verified() && !was_verified;
     if is_recovered {
         search.restart();
     }
@@ -273,14 +273,14 @@
     connection: LeaderConnection,
     own_address: SocketAddr,
 ) -> Option<SocketAddr> {
-    let admission = &gateway.desk;
-    let LeaderConnection { address: peer, link } = connection;
+    let admission = &gateway.admission;
+    let LeaderConnection { address: peer, connection } = connection;
     event!("following", peer = %peer);
-    let (reports, queue) = mpsc::channel(link::SEND_CHANNEL_CAPACITY);
-    admission.link_up(peer, reports);
+    let (reports, queue) = mpsc::channel(peer_protocol::SEND_CHANNEL_CAPACITY);
+    admission.attach_leader(peer, reports);
     gateway.set_searching_reader(false);
     let _guard = FollowingGuard(gateway);
-    match exchange_messages(gateway, link, queue, own_address).await {
+    match exchange_messages(gateway, connection, queue, own_address).await {
         Ok(leader) => {
             event!("leader-left", peer = %peer, leader = %leader);
             Some(leader)
@@ -298,18 +298,18 @@
 impl Drop for FollowingGuard<'_> {
     fn drop(&mut self) {
         self.0.set_searching_reader(true);
-        self.0.desk.link_down();
-        limits::alone(self.0);
-        self.0.quarantine.wake();
+        self.0.admission.detach_leader();
+        limits::handle_leader_loss(self.0);
+        self.0.quarantine.notify_writer();
     }
 }
 
-/// Sends reports to the leader and handles its orders. Returns the address of the leader to follow next, once the
+/// Sends reports to the leader and handles its messages. Returns the address of the leader to follow next, once the
 /// leader names one or this entry must lead itself. Returns an error if the connection ends or the heartbeats stop.
 async fn exchange_messages(
     gateway: &Rc<Gateway>,
-    mut link: PeerConnection,
-    mut queue: mpsc::Receiver<Report>,
+    mut connection: PeerConnection,
+    mut queue: mpsc::Receiver<FollowerMessage>,
     own_address: SocketAddr,
 ) -> Result<SocketAddr> {
     let mut last_received = Instant::now();
@@ -318,31 +318,31 @@
     let mut next_sync = Instant::now();
     let mut inquiry = Inquiry::default();
     if !gateway.membership.is_announced() {
-        link.send(Report::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue).await?;
+        connection.send(FollowerMessage::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue).await?;
     }
-    for message in gateway.quarantine.messages() {
-        link.send(Report::Quarantine(message), &mut queue).await?;
+    for message in gateway.quarantine.sync_messages() {
+        connection.send(FollowerMessage::Quarantine(message), &mut queue).await?;
     }
-    for message in gateway.limits.messages() {
-        link.send(Report::Limits(message), &mut queue).await?;
+    for message in gateway.limits.sync_messages() {
+        connection.send(FollowerMessage::Limits(message), &mut queue).await?;
     }
-    for report in rests::sync_reports(gateway) {
-        link.send(report, &mut queue).await?;
+    for report in backoff::sync_reports(gateway) {
+        connection.send(report, &mut queue).await?;
     }
-    for runs in leaving::sync_messages(gateway) {
-        link.send(Report::Leaving(runs), &mut queue).await?;
+    for runs in draining::sync_messages(gateway) {
+        connection.send(FollowerMessage::Draining(runs), &mut queue).await?;
     }
     loop {
         tokio::select! {
-            order = link.receive() => {
+            message = connection.receive() => {
                 last_received = Instant::now();
-                match order? {
-                    Order::Grant { number, placement } => gateway.desk.granted(number, placement),
-                    Order::Refuse { number, retry_after } => gateway.desk.refused(number, retry_after),
-                    Order::Update { number, mut update } => {
+                match message? {
+                    LeaderMessage::Grant { number, placement } => gateway.admission.handle_grant(number, placement),
+                    LeaderMessage::Refuse { number, retry_after } => gateway.admission.refuse_prompt(number, retry_after),
+                    LeaderMessage::SyncResponse { number, mut response } => {
                         let Some(requested_at) = inquiry.answer(number) else { continue };
-                        let successors = update.successors.take();
-                        store_view::apply_sync_response(gateway, update, requested_at);
+                        let successors = response.successors.take();
+                        store_view::apply_sync_response(gateway, response, requested_at);
                         if let Some(successors) = successors {
                             gateway.membership.set_successors(successors);
                         }
@@ -352,31 +352,31 @@
                             return Ok(own_address);
                         }
                     }
-                    Order::Read(request) => drop(tokio::task::spawn_local(delegates::read(gateway.clone(), request))),
-                    Order::Announced => gateway.membership.mark_announced(own_address),
-                    Order::Sync(request) => {
-                        let update = store_view::sync_response(gateway, request);
-                        link.send(Report::Update { number: request.number, update }, &mut queue).await?;
+                    LeaderMessage::DelegatedRead(request) => drop(tokio::task::spawn_local(delegates::read(gateway.clone(), request))),
+                    LeaderMessage::Announced => gateway.membership.mark_announced(own_address),
+                    LeaderMessage::SyncRequest(request) => {
+                        let response = store_view::sync_response(gateway, request);
+                        connection.send(FollowerMessage::SyncResponse { number: request.number, response }, &mut queue).await?;
                     }
-                    Order::Quarantine(message) => quarantine::receive(gateway, message, Source::Leader),
-                    Order::Welcome { leader: Some(leader), .. } => return Ok(leader),
-                    Order::Limits(message) => limits::hear(gateway, message, Source::Leader),
-                    Order::Leaving(runs) => leaving::apply_updates(gateway, runs, Source::Leader),
-                    Order::Turn { number, turn } => gateway.limits.answered(number, turn),
-                    Order::Heartbeat { entry_count } => gateway.limits.note_group(entry_count),
-                    Order::Welcome { .. } => {}
+                    LeaderMessage::Quarantine(message) => quarantine::apply_relayed_events(gateway, message, Source::Leader),
+                    LeaderMessage::Welcome { leader: Some(leader), .. } => return Ok(leader),
+                    LeaderMessage::Limits(message) => limits::apply_updates(gateway, message, Source::Leader),
+                    LeaderMessage::Draining(runs) => draining::apply_updates(gateway, runs, Source::Leader),
+                    LeaderMessage::Permit { number, permit } => gateway.limits.handle_permit(number, permit),
+                    LeaderMessage::Heartbeat { entry_count } => gateway.limits.record_group_size(entry_count),
+                    LeaderMessage::Welcome { .. } => {}
                 }
             }
             report = queue.recv() => {
                 let report = report.ok_or_else(|| eyre!("step=send: the send queue to the leader is full"))?;
-                link.send(report, &mut queue).await?;
+                connection.send(report, &mut queue).await?;
             }
             () = tokio::time::sleep_until(next_sync), if gateway.settings.policy.passing_on => {
-                let delay = inquiry.pause(sync_interval, gateway.facts.is_complete(), rand::random_range(0.0..1.0));
+                let delay = inquiry.pause(sync_interval, gateway.store_view.is_complete(), rand::random_range(0.0..1.0));
                 next_sync = Instant::now() + delay;
                 if inquiry.may_ask(now()) {
                     let request = store_view::sync_request(gateway, inquiry.ask(now()));
-                    link.send(Report::Sync(request), &mut queue).await?;
+                    connection.send(FollowerMessage::SyncRequest(request), &mut queue).await?;
                 }
             }
             () = tokio::time::sleep_until(last_received + PEER_TIMEOUT) => return Err(eyre!("step=receive: no heartbeat in time")),
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/ingest.rs
@@ -6,16 +6,16 @@
 use coord::offset::Text;
 use coord::parcel::Version;
 use coord::roster::{Change, Leaver, Replica, Sighting, Standing};
-use platform::{evacuation, table};
+use platform::{evacuation, configuration};
 
 use super::now;
-use super::reader::Page;
+use super::topic_reader::RecordBatch;
 use super::state::Gateway;
 use crate::{debug_event, event, metric, warn_event};
 
 /// `retry-after` of requests to a service all of whose replicas are in evacuated failure domains. Operators need at
 /// least some seconds to end an evacuation.
-pub const EMPTIED_RETRY: Duration = Duration::from_secs(2);
+pub const EVACUATED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Time after a recovery of the store within which each live writer that reaches the store has written its record
 /// again.
@@ -35,14 +35,14 @@
 /// Puts a configuration in force unless a newer one already is.
 pub fn apply_configuration(gateway: &Gateway, document: Version) -> ApplyOutcome {
     let offset = Text(document.offset);
-    match table::decode(&document.value) {
+    match configuration::decode(&document.value) {
         Ok(table) => {
             let (version, (routes, services, keys)) = (table.version(), table.sizes());
             let taken = gateway.replace_table(table);
             gateway.refresh_engines();
             event!("configuration", version, routes, services, keys, offset = %offset, taken);
             if taken {
-                gateway.facts.cache_configuration(document);
+                gateway.store_view.cache_configuration(document);
             }
             if version < gateway.table().version() { ApplyOutcome::Outdated } else { ApplyOutcome::InForce }
         }
@@ -53,15 +53,15 @@
     }
 }
 
-/// Applies the operators' evacuation records in `page`. `is_snapshot` says that the page holds the newest record of
+/// Applies the operators' evacuation records in `batch`. `is_snapshot` says that the batch holds the newest record of
 /// every key, so that a failure domain without a record is not evacuated.
-pub fn apply_evacuation_records(gateway: &Gateway, page: &Page, is_snapshot: bool) {
+pub fn apply_evacuation_records(gateway: &Gateway, batch: &RecordBatch, is_snapshot: bool) {
     let mut register = gateway.evacuations.borrow_mut();
-    let records = page.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
+    let records = batch.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
     let has_changed = if is_snapshot {
         let evacuated =
             records.filter_map(|(_, news)| if let News::Begun(domain) = news { Some(domain) } else { None });
-        register.replace(Picture { next: page.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
+        register.replace(Picture { next: batch.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
     } else {
         records.fold(false, |has_changed, (offset, news)| register.hear(offset, news) || has_changed)
     };
@@ -88,7 +88,7 @@
     gateway.refresh_engines();
     for service in gateway.table().services() {
         if gateway.roster.borrow().is_emptied(&service.name) {
-            gateway.desk.refuse_all(&service.name, EMPTIED_RETRY);
+            gateway.admission.refuse_all(&service.name, EVACUATED_RETRY_AFTER);
         }
     }
 }
@@ -170,11 +170,11 @@
         }
         if change.standing == Standing::Gone {
             gateway.limits.forget(&change.id);
-            gateway.rests.forget(&change.id);
+            gateway.backoffs.forget(&change.id);
         }
         if change.restarted {
             event!("replica-restarted", peer = %change.id);
-            gateway.restarted(&change.id);
+            gateway.reset_replica(&change.id);
         }
     }
     if !changes.is_empty() {
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -9,13 +9,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::leaving;
+use super::draining;
 use super::limits;
-use super::link::{self, BEAT, Order, PeerConnection, Report};
+use super::peer_protocol::{self, HEARTBEAT_INTERVAL, LeaderMessage, PeerConnection, FollowerMessage};
 use super::quarantine::{self, Source};
 use super::state::{Gateway, Phase};
 use super::store_view;
-use super::{now, watch};
+use super::{now, store_reader};
 use crate::{event, util};
 
 /// Accepts connections of other entries until this one is told to shut down; its followers then search for another
@@ -28,13 +28,13 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = gateway.reached(Phase::Stopping) => return,
+            () = gateway.wait_for_phase(Phase::Stopping) => return,
         };
         match accepted {
             Ok((stream, peer)) => drop(tokio::task::spawn_local(serve_peer(gateway.clone(), stream, peer))),
             Err(error) => {
                 crate::warn_event!("accept-peer", error = %error);
-                tokio::time::sleep(BEAT).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             }
         }
     }
@@ -44,29 +44,29 @@
 /// lost or this entry shuts down.
 async fn serve_peer(gateway: Rc<Gateway>, stream: TcpStream, peer: SocketAddr) {
     if gateway.phase() != Phase::Serving {
-        event!("peer-refused", peer = %peer, proof_age_ms = gateway.proof_age_ms().unwrap_or(0));
+        event!("peer-refused", peer = %peer, proof_age_ms = gateway.verification_age_ms().unwrap_or(0));
         return;
     }
     // If this fails, the connection has a higher latency but works.
     let _ = stream.set_nodelay(true);
-    if let Some(leader) = gateway.desk.leader() {
+    if let Some(leader) = gateway.admission.leader() {
         redirect(&mut PeerConnection::new(stream), leader).await;
         return;
     }
-    let admission = &gateway.desk;
-    let (orders, mut queue) = mpsc::channel(link::SEND_CHANNEL_CAPACITY);
-    let entry = admission.join(orders);
+    let admission = &gateway.admission;
+    let (sender, mut queue) = mpsc::channel(peer_protocol::SEND_CHANNEL_CAPACITY);
+    let entry = admission.add_follower(sender);
     limits::apply(&gateway);
     event!("peer-joined", peer = %peer, entry);
-    let mut link = PeerConnection::new(stream);
+    let mut connection = PeerConnection::new(stream);
     let outcome = tokio::select! {
-        outcome = exchange_messages(&gateway, entry, &mut link, &mut queue) => outcome,
-        () = gateway.reached(Phase::Stopping) => Ok(()),
+        outcome = exchange_messages(&gateway, entry, &mut connection, &mut queue) => outcome,
+        () = gateway.wait_for_phase(Phase::Stopping) => Ok(()),
     };
-    if let Some(leader) = gateway.desk.leader() {
-        redirect(&mut link, leader).await;
+    if let Some(leader) = gateway.admission.leader() {
+        redirect(&mut connection, leader).await;
     }
-    admission.leave(entry);
+    admission.remove_follower(entry);
     limits::apply(&gateway);
     let reason = outcome.err().map_or_else(|| "stopping".to_owned(), |error| format!("{error:#}"));
     event!("peer-left", peer = %peer, entry, reason);
@@ -74,73 +74,73 @@
 
 /// Redirects an entry to the leader that this one follows, so that all entries follow the same leader even if they have
 /// read different lists.
-async fn redirect(link: &mut PeerConnection, leader: SocketAddr) {
-    let welcome = Order::Welcome { incarnation: util::incarnation().to_string(), leader: Some(leader) };
-    if let Err(error) = link.send_one(welcome).await {
+async fn redirect(connection: &mut PeerConnection, leader: SocketAddr) {
+    let welcome = LeaderMessage::Welcome { incarnation: util::incarnation().to_string(), leader: Some(leader) };
+    if let Err(error) = connection.send_one(welcome).await {
         event!("peer-refused", leader = %leader, error = %format!("{error:#}"));
     }
 }
 
-/// Handles the reports of a follower and sends it orders and heartbeats, until an error ends the connection.
+/// Handles the reports of a follower and sends it messages and heartbeats, until an error ends the connection.
 async fn exchange_messages(
     gateway: &Gateway,
     entry: u64,
-    link: &mut PeerConnection,
-    queue: &mut mpsc::Receiver<Order>,
+    connection: &mut PeerConnection,
+    queue: &mut mpsc::Receiver<LeaderMessage>,
 ) -> Result<()> {
-    let welcome = Order::Welcome { incarnation: util::incarnation().to_string(), leader: None };
-    link.send(welcome, queue).await?;
-    for message in gateway.quarantine.messages() {
-        link.send(Order::Quarantine(message), queue).await?;
+    let welcome = LeaderMessage::Welcome { incarnation: util::incarnation().to_string(), leader: None };
+    connection.send(welcome, queue).await?;
+    for message in gateway.quarantine.sync_messages() {
+        connection.send(LeaderMessage::Quarantine(message), queue).await?;
     }
-    for message in gateway.limits.messages() {
-        link.send(Order::Limits(message), queue).await?;
+    for message in gateway.limits.sync_messages() {
+        connection.send(LeaderMessage::Limits(message), queue).await?;
     }
-    for runs in leaving::sync_messages(gateway) {
-        link.send(Order::Leaving(runs), queue).await?;
+    for runs in draining::sync_messages(gateway) {
+        connection.send(LeaderMessage::Draining(runs), queue).await?;
     }
     let mut inquiry = Inquiry::default();
-    let mut heartbeat = tokio::time::interval(BEAT);
+    let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
     heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            report = link.receive() => match report? {
-                Report::Sync(request) => {
-                    let update = store_view::sync_response(gateway, request);
-                    link.send(Order::Update { number: request.number, update }, queue).await?;
+            report = connection.receive() => match report? {
+                FollowerMessage::SyncRequest(request) => {
+                    let response = store_view::sync_response(gateway, request);
+                    connection.send(LeaderMessage::SyncResponse { number: request.number, response }, queue).await?;
                     // A follower reads the store itself once the data from here are too old, and may then have newer
                     // ones.
-                    if watch::is_store_view_stale(gateway) && gateway.settings.policy.passing_on && inquiry.may_ask(now()) {
+                    if store_reader::is_store_view_stale(gateway) && gateway.settings.policy.passing_on && inquiry.may_ask(now()) {
                         let request = store_view::sync_request(gateway, inquiry.ask(now()));
-                        link.send(Order::Sync(request), queue).await?;
+                        connection.send(LeaderMessage::SyncRequest(request), queue).await?;
                     }
                 }
-                Report::Update { number, update } => {
+                FollowerMessage::SyncResponse { number, response } => {
                     if let Some(requested_at) = inquiry.answer(number) {
-                        store_view::apply_sync_response(gateway, update, requested_at);
+                        store_view::apply_sync_response(gateway, response, requested_at);
                     }
                 }
-                Report::Read { number, update } => {
-                    if let Some(requested_at) = gateway.facts.delegates.sent_at(number) {
-                        store_view::apply_sync_response(gateway, update, requested_at);
+                FollowerMessage::DelegatedRead { number, response } => {
+                    if let Some(requested_at) = gateway.store_view.delegates.sent_at(number) {
+                        store_view::apply_sync_response(gateway, response, requested_at);
                     }
                 }
-                Report::Announce(announcement) => gateway.membership.queue_announcement(entry, announcement),
-                Report::Quarantine(message) => quarantine::receive(gateway, message, Source::Follower),
-                Report::Limits(message) => limits::hear(gateway, message, Source::Follower),
-                Report::Leaving(runs) => leaving::apply_updates(gateway, runs, Source::Follower),
-                Report::Turn { number, replicas, most_wait } => {
-                    let turn = gateway.limits.turn(&replicas, most_wait);
-                    link.send(Order::Turn { number, turn }, queue).await?;
+                FollowerMessage::Announce(announcement) => gateway.membership.queue_announcement(entry, announcement),
+                FollowerMessage::Quarantine(message) => quarantine::apply_relayed_events(gateway, message, Source::Follower),
+                FollowerMessage::Limits(message) => limits::apply_updates(gateway, message, Source::Follower),
+                FollowerMessage::Draining(runs) => draining::apply_updates(gateway, runs, Source::Follower),
+                FollowerMessage::PermitRequest { number, replicas, max_wait } => {
+                    let permit = gateway.limits.grant_permit(&replicas, max_wait);
+                    connection.send(LeaderMessage::Permit { number, permit }, queue).await?;
                 }
-                report => gateway.desk.hear(entry, report),
+                report => gateway.admission.handle_report(entry, report),
             },
-            Some(order) = queue.recv() => link.send(order, queue).await?,
+            Some(message) = queue.recv() => connection.send(message, queue).await?,
             _ = heartbeat.tick() => {
-                if let Some(leader) = gateway.desk.leader() {
+                if let Some(leader) = gateway.admission.leader() {
                     return Err(eyre!("step=heartbeat: this entry follows {leader} now"));
                 }
-                link.send(Order::Heartbeat { entry_count: gateway.desk.entries() }, queue).await?;
+                connection.send(LeaderMessage::Heartbeat { entry_count: gateway.admission.group_size() }, queue).await?;
             }
         }
     }
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -30,7 +30,7 @@
 }
 
 /// Background task that removes the rate limit of each replica when the replica is no longer cold.
-pub async fn thaw(gateway: Rc<Gateway>) {
+pub async fn expire_cold_limits(gateway: Rc<Gateway>) {
     loop {
         match next_cold_end(&gateway) {
             Some(cold_end) => tokio::time::sleep(cold_end.since(now())).await,
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -3,11 +3,11 @@
 //!
 //! Every entry keeps a register of the limits in replicas' responses, and receives the limits that other entries see
 //! through the leader. A limit applies to all entries together, so the leader does the accounting: for engines with
-//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`turn`]). Requests to replicas
+//! each grant ([`coord::planner`]), and for replicas of plain services with permits ([`permit`]). Requests to replicas
 //! without a limit need no permit.
 
 mod cold;
-mod turn;
+mod permit;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -17,13 +17,13 @@
 use coord::name::Name;
 use coord::roster::Record;
 use coord::time::Moment;
-use platform::dialect;
+use platform::headers;
 use tokio::sync::Notify;
 
-pub use self::cold::thaw;
-use self::turn::PermitRequests;
-pub use self::turn::take_permit;
-use super::link::{Order, Report, Turn};
+pub use self::cold::expire_cold_limits;
+use self::permit::PermitRequests;
+pub use self::permit::take_permit;
+use super::peer_protocol::{LeaderMessage, FollowerMessage, Permit};
 use super::now;
 use super::quarantine::Source;
 use super::state::Gateway;
@@ -70,19 +70,19 @@
     }
 
     /// Records the size of the group of entries with the same leader.
-    pub fn note_group(&self, entries: usize) {
+    pub fn record_group_size(&self, entries: usize) {
         let mut group = self.group.get();
         group.note(entries, now());
         self.group.set(group);
     }
 
     /// Records the number of entries in the store.
-    pub fn note_known(&self, entries: usize) {
+    pub fn record_stored_entries(&self, entries: usize) {
         self.stored_entries.set(entries);
     }
 
     /// Removes the limit that a replica set before it restarted.
-    pub fn restarted(&self, replica: &Name) {
+    pub fn reset_replica(&self, replica: &Name) {
         if self.register.borrow_mut().restarted(replica, now()) {
             event!("limit", peer = %replica, rate = ?None::<f64>, reason = "restarted");
         }
@@ -97,13 +97,13 @@
     }
 
     /// Returns the full register for another entry, split into messages.
-    pub fn messages(&self) -> Vec<Vec<News>> {
+    pub fn sync_messages(&self) -> Vec<Vec<News>> {
         self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[News]>::to_vec).collect()
     }
 
     /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
     /// Otherwise returns the time until it is due. A replica without a limit always has a permit.
-    pub fn turn(&self, replicas: &[Name], max_wait: Duration) -> Result<Turn, Duration> {
+    pub fn grant_permit(&self, replicas: &[Name], max_wait: Duration) -> Result<Permit, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
         let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.wait(now));
@@ -115,18 +115,18 @@
         if let Some(allowance) = allowances.get_mut(replica) {
             allowance.take(now);
         }
-        Ok(Turn { replica: replica.clone(), after: delay })
+        Ok(Permit { replica: replica.clone(), after: delay })
     }
 
     /// Handles the leader's answer to a permit request.
-    pub fn answered(&self, number: u64, turn: Result<Turn, Duration>) {
-        self.permit_requests.complete(number, turn);
+    pub fn handle_permit(&self, number: u64, permit: Result<Permit, Duration>) {
+        self.permit_requests.complete(number, permit);
     }
 }
 
 /// Applies the rate limit in a replica's response to a request that was sent at `sent_at`.
-pub fn observe_response(gateway: &Gateway, record: &Record, answer: &dialect::Answer, sent_at: Moment) {
-    if !answer.speaks_for_itself() {
+pub fn observe_response(gateway: &Gateway, record: &Record, answer: &headers::ResponseHead, sent_at: Moment) {
+    if !answer.is_authoritative() {
         return;
     }
     let replica = &record.id;
@@ -134,7 +134,7 @@
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
             let report = Word { rate, asked: sent_at, heard: now() };
-            hear(gateway, vec![News::of(replica, &report, now())], Source::Own);
+            apply_updates(gateway, vec![News::of(replica, &report, now())], Source::Own);
         }
         // The previous limit stays in force. The error is logged once, not for each response.
         Err(error) if gateway.limits.unparsable.borrow_mut().insert(replica.clone()) => {
@@ -145,7 +145,7 @@
 }
 
 /// Applies reports of rate limits, and relays the ones that change a limit.
-pub fn hear(gateway: &Gateway, reports: Vec<News>, source: Source) {
+pub fn apply_updates(gateway: &Gateway, reports: Vec<News>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
     let mut changed = Vec::new();
@@ -167,7 +167,7 @@
         limits.no_permit_until.borrow_mut().remove(&report.replica);
         apply_limit(gateway, &report.replica, limits.rate_limit(&report.replica), share);
     }
-    gateway.desk.pass_on(changed, source, Report::Limits, Order::Limits);
+    gateway.admission.propagate(changed, source, FollowerMessage::Limits, LeaderMessage::Limits);
 }
 
 /// Applies all known rate limits, and the share of them that this entry may use.
@@ -185,7 +185,7 @@
 
 /// Applies the rate limit of one replica.
 fn apply_limit(gateway: &Gateway, replica: &Name, rate: Option<f64>, share: f64) {
-    gateway.desk.set_rate_limit(replica, rate, share);
+    gateway.admission.set_rate_limit(replica, rate, share);
     let mut allowances = gateway.limits.allowances.borrow_mut();
     let Some(rate) = rate else {
         allowances.remove(replica);
@@ -199,9 +199,9 @@
 /// Returns the share of each limit that this entry may use: the share of the entries that it plans for.
 fn usable_share(gateway: &Gateway) -> f64 {
     let limits = &gateway.limits;
-    let entries = gateway.desk.entries();
-    if !gateway.desk.has_leader() {
-        limits.note_group(entries);
+    let entries = gateway.admission.group_size();
+    if !gateway.admission.has_leader() {
+        limits.record_group_size(entries);
     }
     // A leader knows the size of its group from its followers. An entry without followers knows the number of entries
     // only from the store.
@@ -210,11 +210,11 @@
 }
 
 /// Takes over from a leader whose recent grants this entry does not know.
-pub fn alone(gateway: &Gateway) {
+pub fn handle_leader_loss(gateway: &Gateway) {
     let limits = &gateway.limits;
     limits.permit_requests.clear();
     limits.no_permit_until.borrow_mut().clear();
-    gateway.desk.reset_limit_accounting();
+    gateway.admission.reset_limit_accounting();
     let now = now();
     let mut allowances = limits.allowances.borrow_mut();
     allowances.values_mut().for_each(|allowance| allowance.restart(rand::random_range(0.0..1.0), now));
--- a/sorrelpass/src/gateway/limits/turn.rs
+++ b/sorrelpass/src/gateway/limits/permit.rs
@@ -12,7 +12,7 @@
 use coord::name::Name;
 use tokio::sync::oneshot;
 
-use super::super::link::{Report, Turn};
+use super::super::peer_protocol::{FollowerMessage, Permit};
 use super::super::now;
 use super::super::state::Gateway;
 
@@ -21,7 +21,7 @@
 /// limit that this entry may use by itself.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-type PermitAnswer = Result<Turn, Duration>;
+type PermitAnswer = Result<Permit, Duration>;
 
 /// Permit requests that have not been answered.
 #[derive(Default)]
@@ -77,21 +77,21 @@
 /// Requests a permit from the leader, or grants it locally if this entry has no leader.
 async fn request_permit(gateway: &Gateway, replicas: &[Name], max_wait: Duration) -> PermitAnswer {
     let limits = &gateway.limits;
-    if gateway.desk.has_leader() {
+    if gateway.admission.has_leader() {
         let (number, receiver) = limits.permit_requests.add();
-        let request = Report::Turn { number, replicas: replicas.to_vec(), most_wait: max_wait };
-        if gateway.desk.report(request) {
+        let request = FollowerMessage::PermitRequest { number, replicas: replicas.to_vec(), max_wait };
+        if gateway.admission.report_to_leader(request) {
             let outcome = tokio::time::timeout(PERMIT_TIMEOUT, receiver).await;
             limits.permit_requests.waiting.borrow_mut().remove(&number);
             if let Ok(Ok(answer)) = outcome {
                 return answer;
             }
         }
-        if gateway.desk.has_leader() {
+        if gateway.admission.has_leader() {
             return Err(PERMIT_TIMEOUT);
         }
     }
-    limits.turn(replicas, max_wait)
+    limits.grant_permit(replicas, max_wait)
 }
 
 /// Returns the time until the first of the replicas has a permit, according to earlier answers.
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use super::link::{Order, Report};
+use super::peer_protocol::{LeaderMessage, FollowerMessage};
 use super::now;
 use super::peers::{self, Peer};
 use super::state::Gateway;
@@ -126,7 +126,7 @@
     }
 
     /// Records that the store may have lost announcements, so that this process is announced again.
-    pub fn doubt_announcements(&self) {
+    pub fn invalidate_announcements(&self) {
         self.is_announced.set(false);
         self.lookup_until.set(now() + RECOVERY_NOTICE_PERIOD);
         self.announcement_doubted.notify_one();
@@ -144,7 +144,7 @@
         gateway.membership.announcement_doubted.notified().await;
         // A leader that this entry starts to follow later gets the announcement when the connection is established.
         if gateway.membership.is_announced()
-            || gateway.desk.report(Report::Announce(Announcement::of_this_process(&gateway, own_address)))
+            || gateway.admission.report_to_leader(FollowerMessage::Announce(Announcement::of_this_process(&gateway, own_address)))
         {
             continue;
         }
@@ -181,12 +181,12 @@
         if !append_missing(&gateway, &mut client, &announcements).await {
             tokio::time::sleep(ANNOUNCE_RETRY_DELAY).await;
             // An entry that left meanwhile sends its announcement to its next leader.
-            membership.pending.borrow_mut().extend(pending.into_iter().filter(|(entry, _)| gateway.desk.leads(*entry)));
+            membership.pending.borrow_mut().extend(pending.into_iter().filter(|(entry, _)| gateway.admission.has_follower(*entry)));
             membership.pending_added.notify_one();
             continue;
         }
         event!("announced", followers = announcements.len());
-        pending.iter().for_each(|(entry, _)| gateway.desk.tell(*entry, Order::Announced));
+        pending.iter().for_each(|(entry, _)| gateway.admission.send_to(*entry, LeaderMessage::Announced));
         let has_stronger = announcements.iter().any(|announcement| announcement.capacity > gateway.settings.power);
         if has_stronger || membership.successors.borrow().len() < MAX_SUCCESSORS {
             membership.ranking_changed.notify_one();
@@ -213,8 +213,8 @@
     let records: Vec<(String, String)> =
         announcements.iter().map(|announcement| (announcement.address.to_string(), announcement.value())).collect();
     let records = records.iter().map(|(key, value)| (key.as_str(), value.as_bytes()));
-    metric::store_calls("append", store::PEERS, 1);
-    match client.put_all(store::PEERS, records, peers::STORE_TIMEOUT).await {
+    metric::store_calls("append", store::PEERS_TOPIC, 1);
+    match client.put_all(store::PEERS_TOPIC, records, peers::STORE_TIMEOUT).await {
         Ok(()) => true,
         Err(error) => {
             warn_event!("announced", of = announcements.len(), error = %format!("{error:#}"));
--- a/sorrelpass/src/gateway/mod.rs
+++ b/sorrelpass/src/gateway/mod.rs
@@ -4,35 +4,35 @@
 //! than the activity itself (see `docs/design/08-platform.md`). Each activity is a task of its own; the tasks share
 //! [`state::Gateway`].
 
-mod answer;
-mod attempt;
-mod belief;
+mod response;
+mod upstream;
+mod ingest;
 mod call;
 mod delegates;
-mod desk;
+mod admission;
 mod follower;
 mod health;
-mod hold;
+mod reservation;
 mod leader;
-mod leaving;
+mod draining;
 mod limits;
-mod link;
+mod peer_protocol;
 mod membership;
 mod packed;
 mod peers;
-mod place;
+mod replica_picker;
 pub mod quarantine;
-mod reader;
+mod topic_reader;
 mod relay;
-mod rests;
+mod backoff;
 mod server;
 mod slowdown;
 mod sse;
 mod state;
 mod store_view;
 mod topic;
-mod watch;
-mod work;
+mod store_reader;
+mod fingerprint;
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -63,13 +63,13 @@
     let ready_listener = http::listen(settings.ready_listen)?;
     event!("start", role = "gateway", listen = %settings.listen, store = %settings.store, policy = ?settings.policy);
     let gateway = Rc::new(Gateway::new(settings));
-    tokio::task::spawn_local(watch::poll_configuration(gateway.clone()));
-    tokio::task::spawn_local(watch::poll_replicas(gateway.clone()));
+    tokio::task::spawn_local(store_reader::poll_configuration(gateway.clone()));
+    tokio::task::spawn_local(store_reader::poll_replicas(gateway.clone()));
     tokio::task::spawn_local(health::run(gateway.clone(), ready_listener));
-    tokio::task::spawn_local(gateway.desk.clone().run());
-    tokio::task::spawn_local(gateway.desk.clone().keep_looking());
+    tokio::task::spawn_local(gateway.admission.clone().run());
+    tokio::task::spawn_local(gateway.admission.clone().watch_for_suspension());
     tokio::task::spawn_local(reload(gateway.clone(), file, hangup));
-    tokio::task::spawn_local(limits::thaw(gateway.clone()));
+    tokio::task::spawn_local(limits::expire_cold_limits(gateway.clone()));
     tokio::task::spawn_local(slowdown::run(gateway.clone()));
     tokio::task::spawn_local(quarantine::store::run(gateway.clone()));
     if let Some(own_address) = gateway.settings.peer_listen {
--- a/sorrelpass/src/gateway/link.rs
+++ b/sorrelpass/src/gateway/peer_protocol.rs
@@ -23,7 +23,7 @@
 use super::membership::Announcement;
 use super::packed::Packed;
 use super::peers::Peer;
-use super::quarantine::Told;
+use super::quarantine::RelayedEvent;
 use crate::metric;
 
 /// Bounds the size of a message, in bytes: an update about 24,000 replicas takes some 30 bytes for each.
@@ -33,16 +33,16 @@
 pub const SEND_CHANNEL_CAPACITY: usize = 1_024;
 
 /// Interval between the heartbeats that a leader sends to its followers.
-pub const BEAT: Duration = Duration::from_millis(150);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// Number of heartbeat intervals after which a peer that sends nothing, or does not read, counts as lost.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
 /// Time after which a peer that sends nothing, or does not read, counts as lost.
-pub const PEER_TIMEOUT: Duration = BEAT.saturating_mul(MAX_MISSED_HEARTBEATS);
+pub const PEER_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(MAX_MISSED_HEARTBEATS);
 
 /// Requirements of a prompt as they are sent to the leader. The message carries remaining times instead of points in
 /// time, because the clocks of the entries differ.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PromptSpec {
     prompt_tokens: u64,
     output_tokens: u64,
     /// Time left until the first event should arrive.
@@ -53,9 +53,9 @@
     work: Option<Work>,
 }
 
-impl Ask {
+impl PromptSpec {
     /// Converts `job` for a message that is sent at `now`.
-    pub fn of(job: &planner::Job, now: Moment) -> Self {
+    pub fn from_job(job: &planner::Job, now: Moment) -> Self {
         Self {
             prompt_tokens: job.prompt,
             output_tokens: job.output,
@@ -68,7 +68,7 @@
     }
 
     /// Converts the message, received at `now`, back to a job.
-    pub fn job(&self, now: Moment) -> planner::Job {
+    pub fn to_job(&self, now: Moment) -> planner::Job {
         planner::Job {
             prompt: self.prompt_tokens,
             output: self.output_tokens,
@@ -87,7 +87,7 @@
     /// Engine that generates the answer, and the engines that help to prefill the prompt.
     pub team: Team,
     /// Time after which a first event that has not arrived probably never will, or `None` if that cannot be estimated.
-    pub silent_after: Option<Duration>,
+    pub unresponsive_after: Option<Duration>,
 }
 
 /// State of an entry's copy of a topic of the store.
@@ -102,7 +102,7 @@
 
 /// Request for changes in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct SyncRequest {
     /// Number of the request on its connection. The response to an earlier request is discarded as too old.
     pub number: u64,
     /// Offset up to which the requester has the configuration's topic, or `None` if it has no copy.
@@ -115,7 +115,7 @@
 
 /// Response to a request for changes in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
+pub struct SyncResponse {
     /// State of the sender's copy of the configuration, or `None` before its first verification, or if the requester
     /// is to ask again for the newest configuration.
     pub configuration: Option<CopyState>,
@@ -142,7 +142,7 @@
 
 /// Message from a follower to its leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Report {
+pub enum FollowerMessage {
     /// Submits a prompt that waits for engines.
     Submit {
         /// Number by which the follower identifies the prompt.
@@ -150,7 +150,7 @@
         /// Service of the prompt.
         service: Name,
         /// Requirements of the prompt.
-        ask: Ask,
+        spec: PromptSpec,
     },
     /// Reports a prompt that was granted its engines before this connection was established.
     Adopt {
@@ -159,11 +159,11 @@
         /// Service of the prompt.
         service: Name,
         /// Requirements of the prompt.
-        ask: Ask,
+        spec: PromptSpec,
         /// Engines that are assigned to the prompt.
         team: Team,
         /// Whether the prompt is still in prefill: its first event has not arrived.
-        reading: bool,
+        is_prefilling: bool,
     },
     /// Reports the first event of a prompt: its prefill is complete.
     FirstEvent {
@@ -173,7 +173,7 @@
         service: Name,
     },
     /// Reports that the engines of a prompt sent no first event in time, so that the prompt is sent to others.
-    Silent {
+    Unresponsive {
         /// Number by which the follower identifies the prompt.
         number: u64,
         /// Service of the prompt.
@@ -194,55 +194,55 @@
         engine: Name,
     },
     /// Requests the changes in the store from the leader.
-    Sync(Question),
-    /// Answers [`Order::Sync`] of a leader that is cut off from the store.
-    Update {
+    SyncRequest(SyncRequest),
+    /// Answers [`LeaderMessage::SyncRequest`] of a leader that is cut off from the store.
+    SyncResponse {
         /// Number of the request.
         number: u64,
         /// Changes in the store.
-        update: Update,
+        response: SyncResponse,
     },
     /// Quarantine events: requests that are suspected or known to terminate replicas.
-    Quarantine(Vec<Told>),
+    Quarantine(Vec<RelayedEvent>),
     /// Reports of the rate limits that replicas announced.
     Limits(Vec<limit::News>),
     /// Requests a permit at one of several replicas, all of which announced rate limits.
-    Turn {
+    PermitRequest {
         /// Number by which the follower identifies the permit request.
         number: u64,
         /// Candidate replicas, the best first.
         replicas: Vec<Name>,
         /// Longest acceptable wait for the permit.
-        most_wait: Duration,
+        max_wait: Duration,
     },
-    /// Reports the result of a delegated read ([`Order::Read`]).
-    Read {
+    /// Reports the result of a delegated read ([`LeaderMessage::DelegatedRead`]).
+    DelegatedRead {
         /// Number of the delegated read.
         number: u64,
         /// Changes in the store.
-        update: Update,
+        response: SyncResponse,
     },
     /// Asks the leader to announce the sender in the store.
     Announce(Announcement),
     /// Reports that the sender's process was suspended for this time: the events that it reports next may be that
     /// much older.
-    Absent(Duration),
+    Suspended(Duration),
     /// Runs of replicas that reported that they are draining.
-    Leaving(Vec<Leaver>),
+    Draining(Vec<Leaver>),
     /// Reports that an engine refused a request of the sender and asked it to back off.
-    Rests {
+    EngineBackoff {
         /// Service of the engine.
         service: Name,
         /// Engine that asked for backoff.
         engine: Name,
         /// Remaining backoff time.
-        rest: Duration,
+        backoff: Duration,
     },
 }
 
 /// Message from a leader to a follower, or from an entry that redirects the other one to its leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Order {
+pub enum LeaderMessage {
     /// Greets the entry that connected. This is the first message on a connection.
     Welcome {
         /// Incarnation of the sender's process.
@@ -264,17 +264,17 @@
         /// Time after which the caller should retry.
         retry_after: Duration,
     },
-    /// Answers [`Report::Sync`].
-    Update {
+    /// Answers [`FollowerMessage::SyncRequest`].
+    SyncResponse {
         /// Number of the request.
         number: u64,
         /// Changes in the store.
-        update: Update,
+        response: SyncResponse,
     },
     /// Requests the changes in the store from a follower, because the leader's own copy is too old.
-    Sync(Question),
+    SyncRequest(SyncRequest),
     /// Delegates a read of the store, which does not answer the leader, to the receiver.
-    Read(Question),
+    DelegatedRead(SyncRequest),
     /// Confirms that the store has the receiver's announcement.
     Announced,
     /// Heartbeat of the leader.
@@ -283,23 +283,23 @@
         entry_count: usize,
     },
     /// Quarantine events: requests that are suspected or known to terminate replicas.
-    Quarantine(Vec<Told>),
+    Quarantine(Vec<RelayedEvent>),
     /// Reports of the rate limits that replicas announced.
     Limits(Vec<limit::News>),
-    /// Answers [`Report::Turn`].
-    Turn {
+    /// Answers [`FollowerMessage::PermitRequest`].
+    Permit {
         /// Number of the permit request.
         number: u64,
         /// Permit, or the time after which one would be available.
-        turn: Result<Turn, Duration>,
+        permit: Result<Permit, Duration>,
     },
     /// Runs of replicas that reported that they are draining.
-    Leaving(Vec<Leaver>),
+    Draining(Vec<Leaver>),
 }
 
 /// Permit to send one request to a replica that announced a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct Permit {
     /// Replica to which the request is sent.
     pub replica: Name,
     /// Delay after which the request may be sent.
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -15,7 +15,7 @@
 use platform::store::{self, Client};
 use serde::{Deserialize, Serialize};
 
-use super::link::{Order, PeerConnection};
+use super::peer_protocol::{LeaderMessage, PeerConnection};
 use super::now;
 use crate::{event, metric, util, warn_event};
 
@@ -52,7 +52,7 @@
     /// Address at which the leader listens for other entries.
     pub address: SocketAddr,
     /// Connection to the leader, after the handshake.
-    pub link: PeerConnection,
+    pub connection: PeerConnection,
 }
 
 /// Result of connecting to an entry: the connection and the content of the first message.
@@ -74,8 +74,8 @@
 /// Reads all announced entries from the store, in the succession order, and logs the rank of the entry that listens at
 /// `own_address`. Returns `None` and logs the error if the store does not answer.
 pub async fn list_announced(client: &mut Client, own_address: Option<SocketAddr>) -> Option<Vec<Peer>> {
-    let outcome = client.newest(store::PEERS, STORE_TIMEOUT).await;
-    metric::store_calls("newest", store::PEERS, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
+    let outcome = client.read_compacted(store::PEERS_TOPIC, STORE_TIMEOUT).await;
+    metric::store_calls("newest", store::PEERS_TOPIC, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
     match outcome {
         Ok(snapshot) => {
             let mut peers: Vec<Peer> = snapshot.records.iter().filter_map(decode_announcement).collect();
@@ -92,7 +92,7 @@
 }
 
 /// Decodes an announcement. Returns `None` if its address cannot be parsed or its record was removed.
-fn decode_announcement(record: &store::Keyed) -> Option<Peer> {
+fn decode_announcement(record: &store::KeyedRecord) -> Option<Peer> {
     let value = String::from_utf8_lossy(record.value.as_ref()?).into_owned();
     let (incarnation, capacity) = value.split_once(' ').unwrap_or((&value, ""));
     // An entry whose announcement has no capacity ranks last.
@@ -182,10 +182,10 @@
 /// that can neither lead nor redirect closes the connection instead of sending a message.
 async fn connect_and_greet(address: SocketAddr) -> Option<Handshake> {
     let handshake = async {
-        let mut link = PeerConnection::new(connect(address).await?);
-        match link.receive::<Order>().await? {
-            Order::Welcome { incarnation, leader } => {
-                Ok(Handshake { connection: LeaderConnection { address, link }, incarnation, leader })
+        let mut connection = PeerConnection::new(connect(address).await?);
+        match connection.receive::<LeaderMessage>().await? {
+            LeaderMessage::Welcome { incarnation, leader } => {
+                Ok(Handshake { connection: LeaderConnection { address, connection }, incarnation, leader })
             }
             other => Err(eyre!("step=greet: unexpected message {other:?}")),
         }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -8,10 +8,10 @@
 use coord::quarantine::{News, Weight, Work};
 use coord::roster::Record;
 use coord::time::Moment;
-use platform::connection::Liveness;
+use platform::connection::ProbeResult;
 use tokio::sync::oneshot;
 
-use super::super::attempt;
+use super::super::upstream;
 use super::super::now;
 use super::super::state::Gateway;
 use super::{Source, apply_events};
@@ -52,7 +52,7 @@
             // If the probe took too long, the receiver has timed out.
             let _ = first_probe_done.send(());
             for delay in REPROBE_DELAYS {
-                if result != Liveness::Listening {
+                if result != ProbeResult::Listening {
                     return;
                 }
                 tokio::time::sleep(delay).await;
@@ -64,10 +64,10 @@
     }
 
     /// Probes the replica once.
-    async fn probe_once(&self, gateway: &Gateway) -> Liveness {
-        let result = attempt::liveness(&self.record).await;
+    async fn probe_once(&self, gateway: &Gateway) -> ProbeResult {
+        let result = upstream::probe_process(&self.record).await;
         event!("probe", request = %self.request, work = %self.fingerprint, peer = %self.record.id, liveness = result.as_str());
-        if result == Liveness::Ended {
+        if result == ProbeResult::Ended {
             self.record_termination(gateway);
         }
         result
@@ -80,7 +80,7 @@
             return;
         }
         let span = Span { after: self.sent_at, by: now() };
-        let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.born, span);
+        let (run, is_new) = gateway.quarantine.terminations.borrow_mut().saw(&self.record.id, self.record.born, span);
         if is_new {
             metric::replica_ended();
         }
@@ -91,9 +91,9 @@
 
 /// Bounds the number of remembered terminations.
 pub(super) fn forget_removed_replicas(gateway: &Gateway) {
-    let mut ends = gateway.quarantine.ends.borrow_mut();
-    if ends.replicas() > MAX_REPLICAS_WITH_TERMINATIONS {
+    let mut terminations = gateway.quarantine.terminations.borrow_mut();
+    if terminations.replicas() > MAX_REPLICAS_WITH_TERMINATIONS {
         let roster = gateway.roster.borrow();
-        ends.keep(|replica| roster.get(replica).is_some());
+        terminations.keep(|replica| roster.get(replica).is_some());
     }
 }
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -7,7 +7,7 @@
 mod evidence;
 pub mod record;
 pub mod store;
-mod told;
+mod relayed_event;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,11 +17,11 @@
 use tokio::sync::{Notify, watch};
 
 pub use self::evidence::LostConnection;
-use self::record::Entry;
-pub use self::told::Told;
-use super::link::{Order, Report};
+use self::record::Record;
+pub use self::relayed_event::RelayedEvent;
+use super::peer_protocol::{LeaderMessage, FollowerMessage};
 use super::state::Gateway;
-use super::topic::Topic;
+use super::topic::TopicState;
 use crate::{event, metric, util, warn_event};
 
 /// Maximum number of events in a message. An event has about 75 bytes, so that a message stays below 32 KB.
@@ -42,11 +42,11 @@
 pub struct Quarantine {
     register: RefCell<Register>,
     /// Read position in the quarantine topic of the store.
-    topic: Topic,
+    topic: TopicState,
     /// Contents of the store, as far as this entry has read or written them.
-    stored: RefCell<HashMap<Work, Entry>>,
+    stored: RefCell<HashMap<Work, Record>>,
     /// Terminations of replicas that this entry has observed or received.
-    ends: RefCell<Ends>,
+    terminations: RefCell<Ends>,
     /// Notified when a record may have to be written to the store.
     write_needed: Notify,
     /// Counter that increases with each verdict.
@@ -58,9 +58,9 @@
     pub fn new() -> Self {
         Self {
             register: RefCell::default(),
-            topic: Topic::default(),
+            topic: TopicState::default(),
             stored: RefCell::default(),
-            ends: RefCell::new(Ends::new(util::incarnation())),
+            terminations: RefCell::new(Ends::new(util::incarnation())),
             write_needed: Notify::new(),
             verdicts: watch::Sender::default(),
         }
@@ -77,7 +77,7 @@
         let register = self.register.borrow();
         let suspects: Vec<Work> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
         metric::quarantine(suspects.len(), register.condemned().count());
-        gateway.desk.set_suspects(suspects);
+        gateway.admission.set_suspects(suspects);
     }
 
     /// Returns whether any evidence or verdict exists against a fingerprint.
@@ -93,27 +93,27 @@
     }
 
     /// Wakes the task that writes to the store. It is called when the entry that has to write may have changed.
-    pub fn wake(&self) {
+    pub fn notify_writer(&self) {
         self.write_needed.notify_one();
     }
 
     /// Returns the full register for another entry, split into messages.
-    pub fn messages(&self) -> Vec<Vec<Told>> {
+    pub fn sync_messages(&self) -> Vec<Vec<RelayedEvent>> {
         self.register.borrow().all().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
     }
 
     /// Returns the wire form of events, with ages relative to the current time.
-    fn to_wire(&self, events: &[News]) -> Vec<Told> {
-        let ends = self.ends.borrow();
-        events.iter().map(|event| Told::from_event(event.clone(), &ends)).collect()
+    fn to_wire(&self, events: &[News]) -> Vec<RelayedEvent> {
+        let terminations = self.terminations.borrow();
+        events.iter().map(|event| RelayedEvent::from_event(event.clone(), &terminations)).collect()
     }
 }
 
 /// Applies events that another entry relays.
-pub fn receive(gateway: &Gateway, received: Vec<Told>, source: Source) {
-    let mut ends = gateway.quarantine.ends.borrow_mut();
-    let events = received.into_iter().map(|event| event.into_event(&mut ends)).collect();
-    drop(ends);
+pub fn apply_relayed_events(gateway: &Gateway, received: Vec<RelayedEvent>, source: Source) {
+    let mut terminations = gateway.quarantine.terminations.borrow_mut();
+    let events = received.into_iter().map(|event| event.into_event(&mut terminations)).collect();
+    drop(terminations);
     evidence::forget_removed_replicas(gateway);
     apply_events(gateway, events, source);
 }
@@ -121,8 +121,8 @@
 /// Applies events, and relays the ones that change the register.
 fn apply_events(gateway: &Gateway, events: Vec<News>, source: Source) {
     let quarantine = &gateway.quarantine;
-    if source == Source::Own && gateway.desk.has_leader() {
-        gateway.desk.report(Report::Quarantine(quarantine.to_wire(&events)));
+    if source == Source::Own && gateway.admission.has_leader() {
+        gateway.admission.report_to_leader(FollowerMessage::Quarantine(quarantine.to_wire(&events)));
     }
     let mut changes = Vec::new();
     for event in events {
@@ -134,13 +134,13 @@
     changes.iter().for_each(|event| log_change(gateway, event));
     quarantine.update_planners(gateway);
     if source != Source::Leader {
-        gateway.desk.broadcast(&Order::Quarantine(quarantine.to_wire(&changes)));
+        gateway.admission.broadcast(&LeaderMessage::Quarantine(quarantine.to_wire(&changes)));
     }
-    quarantine.wake();
+    quarantine.notify_writer();
 }
 
 /// Records that a request with the fingerprint completed successfully.
-pub fn cleared(gateway: &Gateway, fingerprint: Work) {
+pub fn record_success(gateway: &Gateway, fingerprint: Work) {
     if gateway.quarantine.has_evidence(fingerprint) {
         apply_events(gateway, vec![News::Cleared(fingerprint)], Source::Own);
     }
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -5,7 +5,7 @@
 use coord::quarantine::{News, Register, Standing, Weight, Work};
 use coord::time::Moment;
 use eyre::{Result, WrapErr};
-use platform::store::Keyed;
+use platform::store::KeyedRecord;
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of a record that is decoded, in bytes. It is enough for the names of some dozens of replicas.
@@ -13,36 +13,36 @@
 
 /// Evidence and verdict for one request fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Record {
     /// Whether requests with the fingerprint are no longer sent.
     pub condemned: bool,
     /// Terminations of replicas during requests with the fingerprint.
-    pub ends: Vec<End>,
+    pub ends: Vec<Termination>,
 }
 
 /// A termination of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct Termination {
     /// Name of the run that terminated.
     pub run: Name,
     /// Weight of the evidence.
     pub weight: Weight,
 }
 
-impl Entry {
+impl Record {
     /// Returns the evidence and verdict of a register for a fingerprint.
-    pub fn of(register: &Register, fingerprint: Work) -> Self {
+    pub fn for_fingerprint(register: &Register, fingerprint: Work) -> Self {
         let ends = register
             .evidence(fingerprint)
             .chain(register.ends(fingerprint))
-            .map(|(run, weight)| End { run: run.clone(), weight });
+            .map(|(run, weight)| Termination { run: run.clone(), weight });
         Self { condemned: register.standing(fingerprint) == Standing::Condemned, ends: ends.collect() }
     }
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
     /// does not contain the times of the terminations.
-    pub fn with_local_run_names(self, ends: &mut Ends, now: Moment) -> Self {
-        let rename = |end: End| End { run: ends.heard(&end.run, Span::before(now)), ..end };
+    pub fn with_local_run_names(self, terminations: &mut Ends, now: Moment) -> Self {
+        let rename = |termination: Termination| Termination { run: terminations.heard(&termination.run, Span::before(now)), ..termination };
         Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
     }
 
@@ -52,18 +52,18 @@
     }
 
     /// Returns the record as events for a register.
-    pub fn news(&self, work: Work) -> Vec<News> {
+    pub fn events(&self, fingerprint: Work) -> Vec<News> {
         if self.condemned {
-            return vec![News::Condemned(work)];
+            return vec![News::Condemned(fingerprint)];
         }
-        let to_event = |end: &End| News::Ended { work, run: end.run.clone(), weight: end.weight };
+        let to_event = |termination: &Termination| News::Ended { work: fingerprint, run: termination.run.clone(), weight: termination.weight };
         self.ends.iter().map(to_event).collect()
     }
 }
 
 /// Decodes a record of the quarantine topic into the fingerprint and its entry. The entry is `None` if the record was
 /// removed.
-pub fn decode(record: &Keyed) -> Result<(Work, Option<Entry>)> {
+pub fn decode(record: &KeyedRecord) -> Result<(Work, Option<Record>)> {
     let work = record.key.parse().wrap_err("step=decode-quarantine")?;
     let Some(value) = &record.value else { return Ok((work, None)) };
     eyre::ensure!(
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -12,13 +12,13 @@
 use coord::offset::Text;
 use coord::quarantine::{News, Register, Standing, Work};
 use eyre::Result;
-use platform::store::{Client, Keyed, QUARANTINE};
+use platform::store::{Client, KeyedRecord, QUARANTINE_TOPIC};
 
 use super::super::now;
-use super::super::reader::{Page, Reader};
+use super::super::topic_reader::{RecordBatch, TopicReader};
 use super::super::state::Gateway;
-use super::super::watch;
-use super::record::{self, Entry};
+use super::super::store_reader;
+use super::record::{self, Record};
 use super::{Source, apply_events};
 use crate::{event, metric, warn_event};
 
@@ -33,51 +33,51 @@
 struct PendingWrite {
     fingerprint: Work,
     /// New value of the record, or `None` to remove it.
-    entry: Option<Entry>,
+    record: Option<Record>,
 }
 
 /// Background task that keeps this entry synchronized with the store.
 pub async fn run(gateway: Rc<Gateway>) {
-    let mut reader = Reader::new(&gateway, QUARANTINE);
+    let mut reader = TopicReader::new(&gateway, QUARANTINE_TOPIC);
     let mut writer = Client::new(gateway.settings.store);
     loop {
-        let peer_update_deadline = gateway.first_from_others_by();
-        watch::reads_replicas(&gateway, peer_update_deadline).await;
+        let peer_update_deadline = gateway.first_read_due_at();
+        store_reader::wait_until_replica_read_due(&gateway, peer_update_deadline).await;
         let is_read = tokio::select! {
             outcome = read_changes(&gateway, &mut reader) => {
-                reader.note(&outcome);
+                reader.record_outcome(&outcome);
                 outcome.is_ok()
             }
             () = gateway.quarantine.write_needed.notified() => true,
         };
         // `write_changes` has logged its error.
         if !is_read || write_changes(&gateway, &mut writer).await.is_err() {
-            reader.back_off(&gateway, &gateway.facts.replicas).await;
+            reader.back_off(&gateway, &gateway.store_view.replicas).await;
         }
     }
 }
 
 /// Reads and applies new records.
-async fn read_changes(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
+async fn read_changes(gateway: &Gateway, reader: &mut TopicReader) -> Result<()> {
     let topic = &gateway.quarantine.topic;
-    let page = match topic.next() {
+    let batch = match topic.next_offset() {
         None => {
-            let snapshot = reader.read_all().await?;
+            let snapshot = reader.read_snapshot().await?;
             // Records that the snapshot does not contain were lost by the store, and are written again.
             gateway.quarantine.stored.borrow_mut().clear();
             Some(snapshot)
         }
-        Some(from) => reader.read_on(topic, from, LONG_POLL_TIMEOUT).await?,
+        Some(from) => reader.read_from(topic, from, LONG_POLL_TIMEOUT).await?,
     };
-    let Some(Page { records, next }) = page else { return Ok(()) };
+    let Some(RecordBatch { records, next }) = batch else { return Ok(()) };
     records.iter().for_each(|record| apply_record(gateway, record));
-    topic.advance(next);
+    topic.advance_to(next);
     Ok(())
 }
 
 /// Applies one record. A record that cannot be decoded is logged and skipped.
-fn apply_record(gateway: &Gateway, record: &Keyed) {
-    let (fingerprint, entry) = match record::decode(record) {
+fn apply_record(gateway: &Gateway, record: &KeyedRecord) {
+    let (fingerprint, record) = match record::decode(record) {
         Ok(decoded) => decoded,
         Err(error) => {
             warn_event!("quarantine-record", offset = %Text(record.offset), error = %format!("{error:#}"));
@@ -85,13 +85,13 @@
         }
     };
     let mut stored = gateway.quarantine.stored.borrow_mut();
-    let events = match entry {
-        Some(entry) => {
+    let events = match record {
+        Some(record) => {
             // The runs get the names that they have in this process. Otherwise two entries that exchange terminations
             // only through the store would each see the other's record as new and write it again forever.
-            let entry = entry.with_local_run_names(&mut gateway.quarantine.ends.borrow_mut(), now());
-            let events = entry.news(fingerprint);
-            stored.insert(fingerprint, entry);
+            let record = record.with_local_run_names(&mut gateway.quarantine.terminations.borrow_mut(), now());
+            let events = record.events(fingerprint);
+            stored.insert(fingerprint, record);
             events
         }
         // This entry has not seen a stored record that the removal could refer to, so its own evidence may be newer.
@@ -105,17 +105,17 @@
 /// Writes all new records, if this entry is the one that writes.
 async fn write_changes(gateway: &Gateway, client: &mut Client) -> Result<()> {
     while let Some(pending) = next_write(gateway) {
-        let value = pending.entry.as_ref().map_or(Ok(Vec::new()), Entry::encode)?;
+        let value = pending.record.as_ref().map_or(Ok(Vec::new()), Record::encode)?;
         let fingerprint = pending.fingerprint;
-        metric::store_calls("append", QUARANTINE, 1);
-        if let Err(error) = client.put(QUARANTINE, &fingerprint.to_string(), &value, RESPONSE_TIMEOUT).await {
+        metric::store_calls("append", QUARANTINE_TOPIC, 1);
+        if let Err(error) = client.put(QUARANTINE_TOPIC, &fingerprint.to_string(), &value, RESPONSE_TIMEOUT).await {
             warn_event!("quarantine-write", work = %fingerprint, error = %format!("{error:#}"));
             return Err(error);
         }
-        event!("quarantine-written", work = %fingerprint, condemned = pending.entry.as_ref().is_some_and(|entry| entry.condemned));
+        event!("quarantine-written", work = %fingerprint, condemned = pending.record.as_ref().is_some_and(|record| record.condemned));
         let mut stored = gateway.quarantine.stored.borrow_mut();
-        match pending.entry {
-            Some(entry) => drop(stored.insert(fingerprint, entry)),
+        match pending.record {
+            Some(record) => drop(stored.insert(fingerprint, record)),
             None => drop(stored.remove(&fingerprint)),
         }
     }
@@ -125,26 +125,26 @@
 /// Returns the next record to write. An entry that follows a leader, or has not read the topic yet, writes nothing.
 fn next_write(gateway: &Gateway) -> Option<PendingWrite> {
     let quarantine = &gateway.quarantine;
-    if gateway.desk.has_leader() || quarantine.topic.next().is_none() {
+    if gateway.admission.has_leader() || quarantine.topic.next_offset().is_none() {
         return None;
     }
     let register = quarantine.register.borrow();
     let stored = quarantine.stored.borrow();
     let is_new = |fingerprint: &Work| {
-        stored.get(fingerprint).is_none_or(|stored_entry| has_new_evidence(&register, *fingerprint, stored_entry))
+        stored.get(fingerprint).is_none_or(|stored_record| has_new_evidence(&register, *fingerprint, stored_record))
     };
-    let unwritten = register.lasting(gateway.desk.is_alone()).find(is_new);
+    let unwritten = register.lasting(gateway.admission.is_standalone()).find(is_new);
     if let Some(fingerprint) = unwritten {
-        return Some(PendingWrite { fingerprint, entry: Some(Entry::of(&register, fingerprint)) });
+        return Some(PendingWrite { fingerprint, record: Some(Record::for_fingerprint(&register, fingerprint)) });
     }
     let is_clear = |fingerprint: &&Work| {
         register.standing(**fingerprint) == Standing::Clear && register.evidence(**fingerprint).next().is_none()
     };
-    stored.keys().find(is_clear).map(|fingerprint| PendingWrite { fingerprint: *fingerprint, entry: None })
+    stored.keys().find(is_clear).map(|fingerprint| PendingWrite { fingerprint: *fingerprint, record: None })
 }
 
 /// Returns whether a register has more evidence against a fingerprint than the store.
-fn has_new_evidence(register: &Register, fingerprint: Work, stored_entry: &Entry) -> bool {
-    let local = Entry::of(register, fingerprint);
-    !stored_entry.condemned && (local.condemned || local.ends.iter().any(|end| !stored_entry.ends.contains(end)))
+fn has_new_evidence(register: &Register, fingerprint: Work, stored_record: &Record) -> bool {
+    let local = Record::for_fingerprint(register, fingerprint);
+    !stored_record.condemned && (local.condemned || local.ends.iter().any(|end| !stored_record.ends.contains(end)))
 }
--- a/sorrelpass/src/gateway/relay.rs
+++ b/sorrelpass/src/gateway/relay.rs
@@ -10,12 +10,12 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::Response;
 use hyper::body::Frame;
-use platform::dialect;
+use platform::headers;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::answer::{Answer, BodyError};
-use super::call::{Job, Opened, Place};
+use super::response::{CallerResponse, BodyError};
+use super::call::{PendingRequest, OpenResponse, ReplicaSlot};
 use super::sse::Splitter;
 use super::{now, quarantine};
 use crate::{event, metric};
@@ -46,14 +46,14 @@
 
 /// Starts relaying a stream. Returns the response with the head of the replica's response and a body that carries the
 /// events as they arrive.
-pub fn start(job: Job, opened: Opened) -> Answer {
-    let mut headers = dialect::end_to_end(opened.response.headers());
+pub fn stream_response(request: PendingRequest, opened: OpenResponse) -> CallerResponse {
+    let mut headers = headers::end_to_end(opened.response.headers());
     // A resumed stream may have another length; the chunked encoding marks its end.
     headers.remove(hyper::header::CONTENT_LENGTH);
     let status = opened.response.status();
     let (caller, receiver) = mpsc::channel::<BodyFrame>(CALLER_CHANNEL_CAPACITY);
     let relay = Relay {
-        job,
+        request,
         caller,
         splitter: Splitter::default(),
         last_event_id: None,
@@ -70,7 +70,7 @@
 
 /// Stream that is relayed to a caller from one replica, or from several in turn.
 struct Relay {
-    job: Job,
+    request: PendingRequest,
     /// Channel of frames for the caller.
     caller: mpsc::Sender<BodyFrame>,
     splitter: Splitter,
@@ -84,14 +84,14 @@
 
 impl Relay {
     /// Relays the stream to its end, from each replica that resumes it.
-    async fn run(mut self, mut opened: Opened) {
+    async fn run(mut self, mut opened: OpenResponse) {
         loop {
             let end = self.relay_from(&mut opened).await;
-            let Opened { record, connection, place, sent, .. } = opened;
+            let OpenResponse { record, connection, slot, sent_at, .. } = opened;
             connection.close();
-            // A resumed stream gets a new place: the planner must not count the current one beside it.
-            drop(place);
-            match self.handle_end(end, &record, sent).await {
+            // A resumed stream gets a new slot: the planner must not count the current one beside it.
+            drop(slot);
+            match self.handle_end(end, &record, sent_at).await {
                 Some(next) => opened = next,
                 None => break,
             }
@@ -99,9 +99,9 @@
     }
 
     /// Relays the stream of one replica until it ends.
-    async fn relay_from(&mut self, opened: &mut Opened) -> StreamEnd {
+    async fn relay_from(&mut self, opened: &mut OpenResponse) -> StreamEnd {
         self.awaits_first_event = true;
-        let deadline = Instant::now() + self.job.left();
+        let deadline = Instant::now() + self.request.time_left();
         let mut late_since = None;
         loop {
             if Instant::now() >= deadline && late_since.get_or_insert_with(Instant::now).elapsed() > LATE_RELAY_TIMEOUT
@@ -127,23 +127,23 @@
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
             self.splitter.push(&data);
-            if !self.relay_events(&opened.place).await {
+            if !self.relay_events(&opened.slot).await {
                 return StreamEnd::CallerGone;
             }
         }
     }
 
     /// Relays the complete events that have arrived. Returns whether the caller is still connected.
-    async fn relay_events(&mut self, place: &Place) -> bool {
+    async fn relay_events(&mut self, slot: &ReplicaSlot) -> bool {
         while let Some(event) = self.splitter.next() {
             if self.event_count == 0 {
-                let after = now().since(self.job.started);
-                event!("first-event", request = %self.job.call.id, after_ms = after.as_millis());
-                metric::first_event(&self.job.route.name, after);
+                let after = now().since(self.request.started);
+                event!("first-event", request = %self.request.request_head.id, after_ms = after.as_millis());
+                metric::first_event(&self.request.route.name, after);
             }
             if self.awaits_first_event {
                 self.awaits_first_event = false;
-                place.first_event();
+                slot.first_event();
             }
             self.event_count += 1;
             self.last_event_id = event.id.or(self.last_event_id);
@@ -164,15 +164,15 @@
     }
 
     /// Logs the end of one replica's stream. Returns the stream that resumes it at another replica, if there is one.
-    async fn handle_end(&mut self, end: StreamEnd, record: &Record, sent: Moment) -> Option<Opened> {
+    async fn handle_end(&mut self, end: StreamEnd, record: &Record, sent_at: Moment) -> Option<OpenResponse> {
         let peer = &*record.id;
-        let id = self.job.call.id.clone();
-        let after_ms = now().since(self.job.started).as_millis();
+        let id = self.request.request_head.id.clone();
+        let after_ms = now().since(self.request.started).as_millis();
         match end {
             StreamEnd::Complete => {
                 event!("done", request = %id, peer, events = self.event_count, after_ms);
                 metric::request("ok");
-                quarantine::cleared(&self.job.gateway, self.job.work);
+                quarantine::record_success(&self.request.gateway, self.request.fingerprint);
                 None
             }
             StreamEnd::CallerGone => {
@@ -185,25 +185,25 @@
                 self.abort("deadline").await
             }
             StreamEnd::Interrupted(error) => {
-                event!("broke", request = %id, work = %self.job.work, peer, events = self.event_count, silent = self.awaits_first_event, after_ms, error = %error);
-                self.job.gateway.desk.failed(&self.job.service, peer);
+                event!("broke", request = %id, work = %self.request.fingerprint, peer, events = self.event_count, silent = self.awaits_first_event, after_ms, error = %error);
+                self.request.gateway.admission.record_failure(&self.request.service, peer);
                 let weight = if self.awaits_first_event { Weight::Strong } else { Weight::Faint };
-                self.job.connection_lost(record, sent, weight).await;
+                self.request.report_lost_connection(record, sent_at, weight).await;
                 self.resume().await
             }
         }
     }
 
     /// Resumes an interrupted stream at another replica. Aborts it if that is not allowed or fails.
-    async fn resume(&mut self) -> Option<Opened> {
+    async fn resume(&mut self) -> Option<OpenResponse> {
         self.splitter.clear();
-        if !self.job.may_resume() {
+        if !self.request.may_resume() {
             return self.abort("broken").await;
         }
-        let after_event = self.last_event_id.or(self.job.call.after_event);
-        let time_left = self.job.left();
+        let last_event_id = self.last_event_id.or(self.request.request_head.last_event_id);
+        let time_left = self.request.time_left();
         let opened = tokio::select! {
-            opened = tokio::time::timeout(time_left, self.job.open(after_event)) => opened,
+            opened = tokio::time::timeout(time_left, self.request.open_response(last_event_id)) => opened,
             () = self.caller.closed() => return None,
         };
         match opened {
@@ -213,8 +213,8 @@
     }
 
     /// Aborts the stream by closing the caller's connection, so that the caller does not take it for a complete stream.
-    async fn abort(&mut self, code: &'static str) -> Option<Opened> {
-        event!("give-up", request = %self.job.call.id, code, ran = "partial", events = self.event_count);
+    async fn abort(&mut self, code: &'static str) -> Option<OpenResponse> {
+        event!("give-up", request = %self.request.request_head.id, code, ran = "partial", events = self.event_count);
         metric::request(code);
         // Fails only if the caller has closed its connection.
         let _ = self.caller.send(Err(BodyError)).await;
--- a/sorrelpass/src/gateway/place.rs
+++ b/sorrelpass/src/gateway/replica_picker.rs
@@ -16,12 +16,12 @@
 
 /// Weight of an error response as a failure of the replica. Some services fail one valid request in seven, so only
 /// several error responses within seconds open the breaker.
-pub const ERROR_ANSWER: f64 = 0.25;
+pub const ERROR_RESPONSE_WEIGHT: f64 = 0.25;
 /// Weight of a refusal. That a refused request was not executed is no fault of the replica; but a replica that
 /// refuses at once always has the fewest requests and would otherwise get all new ones.
-pub const REFUSAL: f64 = 0.5;
+pub const REFUSAL_WEIGHT: f64 = 0.5;
 /// Weight of a missing response, or of a response that belongs to another request.
-pub const NO_ANSWER: f64 = 1.0;
+pub const NO_RESPONSE_WEIGHT: f64 = 1.0;
 
 /// Load of one replica as this entry knows it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,7 +33,7 @@
 }
 
 /// Selects replicas and tracks their load and failures.
-pub struct Placer {
+pub struct ReplicaPicker {
     local_failure_domain: Name,
     /// Whether replicas in the local failure domain are preferred among equally loaded ones.
     prefers_local: bool,
@@ -43,8 +43,8 @@
     breakers: HashMap<Name, Breaker>,
 }
 
-impl Placer {
-    /// Creates a placer for an entry in the given failure domain.
+impl ReplicaPicker {
+    /// Creates a picker for an entry in the given failure domain.
     pub fn new(local_failure_domain: Name, policy: &config::Policy) -> Self {
         Self {
             local_failure_domain,
@@ -95,7 +95,7 @@
     }
 
     /// Records a failed request at a replica. `share`, from 0 to 1, is the weight of the failure.
-    pub fn failed(&mut self, replica: &Name, share: f64) {
+    pub fn record_failure(&mut self, replica: &Name, share: f64) {
         if !self.has_breakers {
             return;
         }
@@ -105,7 +105,7 @@
     }
 
     /// Records a successful request at a replica.
-    pub fn succeeded(&mut self, replica: &Name) {
+    pub fn record_success(&mut self, replica: &Name) {
         if let Some(breaker) = self.breakers.get_mut(replica) {
             breaker.succeeded(now());
         }
@@ -120,7 +120,7 @@
     }
 
     /// Records the start of a request at a replica.
-    pub fn begin(&mut self, replica: &Name) {
+    pub fn begin_request(&mut self, replica: &Name) {
         if let Some(breaker) = self.breakers.get_mut(replica) {
             breaker.begin(now());
         }
@@ -128,14 +128,14 @@
     }
 
     /// Records the end of a request at a replica.
-    pub fn end(&mut self, replica: &Name) {
+    pub fn end_request(&mut self, replica: &Name) {
         if let Some(load) = self.loads.get_mut(replica) {
             load.own_requests = load.own_requests.saturating_sub(1);
         }
     }
 
     /// Records the number of requests that a replica reported as its load.
-    pub fn told(&mut self, replica: &Name, load: u32) {
+    pub fn record_load(&mut self, replica: &Name, load: u32) {
         self.loads.entry(replica.clone()).or_default().reported_requests = load;
     }
 }
--- a/sorrelpass/src/gateway/hold.rs
+++ b/sorrelpass/src/gateway/reservation.rs
@@ -11,7 +11,7 @@
 
 use coord::name::Name;
 use futures_util::future::join_all;
-use platform::memory::{self, Outcome};
+use platform::memory::{self, ReserveOutcome};
 use tokio::task::JoinHandle;
 
 use crate::{event, util, warn_event};
@@ -42,7 +42,7 @@
 }
 
 /// Reservation of memory at several engines. Dropping it releases all parts.
-pub struct Hold {
+pub struct Reservation {
     /// One part for each engine.
     parts: Vec<Rc<Part>>,
     renewals: Vec<JoinHandle<()>>,
@@ -50,18 +50,18 @@
 
 /// Reserves memory for `request` at engines, given by address and number of tokens, for the time `lifetime`, and
 /// renews the reservation until it is dropped. Returns `None` if an engine refuses or does not answer.
-pub async fn take(request: &Name, demands: Vec<(Name, u64)>, lifetime: Duration) -> Option<Hold> {
+pub async fn acquire(request: &Name, demands: Vec<(Name, u64)>, lifetime: Duration) -> Option<Reservation> {
     let parts: Vec<Rc<Part>> = demands.into_iter().map(|(engine, tokens)| Rc::new(new_part(engine, tokens))).collect();
-    let mut hold = Hold { parts, renewals: Vec::new() };
-    let outcomes = join_all(hold.parts.iter().map(|part| part.reserve(lifetime))).await;
+    let mut reservation = Reservation { parts, renewals: Vec::new() };
+    let outcomes = join_all(reservation.parts.iter().map(|part| part.reserve(lifetime))).await;
     let held = outcomes.iter().filter(|is_reserved| **is_reserved).count();
-    event!("memory", request = %request, engines = outcomes.len(), held, tokens = hold.tokens());
+    event!("memory", request = %request, engines = outcomes.len(), held, tokens = reservation.tokens());
     if held < outcomes.len() {
         return None;
     }
     let renew = |part: &Rc<Part>| tokio::task::spawn_local(part.clone().keep_renewing(lifetime));
-    hold.renewals = hold.parts.iter().map(renew).collect();
-    Some(hold)
+    reservation.renewals = reservation.parts.iter().map(renew).collect();
+    Some(reservation)
 }
 
 /// Creates a part with a new id. The id contains the incarnation of this process, so that no other incarnation renews
@@ -71,7 +71,7 @@
     Part { engine, id: format!("{}-{number}", util::incarnation()).into(), tokens, is_uncertain: Cell::new(false) }
 }
 
-impl Hold {
+impl Reservation {
     /// Returns the id of the part at `engine`, or `None` if the reservation does not include that engine.
     pub fn id(&self, engine: &str) -> Option<Name> {
         self.parts.iter().find(|part| *part.engine == *engine).map(|part| part.id.clone())
@@ -82,7 +82,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
         for renewal in &self.renewals {
             renewal.abort();
@@ -97,8 +97,8 @@
     /// Reserves the memory, or renews its reservation. Returns whether the memory is reserved.
     async fn reserve(&self, lifetime: Duration) -> bool {
         match memory::reserve(&self.engine, &self.id, self.tokens, lifetime, RESPONSE_TIMEOUT).await {
-            Ok(Outcome::Held) => true,
-            Ok(Outcome::NotFree) => false,
+            Ok(ReserveOutcome::Reserved) => true,
+            Ok(ReserveOutcome::Insufficient) => false,
             Err(error) => {
                 self.is_uncertain.set(true);
                 warn_event!("memory", peer = %self.engine, id = %self.id, error = %format!("{error:#}"));
--- a/sorrelpass/src/gateway/answer.rs
+++ b/sorrelpass/src/gateway/response.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::Response;
 use hyper::header::{CONNECTION, HeaderValue};
-use platform::dialect;
+use platform::headers;
 
 use crate::failure::Failure;
 
@@ -27,23 +27,23 @@
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
 /// HTTP response to a caller.
-pub type Answer = Response<Body>;
+pub type CallerResponse = Response<Body>;
 
 /// Wraps bytes that are completely buffered into a response body.
-pub fn full(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Builds the error response for `failure`. The response carries the caller's request id and, if the failure has one,
 /// the `retry-after` header.
-pub fn failure(failure: Failure, id: &str) -> Answer {
+pub fn error_response(failure: Failure, id: &str) -> CallerResponse {
     let retry_after = failure.retry_after;
     let mut response = failure.into_response().map(|body| body.map_err(|_| BodyError).boxed_unsync());
-    dialect::own_answer(response.headers_mut(), id, retry_after);
+    headers::set_response_headers(response.headers_mut(), id, retry_after);
     response
 }
 
 /// Sets `connection: close`, so that the caller does not reuse the connection.
-pub fn close_after(answer: &mut Answer) {
+pub fn close_after(answer: &mut CallerResponse) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/sorrelpass/src/gateway/server.rs
+++ b/sorrelpass/src/gateway/server.rs
@@ -86,7 +86,7 @@
     tokio::select! {
         // The caller may close its connection during a request, which is not an error of this process.
         _ = serving.as_mut() => return,
-        () = gateway.reached(Phase::Closing) => {}
+        () = gateway.wait_for_phase(Phase::Closing) => {}
         () = wait_until_idle(&gateway, &activity) => {}
     }
     serving.as_mut().graceful_shutdown();
--- a/sorrelpass/src/gateway/slowdown.rs
+++ b/sorrelpass/src/gateway/slowdown.rs
@@ -8,7 +8,7 @@
 
 use coord::name::Name;
 use futures_util::{StreamExt, stream};
-use platform::pace::Client;
+use platform::slowdown::Client;
 
 use super::state::Gateway;
 
@@ -34,9 +34,9 @@
     // Open connections by engine name.
     let mut clients: HashMap<Name, Client> = HashMap::new();
     loop {
-        tokio::time::sleep(if gateway.desk.has_leader() { FOLLOWER_CHECK_INTERVAL } else { LEADER_CHECK_INTERVAL })
+        tokio::time::sleep(if gateway.admission.has_leader() { FOLLOWER_CHECK_INTERVAL } else { LEADER_CHECK_INTERVAL })
             .await;
-        let due = gateway.desk.to_ask().into_iter();
+        let due = gateway.admission.engines_to_poll().into_iter();
         let queries: Vec<Query> = due.filter_map(|due| prepare_query(&gateway, &mut clients, due)).collect();
         if queries.is_empty() {
             continue;
@@ -54,7 +54,7 @@
     clients: &mut HashMap<Name, Client>,
     (service, engine): (Name, Name),
 ) -> Option<Query> {
-    if gateway.rests.is_resting(&engine) {
+    if gateway.backoffs.is_backing_off(&engine) {
         return None;
     }
     let address = gateway.roster.borrow().get(&engine)?.record.address.clone();
@@ -66,8 +66,8 @@
 async fn send_query(gateway: &Gateway, query: Query) -> Option<(Name, Client)> {
     let Query { service, engine, mut client } = query;
     match client.read(RESPONSE_TIMEOUT).await {
-        Ok(pace) => {
-            gateway.desk.note_pace(&service, &engine, pace);
+        Ok(slowdown) => {
+            gateway.admission.record_slowdown(&service, &engine, slowdown);
             Some((engine, client))
         }
         Err(error) => {
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -15,14 +15,14 @@
 use coord::time::Moment;
 use tokio::sync::watch;
 
-use super::belief::STORE_RECOVERY_GRACE;
-use super::desk::Desk;
+use super::ingest::STORE_RECOVERY_GRACE;
+use super::admission::Queue;
 use super::limits::{self, Limits};
 use super::membership::Membership;
 use super::now;
-use super::place::Placer;
+use super::replica_picker::ReplicaPicker;
 use super::quarantine::Quarantine;
-use super::rests::Rests;
+use super::backoff::Backoffs;
 use super::store_view::StoreView;
 use crate::config::{self, Bounds};
 
@@ -82,7 +82,7 @@
     bounds: Cell<Bounds>,
     table: RefCell<Arc<Table>>,
     /// Copy of the store's topics.
-    pub facts: StoreView,
+    pub store_view: StoreView,
     /// Successors and announcements of entries.
     pub membership: Membership,
     /// Known replicas of all services.
@@ -90,15 +90,15 @@
     /// Failure domains that operators have evacuated.
     pub evacuations: RefCell<evacuation::Register>,
     /// Selects replicas of plain services.
-    pub placer: RefCell<Placer>,
+    pub replica_picker: RefCell<ReplicaPicker>,
     /// Queue of prompts that wait for engines.
-    pub desk: Rc<Desk>,
+    pub admission: Rc<Queue>,
     /// Fingerprints of requests that are suspected or known to terminate replicas.
     pub quarantine: Quarantine,
     /// Rate limits that replicas announced.
     pub limits: Limits,
     /// Replicas that asked this entry to back off.
-    pub rests: Rests,
+    pub backoffs: Backoffs,
     /// Retry budgets by service.
     retry_budgets: RefCell<HashMap<Name, Windowed>>,
     /// Largest number of entries that was observed, at least [`MIN_ENTRY_COUNT`].
@@ -114,25 +114,25 @@
 impl Gateway {
     /// Creates the state of an entry that has no configuration and no replicas yet.
     pub fn new(settings: config::Gateway) -> Self {
-        let placer = Placer::new(settings.process.failure_domain.clone(), &settings.policy);
-        let desk = Desk::new(settings.policy.planner);
+        let replica_picker = ReplicaPicker::new(settings.process.failure_domain.clone(), &settings.policy);
+        let admission = Queue::new(settings.policy.planner);
         let bounds = Cell::new(settings.bounds);
         let is_searching_reader = settings.peer_listen.is_some();
-        let facts = StoreView::new(settings.link_mbps);
+        let store_view = StoreView::new(settings.link_mbps);
         Self {
             started_at: now(),
             settings,
             bounds,
             table: RefCell::default(),
-            facts,
+            store_view,
             membership: Membership::default(),
             roster: RefCell::default(),
             evacuations: RefCell::default(),
-            placer: RefCell::new(placer),
-            desk,
+            replica_picker: RefCell::new(replica_picker),
+            admission,
             quarantine: Quarantine::new(),
             limits: Limits::default(),
-            rests: Rests::default(),
+            backoffs: Backoffs::default(),
             retry_budgets: RefCell::default(),
             entry_count: Cell::new(MIN_ENTRY_COUNT),
             era: Cell::default(),
@@ -143,9 +143,9 @@
     }
 
     /// Waits for the first configuration and replica records, until [`INITIAL_SYNC_TIMEOUT`] after the start.
-    pub async fn learn(&self) {
+    pub async fn wait_until_synced(&self) {
         if self.settings.policy.learning {
-            self.facts.wait_until_complete(self.started_at + INITIAL_SYNC_TIMEOUT).await;
+            self.store_view.wait_until_complete(self.started_at + INITIAL_SYNC_TIMEOUT).await;
         }
     }
 
@@ -157,7 +157,7 @@
     /// Puts new bounds in force. Existing retry budgets keep their counts and their retry share.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.bounds.set(bounds);
-        self.facts.wake_readers();
+        self.store_view.wake_readers();
     }
 
     /// Returns the routing table that is in force.
@@ -175,7 +175,7 @@
     }
 
     /// Removes the replica `id` after a response showed that another replica now has its address.
-    pub fn displaced(&self, id: &str) {
+    pub fn remove_displaced(&self, id: &str) {
         if self.roster.borrow_mut().displaced(id).is_some() {
             crate::event!("replica", peer = id, standing = "displaced");
             self.refresh_engines();
@@ -184,21 +184,21 @@
 
     /// Discards the load, failures, limit and backoff of a replica that was restarted under the same id: they belong
     /// to its previous run.
-    pub fn restarted(&self, id: &Name) {
-        self.placer.borrow_mut().forget(id);
-        self.limits.restarted(id);
-        self.rests.forget(id);
+    pub fn reset_replica(&self, id: &Name) {
+        self.replica_picker.borrow_mut().forget(id);
+        self.limits.reset_replica(id);
+        self.backoffs.forget(id);
         let service = self.roster.borrow().get(id).map(|replica| replica.record.service.clone());
         if let Some(service) = service {
-            self.desk.restarted(&service, id);
+            self.admission.reset_engine(&service, id);
         }
     }
 
     /// Returns the record of a replica if this entry may send it new requests now: the replica accepts work, its
     /// failure domain is not evacuated, and it has not asked this entry to back off.
-    pub fn open_replica(&self, id: &str) -> Option<Record> {
+    pub fn available_replica(&self, id: &str) -> Option<Record> {
         let roster = self.roster.borrow();
-        roster.usable_one(id).filter(|_| !self.rests.is_resting(id)).cloned()
+        roster.usable_one(id).filter(|_| !self.backoffs.is_backing_off(id)).cloned()
     }
 
     /// Updates the engines of each service in the admission queue, and the rate limits.
@@ -207,37 +207,37 @@
         for service in self.table().services() {
             let Some(profile) = &service.engine else { continue };
             let engines = roster.usable(&service.name).map(|record| record.id.clone());
-            self.desk.set_engines(&service.name, profile, engines);
+            self.admission.set_engines(&service.name, profile, engines);
         }
         limits::apply(self);
     }
 
     /// Returns the age of the read that verified the configuration, in milliseconds, or `None` if it was never
     /// verified.
-    pub fn proof_age_ms(&self) -> Option<u128> {
-        self.facts.configuration.age().map(|age| age.as_millis())
+    pub fn verification_age_ms(&self) -> Option<u128> {
+        self.store_view.configuration.age().map(|age| age.as_millis())
     }
 
     /// Returns whether API keys may be accepted. That requires a recent verification of the configuration, or any
     /// verification if the deployment lets revoked keys stay valid during an outage of the store.
-    pub fn proof_holds(&self) -> bool {
-        if self.bounds().revoke_strict { self.has_recent_proof() } else { self.facts.configuration.age().is_some() }
+    pub fn is_verification_valid(&self) -> bool {
+        if self.bounds().revoke_strict { self.is_recently_verified() } else { self.store_view.configuration.age().is_some() }
     }
 
     /// Returns whether the configuration was verified so recently that no accepted key can have been revoked for
     /// longer than the `revoke` bound.
-    pub fn has_recent_proof(&self) -> bool {
+    pub fn is_recently_verified(&self) -> bool {
         let max_age = self.bounds().revoke.mul_f64(VERIFICATION_VALID_SHARE);
-        self.facts.configuration.is_verified_within(max_age)
+        self.store_view.configuration.is_verified_within(max_age)
     }
 
     /// Returns whether another entry reads the store for this one, or one that might do so is being searched for.
     pub fn has_reader(&self) -> bool {
-        self.settings.policy.passing_on && (self.desk.has_leader() || self.is_searching_reader.get())
+        self.settings.policy.passing_on && (self.admission.has_leader() || self.is_searching_reader.get())
     }
 
     /// Returns the time until which an entry without any data waits for another entry's data before it reads the store.
-    pub fn first_from_others_by(&self) -> Moment {
+    pub fn first_read_due_at(&self) -> Moment {
         self.started_at + if self.joins_via_seeds() { JOINING_FIRST_READ_DELAY } else { SEED_FIRST_READ_DELAY }
     }
 
@@ -277,7 +277,7 @@
         let Some(before) = current else { return };
         crate::event!("era", era, before);
         self.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
-        self.membership.doubt_announcements();
+        self.membership.invalidate_announcements();
     }
 
     /// Sets whether this entry is searching for another entry that reads the store for it.
@@ -285,20 +285,20 @@
         self.is_searching_reader.set(is_searching);
         if !is_searching {
             // This entry may have to read the store itself now.
-            self.facts.wake_readers();
+            self.store_view.wake_readers();
         }
     }
 
     /// Returns whether the entry may answer that a route or key does not exist: the routing table is recent enough to
     /// contain everything that must be in force by now.
-    pub fn may_deny(&self) -> bool {
+    pub fn can_reject_unknown(&self) -> bool {
         let max_age = self.bounds().config_apply.mul_f64(NEGATIVE_ANSWER_SHARE);
-        self.facts.configuration.is_verified_within(max_age)
+        self.store_view.configuration.is_verified_within(max_age)
     }
 
     /// Returns whether the load balancer should send callers to this entry.
     pub fn is_ready(&self) -> bool {
-        self.phase() == Phase::Serving && self.proof_holds()
+        self.phase() == Phase::Serving && self.is_verification_valid()
     }
 
     /// Enters a phase, and wakes the tasks that wait for it.
@@ -308,7 +308,7 @@
     }
 
     /// Waits until the process is in `phase` or a later one.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         // Fails only if the sender was dropped, and `self` owns the sender.
         let _ = self.phase.subscribe().wait_for(|current| *current >= phase).await;
     }
@@ -330,12 +330,12 @@
     }
 
     /// Records the first send of a request to a service, which adds to the service's retry budget.
-    pub fn note_first(&self, service: &Name) {
+    pub fn record_first_send(&self, service: &Name) {
         self.with_retry_budget(service, |budget| budget.earn(now()));
     }
 
     /// Takes a retry out of the service's retry budget. Returns whether the budget allows it.
-    pub fn take_retry(&self, service: &Name) -> bool {
+    pub fn charge_retry(&self, service: &Name) -> bool {
         self.with_retry_budget(service, |budget| budget.spend(now()))
     }
 
--- a/sorrelpass/src/gateway/watch.rs
+++ b/sorrelpass/src/gateway/store_reader.rs
@@ -10,13 +10,13 @@
 use coord::roster::Sighting;
 use coord::time::Moment;
 use eyre::{Result, eyre};
-use platform::store::Keyed;
-use platform::{replica, table};
+use platform::store::KeyedRecord;
+use platform::{replica, configuration};
 
-use super::belief::{ApplyOutcome, STORE_RECOVERY_GRACE, Source};
-use super::reader::{MIN_RETRY_DELAY, Reader};
+use super::ingest::{ApplyOutcome, STORE_RECOVERY_GRACE, Source};
+use super::topic_reader::{MIN_RETRY_DELAY, TopicReader};
 use super::state::Gateway;
-use super::{belief, delegates, now};
+use super::{ingest, delegates, now};
 use crate::config::Bounds;
 use crate::warn_event;
 
@@ -66,70 +66,70 @@
 /// Returns whether this entry's copy of the store is so old that a follower would read the store itself.
 pub fn is_store_view_stale(gateway: &Gateway) -> bool {
     let max_age = max_configuration_age(&gateway.bounds());
-    !are_replicas_fresh(gateway) || !gateway.facts.configuration.is_verified_within(max_age)
+    !are_replicas_fresh(gateway) || !gateway.store_view.configuration.is_verified_within(max_age)
 }
 
 /// Returns whether the copy of the replicas' records was verified recently, by a read here or at another entry.
 pub fn are_replicas_fresh(gateway: &Gateway) -> bool {
-    gateway.facts.replicas.is_verified_within(max_replicas_age(&gateway.bounds()))
+    gateway.store_view.replicas.is_verified_within(max_replicas_age(&gateway.bounds()))
 }
 
 /// Waits until this entry must read the replicas' records itself: no other entry reads them for this one, or the copy
 /// is too old. Before the first copy, waits until `first_read_by` at most.
-pub async fn reads_replicas(gateway: &Gateway, first_read_by: Moment) {
+pub async fn wait_until_replica_read_due(gateway: &Gateway, first_read_by: Moment) {
     let max_age = max_replicas_age(&gateway.bounds());
-    gateway.facts.wait_until_read_due(&gateway.facts.replicas, max_age, first_read_by, || gateway.has_reader()).await;
+    gateway.store_view.wait_until_read_due(&gateway.store_view.replicas, max_age, first_read_by, || gateway.has_reader()).await;
 }
 
 /// Keeps the routing table up to date until the process ends.
 pub async fn poll_configuration(gateway: Rc<Gateway>) {
-    let mut reader = Reader::new(&gateway, table::TOPIC);
+    let mut reader = TopicReader::new(&gateway, configuration::TOPIC);
     loop {
         let max_age = max_configuration_age(&gateway.bounds());
-        let first_read_by = gateway.first_from_others_by();
+        let first_read_by = gateway.first_read_due_at();
         gateway
-            .facts
-            .wait_until_read_due(&gateway.facts.configuration, max_age, first_read_by, || gateway.has_reader())
+            .store_view
+            .wait_until_read_due(&gateway.store_view.configuration, max_age, first_read_by, || gateway.has_reader())
             .await;
         let outcome = read_configuration(&gateway, &mut reader).await;
-        if reader.note(&outcome) {
+        if reader.record_outcome(&outcome) {
             // The store has recovered, so the replicas' records can be read again too.
-            gateway.facts.wake_readers();
+            gateway.store_view.wake_readers();
         }
         if outcome.is_err() {
-            gateway.facts.configuration.set_read_requested(false);
+            gateway.store_view.configuration.set_read_requested(false);
             delegates::delegate(&gateway);
-            reader.back_off(&gateway, &gateway.facts.configuration).await;
+            reader.back_off(&gateway, &gateway.store_view.configuration).await;
         }
     }
 }
 
 /// Reads and applies the new records of the configuration's topic. Marks the copy as verified unless the newest
 /// configuration cannot be decoded or is missing.
-async fn read_configuration(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
-    let topic = &gateway.facts.configuration;
+async fn read_configuration(gateway: &Gateway, reader: &mut TopicReader) -> Result<()> {
+    let topic = &gateway.store_view.configuration;
     // A copy that is too old for followers must be verified at once, so this read is no long poll.
     let is_stale =
         topic.is_read_requested() || topic.time_until_stale(max_configuration_age(&gateway.bounds())).is_zero();
     let poll_timeout = if is_stale { Duration::ZERO } else { long_poll_timeout(&gateway.bounds()) };
     let sent_at = now();
-    let is_snapshot = topic.next().is_none();
-    let page = match topic.next() {
-        None => reader.read_all().await?,
-        Some(from) => match reader.read_on(topic, from, poll_timeout).await? {
-            Some(page) => page,
+    let is_snapshot = topic.next_offset().is_none();
+    let batch = match topic.next_offset() {
+        None => reader.read_snapshot().await?,
+        Some(from) => match reader.read_from(topic, from, poll_timeout).await? {
+            Some(batch) => batch,
             None => return Ok(()),
         },
     };
-    gateway.observe_era(page.next);
-    belief::apply_evacuation_records(gateway, &page, is_snapshot);
+    gateway.observe_era(batch.next);
+    ingest::apply_evacuation_records(gateway, &batch, is_snapshot);
     // Only the outcome of the newest configuration counts, because it replaces earlier ones that cannot be decoded. A
     // snapshot without a configuration counts as older than any configuration.
     let mut newest =
         if is_snapshot && gateway.table().version() > 0 { ApplyOutcome::Outdated } else { ApplyOutcome::InForce };
-    for record in page.records.into_iter().filter(|record| &*record.key == table::KEY) {
+    for record in batch.records.into_iter().filter(|record| &*record.key == configuration::KEY) {
         let Some(value) = record.value else { continue };
-        newest = belief::apply_configuration(gateway, Version { offset: record.offset, value });
+        newest = ingest::apply_configuration(gateway, Version { offset: record.offset, value });
     }
     match newest {
         // The read position stays before this record, so that it is read again until it can be decoded: a read after
@@ -146,7 +146,7 @@
         }
         ApplyOutcome::Outdated | ApplyOutcome::InForce => {}
     }
-    topic.advance(page.next);
+    topic.advance_to(batch.next);
     if gateway.table().version() == 0 {
         tokio::time::sleep(MIN_RETRY_DELAY).await;
     } else {
@@ -157,55 +157,55 @@
 
 /// Keeps the known replicas up to date until the process ends.
 pub async fn poll_replicas(gateway: Rc<Gateway>) {
-    let mut reader = Reader::new(&gateway, replica::TOPIC);
+    let mut reader = TopicReader::new(&gateway, replica::TOPIC);
     loop {
         let interval = replicas_read_interval(&gateway.bounds());
-        reads_replicas(&gateway, gateway.first_from_others_by()).await;
+        wait_until_replica_read_due(&gateway, gateway.first_read_due_at()).await;
         let outcome = read_replicas(&gateway, &mut reader).await;
-        reader.note(&outcome);
-        belief::expire_records(&gateway, Source::Store);
+        reader.record_outcome(&outcome);
+        ingest::expire_records(&gateway, Source::Store);
         if outcome.is_err() {
-            gateway.facts.replicas.set_read_requested(false);
+            gateway.store_view.replicas.set_read_requested(false);
             delegates::delegate(&gateway);
-            reader.back_off(&gateway, &gateway.facts.replicas).await;
-        } else if gateway.facts.replicas.next().is_some() {
-            gateway.facts.sleep_until_woken(interval).await;
+            reader.back_off(&gateway, &gateway.store_view.replicas).await;
+        } else if gateway.store_view.replicas.next_offset().is_some() {
+            gateway.store_view.sleep_until_woken(interval).await;
         }
     }
 }
 
 /// Reads and applies the new replica records, or a snapshot if there is no copy yet.
-async fn read_replicas(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
-    let topic = &gateway.facts.replicas;
-    let Some(from) = topic.next() else { return read_replica_snapshot(gateway, reader).await };
+async fn read_replicas(gateway: &Gateway, reader: &mut TopicReader) -> Result<()> {
+    let topic = &gateway.store_view.replicas;
+    let Some(from) = topic.next_offset() else { return read_replica_snapshot(gateway, reader).await };
     let sent_at = now();
-    let page = reader.read_on(topic, from, Duration::ZERO).await?;
+    let batch = reader.read_from(topic, from, Duration::ZERO).await?;
     start_recovery_grace(gateway, reader);
-    let Some(page) = page else { return Ok(()) };
-    gateway.observe_era(page.next);
-    belief::apply_updates(gateway, decode_updates(gateway, &page.records), Source::Store);
-    topic.advance(page.next);
+    let Some(batch) = batch else { return Ok(()) };
+    gateway.observe_era(batch.next);
+    ingest::apply_updates(gateway, decode_updates(gateway, &batch.records), Source::Store);
+    topic.advance_to(batch.next);
     topic.mark_verified(sent_at);
     Ok(())
 }
 
 /// Reads and applies a snapshot of all replica records.
-async fn read_replica_snapshot(gateway: &Gateway, reader: &mut Reader) -> Result<()> {
+async fn read_replica_snapshot(gateway: &Gateway, reader: &mut TopicReader) -> Result<()> {
     let sent_at = now();
-    let snapshot = reader.read_all().await?;
+    let snapshot = reader.read_snapshot().await?;
     let newest = decode_updates(gateway, &snapshot.records);
     start_recovery_grace(gateway, reader);
     gateway.observe_era(snapshot.next);
-    belief::apply_snapshot(gateway, snapshot.next, newest, Source::Store);
-    gateway.facts.replicas.advance(snapshot.next);
-    gateway.facts.replicas.mark_verified(sent_at);
+    ingest::apply_snapshot(gateway, snapshot.next, newest, Source::Store);
+    gateway.store_view.replicas.advance_to(snapshot.next);
+    gateway.store_view.replicas.mark_verified(sent_at);
     Ok(())
 }
 
 /// Starts the grace period for missing records at the first response after an outage of the store: records may have
 /// expired only because their replicas could not renew them. There was no outage if the copy is fresh, because the
 /// store then still answered another entry.
-fn start_recovery_grace(gateway: &Gateway, reader: &Reader) {
+fn start_recovery_grace(gateway: &Gateway, reader: &TopicReader) {
     if reader.is_failing() && !are_replicas_fresh(gateway) {
         gateway.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
     }
@@ -213,15 +213,15 @@
 
 /// Decodes replica records. Logs the error of a record that cannot be decoded only if its replica accepted work until
 /// now.
-fn decode_updates(gateway: &Gateway, records: &[Keyed]) -> Vec<Sighting> {
+fn decode_updates(gateway: &Gateway, records: &[KeyedRecord]) -> Vec<Sighting> {
     let mut updates = Vec::with_capacity(records.len());
     for record in records {
-        let replica::Decoded { news, fault } = replica::decode(record);
-        if let Some(fault) = fault.filter(|_| belief::accepts_work(gateway, &record.key)) {
-            let fault: String = fault.chars().take(MAX_LOGGED_ERROR_CHARS).collect();
-            warn_event!("replica-record", peer = %record.key, offset = record.offset, fault = %fault);
+        let replica::DecodedRecord { state, error } = replica::decode(record);
+        if let Some(error) = error.filter(|_| ingest::accepts_work(gateway, &record.key)) {
+            let error: String = error.chars().take(MAX_LOGGED_ERROR_CHARS).collect();
+            warn_event!("replica-record", peer = %record.key, offset = record.offset, fault = %error);
         }
-        updates.push(Sighting { offset: record.offset, news });
+        updates.push(Sighting { offset: record.offset, news: state });
     }
     updates
 }
