--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -14,13 +14,13 @@
 use coord::time::Moment;
 use tokio::sync::Notify;
 
-use super::belief::{ApplyOutcome, Source};
+use super::ingest::{ApplyOutcome, Source};
 use super::delegates::Delegates;
-use super::link::{Question, Update};
+use super::peer_protocol::{SyncRequest, SyncResponse};
 use super::packed::Packed;
 use super::state::Gateway;
-use super::topic::Topic;
-use super::{belief, now, watch};
+use super::topic::TopicState;
+use super::{ingest, now, store_reader};
 use crate::warn_event;
 
 /// Largest delta with a configuration that is sent to another entry, in bytes: a quarter of the largest message. An
@@ -39,9 +39,9 @@
 /// This entry's copy of the store's topics.
 pub struct StoreView {
     /// State of the copy of the configuration's topic.
-    pub configuration: Topic,
+    pub configuration: TopicState,
     /// State of the copy of the topic with the replicas' records.
-    pub replicas: Topic,
+    pub replicas: TopicState,
     /// The newest configurations in their encoded form, from which deltas are made.
     configurations: RefCell<Shelf>,
     /// Compressed records of all replicas and the offset that they are valid for. Entries that start at the same time
@@ -61,8 +61,8 @@
     pub fn new(link_mbps: f64) -> Self {
         let budget = || RefCell::new(Bucket::new(link_mbps * BYTES_PER_S_PER_MBPS * CONFIGURATION_LINK_SHARE, now()));
         Self {
-            configuration: Topic::default(),
-            replicas: Topic::default(),
+            configuration: TopicState::default(),
+            replicas: TopicState::default(),
             configurations: RefCell::default(),
             replica_snapshot: RefCell::default(),
             link_budget: (link_mbps > 0.0).then(budget),
@@ -155,7 +155,7 @@
     /// most.
     pub async fn wait_until_read_due(
         &self,
-        topic: &Topic,
+        topic: &TopicState,
         max_age: Duration,
         first_read_by: Moment,
         has_reader: impl Fn() -> bool,
@@ -186,20 +186,20 @@
 }
 
 /// Builds a request for changes. The request states how far this entry's copy reaches.
-pub fn sync_request(gateway: &Gateway, number: u64) -> Question {
-    let view = &gateway.facts;
-    Question {
+pub fn sync_request(gateway: &Gateway, number: u64) -> SyncRequest {
+    let view = &gateway.store_view;
+    SyncRequest {
         number,
-        configuration_offset: view.configuration.next(),
-        replicas_offset: view.replicas.next(),
+        configuration_offset: view.configuration.next_offset(),
+        replicas_offset: view.replicas.next_offset(),
         successors_revision: gateway.membership.successors_revision(),
     }
 }
 
 /// Builds the response to a request for changes.
-pub fn sync_response(gateway: &Gateway, request: Question) -> Update {
-    let Question { configuration_offset, replicas_offset, .. } = request;
-    let view = &gateway.facts;
+pub fn sync_response(gateway: &Gateway, request: SyncRequest) -> SyncResponse {
+    let SyncRequest { configuration_offset, replicas_offset, .. } = request;
+    let view = &gateway.store_view;
     let (copy_state, delta, is_too_large) = match view.delivery(configuration_offset) {
         Delivery::UpToDate => (view.configuration.copy_state(), None, false),
         Delivery::Delta(delta) => (view.configuration.copy_state(), Some(delta), false),
@@ -210,7 +210,7 @@
     // snapshot.
     let is_snapshot = replicas_offset.is_some_and(|from| !view.replicas.has_seen_changes_from(from));
     let replica_updates = pack_replica_updates(gateway, replicas_offset.filter(|_| !is_snapshot));
-    Update {
+    SyncResponse {
         configuration: copy_state,
         delta,
         is_too_large,
@@ -229,9 +229,9 @@
 /// `from` is `None`. Returns `None` if the compression fails.
 fn pack_replica_updates(gateway: &Gateway, from: Option<u64>) -> Option<Packed> {
     let roster = gateway.roster.borrow();
-    let view = &gateway.facts;
+    let view = &gateway.store_view;
     let compress = || Packed::new(&roster.since(from.unwrap_or(0), now()));
-    let snapshot_offset = view.replicas.next().filter(|_| from.is_none());
+    let snapshot_offset = view.replicas.next_offset().filter(|_| from.is_none());
     let cached = view
         .replica_snapshot
         .borrow()
@@ -256,17 +256,17 @@
 }
 
 /// Applies the response to a request for changes that was sent at `requested_at`.
-pub fn apply_sync_response(gateway: &Gateway, update: Update, requested_at: Moment) {
-    gateway.raise_entry_count(update.entry_count);
-    let view = &gateway.facts;
-    let copy_states = [update.configuration, update.replicas];
+pub fn apply_sync_response(gateway: &Gateway, response: SyncResponse, requested_at: Moment) {
+    gateway.raise_entry_count(response.entry_count);
+    let view = &gateway.store_view;
+    let copy_states = [response.configuration, response.replicas];
     copy_states.into_iter().flatten().for_each(|copy_state| gateway.observe_era(copy_state.next_offset));
-    belief::apply_evacuation_snapshot(gateway, update.evacuations);
-    let apply = |document| belief::apply_configuration(gateway, document) != ApplyOutcome::Undecodable;
-    let is_applied = update.delta.is_none_or(|delta| view.open_delta(&delta).is_some_and(apply));
-    match update.configuration {
-        Some(copy_state) if is_applied && !update.is_too_large => {
-            view.configuration.advance(copy_state.next_offset);
+    ingest::apply_evacuation_snapshot(gateway, response.evacuations);
+    let apply = |document| ingest::apply_configuration(gateway, document) != ApplyOutcome::Undecodable;
+    let is_applied = response.delta.is_none_or(|delta| view.open_delta(&delta).is_some_and(apply));
+    match response.configuration {
+        Some(copy_state) if is_applied && !response.is_too_large => {
+            view.configuration.advance_to(copy_state.next_offset);
             view.configuration.mark_verified(requested_at - copy_state.age);
         }
         Some(_) => {
@@ -275,26 +275,26 @@
         }
         None => {}
     }
-    let replica_updates = match update.replica_updates.decompress() {
+    let replica_updates = match response.replica_updates.decompress() {
         Ok(replica_updates) => replica_updates,
         Err(error) => {
             warn_event!("replicas", error = %format!("{error:#}"));
             return;
         }
     };
-    if let Some(copy_state) = update.replicas {
+    if let Some(copy_state) = response.replicas {
         // An entry with a fresh copy sees a missing record as removed, even if the other entry was cut off from the
         // store for long. Only an entry with a stale copy takes over the other one's grace period.
-        if !watch::are_replicas_fresh(gateway) {
-            gateway.roster.borrow_mut().store_returned(now(), update.grace_time_left);
+        if !store_reader::are_replicas_fresh(gateway) {
+            gateway.roster.borrow_mut().store_returned(now(), response.grace_time_left);
         }
-        if update.is_snapshot {
-            belief::apply_snapshot(gateway, copy_state.next_offset, replica_updates, Source::Peer);
+        if response.is_snapshot {
+            ingest::apply_snapshot(gateway, copy_state.next_offset, replica_updates, Source::Peer);
         } else {
-            belief::apply_updates(gateway, replica_updates, Source::Peer);
+            ingest::apply_updates(gateway, replica_updates, Source::Peer);
         }
-        belief::expire_records(gateway, Source::Peer);
-        view.replicas.advance(copy_state.next_offset);
+        ingest::expire_records(gateway, Source::Peer);
+        view.replicas.advance_to(copy_state.next_offset);
         view.replicas.mark_verified(requested_at - copy_state.age);
     }
 }
--- a/sorrelpass/src/gateway/topic.rs
+++ b/sorrelpass/src/gateway/topic.rs
@@ -10,14 +10,14 @@
 use coord::time::Moment;
 use tokio::sync::watch;
 
-use super::link::CopyState;
+use super::peer_protocol::CopyState;
 use super::now;
 
 /// State of this process's copy of one topic.
 #[derive(Default)]
-pub struct Topic {
+pub struct TopicState {
     /// Offset from which the next read continues.
-    next: Cell<Option<u64>>,
+    next_offset: Cell<Option<u64>>,
     /// Offset from which on this process saw every change. Removals below this offset are not known here.
     changes_seen_from: Cell<Option<u64>>,
     /// Send time of the newest read that verified the copy.
@@ -30,16 +30,16 @@
     is_read_requested: Cell<bool>,
 }
 
-impl Topic {
+impl TopicState {
     /// Returns the offset from which the next read continues, or `None` if a snapshot must be read first.
-    pub fn next(&self) -> Option<u64> {
-        self.next.get()
+    pub fn next_offset(&self) -> Option<u64> {
+        self.next_offset.get()
     }
 
     /// Records that all records below the offset `next` were applied.
-    pub fn advance(&self, next: u64) {
-        if self.next.get().is_none_or(|known| known <= next) {
-            self.next.set(Some(next));
+    pub fn advance_to(&self, next: u64) {
+        if self.next_offset.get().is_none_or(|known| known <= next) {
+            self.next_offset.set(Some(next));
             self.is_behind.set(false);
         }
         if self.changes_seen_from.get().is_none() {
@@ -53,8 +53,8 @@
     }
 
     /// Discards the read position because the store no longer has the records behind it: the next read is a snapshot.
-    pub fn forget(&self) {
-        self.next.set(None);
+    pub fn reset(&self) {
+        self.next_offset.set(None);
     }
 
     /// Records that a read which was sent at `sent` showed the copy to be the newest state.
@@ -120,6 +120,6 @@
     /// Returns the state of the copy in the form that is sent to other entries, or `None` before the first
     /// verification.
     pub fn copy_state(&self) -> Option<CopyState> {
-        Some(CopyState { next_offset: self.next.get()?, age: self.age()? })
+        Some(CopyState { next_offset: self.next_offset.get()?, age: self.age()? })
     }
 }
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/topic_reader.rs
@@ -5,11 +5,11 @@
 use coord::offset::Text;
 use coord::pause::Pause;
 use eyre::Result;
-use platform::store::{Client, Keyed, Read};
+use platform::store::{Client, KeyedRecord, Read};
 
 use super::state::Gateway;
-use super::topic::Topic;
-use super::watch;
+use super::topic::TopicState;
+use super::store_reader;
 use crate::{event, metric, warn_event};
 
 /// Bounds the time for a response of the store, which normally takes a few milliseconds, and 60 times as long
@@ -33,15 +33,15 @@
 const MAX_FOLLOWER_CALLS_PER_S: f64 = 16.0;
 
 /// Records that one read of a topic returned.
-pub struct Page {
+pub struct RecordBatch {
     /// Records in the order of the log.
-    pub records: Vec<Keyed>,
+    pub records: Vec<KeyedRecord>,
     /// Offset from which the next read continues.
     pub next: u64,
 }
 
 /// Reads one topic of the store, and logs the start and the end of each outage once.
-pub struct Reader {
+pub struct TopicReader {
     topic_name: &'static str,
     client: Client,
     /// Era of the store's last response. A new era begins when the store recovers from an older copy.
@@ -50,7 +50,7 @@
     failures: u32,
 }
 
-impl Reader {
+impl TopicReader {
     /// Creates a reader of the topic `topic_name`. Makes no call.
     pub fn new(gateway: &Gateway, topic_name: &'static str) -> Self {
         Self { topic_name, client: Client::new(gateway.settings.store), era: 0, failures: 0 }
@@ -62,7 +62,7 @@
     }
 
     /// Records the outcome of a call. Returns whether the call succeeded after failed ones.
-    pub fn note<T>(&mut self, outcome: &Result<T>) -> bool {
+    pub fn record_outcome<T>(&mut self, outcome: &Result<T>) -> bool {
         let was_failing = self.is_failing();
         let era = self.client.era();
         if era != self.era {
@@ -89,38 +89,38 @@
 
     /// Waits before a failed call for `topic` is retried. A follower waits longer, since it will get the data from
     /// its leader; an entry without any data waits shorter.
-    pub async fn back_off(&self, gateway: &Gateway, topic: &Topic) {
+    pub async fn back_off(&self, gateway: &Gateway, topic: &TopicState) {
         let retry_delay = match topic.age() {
-            _ if gateway.desk.has_leader() => {
+            _ if gateway.admission.has_leader() => {
                 FOLLOWER_RETRY_DELAY.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S)
             }
             None => INITIAL_RETRY_DELAY,
             // Each failed call of a leader delegates a read to followers, at least as often as the leader itself
             // would read.
-            Some(_) if !gateway.desk.is_alone() => Pause {
-                longest: RETRY_DELAY.longest.min(watch::replicas_read_interval(&gateway.bounds())),
+            Some(_) if !gateway.admission.is_standalone() => Pause {
+                longest: RETRY_DELAY.longest.min(store_reader::replicas_read_interval(&gateway.bounds())),
                 ..RETRY_DELAY
             },
             Some(_) => RETRY_DELAY,
         };
         let delay = retry_delay.after(self.failures);
         // The jitter keeps entries that restart together after a power loss from calling the store at the same time.
-        gateway.facts.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
+        gateway.store_view.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     }
 
     /// Reads the records from the offset `from` on. If there are none, the store holds the call for up to `wait`.
     /// Returns `None` if the store no longer keeps that offset, or answers with an older state.
-    pub async fn read_on(&mut self, topic: &Topic, from: u64, wait: Duration) -> Result<Option<Page>> {
+    pub async fn read_from(&mut self, topic: &TopicState, from: u64, wait: Duration) -> Result<Option<RecordBatch>> {
         metric::store_calls("read", self.topic_name, 1);
         match self.client.read(self.topic_name, from, wait, RESPONSE_TIMEOUT).await? {
             Read::Trimmed => {
                 event!("store-trimmed", topic = self.topic_name, from = %Text(from));
-                topic.forget();
+                topic.reset();
                 Ok(None)
             }
-            Read::Outdated => {
+            Read::EraChanged => {
                 event!("store-outdated", topic = self.topic_name, from = %Text(from));
-                topic.forget();
+                topic.reset();
                 Ok(None)
             }
             Read::Records { end, .. } if end < from => {
@@ -129,17 +129,17 @@
                 tokio::time::sleep(MIN_RETRY_DELAY).await;
                 Ok(None)
             }
-            Read::Records { records, next, .. } => Ok(Some(Page { records, next })),
+            Read::Records { records, next, .. } => Ok(Some(RecordBatch { records, next })),
         }
     }
 
     /// Reads a snapshot: the newest record of each key. The timeout grows with each failure, because a store that is
     /// slow while many entries read snapshots would only get more load from calls that time out and start over.
-    pub async fn read_all(&mut self) -> Result<Page> {
+    pub async fn read_snapshot(&mut self) -> Result<RecordBatch> {
         let timeout = RESPONSE_TIMEOUT * 2u32.pow(self.failures.min(MAX_TIMEOUT_DOUBLINGS));
-        let outcome = self.client.newest(self.topic_name, timeout).await;
+        let outcome = self.client.read_compacted(self.topic_name, timeout).await;
         metric::store_calls("newest", self.topic_name, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
         let snapshot = outcome?;
-        Ok(Page { records: snapshot.records, next: snapshot.end })
+        Ok(RecordBatch { records: snapshot.records, next: snapshot.end })
     }
 }
--- a/sorrelpass/src/gateway/attempt.rs
+++ b/sorrelpass/src/gateway/upstream.rs
@@ -13,12 +13,12 @@
 use hyper::client::conn::http1;
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 use hyper_util::rt::TokioIo;
-use platform::connection::{self, CONNECT_TIMEOUT, Liveness, connect};
-use platform::dialect;
+use platform::connection::{self, CONNECT_TIMEOUT, ProbeResult, connect};
+use platform::headers;
 use tokio::task::JoinHandle;
 
 /// Caller's request in the form that is sent to replicas.
-pub struct Outgoing {
+pub struct UpstreamRequest {
     /// HTTP method of the caller's request.
     pub method: Method,
     /// Path and query of the caller's request, unchanged.
@@ -31,11 +31,11 @@
 
 /// Reason why a send returned no response head.
 #[derive(Debug)]
-pub enum Failed {
+pub enum SendError {
     /// The request was not built or the connection was not established: the replica cannot have received the request.
-    Unsent(eyre::Report),
+    NotConnected(eyre::Report),
     /// The connection ended after the request may have been sent: the replica may have executed the request.
-    Lost(eyre::Report),
+    ConnectionLost(eyre::Report),
 }
 
 /// Open connection to a replica. Dropping it closes the connection, upon which the replica cancels the request.
@@ -57,31 +57,31 @@
 /// Sends a request with `added_headers` beside the caller's headers, and waits for the head of the response.
 pub async fn send(
     record: &Record,
-    outgoing: &Outgoing,
-    added_headers: &dialect::Send,
-) -> Result<(Response<Incoming>, Connection), Failed> {
-    let request = build_request(record, outgoing, added_headers).map_err(Failed::Unsent)?;
-    let stream = connect_to_replica(record).await.map_err(Failed::Unsent)?;
+    outgoing: &UpstreamRequest,
+    added_headers: &headers::UpstreamHead,
+) -> Result<(Response<Incoming>, Connection), SendError> {
+    let request = build_request(record, outgoing, added_headers).map_err(SendError::NotConnected)?;
+    let stream = connect_to_replica(record).await.map_err(SendError::NotConnected)?;
     let peer = &record.id;
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
     let (mut sender, driver) =
-        handshake.map_err(|error| Failed::Unsent(eyre::eyre!("step=connect peer={peer}: {error}")))?;
+        handshake.map_err(|error| SendError::NotConnected(eyre::eyre!("step=connect peer={peer}: {error}")))?;
     let connection = Connection(tokio::task::spawn_local(async move {
         // `send_request` and the response body return the same error.
         let _ = driver.await;
     }));
     match sender.send_request(request).await {
         Ok(response) => Ok((response, connection)),
-        Err(error) => Err(Failed::Lost(eyre::eyre!("step=send peer={peer}: {error}"))),
+        Err(error) => Err(SendError::ConnectionLost(eyre::eyre!("step=send peer={peer}: {error}"))),
     }
 }
 
 fn build_request(
     record: &Record,
-    outgoing: &Outgoing,
-    added_headers: &dialect::Send,
+    outgoing: &UpstreamRequest,
+    added_headers: &headers::UpstreamHead,
 ) -> eyre::Result<Request<Full<Bytes>>> {
-    let headers = dialect::forward(&outgoing.headers, added_headers)
+    let headers = headers::upstream_headers(&outgoing.headers, added_headers)
         .map_err(|error| eyre::eyre!("step=build-request peer={:?}: {error}", record.id))?;
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
@@ -91,12 +91,12 @@
 }
 
 /// Probes whether the process of a replica still listens after a connection to the replica ended.
-pub async fn liveness(record: &Record) -> Liveness {
+pub async fn probe_process(record: &Record) -> ProbeResult {
     match record.address.parse() {
-        Ok(address) => connection::liveness(address).await,
+        Ok(address) => connection::probe(address).await,
         Err(error) => {
             crate::warn_event!("probe", peer = %record.id, address = %record.address, error = %error);
-            Liveness::Unknown
+            ProbeResult::Unknown
         }
     }
 }
