--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -54,14 +54,14 @@
             serve(&gateway, ReceivedRequest { request_head, request, received_at: started, caller_guard }).await,
         ),
     };
-    let mut answer = match outcome {
-        Ok(answer) => answer,
+    let mut response = match outcome {
+        Ok(response) => response,
         Err(failure) => failure_response(failure, &id, started),
     };
     if gateway.phase() != Phase::Serving || has_unread_body.get() {
-        response::close_after(&mut answer);
+        response::close_after(&mut response);
     }
-    answer
+    response
 }
 
 /// Logs and counts a failure, and converts it into the response to the caller.
@@ -96,8 +96,8 @@
     }
     let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
     let deadline = started + timeout.min(route.timeout);
-    let outgoing = UpstreamRequest { method: head.method, uri: head.uri, headers: head.headers, body };
-    let fingerprint = fingerprint::compute(&request_head.host, &outgoing, workspace.as_ref().map(|workspace| &workspace.name));
+    let upstream_request = UpstreamRequest { method: head.method, uri: head.uri, headers: head.headers, body };
+    let fingerprint = fingerprint::compute(&request_head.host, &upstream_request, workspace.as_ref().map(|workspace| &workspace.name));
     event!("request", request = %request_head.id, work = %fingerprint, route = %route.name, service = %service, prompt_tokens = request_head.prompt_tokens.unwrap_or(0),
         version = gateway.table().version(), proof_age_ms = gateway.verification_age_ms().unwrap_or(0), allowed_ms = timeout.as_millis());
     Ok(PendingRequest {
@@ -106,7 +106,7 @@
         route,
         workspace,
         service,
-        outgoing,
+        upstream_request,
         fingerprint,
         started,
         timeout,
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -55,7 +55,7 @@
     /// Service that the route selects.
     pub service: Name,
     /// Request that is sent to replicas.
-    pub outgoing: UpstreamRequest,
+    pub upstream_request: UpstreamRequest,
     /// Fingerprint of the request, which is the same for every retry.
     pub fingerprint: Work,
     /// Time at which the head of the request was received.
@@ -206,14 +206,14 @@
             let (record, sent_at) = (opened.record.clone(), opened.sent_at);
             match tokio::time::timeout(self.time_left(), read_response(opened)).await {
                 Err(_) => return Err(self.deadline_failure()),
-                Ok(Ok(answer)) => {
-                    let (status, after_ms) = (answer.status().as_u16(), now().since(self.started).as_millis());
+                Ok(Ok(response)) => {
+                    let (status, after_ms) = (response.status().as_u16(), now().since(self.started).as_millis());
                     event!("done", request = %self.request_head.id, peer = %record.id, status, after_ms);
                     metric::request("ok");
-                    if answer.status().is_success() {
+                    if response.status().is_success() {
                         quarantine::record_success(&self.gateway, self.fingerprint);
                     }
-                    return Ok(answer);
+                    return Ok(response);
                 }
                 Ok(Err(error)) => {
                     event!("lost", request = %self.request_head.id, work = %self.fingerprint, peer = %record.id, error = %format!("{error:#}"));
@@ -259,8 +259,8 @@
     let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     opened.connection.close();
     let body = body.map_err(|error| eyre::eyre!("step=read-answer peer={}: {error}", opened.record.id))?.to_bytes();
-    let mut answer = Response::new(response::full_body(body));
-    *answer.status_mut() = head.status;
-    *answer.headers_mut() = headers::end_to_end(&head.headers);
-    Ok(answer)
+    let mut response = Response::new(response::full_body(body));
+    *response.status_mut() = head.status;
+    *response.headers_mut() = headers::end_to_end(&head.headers);
+    Ok(response)
 }
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -69,7 +69,7 @@
         let result = tokio::select! {
             // A response that has arrived takes precedence over the reasons to give up the attempt.
             biased;
-            result = upstream::send(&record, &self.outgoing, &head) => result,
+            result = upstream::send(&record, &self.upstream_request, &head) => result,
             next = self.fallback_target(&slot) => return Outcome::Unresponsive(Box::new(next)),
             // If the attempt is aborted before the replica starts the request, the replica does not crash.
             () = self.gateway.quarantine.wait_until_condemned(self.fingerprint) => return Outcome::Condemned,
@@ -134,25 +134,25 @@
 
     /// Classifies a response head, and applies what it reports about the replica.
     fn classify(&mut self, opened: OpenResponse) -> Outcome {
-        let answer = headers::decode_response(opened.response.status(), opened.response.headers(), &self.request_head.id);
+        let response = headers::decode_response(opened.response.status(), opened.response.headers(), &self.request_head.id);
         let record = &opened.record;
-        limits::observe_response(&self.gateway, record, &answer, opened.sent_at);
-        draining::observe_response(&self.gateway, record, &answer);
-        backoff::observe_response(&self.gateway, record, &answer);
-        if let Some(load) = answer.load {
+        limits::observe_response(&self.gateway, record, &response, opened.sent_at);
+        draining::observe_response(&self.gateway, record, &response);
+        backoff::observe_response(&self.gateway, record, &response);
+        if let Some(load) = response.load {
             self.gateway.replica_picker.borrow_mut().record_load(&record.id, load);
         }
-        if answer.is_not_executed {
-            return self.handle_refusal(record, &answer);
+        if response.is_not_executed {
+            return self.handle_refusal(record, &response);
         }
-        let (is_usable, is_error) = (is_usable(&answer), answer.status.is_server_error());
+        let (is_usable, is_error) = (is_usable(&response), response.status.is_server_error());
         match (is_usable, is_error) {
             (false, _) => self.record_failure(&record.id, NO_RESPONSE_WEIGHT),
             (true, true) => self.record_failure(&record.id, ERROR_RESPONSE_WEIGHT),
             (true, false) => self.gateway.replica_picker.borrow_mut().record_success(&record.id),
         }
         if !is_usable || (is_error && self.can_retry()) {
-            event!("lost", request = %self.request_head.id, peer = %record.id, status = answer.status.as_u16(), matches_request = answer.matches_request, sealed = answer.is_sealed);
+            event!("lost", request = %self.request_head.id, peer = %record.id, status = response.status.as_u16(), matches_request = response.matches_request, sealed = response.is_sealed);
             return Outcome::ResponseLost;
         }
         Outcome::Opened(Box::new(opened))
@@ -170,24 +170,24 @@
 
     /// Handles a replica's proof that it did not execute the request, and records the failure of the responsible
     /// replica.
-    fn handle_refusal(&mut self, record: &Record, answer: &headers::ResponseHead) -> Outcome {
-        let backoff = answer.backoff().unwrap_or_default();
-        event!("not-executed", request = %self.request_head.id, peer = %record.id, status = answer.status.as_u16(), responsible = answer.responsible_address.as_deref().unwrap_or(""),
+    fn handle_refusal(&mut self, record: &Record, response: &headers::ResponseHead) -> Outcome {
+        let backoff = response.backoff().unwrap_or_default();
+        event!("not-executed", request = %self.request_head.id, peer = %record.id, status = response.status.as_u16(), responsible = response.responsible_address.as_deref().unwrap_or(""),
             backoff_ms = backoff.as_millis());
         self.possible_executions -= 1;
-        let responsible = self.responsible_replica(record, answer);
+        let responsible = self.responsible_replica(record, response);
         self.record_failure(&responsible, REFUSAL_WEIGHT);
-        if answer.is_misdirected && responsible == record.id {
+        if response.is_misdirected && responsible == record.id {
             self.gateway.remove_displaced(&record.id);
         }
-        Outcome::NotExecuted(answer.retry_after)
+        Outcome::NotExecuted(response.retry_after)
     }
 
     /// Returns the replica that is responsible for a refusal: the replica that the response names, or else the one that
     /// responded.
-    fn responsible_replica(&self, record: &Record, answer: &headers::ResponseHead) -> Name {
+    fn responsible_replica(&self, record: &Record, response: &headers::ResponseHead) -> Name {
         let roster = self.gateway.roster.borrow();
-        let named_replica = answer.responsible_address.as_ref().and_then(|address| {
+        let named_replica = response.responsible_address.as_ref().and_then(|address| {
             let has_address = |record: &&Record| record.address == *address || record.id == *address;
             roster.living(&self.service).map(|replica| &replica.record).find(has_address)
         });
@@ -197,9 +197,9 @@
 
 /// Returns whether a response can be forwarded: it belongs to this request, it has a seal if it reports success, and
 /// its status does not promise without proof that the request was not executed.
-fn is_usable(answer: &headers::ResponseHead) -> bool {
-    let has_required_seal = answer.is_sealed || !answer.status.is_success();
-    answer.matches_request && has_required_seal && !promises_not_executed(answer.status)
+fn is_usable(response: &headers::ResponseHead) -> bool {
+    let has_required_seal = response.is_sealed || !response.status.is_success();
+    response.matches_request && has_required_seal && !promises_not_executed(response.status)
 }
 
 /// Returns whether callers understand the status as a promise that the request was not executed. Such a status is
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -81,7 +81,7 @@
     }
 
     /// Reports that the first event of the stream has arrived.
-    pub fn first_event(&self) {
+    pub fn report_first_event(&self) {
         if let ReplicaSlot::Engine { lease, .. } = self {
             lease.report_first_event();
         }
@@ -304,10 +304,10 @@
     /// Returns the decoding engine and the helpers of a team. Returns `None` if the decoding engine, or a helper that
     /// must reserve memory, no longer accepts requests.
     fn locate_team(&self, team: &Team) -> Option<(Record, Vec<LocatedHelper>)> {
-        let find_open = |id: &Name| self.gateway.available_replica(id);
+        let find_available = |id: &Name| self.gateway.available_replica(id);
         let mut located = Vec::new();
         for helper in &team.helpers {
-            match find_open(&helper.engine) {
+            match find_available(&helper.engine) {
                 Some(record) => {
                     let helper = LocatedHelper {
                         helper: headers::Helper { address: record.address, reservation: None },
@@ -319,7 +319,7 @@
                 None => {}
             }
         }
-        Some((find_open(&team.writer)?, located))
+        Some((find_available(&team.writer)?, located))
     }
 
     /// Reserves the memory of a prompt at its helpers, either all of it or none. The reservation is absent if no helper
--- a/sorrelpass/src/gateway/fingerprint.rs
+++ b/sorrelpass/src/gateway/fingerprint.rs
@@ -9,9 +9,9 @@
 ///
 /// The fingerprint excludes what differs between two attempts at the same work: the caller's request id, the
 /// deadline, and the id of the event after which a stream is resumed.
-pub fn compute(host: &str, outgoing: &UpstreamRequest, workspace: Option<&Name>) -> Work {
-    let path = outgoing.uri.path_and_query().map_or("", |path| path.as_str());
-    let parts = [host.as_bytes(), outgoing.method.as_str().as_bytes(), path.as_bytes(), &outgoing.body];
+pub fn compute(host: &str, upstream_request: &UpstreamRequest, workspace: Option<&Name>) -> Work {
+    let path = upstream_request.uri.path_and_query().map_or("", |path| path.as_str());
+    let parts = [host.as_bytes(), upstream_request.method.as_str().as_bytes(), path.as_bytes(), &upstream_request.body];
     // A public request omits the workspace part: an empty part would equal a workspace with an empty name.
     Work::of(parts.into_iter().chain(workspace.map(|name| name.as_bytes())))
 }
--- a/sorrelpass/src/gateway/ingest.rs
+++ b/sorrelpass/src/gateway/ingest.rs
@@ -61,7 +61,7 @@
     let has_changed = if is_snapshot {
         let evacuated =
             records.filter_map(|(_, news)| if let News::Begun(domain) = news { Some(domain) } else { None });
-        register.replace(Picture { next: batch.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
+        register.replace(Picture { next: batch.next_offset, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
     } else {
         records.fold(false, |has_changed, (offset, news)| register.hear(offset, news) || has_changed)
     };
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -125,12 +125,12 @@
 }
 
 /// Applies the rate limit in a replica's response to a request that was sent at `sent_at`.
-pub fn observe_response(gateway: &Gateway, record: &Record, answer: &headers::ResponseHead, sent_at: Moment) {
-    if !answer.is_authoritative() {
+pub fn observe_response(gateway: &Gateway, record: &Record, response: &headers::ResponseHead, sent_at: Moment) {
+    if !response.is_authoritative() {
         return;
     }
     let replica = &record.id;
-    match answer.rate_limit {
+    match response.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
             let report = Word { rate, asked: sent_at, heard: now() };
--- a/sorrelpass/src/gateway/limits/permit.rs
+++ b/sorrelpass/src/gateway/limits/permit.rs
@@ -21,18 +21,18 @@
 /// limit that this entry may use by itself.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-type PermitAnswer = Result<Permit, Duration>;
+type PermitResult = Result<Permit, Duration>;
 
 /// Permit requests that have not been answered.
 #[derive(Default)]
 pub struct PermitRequests {
     next_number: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<PermitResult>>>,
 }
 
 impl PermitRequests {
     /// Adds a permit request. Returns its number and the receiver of its answer.
-    fn add(&self) -> (u64, oneshot::Receiver<PermitAnswer>) {
+    fn add(&self) -> (u64, oneshot::Receiver<PermitResult>) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let (sender, receiver) = oneshot::channel();
@@ -41,7 +41,7 @@
     }
 
     /// Completes a permit request, if it still waits for an answer.
-    pub fn complete(&self, number: u64, permit: PermitAnswer) {
+    pub fn complete(&self, number: u64, permit: PermitResult) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&number) {
             // The caller may have disconnected.
             let _ = sender.send(permit);
@@ -56,26 +56,26 @@
 
 /// Takes a permit of one of `replicas`, which are in order of preference, that is due within `max_wait`. Otherwise
 /// returns the time until the first permit is due.
-pub async fn take_permit(gateway: &Gateway, replicas: Vec<Name>, max_wait: Duration) -> PermitAnswer {
+pub async fn take_permit(gateway: &Gateway, replicas: Vec<Name>, max_wait: Duration) -> PermitResult {
     let limits = &gateway.limits;
     let now = now();
     let has_no_permit =
         |name: &Name| limits.no_permit_until.borrow().get(name).is_some_and(|until| *until > now + max_wait);
     let candidates: Vec<Name> = replicas.iter().filter(|name| !has_no_permit(name)).cloned().collect();
-    let answer = if candidates.is_empty() {
+    let result = if candidates.is_empty() {
         Err(next_known_permit(gateway, &replicas))
     } else {
         request_permit(gateway, &candidates, max_wait).await
     };
-    if let (Err(delay), false) = (&answer, candidates.is_empty()) {
+    if let (Err(delay), false) = (&result, candidates.is_empty()) {
         let mut no_permit_until = limits.no_permit_until.borrow_mut();
         no_permit_until.extend(candidates.into_iter().map(|name| (name, now + *delay)));
     }
-    answer
+    result
 }
 
 /// Requests a permit from the leader, or grants it locally if this entry has no leader.
-async fn request_permit(gateway: &Gateway, replicas: &[Name], max_wait: Duration) -> PermitAnswer {
+async fn request_permit(gateway: &Gateway, replicas: &[Name], max_wait: Duration) -> PermitResult {
     let limits = &gateway.limits;
     if gateway.admission.has_leader() {
         let (number, receiver) = limits.permit_requests.add();
@@ -83,8 +83,8 @@
         if gateway.admission.report_to_leader(request) {
             let outcome = tokio::time::timeout(PERMIT_TIMEOUT, receiver).await;
             limits.permit_requests.waiting.borrow_mut().remove(&number);
-            if let Ok(Ok(answer)) = outcome {
-                return answer;
+            if let Ok(Ok(result)) = outcome {
+                return result;
             }
         }
         if gateway.admission.has_leader() {
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -70,7 +70,7 @@
     /// Notified when an entry was announced that ranks ahead of this one, or among its first successors.
     ranking_changed: Notify,
     /// Notified when the store may have lost the announcement of this process.
-    announcement_doubted: Notify,
+    announcement_invalidated: Notify,
     /// Until this time, announcements are looked up in the store before they are written.
     lookup_until: Cell<Moment>,
 }
@@ -129,7 +129,7 @@
     pub fn invalidate_announcements(&self) {
         self.is_announced.set(false);
         self.lookup_until.set(now() + RECOVERY_NOTICE_PERIOD);
-        self.announcement_doubted.notify_one();
+        self.announcement_invalidated.notify_one();
     }
 
     /// Waits until an entry was announced that ranks ahead of this one, or among its first successors.
@@ -141,7 +141,7 @@
 /// Announces this entry again whenever the store may have lost its announcement, until the process ends.
 pub async fn reannounce(gateway: Rc<Gateway>, own_address: SocketAddr) {
     loop {
-        gateway.membership.announcement_doubted.notified().await;
+        gateway.membership.announcement_invalidated.notified().await;
         // A leader that this entry starts to follow later gets the announcement when the connection is established.
         if gateway.membership.is_announced()
             || gateway.admission.report_to_leader(FollowerMessage::Announce(Announcement::of_this_process(&gateway, own_address)))
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -69,9 +69,9 @@
         }
         Some(from) => reader.read_from(topic, from, LONG_POLL_TIMEOUT).await?,
     };
-    let Some(RecordBatch { records, next }) = batch else { return Ok(()) };
+    let Some(RecordBatch { records, next_offset }) = batch else { return Ok(()) };
     records.iter().for_each(|record| apply_record(gateway, record));
-    topic.advance_to(next);
+    topic.advance_to(next_offset);
     Ok(())
 }
 
--- a/sorrelpass/src/gateway/relay.rs
+++ b/sorrelpass/src/gateway/relay.rs
@@ -143,7 +143,7 @@
             }
             if self.awaits_first_event {
                 self.awaits_first_event = false;
-                slot.first_event();
+                slot.report_first_event();
             }
             self.event_count += 1;
             self.last_event_id = event.id.or(self.last_event_id);
--- a/sorrelpass/src/gateway/response.rs
+++ b/sorrelpass/src/gateway/response.rs
@@ -44,6 +44,6 @@
 }
 
 /// Sets `connection: close`, so that the caller does not reuse the connection.
-pub fn close_after(answer: &mut CallerResponse) {
-    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+pub fn close_after(response: &mut CallerResponse) {
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/sorrelpass/src/gateway/store_reader.rs
+++ b/sorrelpass/src/gateway/store_reader.rs
@@ -121,7 +121,7 @@
             None => return Ok(()),
         },
     };
-    gateway.observe_era(batch.next);
+    gateway.observe_era(batch.next_offset);
     ingest::apply_evacuation_records(gateway, &batch, is_snapshot);
     // Only the outcome of the newest configuration counts, because it replaces earlier ones that cannot be decoded. A
     // snapshot without a configuration counts as older than any configuration.
@@ -146,7 +146,7 @@
         }
         ApplyOutcome::Outdated | ApplyOutcome::InForce => {}
     }
-    topic.advance_to(batch.next);
+    topic.advance_to(batch.next_offset);
     if gateway.table().version() == 0 {
         tokio::time::sleep(MIN_RETRY_DELAY).await;
     } else {
@@ -182,9 +182,9 @@
     let batch = reader.read_from(topic, from, Duration::ZERO).await?;
     start_recovery_grace(gateway, reader);
     let Some(batch) = batch else { return Ok(()) };
-    gateway.observe_era(batch.next);
+    gateway.observe_era(batch.next_offset);
     ingest::apply_updates(gateway, decode_updates(gateway, &batch.records), Source::Store);
-    topic.advance_to(batch.next);
+    topic.advance_to(batch.next_offset);
     topic.mark_verified(sent_at);
     Ok(())
 }
@@ -195,9 +195,9 @@
     let snapshot = reader.read_snapshot().await?;
     let newest = decode_updates(gateway, &snapshot.records);
     start_recovery_grace(gateway, reader);
-    gateway.observe_era(snapshot.next);
-    ingest::apply_snapshot(gateway, snapshot.next, newest, Source::Store);
-    gateway.store_view.replicas.advance_to(snapshot.next);
+    gateway.observe_era(snapshot.next_offset);
+    ingest::apply_snapshot(gateway, snapshot.next_offset, newest, Source::Store);
+    gateway.store_view.replicas.advance_to(snapshot.next_offset);
     gateway.store_view.replicas.mark_verified(sent_at);
     Ok(())
 }
--- a/sorrelpass/src/gateway/topic_reader.rs
+++ b/sorrelpass/src/gateway/topic_reader.rs
@@ -37,7 +37,7 @@
     /// Records in the order of the log.
     pub records: Vec<KeyedRecord>,
     /// Offset from which the next read continues.
-    pub next: u64,
+    pub next_offset: u64,
 }
 
 /// Reads one topic of the store, and logs the start and the end of each outage once.
@@ -123,13 +123,13 @@
                 topic.reset();
                 Ok(None)
             }
-            Read::Records { end, .. } if end < from => {
+            Read::Records { end_offset, .. } if end_offset < from => {
                 // A response older than the records already read does not verify the copy.
-                warn_event!("store-stale", topic = self.topic_name, from = %Text(from), end = %Text(end));
+                warn_event!("store-stale", topic = self.topic_name, from = %Text(from), end = %Text(end_offset));
                 tokio::time::sleep(MIN_RETRY_DELAY).await;
                 Ok(None)
             }
-            Read::Records { records, next, .. } => Ok(Some(RecordBatch { records, next })),
+            Read::Records { records, next_offset, .. } => Ok(Some(RecordBatch { records, next_offset })),
         }
     }
 
@@ -140,6 +140,6 @@
         let outcome = self.client.read_compacted(self.topic_name, timeout).await;
         metric::store_calls("newest", self.topic_name, outcome.as_ref().map_or(1, |snapshot| snapshot.pages));
         let snapshot = outcome?;
-        Ok(RecordBatch { records: snapshot.records, next: snapshot.end })
+        Ok(RecordBatch { records: snapshot.records, next_offset: snapshot.end_offset })
     }
 }
--- a/sorrelpass/src/gateway/upstream.rs
+++ b/sorrelpass/src/gateway/upstream.rs
@@ -57,10 +57,10 @@
 /// Sends a request with `added_headers` beside the caller's headers, and waits for the head of the response.
 pub async fn send(
     record: &Record,
-    outgoing: &UpstreamRequest,
+    upstream_request: &UpstreamRequest,
     added_headers: &headers::UpstreamHead,
 ) -> Result<(Response<Incoming>, Connection), SendError> {
-    let request = build_request(record, outgoing, added_headers).map_err(SendError::NotConnected)?;
+    let request = build_request(record, upstream_request, added_headers).map_err(SendError::NotConnected)?;
     let stream = connect_to_replica(record).await.map_err(SendError::NotConnected)?;
     let peer = &record.id;
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
@@ -78,14 +78,14 @@
 
 fn build_request(
     record: &Record,
-    outgoing: &UpstreamRequest,
+    upstream_request: &UpstreamRequest,
     added_headers: &headers::UpstreamHead,
 ) -> eyre::Result<Request<Full<Bytes>>> {
-    let headers = headers::upstream_headers(&outgoing.headers, added_headers)
+    let headers = headers::upstream_headers(&upstream_request.headers, added_headers)
         .map_err(|error| eyre::eyre!("step=build-request peer={:?}: {error}", record.id))?;
-    let mut request = Request::new(Full::new(outgoing.body.clone()));
-    *request.method_mut() = outgoing.method.clone();
-    *request.uri_mut() = outgoing.uri.clone();
+    let mut request = Request::new(Full::new(upstream_request.body.clone()));
+    *request.method_mut() = upstream_request.method.clone();
+    *request.uri_mut() = upstream_request.uri.clone();
     *request.headers_mut() = headers;
     Ok(request)
 }
