--- a/sorrelpass/src/gateway/admission/leader.rs
+++ b/sorrelpass/src/gateway/admission/leader.rs
@@ -48,10 +48,10 @@
         let id = |number| Id { entry, number };
         match report {
             FollowerMessage::Submit { number, service, spec } => {
-                self.with_planner(&service, |planner| planner.submit(id(number), spec.to_job(now)));
+                self.with_planner(&service, |planner| planner.submit(id(number), spec.restore_job(now)));
             }
             FollowerMessage::Adopt { number, service, spec, team, is_prefilling } => {
-                self.with_planner(&service, |planner| planner.adopt(id(number), &spec.to_job(now), team, is_prefilling, now));
+                self.with_planner(&service, |planner| planner.adopt(id(number), &spec.restore_job(now), team, is_prefilling, now));
             }
             FollowerMessage::FirstEvent { number, service } => {
                 self.with_planner(&service, |planner| planner.first_event(id(number), now));
--- a/sorrelpass/src/gateway/peer_protocol.rs
+++ b/sorrelpass/src/gateway/peer_protocol.rs
@@ -68,7 +68,7 @@
     }
 
     /// Converts the message, received at `now`, back to a job.
-    pub fn to_job(&self, now: Moment) -> planner::Job {
+    pub fn restore_job(&self, now: Moment) -> planner::Job {
         planner::Job {
             prompt: self.prompt_tokens,
             output: self.output_tokens,
