--- a/standin/tests/at_most_once.rs
+++ b/standin/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated runs at most once, and "not run" is true.
+//! Non-repeatable calls run at most once, and a reported "not run" is always true.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 const LONG: Duration = Duration::from_secs(5);
 
-/// A fleet with one service, so that the test knows where a call runs.
+/// Returns the spec of a fleet with one service replica, so that the test knows which replica runs a call.
 fn one_service(name: &str) -> Spec {
     Spec { services: 1, engines: 1, ..Spec::small(name) }
 }
@@ -149,7 +149,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn in_a_log_outage_a_new_key_is_not_run_at_once_and_a_ticket_runs_once() {
-    // Three entries: of each partition one writes, one stands by, one does not follow it.
+    // With three entries, each partition has one writer, one standby and one entry that does not follow it.
     let fleet = start(Spec { entries: 3, ..Spec::small("once-outage") }).await;
     let claimed = pay(&fleet, 0, Some("before-1"), LONG).await;
     assert_eq!(claimed.status, 200);
--- a/standin/tests/bad_input.rs
+++ b/standin/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error, and everything it held is freed.
+//! Invalid input gets a specific error, and all resources that it held are released.
 
 mod common;
 
@@ -114,7 +114,7 @@
     close(fleet).await;
 }
 
-/// A caller that sent its next request on the connection would lose it.
+/// Guards against a missing `connection: close`: a client that reused the connection would lose its next request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_of_an_unread_body_says_that_its_connection_ends() {
     let settings = "max_body_bytes = 200000\n".to_owned();
@@ -129,13 +129,13 @@
     close(fleet).await;
 }
 
-/// An entry that holds 200 kB of bodies at most.
+/// Starts a fleet whose entries buffer at most 200 kB of request bodies.
 async fn with_small_budget(name: &str) -> Fleet {
     let settings = "max_body_bytes = 200000\nbody_budget_bytes = 200000\n".to_owned();
     start(Spec { entry_settings: settings, ..Spec::small(name) }).await
 }
 
-/// A connection whose request has a body of so many bytes, of which all but the first are still to come.
+/// Opens a connection and sends a request whose body has `bytes` bytes, of which only the first one is sent.
 async fn half_sent(fleet: &Fleet, bytes: usize) -> TcpStream {
     let mut stream = TcpStream::connect(&fleet.entries[0]).await.expect("connected");
     let head = format!(
@@ -146,14 +146,14 @@
     stream
 }
 
-/// The answer's first line, if one comes within `patience`.
+/// Returns the status line of the response, or `None` if no response arrives within `timeout`.
 async fn status_line(stream: &mut TcpStream, patience: Duration) -> Option<String> {
     let mut line = vec![0; 64];
     let read = tokio::time::timeout(patience, stream.read(&mut line)).await.ok()?.expect("it is readable");
     Some(String::from_utf8_lossy(&line[..read]).lines().next().unwrap_or_default().to_owned())
 }
 
-/// In one order: a body that came first holds its part, what does not fit beside it is refused.
+/// Budget in use by a body that stays: a body that does not fit beside it is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_beside_one_that_holds_the_budget_is_refused() {
     let fleet = with_small_budget("budget-held").await;
@@ -167,8 +167,9 @@
     close(fleet).await;
 }
 
-/// In the other order: a body that does not fit beside one that is over in a moment waits for that moment. Its caller would
-/// come back half a second later and send all of it again; where short prompts come all the time, again and again.
+/// Budget in use by a body that is about to complete: a body that does not fit beside it waits. If it were refused,
+/// its client would retry half a second later and send the whole body again, repeatedly under a steady load of short
+/// prompts.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_beside_one_that_is_over_in_a_moment_is_taken_in() {
     let fleet = with_small_budget("budget-moment").await;
@@ -190,7 +191,7 @@
     close(fleet).await;
 }
 
-/// One that waits keeps nothing from those that fit.
+/// A waiting body does not block bodies that fit into the budget.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_that_waits_holds_up_no_smaller_one() {
     let fleet = with_small_budget("budget-smaller").await;
@@ -210,11 +211,10 @@
     close(fleet).await;
 }
 
-/// The story: beside load the budget was never seen used up. The half-sent request, which is to use it up, had been refused
-/// as one too many, since a prompt of the loop below was being read at that moment; that one was over some milliseconds
-/// later, and nothing used the budget up any more. The order of the two is left to chance here; both orders stand above,
-/// and in the second the refusal was wrong for callers. What showed it: the entry's only line with `bodies_in_flight`,
-/// before 1,000 prompts were served.
+/// Guards against a refusal of the half-sent request that is meant to exhaust the budget. Under load, a prompt of the
+/// loop can hold a part of the budget for some milliseconds when the half-sent request arrives. That request was then
+/// refused with `bodies_in_flight`, and nothing exhausted the budget while 1,000 prompts were served. The order of the
+/// two is random here; the tests above cover both orders. A refusal in the second order is also wrong for clients.
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_over_the_budget_are_refused_and_the_budget_comes_back() {
     let settings = "max_body_bytes = 200000\nbody_budget_bytes = 200000\n".to_owned();
@@ -242,7 +242,7 @@
     let fleet = start(spec).await;
     let prompt = prompt(500, 9_000, 1);
     let body = prompt.body();
-    // A small window, so that the answer does not fit into the kernel's buffers.
+    // With a small receive window the answer does not fit into the kernel's socket buffers.
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("the window is set");
     let address = fleet.entries[0].parse().expect("an address");
@@ -257,8 +257,8 @@
     stream.read_exact(&mut first).await.expect("the answer begins");
     until("the entry gives the caller up", || async {
         let log = std::fs::read_to_string(fleet.log_file("entry-0")).unwrap_or_default();
-        // Either the answer's ring was full for too long, or the connection's write was; the test
-        // itself keeps the connection open.
+        // The caller is cut off because the channel of its answer was full for too long or because the write to its
+        // connection timed out; the test itself keeps the connection open.
         log.contains("code=caller_too_slow") || log.contains("step=caller-gone")
     })
     .await;
--- a/standin/tests/common/load.rs
+++ b/standin/tests/common/load.rs
@@ -1,31 +1,32 @@
-//! Load on a site of the platform's form, and what came of it.
+//! Load on a site of the platform, and its outcomes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use standin::platform::{Ask, HOST, KEY, Replica, Run, Seen, Site, send};
 
-/// How long a caller waits for an answer.
+/// Time that a client waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(2_500);
 
-/// The most requests that reached a replica in a `window` that begins at `since` or later.
+/// Returns the maximum number of requests that reached a replica in a window that begins at `since` or later.
 pub fn most(replica: &Replica, since: Instant, window: Duration) -> usize {
     let at: Vec<Instant> = replica.seen().iter().map(|run| run.at).collect();
     let begins = at.iter().filter(|at| **at >= since);
     begins.map(|begin| at.iter().filter(|at| **at >= *begin && **at < *begin + window).count()).max().unwrap_or(0)
 }
 
-/// A short prompt.
+/// Builds a short prompt.
 pub fn prompt(id: &str) -> Ask {
     Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500")
 }
 
-/// A call that may be repeated.
+/// Builds a call that may be repeated.
 pub fn look(id: &str) -> Ask {
     Ask::new("GET", "/look/1", id, KEY).with("deadline-ms", "2500")
 }
 
-/// Sends `ask` so often a second, to one entry after the other, whatever comes back; returns what came.
+/// Sends requests at a constant rate for `duration`, alternating between the entries, whatever the outcomes; returns
+/// the outcomes.
 pub async fn load(site: &Site, a_second: u32, lasts: Duration, ask: fn(&str) -> Ask) -> Vec<Seen> {
     let addresses: Arc<[String]> = site.addresses.clone().into();
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / a_second);
@@ -35,7 +36,7 @@
     while Instant::now() < until {
         ticks.tick().await;
         let (addresses, mut asked) = (addresses.clone(), ask(&format!("load-{number}")));
-        // A frozen entry never answers.
+        // A suspended entry never answers.
         asked.leave_after = Some(PATIENCE);
         let entry = number % addresses.len();
         sent.push(tokio::spawn(async move { send(&addresses[entry], HOST, &asked).await.unwrap_or_default() }));
@@ -48,13 +49,13 @@
     seen
 }
 
-/// The entry to which `load` sent the request that reached a replica.
+/// Returns the entry to which `send_load` sent a request that reached a replica.
 pub fn entry_of(site: &Site, run: &Run) -> usize {
     let number = run.id.strip_prefix("load-").and_then(|number| number.parse::<usize>().ok());
     number.expect("it was sent by load") % site.addresses.len()
 }
 
-/// How many were served whole.
+/// Returns the number of requests that were served completely.
 pub fn served(seen: &[Seen]) -> usize {
     seen.iter().filter(|seen| seen.status == 200 && seen.whole).count()
 }
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the fleet tests share: a small fleet, prompts and calls against it.
+//! Helpers of the fleet tests: small fleets, prompts and calls.
 #![allow(dead_code)]
 
 pub mod load;
@@ -12,17 +12,17 @@
 use standin::platform::Site;
 use standin::text;
 
-/// A small fleet under the test's own name.
+/// Starts a small fleet with the test's own name.
 pub async fn fleet(name: &str) -> Fleet {
     start(Spec::small(name)).await
 }
 
-/// A fleet as specified.
+/// Starts a fleet with the given spec.
 pub async fn start(spec: Spec) -> Fleet {
     Fleet::start(spec).await.expect("the fleet starts")
 }
 
-/// A streamed prompt of `tokens` tokens that wants `output` tokens.
+/// Builds a streamed prompt of `tokens` tokens that asks for `output` tokens.
 pub fn prompt(tokens: usize, output: u64, seed: u64) -> Prompt {
     Prompt {
         model: "market-advisor".into(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// Headers of a call by workspace 0, with a key if it may run once.
+/// Returns the headers of a call by workspace 0, with the idempotency key if one is given.
 pub fn call_headers(once: Option<&str>) -> Vec<(String, String)> {
     let mut headers = vec![("authorization".to_owned(), format!("Bearer {}", workspace_key(0)))];
     if let Some(once) = once {
@@ -44,14 +44,14 @@
     headers
 }
 
-/// Posts a call that may run once.
+/// Posts a call that may run at most once.
 pub async fn pay(fleet: &Fleet, entry: usize, key: Option<&str>, deadline: Duration) -> Seen {
     let mut headers = call_headers(key);
     headers.push(("x-deadline-ms".to_owned(), deadline.as_millis().to_string()));
     fleet.client.call("POST", &fleet.entries[entry], "/services/stall-ledger/payments", &headers, "levy 500").await
 }
 
-/// Runs `sorrelpass` with arguments and returns what it printed and whether it ended well.
+/// Runs `sorrelpass` with arguments; returns its output and whether it exited successfully.
 pub fn sorrelpass(args: &[&str]) -> (String, bool) {
     let path = std::path::Path::new(env!("CARGO_BIN_EXE_standin")).with_file_name("sorrelpass");
     let output = Command::new(path).args(args).output().expect("sorrelpass runs");
@@ -59,7 +59,7 @@
     (String::from_utf8_lossy(&text).into_owned(), output.status.success())
 }
 
-/// Ends a fleet; every process must end by itself and none may have breached an invariant.
+/// Stops a fleet; fails if a process does not exit by itself or if an invariant was breached.
 pub async fn close(fleet: Fleet) {
     let breaches = fleet.breaches().expect("logs can be read");
     assert!(breaches.is_empty(), "{breaches:?}");
@@ -69,7 +69,7 @@
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// Polls until `done` says so; fails after ten seconds.
+/// Polls until `condition` is true; fails after ten seconds.
 pub async fn until<F: Future<Output = bool>>(what: &str, mut done: impl FnMut() -> F) {
     for _ in 0..1_000 {
         if done().await {
@@ -80,16 +80,16 @@
     panic!("never came about: {what}");
 }
 
-/// Sends a request head that grows beyond any limit, goes on writing after it was refused, and returns the
-/// first line that comes back.
+/// Sends a request head that exceeds any limit, keeps writing after the refusal, and returns the status line of the
+/// response.
 pub fn status_line_of_an_endless_head(address: &str) -> String {
     let mut stream = std::net::TcpStream::connect(address).expect("connected");
     let piece = format!("x-more: {}\r\n", "h".repeat(10_000));
     stream.write_all(b"GET /v1/models HTTP/1.1\r\nhost: x\r\n").expect("sent");
     for _ in 0..2 {
-        // The second round meets a server that has long answered and closed its side.
+        // In the second round the server has already responded and closed its side.
         for _ in 0..10 {
-            // Many clients give up at the first write that fails, and never read what came before it.
+            // Many clients stop at the first failed write and never read a response that came before it.
             stream.write_all(piece.as_bytes()).expect("the connection is not reset under the caller");
         }
         std::thread::sleep(Duration::from_millis(300));
@@ -100,7 +100,7 @@
     text.lines().next().unwrap_or_default().to_owned()
 }
 
-/// The entry of a site that plans for the others: the only one that follows nobody.
+/// Returns the leader of a site, which is the only entry that follows no other one.
 pub async fn leader(site: &Site, entries: usize) -> usize {
     let follows = |entry: &usize| site.log(*entry).contains("step=following");
     let started = Instant::now();
--- a/standin/tests/configuration.rs
+++ b/standin/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration that was accepted is in force everywhere within seconds and never reverts.
+//! An accepted configuration is in force at all entries within seconds and is never reverted.
 
 mod common;
 
@@ -14,7 +14,7 @@
     call.await.expect("an answer comes")
 }
 
-/// Plans at an entry; returns the plan's id.
+/// Submits changes to an entry as a plan and returns the plan's ID.
 async fn plan(fleet: &Fleet, entry: usize, changes: Value) -> String {
     let (status, plan) = operate(fleet, entry, "POST", "/v1/intents", Some(json!({ "changes": changes }))).await;
     assert_eq!(status, 201, "{plan}");
--- a/standin/tests/gangs.rs
+++ b/standin/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Prompts that exceed one engine are answered whole by a gang, and nothing of theirs stays held.
+//! Prompts that exceed one engine are answered completely by a gang of engines, and all its memory is released.
 
 mod common;
 
@@ -14,7 +14,8 @@
 use standin::engine::model::Sizes;
 use standin::fleet::{Fleet, Spec};
 
-/// Ten engines of 40,000 tokens: a prompt of 100,000 needs three, and one failure domain has four.
+/// Returns the spec of a fleet with ten engines of 40,000 tokens: a prompt of 100,000 tokens needs three engines, and
+/// one failure domain has four.
 fn small_engines(name: &str) -> Spec {
     let sizes = Sizes { memory: 40_000, speed: 20.0, ..Sizes::default() };
     Spec { engines: 10, services: 1, sizes, ..Spec::small(name) }
@@ -56,14 +57,15 @@
     close(fleet).await;
 }
 
-/// Runs a gang's prompt and kills a process in the middle; the answer is whole or an honest failure in time.
+/// Runs a prompt that needs a gang and kills a process during prefill; the answer must be complete, or a failure must
+/// be reported before the deadline.
 async fn killed_midway(name: &str, victim: impl Fn(usize) -> String) {
     let fleet = start(small_engines(name)).await;
     let mut prompt = prompt(100_000, 400, 1);
     prompt.deadline = Duration::from_secs(30);
     let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
         until("the spans are being filled", || is_filling(&fleet)).await;
-        // Engines 0, 3, 6 and 9 share the entry's failure domain.
+        // Engines 0, 3, 6 and 9 are in the failure domain of entry 0.
         fleet.signal(&victim(3), Signal::KILL).expect("killed");
     });
     assert!(seen.text == prompt.expected() || seen.failure.is_some(), "{seen:?}");
@@ -104,7 +106,7 @@
     close(fleet).await;
 }
 
-/// The wire's form of a span's hold, as `wire::Hold` has it.
+/// Request body of `POST /span/hold`, with the fields in the order in which the sidecar decodes them.
 #[derive(serde::Serialize)]
 struct Hold {
     span: u128,
@@ -113,12 +115,13 @@
     renew: bool,
 }
 
-/// Found by the ten-minute soak: an entry died between asking for a span to be freed and hearing of it.
+/// Guards against a span that stays reserved because the entry that requested its release dies before it receives the
+/// response.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_span_is_freed_although_who_asked_for_it_goes_away_at_once() {
     let fleet = start(Spec { engines: 1, services: 1, ..Spec::small("gang-gone") }).await;
     let sidecar = &fleet.addresses["sidecar-market-advisor-0"];
-    // As entries do: over HTTP/2, where a call that is given up ends at once on the other side too.
+    // Entries use HTTP/2, where a cancelled call ends at once at the server too.
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).http2_only(true).build_http();
     for span in 1..1_000u128 {
         let hold = Hold { span, tokens: 1, lease_micros: 3_600_000_000, renew: false };
@@ -134,7 +137,7 @@
         }
         asked.abort();
     }
-    // Those that were given up before they were sent are asked for once more.
+    // Releases the spans again whose first release was cancelled before it was sent.
     for span in 1..1_000u128 {
         let body = postcard::to_stdvec(&span).expect("encoded");
         fleet.client.call("POST", sidecar, "/span/free", &[], body).await;
--- a/standin/tests/history.rs
+++ b/standin/tests/history.rs
@@ -1,4 +1,4 @@
-//! The history checker rejects wrong histories, and the fleet's histories pass it.
+//! The history checker rejects invalid histories and accepts the histories of a fleet.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use standin::fleet::{Fleet, OPERATOR_KEY, Spec};
 use standin::history::{AtMostOnce, Call, Confirm, Item, OnceCall, is_linearizable};
 
-/// A history from (called, returned, operation), times in milliseconds.
+/// Builds a history from (called, returned, operation) tuples, with times in milliseconds.
 fn history<O: Clone>(calls: &[(u64, u64, O)]) -> Vec<Call<O>> {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
--- a/standin/tests/in_time.rs
+++ b/standin/tests/in_time.rs
@@ -1,4 +1,4 @@
-//! Every admitted request finishes or fails within its time, and what it says of having run is true.
+//! Every admitted request completes or fails within its deadline, and its reported run state is true.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use standin::engine::model::Sizes;
 use standin::fleet::Spec;
 
-/// Time beyond a deadline that an answer may take on a busy machine.
+/// Tolerance beyond a deadline for an answer on a busy machine.
 const GRACE: Duration = Duration::from_millis(1_000);
 
 fn one_engine(name: &str) -> Spec {
@@ -70,7 +70,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_that_never_started_is_told_as_not_run() {
     let sizes = Sizes { slots: 1, ..Spec::small("").sizes };
-    // Estimates far too good: the sidecar accepts what it then cannot start in time.
+    // The estimates are far too optimistic, so the sidecar accepts a job that it cannot start before its deadline.
     let spec = Spec { sizes, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine("never-started") };
     let fleet = start(spec).await;
     let mut hog = prompt(1_000, 3_000, 1);
@@ -113,7 +113,7 @@
     close(fleet).await;
 }
 
-/// Found by a soak: a claim waited for its partition's frozen writer beyond the call's time.
+/// Guards against a claim that waits for the suspended writer of its partition beyond the call's deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_writer_is_frozen_does_not_outlast_the_calls_time() {
     let fleet = start(Spec { entries: 3, ..one_engine("frozen-writer") }).await;
--- a/standin/tests/leaving.rs
+++ b/standin/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What leaves gets no new work after a few seconds, and a planned stop cuts off nothing.
+//! A draining endpoint gets no new requests after a few seconds, and a planned stop interrupts no request.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use serde_json::json;
 use standin::fleet::{Fleet, OPERATOR_KEY};
 
-/// Within so long no entry may give an endpoint that leaves new work.
+/// Time within which all entries stop sending new requests to a draining endpoint.
 const LEAVING: Duration = Duration::from_secs(2);
 
-/// Sends short prompts through every entry for a while; returns how many ran at `endpoint`.
+/// Sends 30 short prompts, alternating between the entries, and returns how many of them ran at `endpoint`.
 async fn prompts_at(fleet: &Fleet, endpoint: &str) -> u64 {
     let before = accepted(fleet, endpoint);
     for seed in 0..30 {
@@ -107,7 +107,8 @@
     close(fleet).await;
 }
 
-/// From the moment in which others can reach a process, a signal to end lets it end in peace.
+/// Guards against a signal before its handler is set: once a process accepts connections, SIGTERM must shut it down
+/// cleanly.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_told_to_end_as_soon_as_it_listens_ends_by_itself() {
     let mut fleet = fleet("leaving-early").await;
--- a/standin/tests/memory.rs
+++ b/standin/tests/memory.rs
@@ -1,4 +1,4 @@
-//! No engine loses memory for good: whatever dies or freezes, nothing stays held.
+//! Engines leak no memory: after a process dies or is suspended, all reservations are released.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use serde_json::json;
 use standin::fleet::{Fleet, Spec};
 
-/// A fleet whose sidecars soon give up entries that do not read.
+/// Starts a fleet whose sidecars disconnect an entry that does not read for one second.
 async fn small(name: &str) -> Fleet {
     start(Spec { sidecar_settings: "slow_entry_ms = 1000\n".into(), ..Spec::small(name) }).await
 }
 
-/// Runs several prompts, does something in the middle, and waits until no memory is held.
+/// Runs six prompts, executes `act` while they run, cancels them, and waits until no memory is reserved.
 async fn nothing_stays_held(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet)) {
     let asked: Vec<_> = (0..6)
         .map(|seed| {
--- a/standin/tests/placement.rs
+++ b/standin/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement follows the intents under a fenced lease; a paused controller changes nothing.
+//! Placement follows the intents under a fenced lease; a suspended controller changes nothing when it resumes.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use standin::fleet::{Fleet, Spec};
 
-/// Four entries, so that failure domain 0 has two, and seven engines, of which it has three.
+/// Returns the spec of a fleet with four entries and seven engines, of which failure domain 0 has two and three.
 fn spec(name: &str, checks_fence: bool) -> Spec {
     Spec { entries: 4, engines: 7, services: 1, checks_fence, ..Spec::small(name) }
 }
@@ -47,7 +47,7 @@
     close(fleet).await;
 }
 
-/// The name of the entry that last took the lease of failure domain 0.
+/// Returns the name of the entry that acquired the lease of failure domain 0 last.
 fn holder(fleet: &Fleet) -> Option<&'static str> {
     let mut last: Option<(String, &'static str)> = None;
     for name in ["entry-0", "entry-3"] {
@@ -70,7 +70,7 @@
     let paused = holder(&fleet).expect("somebody holds the lease");
     let before = loaded(&fleet, 0).await["fence"].as_u64().unwrap_or(0);
     fleet.signal(paused, Signal::STOP).expect("the holder is paused");
-    // Change the intents through an entry of another failure domain.
+    // The suspended entry accepts no change, so an entry of another failure domain publishes it.
     let changes = json!([{ "put_intent": { "model": "market-advisor", "service": "market-advisor",
         "workspaces": ["*"], "version": "v3", "adapters": ["kinyarwanda"] } }]);
     fleet.publish_at(1, &changes).await.expect("the change is accepted");
--- a/standin/tests/platform_beliefs.rs
+++ b/standin/tests/platform_beliefs.rs
@@ -1,4 +1,4 @@
-//! What entries believe: the configuration, keys and replicas, through outages of the store.
+//! The configuration, API keys and replica records that entries use through outages of the store.
 
 use std::time::Duration;
 
@@ -36,9 +36,9 @@
 async fn without_a_recent_proof_no_key_is_trusted_and_the_entry_is_not_ready() {
     for fault in [Fault::Silent, Fault::Unavailable, Fault::TooMany] {
         let site = site("beliefs-proof", "revoke_ms = 3000").await;
-        // Both doors: an entry that the store turns away hears from the other one.
+        // All entries lose the store, because an entry that alone loses it gets its data from the other one.
         site.doors.iter().for_each(|door| door.set(fault));
-        // The key is taken away while the entries hear nothing.
+        // The key is revoked while the entries receive nothing.
         site.configure(&["another"], |_| {});
         pause(3_200).await;
         for entry in 0..2 {
@@ -66,7 +66,7 @@
         assert_eq!(site.send(number % 2, &look(&format!("c{number}"), KEY)).await.status, 200);
     }
     assert_eq!(site.plain[0].seen().len(), 0);
-    // Its end is final, whatever its record says later.
+    // The announced termination of a run is final, whatever its record says later.
     site.store.put("keyed.servers", "plain-0", site.plain[0].record("ledger", "ready"));
     site.store.put("keyed.servers", "plain-1", "");
     pause(600).await;
@@ -135,7 +135,7 @@
         let mut site = site("beliefs-lax", bounds).await;
         site.doors.iter().for_each(|door| door.set(fault));
         pause(2_000).await;
-        // Taken away while the entries hear nothing, as is one more key given.
+        // One key is revoked and another one is added while the entries receive nothing.
         site.configure(&["another"], |_| {});
         for entry in 0..2 {
             assert!(site.is_ready(entry).await, "{fault:?}");
@@ -150,7 +150,7 @@
             assert_eq!(site.send(entry, &look(&format!("v3{entry}"), "another")).await.status, 200, "{fault:?}");
             assert_eq!(site.send(entry, &look(&format!("v4{entry}"), KEY)).await.status, 401, "{fault:?}");
         }
-        // One that knows no configuration at all trusts nobody, however lax the bound.
+        // An entry without any configuration trusts no key, however lax the bound is.
         site.doors.iter().for_each(|door| door.set(fault));
         site.restart(0).await.expect("it starts");
         site.restart(1).await.expect("it starts");
--- a/standin/tests/platform_crashes.rs
+++ b/standin/tests/platform_crashes.rs
@@ -1,11 +1,11 @@
-//! Work under which replicas end is sent no more, by any entry and for as long as the site lives.
+//! Requests that crash replicas are condemned: no entry sends them again for as long as the site runs.
 //!
-//! The story: a short prompt came that ends each replica that begins to run it; its caller came again with it, through
-//! every entry. Each entry counted the attempts of one request only, so each try of the caller's cost two replicas, and
-//! the callers of all others on them were sent elsewhere, beside the same prompt again. A service of 18 replicas lost 26
-//! in 22 s; after the third the prompt was sent 25 times more. What proved the cause: 22 of the 26 replicas ended 0.1 to
-//! 0.7 s after a prompt of the same size had its answer opened there, without an event; each time it was sent on, the
-//! next replica ended too, which happened to 15 of 68 of the others.
+//! Guards against a prompt that crashes every replica that runs it and is retried by its client through all entries.
+//! If each entry counts the attempts of one request only, each retry costs two replicas, and the other requests on
+//! them are sent on to replicas that get the same prompt. A service of 18 replicas had 26 crashes in 22 s this way;
+//! after the third crash the prompt was sent 25 more times. Of the 26 replicas, 22 crashed 0.1 to 0.7 s after they had
+//! opened the answer to a prompt of the same size, before its first event. Each time that prompt was sent on, the next
+//! replica crashed too; of the other prompts, 15 of 68 met this.
 
 mod common;
 
@@ -17,16 +17,16 @@
 use rustix::process::Signal;
 use standin::platform::{Ask, Fault, KEY, Replica, Seen, Site, Spec, send};
 
-/// What the body of the work holds under which replicas end.
+/// Text in the body of a request that crashes a replica.
 const MARKER: &str = "ends-replicas";
-/// A replica that ended is back after this.
+/// Time after which a crashed replica is up again.
 const DOWN: Duration = Duration::from_millis(400);
-/// Pause between two tries of the same work.
+/// Delay between two sends of the same request.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Sends that are allowed after the third replica has ended.
+/// Maximum number of sends after the third crash.
 const MOST_AFTER: usize = 3;
 
-/// A site whose replicas end under marked work.
+/// Starts a site whose replicas crash on requests with `MARKER` in the body.
 async fn site(name: &str) -> Site {
     start(Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) }).await
 }
@@ -37,25 +37,25 @@
     site
 }
 
-/// A prompt with a body of its own.
+/// Builds a prompt with the given body.
 fn prompt(id: &str, body: &str) -> Ask {
     let ask = Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500");
     Ask { body: Bytes::from(body.to_owned()), ..ask }
 }
 
-/// A call that may be repeated, with a body of its own.
+/// Builds a repeatable call with the given body.
 fn look(id: &str, body: &str) -> Ask {
     let ask = Ask::new("POST", "/look/1", id, KEY).with("deadline-ms", "2500");
     Ask { body: Bytes::from(body.to_owned()), ..ask }
 }
 
-/// How often marked work reached one of `replicas`.
+/// Returns how many requests with the marker reached `replicas`.
 fn arrivals(replicas: &[Arc<Replica>]) -> usize {
     let marked = |body: &[u8]| body.windows(MARKER.len()).any(|part| part == MARKER.as_bytes());
     replicas.iter().flat_map(|replica| replica.seen()).filter(|run| marked(&run.body)).count()
 }
 
-/// Waits until an entry's log has a text.
+/// Waits until the log of an entry contains a text.
 async fn wait_log(site: &Site, entry: usize, text: &str) {
     for _ in 0..100 {
         if site.log(entry).contains(text) {
@@ -70,7 +70,7 @@
     seen.status == 502 && seen.body.contains("\"condemned\"")
 }
 
-/// Sends the same work through each entry in turn, so many times, under another id each time.
+/// Sends the same request through each entry in turn, `times` times in all, each time with another request ID.
 async fn repeat(site: &Site, times: usize, ask: impl Fn(&str, &str) -> Ask) -> Vec<Seen> {
     let mut seen = Vec::new();
     for number in 0..times {
@@ -121,13 +121,13 @@
     for entry in 0..site.addresses.len() {
         let seen = site.send(entry, &prompt("told", MARKER)).await;
         assert!(is_condemned(&seen), "{seen:?}");
-        // No promise that it did not run in other tries, no time to come back at.
+        // The answer does not claim that other attempts did not run, and gives no time to retry after.
         assert_eq!(seen.header("retry-after"), "", "{seen:?}");
         assert!(seen.took < Duration::from_millis(300), "{:?}", seen.took);
     }
     tokio::time::sleep(DOWN * 2).await;
     for entry in 0..site.addresses.len() {
-        // The same caller and path, another body.
+        // The same client sends another body to the same path.
         let seen = site.send(entry, &prompt(&format!("other-{entry}"), "as usual")).await;
         assert!(seen.whole && seen.status == 200, "{seen:?}");
     }
@@ -148,7 +148,7 @@
     let (others, _) = futures_util::future::join(join_all(beside), repeat(&site, 8, prompt)).await;
     assert!(!others.iter().any(is_condemned), "{others:?}");
     let whole = others.iter().filter(|seen| seen.whole && seen.status == 200).count();
-    // One that met two ends is out of attempts.
+    // A prompt that met two crashes has no attempts left.
     assert!(whole >= 22, "{whole} of 24 were whole");
     assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
     site.close().expect("no invariant was breached");
@@ -218,7 +218,7 @@
     for entry in 0..site.addresses.len() {
         wait_log(&site, entry, "step=quarantine-lifted").await;
     }
-    // What ended replicas was mended.
+    // The replicas are repaired and no longer crash on the marker.
     site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", DOWN));
     tokio::time::sleep(DOWN * 2).await;
     let seen = site.send(0, &prompt("mended", MARKER)).await;
@@ -278,12 +278,13 @@
     site.close().expect("no invariant was breached");
 }
 
-/// The story: work under which two engines had ended was sent five times where four are allowed. Both ends were seen by an entry
-/// that followed; the one that took over had heard of them only, sent the work to the same two engines again, by chance, and
-/// they ended again. Where records tell no start of a replica its runs were told apart by the ends that an entry saw
-/// itself, so that it took the second ends for the first, which count once. What showed it: two `probe ... ended` lines of
-/// that entry without a `suspect` line behind them. Beside load there was a second cause: an engine that had ended was found
-/// still listening, and its end was no evidence; `probe ... listening` showed that.
+/// Guards against terminations that are lost with the leader. Where records do not give the start of a replica, its
+/// runs are told apart by the terminations that an entry observed itself. A follower observed the terminations of two
+/// engines. The next leader had only received them from that follower, sent the request to the same two engines, and
+/// took their second terminations for the first ones, which count once. The request was sent five times where four are
+/// allowed. The log of that leader had two `probe ... ended` lines without a `suspect` line after them. Under load
+/// there was a second cause: a terminated engine still listened when it was probed (`probe ... listening`), so its
+/// termination was no evidence.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_each_entry_saw_counts_when_the_one_that_plans_is_lost_meanwhile() {
     for signal in [Signal::KILL, Signal::STOP] {
@@ -308,8 +309,8 @@
     }
 }
 
-/// The same where nothing is left to chance: there are only two engines, so that the entry which heard of their ends sends
-/// the work to the same two again.
+/// Covers the fault above without depending on chance: there are only two engines, so the entry that received their
+/// terminations from a peer sends the request to the same two again.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_heard_of_ends_tells_those_that_it_sees_next_from_them() {
     let site = start(Spec { entries: 3, engines: 2, ..Spec::small("crashes-heard") }).await;
@@ -327,20 +328,21 @@
     site.close().expect("no invariant was breached");
 }
 
-/// The other direction: one end, seen by two entries, is one, though one of them has seen an earlier end of the same engine.
-/// Counted as two it would be enough, with one end more, to have innocent work refused for good.
+/// A termination that two entries observe counts once, even if one of them observed an earlier termination of the same
+/// engine. If it counted twice, one more termination would condemn a harmless request permanently.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_end_that_two_entries_saw_counts_once() {
     let spec = Spec { entries: 2, engines: 1, takes: Duration::from_secs(2), ..Spec::small("crashes-twice") };
     let site = start(spec).await;
-    // Two earlier ends, each under work of its own, of which entry 0 alone knows.
+    // Only entry 0 observes the two earlier terminations, each caused by a request of its own.
     for number in 0..2 {
         site.send(0, &prompt(&format!("earlier-{number}"), &format!("{MARKER} {number}"))).await;
         tokio::time::sleep(DOWN * 3).await;
     }
     let ends = |site: &Site| site.engines[0].ends();
     let before = ends(&site);
-    // The same innocent work through both entries, beside work that ends the engine; the work is not sent anew.
+    // Both entries send the same harmless request while another request crashes the engine; the harmless request is
+    // not sent again.
     let innocent: Vec<Ask> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
     let sends = join_all((0..2).map(|entry| site.send(entry, &innocent[entry])));
     let fatal = async {
@@ -367,14 +369,14 @@
     site.close().expect("no invariant was breached");
 }
 
-/// The entry that plans for the others.
+/// Returns the entry that the others follow.
 fn leader(site: &Site) -> usize {
     (0..site.addresses.len()).find(|entry| site.log(*entry).contains("step=peer-joined")).expect("one plans")
 }
 
-/// A process that ends closes its connections and its listener one after the other; on a busy machine a look right after the
-/// first found it listening, and its end was no evidence. That was the other half of what the test of the lost leader
-/// showed beside load: `probe ... listening` for an engine that had ended.
+/// Guards against a probe that comes too early. A terminating process closes its connections and its listener one
+/// after the other; on a busy machine a probe in between finds it listening (`probe ... listening`), and its
+/// termination is no evidence.
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_listen_a_moment_longer_are_seen_to_have_ended() {
     let site = site("crashes-linger").await;
@@ -384,8 +386,8 @@
     site.close().expect("no invariant was breached");
 }
 
-/// Sends fatal work twice to a replica of its own, which is back before the second would end it; returns its ends, if both
-/// came to its first run.
+/// Sends a fatal request twice to a replica that restarts before the second one would crash it. Returns the number of
+/// crashes, or `None` if the two requests did not reach the same run.
 async fn ends_under_two() -> Option<usize> {
     let replica = Replica::start("engine-0", Duration::from_millis(5)).await.expect("it starts");
     replica.end_under(MARKER, Duration::from_millis(1));
@@ -401,11 +403,13 @@
     let ends = replica.ends();
     let at: Vec<_> = replica.seen().iter().map(|run| run.at).collect();
     replica.end();
-    // It ends 15 ms after the first came: beside load the second may come to the next run, and ends that one too.
+    // The replica crashes 15 ms after the first request. Under load the second request may reach the next run and
+    // crash that one too.
     (at.len() == 2 && at[1] - at[0] < Duration::from_millis(12)).then_some(ends)
 }
 
-/// The stand-in itself: what one run of it was given ends no later run, or tests count ends that no send explains.
+/// Checks the stand-in itself: requests that one run received must not crash a later run, or tests would count crashes
+/// that no request explains.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_ends_once_under_all_that_one_run_of_it_was_given() {
     for _ in 0..20 {
--- a/standin/tests/platform_eras.rs
+++ b/standin/tests/platform_eras.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy: what it lost is not taken back, and what is written then is in force.
+//! Recovery of the store from an older copy: entries keep what the store lost, and apply what is written afterwards.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use rustix::process::Signal;
 use standin::platform::{Ask, Copy, Fault, KEY, Site, Spec};
 
-/// Time in which what is new in the store is in force at all entries.
+/// Time within which a change in the store is in force at all entries.
 const IN_FORCE: Duration = Duration::from_millis(900);
-/// Time in which the store is away.
+/// Length of the outage of the store.
 const AWAY: Duration = Duration::from_millis(500);
-/// Records that lapsed are back within this time of the store's return, and count as lapsed for no longer.
+/// Grace period after the store's return, during which records that it lost still count as present.
 const GRACE: Duration = Duration::from_millis(2_000);
-/// Time between two heartbeats of a replica.
+/// Interval between two heartbeats of a replica.
 const HEARTBEAT: Duration = Duration::from_millis(300);
 
 fn look(id: &str, key: &str) -> Ask {
@@ -30,7 +30,7 @@
     site.doors.iter().for_each(|door| door.set(fault));
 }
 
-/// The store goes away and comes back from a copy; `written_again` is there before anybody can read it.
+/// Makes the store unavailable and restores it from `copy`; `write` runs before an entry can read the store again.
 async fn come_back(site: &Site, copy: Copy, written_again: impl FnOnce(&Site)) {
     set_all(site, Fault::Unavailable);
     tokio::time::sleep(AWAY).await;
@@ -44,7 +44,7 @@
     site.store.put("keyed.servers", &replica.id, replica.record("ledger", "ready"));
 }
 
-/// How many requests reached a plain replica.
+/// Returns the number of requests that reached a plain replica.
 fn reached(site: &Site, replica: usize) -> usize {
     site.plain[replica].seen().len()
 }
@@ -71,7 +71,7 @@
     })
     .await;
     tokio::time::sleep(IN_FORCE).await;
-    // The first is at an offset below those that all entries know.
+    // The first change gets an offset below the latest offset that the entries know.
     for (round, (taken, given)) in [(KEY, "second"), ("second", "third"), ("third", "fourth")].into_iter().enumerate() {
         site.configure(&[given], |_| {});
         tokio::time::sleep(IN_FORCE).await;
@@ -228,7 +228,7 @@
     assert_ne!(announced(&site), newest, "the copy is older");
     tokio::time::sleep(GRACE).await;
     assert_eq!(announced(&site), newest, "{}", site.log(2));
-    // Whoever is left when the others end finds the way by what is announced.
+    // The entry that remains after the others stop relies on the announced addresses.
     site.signal(0, Signal::TERM).expect("it is told");
     site.signal(1, Signal::TERM).expect("it is told");
     tokio::time::sleep(GRACE).await;
--- a/standin/tests/platform_evacuations.rs
+++ b/standin/tests/platform_evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators empty: nothing new goes to their replicas, by any path, until that is taken back.
+//! Failure domains that operators evacuate: their replicas get no new requests by any path until the evacuation ends.
 
 mod common;
 
@@ -10,24 +10,24 @@
 use rustix::process::Signal;
 use standin::platform::{Ask, Fault, KEY, Replica, Site, Spec};
 
-/// The failure domain that is emptied; the other replicas stand in the usual one.
+/// Failure domain that is evacuated; the other replicas are in the default one.
 const EMPTIED: &str = "there";
-/// Within this time of the operators' word nothing new goes there; a fifth of what the bounds ask for.
+/// Time after the operators' request within which new requests stop; a fifth of what the bounds allow.
 const IN_FORCE: Duration = Duration::from_secs(1);
-/// A refusal that is certain beforehand comes within this time.
+/// Maximum time of a refusal that is certain in advance.
 const AT_ONCE: Duration = Duration::from_millis(300);
 
-/// A prompt that several engines read.
+/// Builds a prompt that needs prefill on several engines.
 fn long_prompt(id: &str) -> Ask {
     Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "60000,400").with("deadline-ms", "2500")
 }
 
-/// A call that may run once.
+/// Builds a call that may run at most once.
 fn pay(id: &str) -> Ask {
     Ask::new("POST", "/pay/1", id, KEY).with("deadline-ms", "2500")
 }
 
-/// Three entries; every second replica stands in the domain that is emptied.
+/// Starts a site with three entries, whose every second replica is in the evacuated domain.
 async fn site(name: &str) -> Site {
     let spec = Spec { entries: 3, engines: 8, plain: 4, seeded: true, ..Spec::small(name) };
     let site = Site::start(spec).await.expect("the site starts");
@@ -41,12 +41,12 @@
     site.engines.iter().step_by(2).chain(site.plain.iter().step_by(2))
 }
 
-/// Requests that reached replicas of the emptied domain since then.
+/// Returns the number of requests that reached replicas of the evacuated domain since `since`.
 fn reached(site: &Site, since: Instant) -> usize {
     there(site).flat_map(|replica| replica.seen()).filter(|run| run.at >= since).count()
 }
 
-/// Plays all kinds of requests for so long; asserts that all were served.
+/// Sends requests of all kinds for `duration` and asserts that all of them were served.
 async fn all_are_served(site: &Site, lasts: Duration) {
     let (short, long, looks, pays) = tokio::join!(
         load(site, 20, lasts, prompt),
@@ -67,7 +67,7 @@
     assert!(reached(&site, Instant::now() - Duration::from_secs(1)) > 0, "all replicas serve");
     let begun = Instant::now();
     site.evacuate(EMPTIED);
-    // What runs there meanwhile comes to its end.
+    // Requests that already run in the domain complete.
     all_are_served(&site, Duration::from_secs(4)).await;
     assert_eq!(reached(&site, begun + IN_FORCE), 0);
     site.end_evacuation(EMPTIED);
@@ -81,7 +81,7 @@
 async fn a_service_with_replicas_nowhere_else_is_refused_at_once() {
     let site = site("evacuation-all").await;
     let begun = Instant::now();
-    // An unreadable word, one about a domain that no replica has, and both that there are.
+    // An unreadable evacuation record, one for a domain without replicas, and one for each domain with replicas.
     site.store.put_raw("keyed.op", b"evacuate/here", vec![0xff, 0x00, b'{']);
     site.evacuate("nowhere");
     site.evacuate(EMPTIED);
@@ -113,7 +113,7 @@
     site.restart(first).await.expect("started again");
     site.wait_ready(first, true).await.expect("ready");
     all_are_served(&site, Duration::from_secs(1)).await;
-    // An entry that the store turns away hears of it from the others.
+    // An entry that the store refuses receives the evacuation from its peers.
     let turned_away = (first + 1) % 3;
     site.doors[turned_away].set(Fault::TooMany);
     site.restart(turned_away).await.expect("started again");
@@ -133,7 +133,7 @@
     site.evacuate(EMPTIED);
     tokio::time::sleep(IN_FORCE).await;
     site.doors.iter().for_each(|door| door.set(Fault::Unavailable));
-    // Reads that the store holds are answered first.
+    // Reads that the store already holds are answered first.
     tokio::time::sleep(IN_FORCE).await;
     site.end_evacuation(EMPTIED);
     all_are_served(&site, Duration::from_secs(1)).await;
@@ -141,7 +141,7 @@
     site.doors.iter().for_each(|door| door.set(Fault::None));
     tokio::time::sleep(IN_FORCE * 2).await;
     let back = Instant::now();
-    // The same one again within moments of its return.
+    // The same domain is evacuated again just after the store returns.
     site.evacuate(EMPTIED);
     site.end_evacuation(EMPTIED);
     all_are_served(&site, Duration::from_secs(2)).await;
@@ -149,12 +149,13 @@
     site.close().expect("no invariant was breached");
 }
 
-/// Requests that a cold replica says it takes in a second.
+/// Request rate that a cold replica accepts by its own report, per second.
 const COLD_RATE: f64 = 4.0;
-/// What reaches one in a second at most, by the users' rule: one and a half times that, and five.
+/// Maximum number of requests that reach a cold replica in one second, by the users' rule: one and a half times its
+/// rate, plus five.
 const COLD_MOST: usize = 11;
 
-/// Replicas of all services bear little while they are cold, for so long.
+/// Starts a site whose services limit the request rate of cold replicas for `duration` after their start.
 async fn with_cold_replicas(name: &str, lasts: Duration) -> Site {
     let site = site(name).await;
     site.configure(&[KEY], |config| {
@@ -181,7 +182,7 @@
     site.announce_all();
     tokio::time::sleep(IN_FORCE).await;
     let since = Instant::now();
-    // The last third finds them warm again.
+    // The replicas are warm again in the last third.
     let (prompts, looks) =
         tokio::join!(load(&site, 60, Duration::from_secs(6), prompt), load(&site, 60, Duration::from_secs(6), look));
     assert_eq!((served(&prompts), served(&looks)), (prompts.len(), looks.len()), "others have room for all");
--- a/standin/tests/platform_facts.rs
+++ b/standin/tests/platform_facts.rs
@@ -1,4 +1,4 @@
-//! What entries know of the store through each other: few calls, nothing that looks younger than it is.
+//! Store data that entries get from each other: few calls to the store, and no data passes for newer than it is.
 
 mod common;
 
@@ -20,13 +20,13 @@
     Site::start(spec).await.expect("the site starts")
 }
 
-/// The entry that reads the store for the others, once all follow it; then the others.
+/// Returns the entry that reads the store for the others, once all of them follow it, and then its followers.
 async fn roles(site: &Site) -> (usize, Vec<usize>) {
     let leader = leader(site, 3).await;
     (leader, (0..3).filter(|entry| *entry != leader).collect())
 }
 
-/// Asks an entry until it answers with this status.
+/// Sends requests to an entry until it answers with `status`; fails after `limit`.
 async fn answers(site: &Site, entry: usize, key: &str, status: u16, limit: Duration) {
     let started = Instant::now();
     for number in 0.. {
@@ -48,7 +48,7 @@
     tokio::time::sleep(Duration::from_secs(4)).await;
     let calls: Vec<u64> = site.doors.iter().zip(before).map(|(door, before)| door.calls() - before).collect();
     assert!(calls[leader] >= 8, "the one that reads, reads on: {calls:?}");
-    // Nothing grows too old on the way, on a machine that is not starved of processor time.
+    // The data that followers receive stays recent enough on a machine that is not short of processor time.
     assert!(others.iter().all(|entry| calls[*entry] < calls[leader] / 2), "{calls:?}");
     site.close().expect("no invariant was breached");
 }
@@ -59,7 +59,7 @@
     let (_, others) = roles(&site).await;
     let cut_off = others[0];
     site.doors[cut_off].set(Fault::Silent);
-    // Longer than a proof of its own would serve.
+    // Longer than a verification by the entry itself stays valid.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     assert_eq!(site.send(cut_off, &look("a1", KEY)).await.status, 200);
     site.configure(&[OTHER_KEY], |_| {});
@@ -77,7 +77,7 @@
     site.close().expect("no invariant was breached");
 }
 
-/// Adds so many routes, each with a host and a prefix of its own, as operators' tools name them.
+/// Adds `count` routes, each with its own host and prefix, named as by the operators' tools.
 fn grow(config: &mut Value, more: usize) {
     let route = config["routes"][2].clone();
     let routes = config["routes"].as_array_mut().expect("routes are a list");
@@ -91,8 +91,8 @@
     }
 }
 
-/// An entry that the store turns away, and then its leader too, stays sure of the configuration for as long as any that
-/// it reaches is, whatever the size, and no longer.
+/// Checks that an entry that the store refuses, and then its leader too, keeps a verified configuration of any size
+/// for as long as an entry that it reaches has one, and no longer.
 async fn a_follower_stays_sure(name: &str, routes: usize) {
     let revoke = Duration::from_millis(3_000);
     let site = site(name, "revoke_ms = 3000").await;
@@ -101,7 +101,7 @@
     site.doors[cut_off].set(Fault::Unavailable);
     site.configure(&[KEY, OTHER_KEY], |config| grow(config, routes));
     answers(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
-    // Keys are taken away one after the other, for longer than a proof serves.
+    // Keys are revoked one after the other, for longer than a verification stays valid.
     for round in 0..4 {
         let (kept, taken) = if round % 2 == 0 { (KEY, OTHER_KEY) } else { (OTHER_KEY, KEY) };
         site.configure(&[kept], |config| grow(config, routes));
@@ -109,13 +109,13 @@
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         assert_eq!(site.send(cut_off, &look(&format!("k{round}"), kept)).await.status, 200, "it is sure");
     }
-    // Now only the third one reads, and what it reads goes up to the leader and down again.
+    // Only the third entry still reads the store; its data goes up to the leader and down to the other follower.
     site.doors[leader].set(Fault::Unavailable);
     tokio::time::sleep(revoke).await;
     site.configure(&[KEY], |config| grow(config, routes));
     answers(&site, cut_off, OTHER_KEY, 401, Duration::from_secs(3)).await;
     assert_eq!(site.send(cut_off, &look("l1", KEY)).await.status, 200, "the third one reads for all");
-    // Nobody does any more.
+    // No entry reads the store any more.
     site.doors[reader].set(Fault::Unavailable);
     tokio::time::sleep(revoke).await;
     for entry in 0..3 {
@@ -164,7 +164,7 @@
     site.signal(leader, Signal::STOP).expect("it freezes");
     site.configure(&[OTHER_KEY], |_| {});
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    // Only the reader wakes: what it says is no younger than its last reading.
+    // Only the entry that reads the store resumes; its data must not pass for newer than its last read.
     site.signal(leader, Signal::CONT).expect("it wakes");
     for entry in others.iter().chain([&leader]) {
         let seen = site.send(*entry, &look(&format!("c{entry}"), KEY)).await;
@@ -209,7 +209,7 @@
     for entry in 0..3 {
         site.wait_ready(entry, false).await.expect("nobody is sure of the configuration");
     }
-    // Long enough for searches to grow slow, if there were any.
+    // Long enough for the interval between searches for a leader to grow, if there were any searches.
     tokio::time::sleep(Duration::from_secs(4)).await;
     for door in &site.doors {
         door.set(Fault::None);
@@ -233,11 +233,12 @@
     let site = site("facts-reader-cut", "config_apply_ms = 800").await;
     let (leader, others) = roles(&site).await;
     site.doors[leader].set(Fault::Silent);
-    // A read that the store holds already would still tell.
+    // A read that the store already holds could still return the change.
     tokio::time::sleep(Duration::from_millis(800)).await;
     site.configure(&[KEY, OTHER_KEY], |_| {});
     let accepted = Instant::now();
-    // Before the bound an older configuration may still be in force; after it nothing may be denied that it lacks.
+    // Before the bound an older configuration may still be in force; after it, a key that this configuration lacks may
+    // not be refused.
     tokio::time::sleep(Duration::from_millis(800)).await;
     for number in 0..20 {
         for entry in &others {
@@ -275,7 +276,7 @@
     let spec = Spec { entries: 3, plain: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
     let site = Site::start(spec).await.expect("the site starts");
     let (leader, others) = roles(&site).await;
-    // Who hears first of a replica that went, the reader or one that reads for itself, differs from round to round.
+    // Whether the leader or an entry that reads for itself sees the removal first differs from round to round.
     for (round, gone) in site.plain.iter().take(3).enumerate() {
         site.doors[leader].set(Fault::Unavailable);
         tokio::time::sleep(Duration::from_millis(2_500)).await;
@@ -300,7 +301,7 @@
     let site = &mut site("facts-later", "drain_ms = 2000").await;
     let (leader, others) = roles(site).await;
     let (restarted, cut_off) = (others[0], others[1]);
-    // Only the one that is restarted reaches the store, and it has never seen the replica that went.
+    // Only the restarted entry reaches the store, and it has never seen the removed replica.
     site.doors[leader].set(Fault::Unavailable);
     site.doors[cut_off].set(Fault::Unavailable);
     let gone = site.plain[0].clone();
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -1,12 +1,13 @@
-//! What a prompt was granted goes back when nobody waits for it any more.
+//! Engines that a prompt was granted are returned when the prompt no longer waits for them.
 //!
-//! The story: short prompts were held for 0.9 s and refused while the planner gave one engine one prompt at a time and the
-//! others none. A prompt that gives up waiting in the very moment in which it is granted left its grant behind: the planner
-//! counted its engines as reading, and its answer as being written, though nothing had been sent. An entry that wakes from
-//! a freeze finds both due at once, the grant and the end of the wait, and takes either. A long prompt of that kind takes
-//! its writer and the engines that hold memory for it out altogether; an engine that only reads for it gets one prompt
-//! whenever nothing else is written there. What showed it: `held` with `reading` at the number of all engines, for seconds
-//! after the only long prompt had been answered 503, and no `send` line of that prompt.
+//! Guards against a leaked grant when a prompt stops waiting at the moment in which its engines are granted. An entry
+//! that resumes after a suspension finds both events due at once, the grant and the timeout, and takes either one
+//! first. The planner then counts the engines as in prefill, and the answer as being decoded, although nothing was
+//! sent. A long prompt of this kind blocks its decoding engine and the engines that reserve memory for it entirely; an
+//! engine that only does prefill for it gets one prompt whenever nothing else is decoded there. Short prompts were
+//! held for 0.9 s and refused while one engine got one prompt at a time and the others none. The log showed `held`
+//! with `reading` at the number of all engines for seconds after the only long prompt had been answered with 503, and
+//! no `send` line of that prompt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +16,11 @@
 use rustix::process::Signal;
 use standin::platform::{Ask, KEY, Replica, Seen, Site, Spec};
 
-/// Short prompts that are sent at the same time: fewer than one engine has slots for.
+/// Number of short prompts that are sent at the same time, below the number of slots of one engine.
 const AT_ONCE: usize = 12;
-/// Longer than a prompt waits for its engines.
+/// Length of a suspension, longer than a prompt waits for its engines.
 const FROZEN: Duration = Duration::from_millis(1_500);
-/// Rounds: which of two things that have come about at the same moment an entry sees first is left to chance.
+/// Number of rounds: which of two simultaneous events an entry handles first is random.
 const ROUNDS: usize = 8;
 
 fn prompt(id: &str, tokens: u64) -> Ask {
@@ -27,26 +28,26 @@
     Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", &usage).with("deadline-ms", "2500")
 }
 
-/// Sends short prompts at the same time.
+/// Sends `BURST` short prompts at the same time.
 async fn at_once(site: &Site, entry: usize, name: &str) -> Vec<Seen> {
     let asks: Vec<Ask> = (0..AT_ONCE).map(|number| prompt(&format!("{name}-{number}"), 500)).collect();
     join_all(asks.iter().map(|ask| site.send(entry, ask))).await
 }
 
-/// The engines that got requests whose ids begin with `name`.
+/// Returns the engines that received requests whose IDs begin with `prefix`.
 fn engines(site: &Site, name: &str) -> Vec<String> {
     let got = |engine: &&Arc<Replica>| engine.seen().iter().any(|run| run.id.starts_with(name));
     site.engines.iter().filter(got).map(|engine| engine.id.clone()).collect()
 }
 
-/// The entry that plans for both.
+/// Returns the leader of the two entries.
 fn leader(site: &Site) -> usize {
     (0..2).max_by_key(|entry| site.log(*entry).matches("step=peer-joined").count()).expect("two entries")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_granted_to_a_prompt_that_has_stopped_waiting_serve_others() {
-    // An entry that comes back from a freeze trusts its keys still.
+    // A resumed entry still trusts its keys.
     let bounds = "revoke_ms = 20000".to_owned();
     let mut site = Site::start(Spec { bounds, ..Spec::small("grants-frozen") }).await.expect("it starts");
     for round in 0..ROUNDS {
@@ -54,7 +55,7 @@
         let left = 1 - lost;
         site.signal(lost, Signal::KILL).expect("it gets it");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        // It waits: whoever has just begun to plan gives no engines to long prompts.
+        // The prompt waits, because an entry that has just become the leader grants no engines to long prompts.
         let long = prompt(&format!("long-{round}"), 700_000);
         let freeze = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -73,8 +74,9 @@
     site.close().expect("no invariant was breached");
 }
 
-/// An engine that had answered 12 prompts while the entry that plans was frozen was left out for 8 s, the longest time for
-/// which a breaker opens: each first event was heard late, and counted as one more failure.
+/// Guards against failures charged to an engine for the suspension of its entry. The first events of 12 prompts were
+/// received late by a suspended leader, each counted as one more failure, and the engine was ejected for 8 s, the
+/// longest time for which a circuit breaker opens.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answered_while_its_entry_was_frozen_gets_more() {
     let takes = Duration::from_millis(100);
@@ -84,7 +86,7 @@
         let freeze = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
             site.signal(frozen, Signal::STOP).expect("it stops");
-            // Too short for the other entry to give it up.
+            // Shorter than the timeout after which the other entry gives the suspended one up.
             tokio::time::sleep(Duration::from_millis(400)).await;
             site.signal(frozen, Signal::CONT).expect("it goes on");
         };
@@ -97,8 +99,8 @@
     }
 }
 
-/// Of an answer that lies there and the end of its time, both found behind a freeze, either was taken by chance: a stream
-/// was broken off of which every event had come in time.
+/// Guards against a random choice between a received event and the expired deadline after a suspension: a stream was
+/// aborted although each of its events had arrived in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_came_in_time_is_passed_on_by_an_entry_that_was_frozen() {
     let takes = Duration::from_millis(50);
--- a/standin/tests/platform_leaving.rs
+++ b/standin/tests/platform_leaving.rs
@@ -1,4 +1,4 @@
-//! A replica that says in its answers that it leaves gets nothing more, whatever its record says.
+//! A replica that announces in its responses that it is draining gets no new requests, whatever its record says.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use common::load::{entry_of, load, look, prompt, served};
 use standin::platform::{Act, Ask, Fault, Replica, Run, Site, Spec};
 
-/// What is sent later than this after an entry was told is a breach.
+/// Time after the announcement reached an entry, after which a request from that entry is a breach.
 const DRAIN: Duration = Duration::from_millis(600);
-/// Time for what one entry was told to reach the others.
+/// Time within which an announcement that one entry received reaches the others.
 const TOLD: Duration = Duration::from_millis(400);
 
 async fn site(name: &str) -> Site {
@@ -26,7 +26,8 @@
     replicas.iter().max_by_key(|replica| replica.seen().len()).expect("there are replicas")
 }
 
-/// Each entry may send to the replica until its first answer from there has told it, and for as long as that takes to count.
+/// Asserts that no entry sends a request to the replica later than `DRAIN` after the first one, whose response
+/// announces the draining.
 fn assert_left_alone(site: &Site, replica: &Replica, since: Instant) {
     for entry in 0..site.addresses.len() {
         let is_of = |run: &Run| run.at >= since && entry_of(site, run) == entry;
@@ -37,7 +38,7 @@
     }
 }
 
-/// Load before and after the busiest of `replicas` begins to say that it leaves.
+/// Sends load before and after the busiest of `replicas` begins to announce that it is draining.
 async fn play(site: &Site, replicas: &[Arc<Replica>], ask: fn(&str) -> Ask, with_store: bool) {
     load(site, 30, Duration::from_secs(1), ask).await;
     let leaving = busiest(replicas);
@@ -88,7 +89,7 @@
     let mut site = site("leaving-news").await;
     turn_store_away(&site);
     site.plain[0].say_leaving();
-    // Until it has answered, at one entry only.
+    // Sends through one entry only, until the replica has answered.
     for number in 0..40 {
         site.send(1, &look(&format!("first-{number}"))).await;
         if !site.plain[0].seen().is_empty() {
@@ -101,7 +102,7 @@
     let seen = load(&site, 30, Duration::from_secs(2), look).await;
     assert_eq!(served(&seen), seen.len());
     assert_eq!(site.plain[0].seen().len(), before, "the others knew it");
-    // One that starts reads that the replica is ready, and is told by the others that it is not.
+    // A starting entry reads that the replica is ready and receives from its peers that it is draining.
     site.doors.iter().for_each(|door| door.set(Fault::None));
     site.restart(2).await.expect("it starts again");
     site.wait_ready(2, true).await.expect("it is ready");
--- a/standin/tests/platform_lifetimes.rs
+++ b/standin/tests/platform_lifetimes.rs
@@ -1,4 +1,4 @@
-//! A replica that starts again under its identity, and records that another writer made.
+//! Replicas that restart under the same ID, and records from other writers.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use serde_json::{Value, json};
 use standin::platform::{Ask, KEY, Seen, Site, Spec};
 
-/// Time for news in the store to be known at both entries: the records are read four times in 2 s.
+/// Time within which both entries know of a change in the store; the records are read four times in 2 s.
 const KNOWN: Duration = Duration::from_millis(1_500);
-/// How often a log is looked at meanwhile.
+/// Interval between two reads of a log.
 const LOOK: Duration = Duration::from_millis(20);
 const TOPIC: &str = "keyed.servers";
 
@@ -47,7 +47,7 @@
     announce(&site, 0, "draining", 1_000);
     tokio::time::sleep(KNOWN).await;
     assert!(!served(&site, "leaving").await);
-    // Within one run an announced end is final.
+    // An announced termination is final within one run.
     announce(&site, 0, "ready", 1_000);
     tokio::time::sleep(KNOWN).await;
     assert!(!served(&site, "same-run").await);
@@ -72,10 +72,11 @@
     site.close().expect("no invariant was breached");
 }
 
-/// Makes an odd record of a sound one.
+/// Turns a valid record into an unusable one.
 type Make = Box<dyn Fn(Value) -> Bytes>;
 
-/// Records that no replica of ours writes, by what is odd about them; each is made from the sound record of an engine.
+/// Returns records that no replica writes, each with a label for its fault; each is made from the valid record of an
+/// engine.
 fn odd_records() -> Vec<(String, Make)> {
     let mut odd: Vec<(String, Make)> = vec![
         ("no JSON".into(), Box::new(|_| "{".into())),
@@ -113,7 +114,7 @@
     odd
 }
 
-/// A record with one field changed.
+/// Returns a label and a mutation that sets one field.
 fn changed(field: &'static str, value: Value) -> (String, Make) {
     let label = format!("{field} {value}");
     let make = move |mut record: Value| {
@@ -132,7 +133,7 @@
     }
 }
 
-/// How often an entry logged that an engine has a standing.
+/// Returns how often an entry logged that an engine has an availability.
 fn logged(site: &Site, entry: usize, engine: usize, standing: &str) -> usize {
     site.log(entry).matches(&format!("peer=engine-{engine} standing={standing}\n")).count()
 }
@@ -144,7 +145,7 @@
     let mut site = Site::start(Spec { engines: sound + 1, verbose: true, ..Spec::small("lifetimes-odd") })
         .await
         .expect("the site starts");
-    // An entry can stop believing only in a replica that it has heard of.
+    // An entry can eject only a replica that it knows.
     for entry in 0..2 {
         for engine in 0..sound {
             wait_ready(&site, entry, engine).await;
@@ -167,7 +168,7 @@
         assert!(served(&site, &format!("odd-{number}")).await);
     }
     assert_eq!(ran(&site), 0);
-    // A process that reads all of it anew.
+    // The restarted process reads all records again.
     site.restart(0).await.expect("the entry starts again");
     site.wait_ready(0, true).await.expect("the entry is ready");
     for number in 0..8 {
--- a/standin/tests/platform_limits.rs
+++ b/standin/tests/platform_limits.rs
@@ -1,10 +1,10 @@
-//! A replica in need gets no more than it says it takes, from all entries together.
+//! A replica that announces a rate limit gets no more requests than it allows, from all entries together.
 //!
-//! The story: two engines named in their answers the requests a second that they take from all entries together, 2 and
-//! 2.4. Each went on getting what it had got before, 23 and 29 requests in four seconds, through all five entries: no
-//! entry read that part of an answer. No single entry sent more than the limit, so one that kept to it for itself would
-//! have looked no different to its callers. What proved the cause: the rate at both engines is the same before and after
-//! they named their limits, every request there was a first send, and no part of the code decodes the header.
+//! Guards against a limit that entries ignore. Two engines announced limits of 2 and 2.4 requests per second for all
+//! entries together, but still received 23 and 29 requests in four seconds through five entries, because no entry
+//! decoded the header. The rate at both engines was the same before and after the announcement, and every request was
+//! a first attempt. No single entry exceeded the limit, so an entry that applied it to its own requests only would
+//! have looked no different to clients.
 
 mod common;
 
@@ -15,22 +15,23 @@
 use rustix::process::Signal;
 use standin::platform::{Replica, Seen, Site, Spec};
 
-/// The bound holds in every window of this length.
+/// Length of the windows in which the bound holds.
 const WINDOW: Duration = Duration::from_secs(4);
-/// From so long after a limit was first named it holds.
+/// Time after the first announcement of a limit from which the bound holds.
 const KNOWN_AFTER: Duration = Duration::from_secs(1);
-/// Where entries fail, from so long after.
+/// Time after the first announcement from which the bound holds while entries fail.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Requests beyond the limit itself in a window, in the calm: one that was saved up, one at the window's edge, one that
-/// was under way when the limit was named.
+/// Requests allowed beyond the limit in a window while nothing fails: one saved up, one at the window's edge, and one
+/// in flight when the limit was announced.
 const SLACK: f64 = 3.0;
 
-/// What is allowed to reach a replica in a window while nothing fails.
+/// Returns the number of requests that may reach a replica in a window while nothing fails.
 fn calm(rate: f64) -> usize {
     (rate * WINDOW.as_secs_f64() + SLACK) as usize
 }
 
-/// What is allowed while entries fail: one and a half times the limit, and five.
+/// Returns the number of requests that may reach a replica in a window while entries fail: one and a half times the
+/// limit, plus five.
 fn troubled(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
@@ -39,7 +40,7 @@
     Site::start(Spec { name: name.to_owned(), ..spec }).await.expect("the site starts")
 }
 
-/// The entry that was joined last by another: it plans, or planned last.
+/// Returns the entry that another one joined last: the current or the last leader.
 fn planner(site: &Site) -> usize {
     let joined = |entry: &usize| {
         let log = site.log(*entry);
@@ -87,7 +88,8 @@
     site.close().expect("no invariant was breached");
 }
 
-/// A replica in need has not failed: nobody leaves it alone for it, and nothing is sent a second time.
+/// Asserts that a rate-limited replica does not count as failed: it is not ejected, and no request is sent a second
+/// time.
 fn assert_nothing_is_blamed(site: &Site) {
     for entry in 0..site.addresses.len() {
         let log = site.log(entry);
@@ -95,7 +97,8 @@
     }
 }
 
-/// What is allowed at each, what came to an end in time, and what was refused at once with a time to come back.
+/// Asserts the bound at each replica, the number of requests served, and that the others were refused with a time to
+/// retry after.
 fn assert_fits(replicas: &[Arc<Replica>], rate: f64, seen: &[Seen], since: Instant, lasts: Duration) {
     for replica in replicas {
         let most = most(replica, since + KNOWN_AFTER, WINDOW);
@@ -201,7 +204,7 @@
     all().for_each(|replica| replica.name_limit(Some("1")));
     tokio::join!(load(&site, 10, Duration::from_secs(3), prompt), load(&site, 10, Duration::from_secs(3), look));
     all().for_each(|replica| replica.name_limit(None));
-    // Each sends one a second or more to hear of it.
+    // Each replica gets at least one request per second, whose response shows that the limit is gone.
     tokio::join!(load(&site, 10, Duration::from_secs(3), prompt), load(&site, 10, Duration::from_secs(3), look));
     let (prompts, looks) =
         tokio::join!(load(&site, 10, Duration::from_secs(2), prompt), load(&site, 10, Duration::from_secs(2), look));
--- a/standin/tests/platform_members.rs
+++ b/standin/tests/platform_members.rs
@@ -1,4 +1,4 @@
-//! Entries that come, go and lose the one that leads: what that costs the store does not grow with how many they are.
+//! Entries that start, stop and lose their leader: the calls to the store do not grow with the number of entries.
 
 mod common;
 
@@ -12,14 +12,14 @@
 use serde_json::json;
 use standin::platform::{Ask, Fault, HOST, Site, Spec, send};
 
-/// Time in which a fleet of stand-ins has come together.
+/// Time within which the entries of a site have found each other.
 const TOGETHER: Duration = Duration::from_millis(1_500);
 
 async fn site(name: &str, entries: usize) -> Site {
     site_with(name, entries, "").await
 }
 
-/// A site whose entries need not hurry: on a busy machine thousands of records take them a while.
+/// Starts a site with long bounds, because entries on a busy machine need a while for thousands of records.
 async fn patient_site(name: &str, entries: usize) -> Site {
     site_with(name, entries, "drain_ms = 20000\nconfig_apply_ms = 20000\nrevoke_ms = 20000\nevacuate_ms = 20000").await
 }
@@ -31,13 +31,13 @@
     site
 }
 
-/// Calls to the store of all entries but one.
+/// Returns the number of calls to the store by all entries but the leader.
 fn calls_of_others(site: &Site, leader: usize) -> u64 {
     let others = site.doors.iter().enumerate().filter(|(entry, _)| *entry != leader);
     others.map(|(_, door)| door.calls()).sum()
 }
 
-/// Entries that follow nobody, as the last line of each about that says.
+/// Returns the entries that follow no other entry, according to the last line about this in each log.
 fn leaders(site: &Site) -> Vec<usize> {
     let follows = |entry: &usize| {
         let log = site.log(*entry);
@@ -47,7 +47,8 @@
     (0..site.doors.len()).filter(|entry| !follows(entry)).collect()
 }
 
-/// The entry that leads, once all others follow it: the first in most runs, another if that one came up late.
+/// Waits until all entries follow one leader and returns it: the first entry in most runs, another if that one started
+/// late.
 async fn leader(site: &Site) -> usize {
     until("one leads all", || std::future::ready(leaders(site).len() == 1)).await;
     leaders(site)[0]
@@ -62,7 +63,7 @@
         calls.push(calls_of_others(&site, leader));
         site.close().expect("no invariant was breached");
     }
-    // One call for each of the twelve more would be too many.
+    // One call for each of the twelve additional entries would be too many.
     assert!(calls[1] < calls[0] + 6, "{calls:?}");
 }
 
@@ -97,7 +98,7 @@
     tokio::time::sleep(TOGETHER * 2).await;
     let left: Vec<usize> = leaders(&site).into_iter().filter(|entry| *entry != lost).collect();
     assert_eq!(left.len(), 1, "one leads all that are left: {left:?}");
-    // Whoever leads now reads for all: five calls a second, and the list.
+    // The new leader reads for all entries: five calls per second, and the list of entries.
     let calls = calls_of_others(&site, lost) - before;
     assert!(calls < 30, "{calls} calls");
     site.close().expect("no invariant was breached");
@@ -118,7 +119,7 @@
     site.close().expect("no invariant was breached");
 }
 
-/// One answer is enough for all, and one that the store turns away asks for it.
+/// One read is enough for all entries, and the leader that the store refuses requests it.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_it_costs_that_the_leader_is_turned_away_does_not_grow_with_the_entries() {
     let mut asked_for = Vec::new();
@@ -130,11 +131,11 @@
         tokio::time::sleep(Duration::from_secs(4)).await;
         let calls = calls_of_others(&site, leader) - before;
         let [configuration, records, quarantine] = calls_by_topic(&site, leader).await;
-        // Whoever reads the records for another looks into the quarantine too.
+        // An entry that reads the records for another one also reads the quarantine.
         assert!(quarantine <= records, "{entries}: {quarantine} of {records}");
         assert!(calls as f64 <= configuration + records + quarantine, "{entries}: {calls}");
         asked_for.push(configuration + records);
-        // Nobody has lost the configuration meanwhile.
+        // No entry has lost the configuration in the meantime.
         let seen = load(&site, 40, Duration::from_secs(1), look).await;
         assert_eq!(served(&seen), seen.len());
         site.close().expect("no invariant was breached");
@@ -142,7 +143,8 @@
     assert!(asked_for[0] > 0.0 && asked_for[1] < asked_for[0] * 1.25, "{asked_for:?}");
 }
 
-/// The calls that all entries but one have made so far for the configuration, the replicas' records and the quarantine.
+/// Returns the number of calls that all entries but one have made for the configuration, the replica records and the
+/// quarantine.
 async fn calls_by_topic(site: &Site, without: usize) -> [f64; 3] {
     let mut calls = [0.0; 3];
     for entry in (0..site.addresses.len()).filter(|entry| *entry != without) {
@@ -153,12 +155,12 @@
     calls
 }
 
-/// A number that an entry shows as a metric, over all its labels.
+/// Returns the value of a metric of an entry, summed over all labels.
 async fn metric(site: &Site, entry: usize, name: &str) -> f64 {
     labelled(site, entry, name, "").await
 }
 
-/// The same over those that have a label.
+/// Returns the value of a metric of an entry, summed over the lines that contain `label`.
 async fn labelled(site: &Site, entry: usize, name: &str, label: &str) -> f64 {
     let ask = Ask { headers: Vec::new(), ..Ask::new("GET", "/metrics", "", "") };
     let seen = send(&site.ready[entry], HOST, &ask).await.expect("the metrics");
@@ -166,7 +168,7 @@
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-/// Writes records of so many replicas that nobody uses, as unlike as the platform's are.
+/// Writes records of `replicas` unused replicas, with IDs and addresses as varied as on the platform.
 fn add_records(site: &Site, replicas: usize) {
     let mut random = SmallRng::seed_from_u64(9);
     for number in 0..replicas {
@@ -180,15 +182,15 @@
     }
 }
 
-/// Replicas that an entry was told of, each time anew, as its log says.
+/// Returns the number of replica updates that an entry has logged, repeated ones included.
 fn told(site: &Site, entry: usize) -> usize {
     let log = site.log(entry);
     let updates = log.split("step=replicas changed=").skip(1);
     updates.filter_map(|rest| rest.split_whitespace().next()?.parse::<usize>().ok()).sum()
 }
 
-/// A picture that is under way must not be asked for again: its answer would count no more, and none ever would on a link
-/// that is slower than the questions.
+/// Guards against a second request for a snapshot that is in transit: it makes the first answer obsolete, and on a
+/// link that is slower than the interval between requests no answer would ever be accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn newcomers_that_start_together_get_one_picture_each() {
     const REPLICAS: usize = 4_000;
@@ -210,7 +212,7 @@
     site.close().expect("no invariant was breached");
 }
 
-/// The letter's fleet has 12,000 engines; twice that still fits, in few bytes and without a call to the store.
+/// The target fleet has 12,000 engines; twice that number fits, in few bytes and without a call to the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_newcomer_hears_of_24000_replicas_from_the_one_that_it_follows() {
     const REPLICAS: usize = 24_000;
--- a/standin/tests/platform_once.rs
+++ b/standin/tests/platform_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may run once run at most once, and "not run" is said only when it is proven.
+//! Non-repeatable calls run at most once, and "not run" is reported only if it is certain.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     site.plain.iter().map(|replica| replica.ran(id)).sum()
 }
 
-/// All replicas do the same with their next request.
+/// Sets the behaviours of all replicas for their next requests.
 fn all(site: &Site, acts: &[Act]) {
     site.plain.iter().for_each(|replica| replica.next(acts.iter().copied()));
 }
@@ -34,7 +34,7 @@
         let seen = site.send(0, &pay(id)).await;
         assert_eq!(seen.status, 502, "{act:?}: {seen:?}");
         assert_eq!(ran(&site, id), 1, "{act:?}");
-        // The other replica's act is spent, so that the next case starts afresh.
+        // Uses up the behaviour queued at the other replica, so that it does not affect the next case.
         while site.send(0, &pay("spend")).await.status != 200 {}
     }
     site.close().expect("no invariant was breached");
@@ -82,7 +82,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_address_with_another_replica_behind_it_runs_nothing() {
     let site = site("once-reuse").await;
-    // The record still names plain-0, but plain-1 listens there now.
+    // The record of plain-0 now has the address at which plain-1 listens.
     let record = site.plain[1].record("ledger", "ready");
     site.store.put("keyed.servers", "plain-0", record);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -100,7 +100,7 @@
     let site = site("once-doubt").await;
     let bad = &site.plain[0];
     bad.next(std::iter::repeat_n(Act::LoseAnswer, 1_000));
-    // Both entries learn it, each for itself.
+    // Each of the two entries detects the fault for itself.
     for number in 0..8 {
         let seen = site.send(number % 2, &look(&format!("d{number}"))).await;
         assert_eq!(seen.status, 200, "{seen:?}");
--- a/standin/tests/platform_path.rs
+++ b/standin/tests/platform_path.rs
@@ -1,4 +1,4 @@
-//! The whole path on the users' platform: what replicas get, and what callers get back.
+//! The complete request path on the users' platform: what replicas receive, and what clients get back.
 
 mod common;
 
--- a/standin/tests/platform_processes.rs
+++ b/standin/tests/platform_processes.rs
@@ -1,4 +1,4 @@
-//! Entries end, die, come back and are cut off; prompts are granted engines all the while.
+//! Entries that stop, crash, restart and lose the store while prompts are granted engines.
 
 mod common;
 
@@ -23,7 +23,7 @@
     Site::start(spec).await.expect("the site starts")
 }
 
-/// Waits until an entry has logged a text this often.
+/// Waits until an entry has logged a text at least `times` times.
 async fn logged(site: &Site, entry: usize, text: &str, times: usize) {
     let started = Instant::now();
     while site.log(entry).matches(text).count() < times {
@@ -44,7 +44,7 @@
 async fn a_planned_end_finishes_what_runs_and_refuses_what_it_cannot_finish() {
     let mut site = site("processes-end", 2, "grace_s = 6").await;
     site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_000)]));
-    // A kept connection that a caller goes on using until it is closed.
+    // A persistent connection that its client uses until the server closes it.
     let mut kept = TcpStream::connect(&site.addresses[0]).expect("it connects");
     let call = |id: &str| {
         format!("GET /look/1 HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Bearer {KEY}\r\nrequest-id: {id}\r\n\r\n")
@@ -78,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_comes_too_late_before_the_end_is_refused_as_not_run() {
     let site = site("processes-late", 1, "grace_s = 6").await;
-    // Something that runs to the end keeps the process up.
+    // A running request keeps the process up.
     site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_900)]));
     let long = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
@@ -121,7 +121,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_that_still_waits_when_its_entry_closes_is_refused_as_not_run() {
     let mut site = site("processes-waits", 1, "grace_s = 6").await;
-    // No engine has memory for it for as long as it waits: 0.45 of twenty seconds, far beyond the end.
+    // No engine has memory for the prompt while it waits, which is 0.45 of twenty seconds, far longer than the
+    // shutdown.
     site.configure(&[KEY], |config| {
         config["routes"][0]["target_latency_ms"] = serde_json::json!(5_000);
         config["routes"][0]["timeout_ms"] = serde_json::json!(20_000);
@@ -164,7 +165,7 @@
     served_by_all(&site, 3, "d").await;
     site.signal(first, Signal::STOP).expect("it freezes");
     let others: Vec<usize> = (0..3).filter(|entry| *entry != first).collect();
-    // A steady flow: what an entry has to say must not make it forget that it hears nothing.
+    // Under a steady flow of its own messages, an entry must still notice that it receives none.
     let flow = (0..40).map(|number| {
         let (site, entry) = (&site, others[number % 2]);
         async move {
@@ -190,11 +191,11 @@
     site.restart(first).await.expect("it restarts");
     site.wait_ready(first, true).await.expect("it is ready");
     logged(&site, first, "step=following", 1).await;
-    // Long enough for everyone to look for older entries once more.
+    // Long enough for every entry to search for older entries once more.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let log = site.log(first);
     let since_restart = log.rsplit("step=start").next().unwrap_or("");
-    // An entry that knew the earlier run may try it, and leaves when it meets another one.
+    // An entry that knew the earlier run may join the new one, and leaves when it finds that it is a different run.
     let followers = since_restart.matches("step=peer-joined").count() - since_restart.matches("step=peer-left").count();
     assert_eq!(followers, 0, "nobody follows it: {log}");
     served_by_all(&site, 3, "g").await;
@@ -222,10 +223,10 @@
 async fn an_entry_that_is_cut_off_is_told_by_its_followers_and_keeps_them_when_nobody_knows() {
     let site = site("processes-old-proof", 3, "revoke_ms = 2500").await;
     let first = leader(&site, 3).await;
-    // One that met another entry first looks for an older one after 3 s.
+    // An entry that first met another entry searches for an older one after 3 s.
     tokio::time::sleep(Duration::from_secs(4)).await;
     site.doors[first].set(Fault::Silent);
-    // Longer than a proof serves: those that follow it read the store, and tell it what they read.
+    // Longer than a verification stays valid: the followers read the store and send their data to the leader.
     tokio::time::sleep(Duration::from_secs(4)).await;
     for entry in 0..3 {
         let seen = site.send(entry, &prompt(&format!("i{entry}"))).await;
@@ -233,7 +234,7 @@
         assert!(seen.took < Duration::from_secs(1), "{:?}", seen.took);
         assert!(!site.log(entry).contains("step=leader-lost"), "entry {entry} is still planned for");
     }
-    // Once nobody reaches the store, nobody can know which keys were taken away.
+    // When no entry reaches the store, no entry can know which keys were revoked.
     site.doors.iter().for_each(|door| door.set(Fault::Silent));
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     for entry in 0..3 {
@@ -242,7 +243,7 @@
         assert!(seen.took < Duration::from_millis(500), "it is refused at once: {:?}", seen.took);
         assert!(!site.log(entry).contains("step=leader-lost"), "entry {entry} has nobody better to go to");
     }
-    // One that can read again is enough for all.
+    // One entry that reads the store is enough for all.
     site.doors[(first + 1) % 3].set(Fault::None);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     served_by_all(&site, 3, "k").await;
@@ -253,7 +254,7 @@
 async fn an_entry_that_planned_and_ends_follows_the_next_at_once() {
     let site = site("processes-handover", 3, "grace_s = 6").await;
     let old = leader(&site, 3).await;
-    // Something that runs to the end keeps the process up; what it still takes is planned with all the rest.
+    // A running request keeps the process up; requests that it still accepts are planned together with all others.
     site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_500)]));
     let ask = pay("p1");
     let running = site.send(old, &ask);
@@ -276,7 +277,7 @@
         let spec = Spec { entries: 3, bounds, seeded: true, ..Spec::small("processes-back") };
         let mut site = Site::start(spec).await.expect("the site starts");
         let old = leader(&site, 3).await;
-        // The last entry knows where all the others are.
+        // The last entry knows the addresses of all others.
         let back = if old == 2 { 1 } else { 2 };
         logged(&site, back, "step=announced address", 1).await;
         site.doors.iter().for_each(|door| door.set(fault));
@@ -289,7 +290,7 @@
             let seen = site.send(back, ask).await;
             assert_eq!((seen.status, seen.whole), (200, true), "{fault:?} {number}: {seen:?}");
         }
-        // Once the store is back it is listed like all others.
+        // After the store returns, the entry is listed like all others.
         site.doors.iter().for_each(|door| door.set(Fault::None));
         logged(&site, back, "step=announced address", 2).await;
         let listed = site.store.keys("keyed.peers");
--- a/standin/tests/platform_rest.rs
+++ b/standin/tests/platform_rest.rs
@@ -1,4 +1,5 @@
-//! A replica that turns an entry away and asks for rest gets nothing from that entry for so long, and others get the rest.
+//! A replica that refuses a request with a backoff gets no requests from that entry for this time; other replicas get
+//! them.
 
 mod common;
 
@@ -8,17 +9,17 @@
 use common::load::{entry_of, load, look, prompt, served};
 use standin::platform::{Act, Ask, Replica, Run, Seen, Site, Spec};
 
-/// Rest that replicas ask for, and as it stands in their answers.
+/// Backoff that replicas ask for, also as the text in their responses.
 const REST: Duration = Duration::from_secs(2);
 const REST_TEXT: &str = "2";
-/// From so long after an answer its rest binds.
+/// Time after a response from which its backoff is in force.
 const BINDS_AFTER: Duration = Duration::from_millis(500);
-/// Requests that may reach a replica in a rest all the same.
+/// Maximum number of requests that may still reach a replica in backoff.
 const MOST: usize = 2;
-/// How long a replica takes to turn a request away: the entry knows of it later.
+/// Time that a replica takes to refuse a request, after which the entry knows of the backoff.
 const ANSWERED: Duration = Duration::from_millis(100);
 
-/// What is known to be hopeless is refused within this.
+/// Maximum time of a refusal that is certain in advance.
 const AT_ONCE: Duration = Duration::from_millis(100);
 
 async fn site(name: &str) -> Site {
@@ -26,7 +27,7 @@
     Site::start(spec).await.expect("the site starts")
 }
 
-/// The replicas, the one that gets the most requests first.
+/// Returns the replicas, ordered from the most requests to the fewest.
 async fn busiest_first<'a>(site: &Site, replicas: &'a [Arc<Replica>], ask: fn(&str) -> Ask) -> Vec<&'a Arc<Replica>> {
     load(site, 30, Duration::from_secs(1), ask).await;
     let mut busiest: Vec<&Arc<Replica>> = replicas.iter().collect();
@@ -34,7 +35,7 @@
     busiest
 }
 
-/// The most requests that came from one entry in a rest that the replica had asked that entry for.
+/// Returns the maximum number of requests from one entry during a backoff that the replica asked that entry for.
 fn most_in_a_rest(site: &Site, replica: &Replica) -> usize {
     let runs: Vec<Run> = replica.seen();
     let in_rest_of = |refusal: &Run| {
@@ -54,7 +55,7 @@
     }
 }
 
-/// What is refused is refused at once, with a time to come back that lies behind the rest.
+/// Asserts that refusals come within `max_elapsed`, with a time to retry after that fits the backoff.
 fn assert_refused_at_once(seen: &[Seen], most: Duration) {
     for refused in seen.iter().filter(|seen| seen.status != 200) {
         assert_eq!(refused.status, 503, "{refused:?}");
--- a/standin/tests/platform_soak.rs
+++ b/standin/tests/platform_soak.rs
@@ -1,12 +1,13 @@
-//! A short soak of the platform's form, and every seed that ever found something.
+//! Short soak tests of the platform, with every seed that has found a fault.
 //!
-//! Seeds 7 and 9 (5 s of faults, two rounds) found that a signal ended an entry that had just been started: SIGHUP
-//! came before its handler was set. Handlers are set before anyone can reach the process now. The others' causes
-//! were the soak's own: a way that had lost bytes was reset in the calm (12), ports of an entry that was down
-//! were taken by a soak beside it (12), and bad answers were left over for the calm (14, 22).
+//! Seeds 7 and 9 (5 s of faults, two rounds) found that SIGHUP ended an entry that had just started, before its
+//! handler was set. Handlers are set before the process can be reached. The other seeds found faults of the soak
+//! itself: a connection that had lost bytes was reset in the quiet phase (12), the ports of a stopped entry were taken
+//! by a concurrent soak (12), and faulty responses were left over for the quiet phase (14, 22).
 //!
-//! Seeds 107, 149 and 154 with fatal work found prompts refused in the calm: a verdict cleared work that many asked for, and
-//! the planner went on to take it for a suspect, of which only one was placed at a time.
+//! Seeds 107, 149 and 154 with fatal requests found prompts refused in the quiet phase: a verdict cleared a
+//! fingerprint that many clients sent, but the planner still took it for a suspect, of which it places only one at a
+//! time.
 
 use std::time::Duration;
 
@@ -67,19 +68,20 @@
     play(Plan { limits: true, ..plan(201) }).await;
 }
 
-/// The story: once, beside load, six short prompts were held for 0.9 s and refused in the calm: one engine of four was given
-/// prompts, each when another was over, the others none. One had announced its end. One had served 15 prompts whose first
-/// events were heard late, behind a freeze; each counted as a failure, and it was left out for 8 s. One took 3 a second by
-/// the limit that it names, and counted as one that is left all the same. So each rule left most engines, and all together
-/// left one, which was full. What showed it, with more callers (the next test): `held` with `engines: 3, choosable: 1,
-/// failing: 1, limited: 1, full: 1` for the whole time, and 15 first events 0.64 s after their sends 8 s before its end.
+/// Guards against rules that together exclude all usable engines. Under load, six short prompts were held for 0.9 s
+/// and refused in the quiet phase. Of four engines, one had announced its termination. One had served 15 prompts whose
+/// first events were received late after a suspension; each counted as a failure, and the engine was ejected for 8 s.
+/// One was rate-limited to 3 requests per second and still counted as available. The last one was full and got a
+/// prompt only when another one ended. Each rule left most engines, but together they left only the full one. With
+/// more clients (the next test) the log showed `held` with `engines: 3, choosable: 1, failing: 1, limited: 1, full: 1`
+/// for the whole time, and 15 first events 0.64 s after their sends, 8 s before the end of that time.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_326_beside_replicas_that_name_a_limit() {
     play(Plan { limits: true, ..plan(326) }).await;
 }
 
-/// The same, made to come by more callers: of seeds 301 to 316 with 48 callers 303, 310 and 315 had prompts refused in the
-/// calm.
+/// Makes the fault above more likely with more clients: of the seeds 301 to 316 with 48 clients, 303, 310 and 315 had
+/// prompts refused in the quiet phase.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_303_with_many_callers_beside_replicas_that_name_a_limit() {
     play(Plan { limits: true, callers: 48, ..plan(303) }).await;
--- a/standin/tests/platform_streams.rs
+++ b/standin/tests/platform_streams.rs
@@ -1,4 +1,4 @@
-//! Streams are whole or visibly broken, go on elsewhere, and end with their caller.
+//! Streams are complete or visibly aborted, resume at another engine, and end with their client.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,11 +23,11 @@
     let site = site("streams-resume").await;
     site.engines.iter().for_each(|engine| engine.next([Act::BreakAfter(3)]));
     let seen = site.send(0, &prompt("a1")).await;
-    // The second engine breaks off too: two attempts are allowed.
+    // The second engine aborts the stream too, and only two attempts are allowed.
     assert!(!seen.whole, "{seen:?}");
     assert_eq!(seen.body, whole_stream("a1").split_inclusive("\n\n").take(6).collect::<String>());
     while site.send(0, &prompt("spend")).await.body != whole_stream("spend") {}
-    // Each process prefers other engines; the one that wrote last is the one that holds short answers.
+    // Each entry prefers different engines; the engine that answered last is the one preferred for short answers.
     let last = |engine: &Arc<Replica>| engine.seen().last().map(|run| run.at);
     let writer = (0..site.engines.len()).max_by_key(|index| last(&site.engines[*index])).expect("one wrote");
     site.engines[writer].next([Act::BreakAfter(3)]);
@@ -58,12 +58,12 @@
     site.close().expect("no invariant was breached");
 }
 
-/// Sends a prompt to an engine that takes it and says nothing; returns what its caller saw, after how long, and the
-/// engine's place.
+/// Sends a prompt to an engine that accepts it and stays unresponsive. Returns the outcome at the client, the elapsed
+/// time and the index of the engine.
 async fn send_to_mute(site: &Site, id: &str) -> (Seen, Duration, usize) {
-    // Entries that have just found each other do not tell yet what is too long.
+    // Entries that have just found each other do not yet limit the wait for a first event.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    // An entry prefers the same among engines that have nothing to do.
+    // An entry prefers the same engine among idle ones, so the next prompt goes there too.
     assert_eq!(site.send(0, &prompt("first")).await.status, 200);
     let mute = site.engines.iter().position(|engine| engine.ran("first") > 0).expect("one ran it");
     site.engines[mute].next([Act::Stall(5_000)]);
@@ -128,7 +128,7 @@
         let seen = site.send(number % 2, &prompt(&format!("f{number}"))).await;
         assert_eq!((seen.status, seen.whole), (200, true), "{seen:?}");
     }
-    // Sixty prompts take some ten seconds; those in a row would nearly all have gone to it.
+    // Sixty prompts take about ten seconds; without an ejection nearly all of them would go to the failing engine.
     assert!(bad.seen().len() <= 10, "{}", bad.seen().len());
     site.close().expect("no invariant was breached");
 }
@@ -149,7 +149,7 @@
     assert_eq!(site.engines[slow].seen().len(), 2, "nothing more went to it");
     site.engines[slow].tell_pace(1.0);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    // An entry prefers the same among engines that have nothing to do.
+    // An entry prefers the same engine among idle ones.
     assert_eq!(site.send(0, &prompt("again")).await.status, 200);
     assert_eq!(site.engines[slow].ran("again"), 1, "it is as good as before");
     site.close().expect("no invariant was breached");
--- a/standin/tests/whole_answers.rs
+++ b/standin/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! A caller receives the whole answer to its own request, whatever dies on the way.
+//! A client receives the complete answer to its own request, whatever process dies on the way.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::json;
 use standin::fleet::{Fleet, Spec};
 
-/// The engine that holds memory, if just one does.
+/// Returns the first engine with reserved memory, or `None` if no engine has any.
 async fn busy_engine(fleet: &Fleet) -> Option<String> {
     for number in 0..fleet.spec.engines {
         let name = format!("market-advisor-{number}");
@@ -22,7 +22,7 @@
     None
 }
 
-/// Streams a prompt, and does something to the engine that runs it, by name, in the middle.
+/// Streams a prompt and executes `act` with the name of the engine that runs it, while the stream is under way.
 async fn interrupted(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet, &str)) {
     let prompt = prompt(1_000, 400, 3);
     let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
--- a/standin/tests/whole_path.rs
+++ b/standin/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path over separate processes: prompts, plain calls, and the time line.
+//! The complete request path over separate processes: prompts, plain calls and the timeline.
 
 mod common;
 
