--- a/standin/tests/common/load.rs
+++ b/standin/tests/common/load.rs
@@ -6,13 +6,18 @@
 use standin::platform::{Ask, HOST, KEY, Replica, Run, Seen, Site, send};
 
 /// Time that a client waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(2_500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Returns the maximum number of requests that reached a replica in a window that begins at `since` or later.
-pub fn most(replica: &Replica, since: Instant, window: Duration) -> usize {
-    let at: Vec<Instant> = replica.seen().iter().map(|run| run.at).collect();
-    let begins = at.iter().filter(|at| **at >= since);
-    begins.map(|begin| at.iter().filter(|at| **at >= *begin && **at < *begin + window).count()).max().unwrap_or(0)
+pub fn max_requests(replica: &Replica, since: Instant, window: Duration) -> usize {
+    let received_at: Vec<Instant> = replica.seen().iter().map(|received| received.at).collect();
+    let starts = received_at.iter().filter(|received_at| **received_at >= since);
+    starts
+        .map(|start| {
+            received_at.iter().filter(|received_at| **received_at >= *start && **received_at < *start + window).count()
+        })
+        .max()
+        .unwrap_or(0)
 }
 
 /// Builds a short prompt.
@@ -21,41 +26,41 @@
 }
 
 /// Builds a call that may be repeated.
-pub fn look(id: &str) -> Ask {
+pub fn lookup(id: &str) -> Ask {
     Ask::new("GET", "/look/1", id, KEY).with("deadline-ms", "2500")
 }
 
 /// Sends requests at a constant rate for `duration`, alternating between the entries, whatever the outcomes; returns
 /// the outcomes.
-pub async fn load(site: &Site, a_second: u32, lasts: Duration, ask: fn(&str) -> Ask) -> Vec<Seen> {
+pub async fn send_load(site: &Site, rate: u32, duration: Duration, build_request: fn(&str) -> Ask) -> Vec<Seen> {
     let addresses: Arc<[String]> = site.addresses.clone().into();
-    let mut ticks = tokio::time::interval(Duration::from_secs(1) / a_second);
-    let mut sent = Vec::new();
-    let until = Instant::now() + lasts;
-    let mut number = 0;
-    while Instant::now() < until {
-        ticks.tick().await;
-        let (addresses, mut asked) = (addresses.clone(), ask(&format!("load-{number}")));
+    let mut interval = tokio::time::interval(Duration::from_secs(1) / rate);
+    let mut pending = Vec::new();
+    let end = Instant::now() + duration;
+    let mut index = 0;
+    while Instant::now() < end {
+        interval.tick().await;
+        let (addresses, mut request) = (addresses.clone(), build_request(&format!("load-{index}")));
         // A suspended entry never answers.
-        asked.leave_after = Some(PATIENCE);
-        let entry = number % addresses.len();
-        sent.push(tokio::spawn(async move { send(&addresses[entry], HOST, &asked).await.unwrap_or_default() }));
-        number += 1;
+        request.leave_after = Some(CLIENT_TIMEOUT);
+        let entry = index % addresses.len();
+        pending.push(tokio::spawn(async move { send(&addresses[entry], HOST, &request).await.unwrap_or_default() }));
+        index += 1;
     }
-    let mut seen = Vec::new();
-    for sent in sent {
-        seen.push(sent.await.expect("it was sent"));
+    let mut outcomes = Vec::new();
+    for pending in pending {
+        outcomes.push(pending.await.expect("the request was sent"));
     }
-    seen
+    outcomes
 }
 
 /// Returns the entry to which `send_load` sent a request that reached a replica.
-pub fn entry_of(site: &Site, run: &Run) -> usize {
-    let number = run.id.strip_prefix("load-").and_then(|number| number.parse::<usize>().ok());
-    number.expect("it was sent by load") % site.addresses.len()
+pub fn receiving_entry(site: &Site, received: &Run) -> usize {
+    let index = received.id.strip_prefix("load-").and_then(|index| index.parse::<usize>().ok());
+    index.expect("the request was sent by send_load") % site.addresses.len()
 }
 
 /// Returns the number of requests that were served completely.
-pub fn served(seen: &[Seen]) -> usize {
-    seen.iter().filter(|seen| seen.status == 200 && seen.whole).count()
+pub fn count_served(outcomes: &[Seen]) -> usize {
+    outcomes.iter().filter(|outcome| outcome.status == 200 && outcome.whole).count()
 }
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -13,12 +13,12 @@
 use standin::text;
 
 /// Starts a small fleet with the test's own name.
-pub async fn fleet(name: &str) -> Fleet {
-    start(Spec::small(name)).await
+pub async fn start_small_fleet(name: &str) -> Fleet {
+    start_fleet(Spec::small(name)).await
 }
 
 /// Starts a fleet with the given spec.
-pub async fn start(spec: Spec) -> Fleet {
+pub async fn start_fleet(spec: Spec) -> Fleet {
     Fleet::start(spec).await.expect("the fleet starts")
 }
 
@@ -36,16 +36,16 @@
 }
 
 /// Returns the headers of a call by workspace 0, with the idempotency key if one is given.
-pub fn call_headers(once: Option<&str>) -> Vec<(String, String)> {
+pub fn call_headers(idempotency_key: Option<&str>) -> Vec<(String, String)> {
     let mut headers = vec![("authorization".to_owned(), format!("Bearer {}", workspace_key(0)))];
-    if let Some(once) = once {
-        headers.push(("idempotency-key".to_owned(), once.to_owned()));
+    if let Some(idempotency_key) = idempotency_key {
+        headers.push(("idempotency-key".to_owned(), idempotency_key.to_owned()));
     }
     headers
 }
 
 /// Posts a call that may run at most once.
-pub async fn pay(fleet: &Fleet, entry: usize, key: Option<&str>, deadline: Duration) -> Seen {
+pub async fn post_payment(fleet: &Fleet, entry: usize, key: Option<&str>, deadline: Duration) -> Seen {
     let mut headers = call_headers(key);
     headers.push(("x-deadline-ms".to_owned(), deadline.as_millis().to_string()));
     fleet.client.call("POST", &fleet.entries[entry], "/services/stall-ledger/payments", &headers, "levy 500").await
@@ -60,37 +60,37 @@
 }
 
 /// Stops a fleet; fails if a process does not exit by itself or if an invariant was breached.
-pub async fn close(fleet: Fleet) {
+pub async fn close_fleet(fleet: Fleet) {
     let breaches = fleet.breaches().expect("logs can be read");
     assert!(breaches.is_empty(), "{breaches:?}");
     let dir = fleet.spec.dir.clone();
-    let stuck = fleet.close().await.expect("the fleet closes");
-    assert_eq!(stuck, "", "these processes did not end by themselves");
+    let unfinished = fleet.close().await.expect("the fleet closes");
+    assert_eq!(unfinished, "", "processes that did not exit by themselves");
     let _ = std::fs::remove_dir_all(dir);
 }
 
 /// Polls until `condition` is true; fails after ten seconds.
-pub async fn until<F: Future<Output = bool>>(what: &str, mut done: impl FnMut() -> F) {
+pub async fn wait_until<F: Future<Output = bool>>(description: &str, mut condition: impl FnMut() -> F) {
     for _ in 0..1_000 {
-        if done().await {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never came about: {what}");
+    panic!("never came about: {description}");
 }
 
 /// Sends a request head that exceeds any limit, keeps writing after the refusal, and returns the status line of the
 /// response.
 pub fn status_line_of_an_endless_head(address: &str) -> String {
     let mut stream = std::net::TcpStream::connect(address).expect("connected");
-    let piece = format!("x-more: {}\r\n", "h".repeat(10_000));
+    let header_line = format!("x-more: {}\r\n", "h".repeat(10_000));
     stream.write_all(b"GET /v1/models HTTP/1.1\r\nhost: x\r\n").expect("sent");
     for _ in 0..2 {
         // In the second round the server has already responded and closed its side.
         for _ in 0..10 {
             // Many clients stop at the first failed write and never read a response that came before it.
-            stream.write_all(piece.as_bytes()).expect("the connection is not reset under the caller");
+            stream.write_all(header_line.as_bytes()).expect("the connection is not reset while the client writes");
         }
         std::thread::sleep(Duration::from_millis(300));
     }
--- a/standin/tests/configuration.rs
+++ b/standin/tests/configuration.rs
@@ -4,143 +4,155 @@
 
 use std::time::Duration;
 
-use common::{close, fleet, prompt, start, until};
+use common::{close_fleet, prompt, start_fleet, start_small_fleet, wait_until};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use standin::fleet::{Fleet, OPERATOR_KEY, Spec};
 
-async fn operate(fleet: &Fleet, entry: usize, method: &str, path: &str, body: Option<Value>) -> (u16, Value) {
+async fn send_operator_request(
+    fleet: &Fleet,
+    entry: usize,
+    method: &str,
+    path: &str,
+    body: Option<Value>,
+) -> (u16, Value) {
     let call = fleet.client.json(method, &fleet.entries[entry], path, OPERATOR_KEY, body.as_ref());
-    call.await.expect("an answer comes")
+    call.await.expect("a response arrives")
 }
 
 /// Submits changes to an entry as a plan and returns the plan's ID.
-async fn plan(fleet: &Fleet, entry: usize, changes: Value) -> String {
-    let (status, plan) = operate(fleet, entry, "POST", "/v1/intents", Some(json!({ "changes": changes }))).await;
+async fn create_plan(fleet: &Fleet, entry: usize, changes: Value) -> String {
+    let (status, plan) =
+        send_operator_request(fleet, entry, "POST", "/v1/intents", Some(json!({ "changes": changes }))).await;
     assert_eq!(status, 201, "{plan}");
     plan["plan"].as_str().expect("a plan has an id").to_owned()
 }
 
-async fn confirm(fleet: &Fleet, entry: usize, plan: &str) -> (u16, Value) {
-    operate(fleet, entry, "POST", &format!("/v1/plans/{plan}/confirm"), None).await
+async fn confirm_plan(fleet: &Fleet, entry: usize, plan: &str) -> (u16, Value) {
+    send_operator_request(fleet, entry, "POST", &format!("/v1/plans/{plan}/confirm"), None).await
 }
 
 async fn revision(fleet: &Fleet, entry: usize) -> u64 {
-    operate(fleet, entry, "GET", "/v1/status", None).await.1["revision"].as_u64().unwrap_or(0)
+    send_operator_request(fleet, entry, "GET", "/v1/status", None).await.1["revision"].as_u64().unwrap_or(0)
 }
 
-fn service(name: &str, deadline_ms: u64) -> Value {
+fn put_service_change(name: &str, deadline_ms: u64) -> Value {
     json!([{ "put_service": { "name": name, "deadline_ms": deadline_ms } }])
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plan_takes_no_effect_until_confirmed_and_then_everywhere() {
-    let fleet = fleet("plan").await;
+    let fleet = start_small_fleet("plan").await;
     let before = revision(&fleet, 1).await;
-    let id = plan(&fleet, 0, service("permits", 1_000)).await;
+    let id = create_plan(&fleet, 0, put_service_change("permits", 1_000)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(revision(&fleet, 1).await, before);
-    let (status, verdict) = confirm(&fleet, 1, &id).await;
+    let (status, verdict) = confirm_plan(&fleet, 1, &id).await;
     assert_eq!(status, 200, "{verdict}");
     let accepted = verdict["revision"].as_u64().expect("a revision");
     assert!(accepted > before);
     for entry in 0..2 {
-        until("the revision is in force", || async { revision(&fleet, entry).await >= accepted }).await;
+        wait_until("the revision is in force", || async { revision(&fleet, entry).await >= accepted }).await;
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_confirm_repeated_anywhere_gives_the_same_answer() {
-    let fleet = fleet("reconfirm").await;
-    let id = plan(&fleet, 0, service("permits", 1_000)).await;
-    let first = confirm(&fleet, 0, &id).await;
+    let fleet = start_small_fleet("reconfirm").await;
+    let id = create_plan(&fleet, 0, put_service_change("permits", 1_000)).await;
+    let first = confirm_plan(&fleet, 0, &id).await;
     assert_eq!(first.0, 200);
-    assert_eq!(confirm(&fleet, 1, &id).await, first);
-    assert_eq!(confirm(&fleet, 0, &id).await, first);
-    close(fleet).await;
+    assert_eq!(confirm_plan(&fleet, 1, &id).await, first);
+    assert_eq!(confirm_plan(&fleet, 0, &id).await, first);
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_get_one_winner_who_is_named_to_the_other() {
-    let fleet = fleet("race").await;
+    let fleet = start_small_fleet("race").await;
     for round in 0..10 {
         let name = format!("raced-{round}");
-        let (one, other) = tokio::join!(plan(&fleet, 0, service(&name, 1_000)), plan(&fleet, 1, service(&name, 2_000)));
-        let (first, second) = tokio::join!(confirm(&fleet, 0, &one), confirm(&fleet, 1, &other));
+        let (first_plan, second_plan) = tokio::join!(
+            create_plan(&fleet, 0, put_service_change(&name, 1_000)),
+            create_plan(&fleet, 1, put_service_change(&name, 2_000))
+        );
+        let (first, second) = tokio::join!(confirm_plan(&fleet, 0, &first_plan), confirm_plan(&fleet, 1, &second_plan));
         let mut statuses = [first.0, second.0];
         statuses.sort_unstable();
         assert_eq!(statuses, [200, 409], "{first:?} {second:?}");
-        let (winner, loser) = if first.0 == 200 { (&one, &second.1) } else { (&other, &first.1) };
+        let (winner, loser) = if first.0 == 200 { (&first_plan, &second.1) } else { (&second_plan, &first.1) };
         assert_eq!(loser["winner"]["plan"], **winner);
         assert_eq!(loser["ran"], "no");
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn append_answers_lost_after_the_effect_change_nothing() {
-    let fleet = fleet("lost-appends").await;
+    let fleet = start_small_fleet("lost-appends").await;
     for round in 0..5 {
         fleet.fault("log", &json!({ "lose_answers": 2 })).await.expect("the fault is taken");
-        let id = plan(&fleet, round % 2, service(&format!("lost-{round}"), 1_000)).await;
-        let (status, verdict) = confirm(&fleet, round % 2, &id).await;
+        let id = create_plan(&fleet, round % 2, put_service_change(&format!("lost-{round}"), 1_000)).await;
+        let (status, verdict) = confirm_plan(&fleet, round % 2, &id).await;
         assert_eq!(status, 200, "{verdict}");
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn in_a_log_outage_nothing_is_accepted_and_serving_goes_on() {
-    let fleet = fleet("outage").await;
-    let id = plan(&fleet, 0, service("permits", 1_000)).await;
+    let fleet = start_small_fleet("outage").await;
+    let id = create_plan(&fleet, 0, put_service_change("permits", 1_000)).await;
     let before = revision(&fleet, 0).await;
     fleet.fault("log", &json!({ "outage_ms": 7_000 })).await.expect("the fault is taken");
-    let (status, answer) = confirm(&fleet, 0, &id).await;
+    let (status, answer) = confirm_plan(&fleet, 0, &id).await;
     assert_eq!((status, &answer["ran"]), (503, &json!("unknown")), "{answer}");
     let prompt = prompt(500, 5, 1);
     assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
-    until("the log is back and the confirm is accepted", || async { confirm(&fleet, 0, &id).await.0 == 200 }).await;
+    wait_until("the log is back and the confirm is accepted", || async { confirm_plan(&fleet, 0, &id).await.0 == 200 })
+        .await;
     assert!(revision(&fleet, 0).await > before);
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_replaced_in_a_log_outage_learns_from_its_peer_and_serves() {
-    let mut fleet = fleet("replaced").await;
-    fleet.publish(&service("permits", 1_000)).await.expect("the change is accepted");
-    until("both know", || async { revision(&fleet, 0).await == revision(&fleet, 1).await }).await;
+    let mut fleet = start_small_fleet("replaced").await;
+    fleet.publish(&put_service_change("permits", 1_000)).await.expect("the change is accepted");
+    wait_until("both entries have the revision", || async { revision(&fleet, 0).await == revision(&fleet, 1).await })
+        .await;
     let before = revision(&fleet, 0).await;
     fleet.fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
     fleet.kill("entry-1").expect("the entry is killed");
-    fleet.restart("entry-1").expect("the entry starts again");
+    fleet.restart("entry-1").expect("the entry restarts");
     fleet.wait_ready(&fleet.entries[1]).await.expect("the new entry is ready");
     assert_eq!(revision(&fleet, 1).await, before);
     let prompt = prompt(500, 5, 1);
     assert_eq!(fleet.client.prompt(&fleet.entries[1], &prompt).await.text, prompt.expected());
     fleet.fault("log", &json!({})).await.expect("the fault is taken back");
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_behind_a_trimmed_log_takes_a_snapshot_and_never_reverts() {
-    let mut fleet = fleet("trimmed").await;
-    let accepted = fleet.publish(&service("permits", 1_000)).await.expect("the change is accepted");
-    until("both know", || async { revision(&fleet, 1).await >= accepted }).await;
+    let mut fleet = start_small_fleet("trimmed").await;
+    let accepted = fleet.publish(&put_service_change("permits", 1_000)).await.expect("the change is accepted");
+    wait_until("both entries have the revision", || async { revision(&fleet, 1).await >= accepted }).await;
     fleet.kill("entry-1").expect("the entry is killed");
     fleet.fault("log", &json!({ "trim_before": 100 })).await.expect("the fault is taken");
-    fleet.restart("entry-1").expect("the entry starts again");
+    fleet.restart("entry-1").expect("the entry restarts");
     fleet.wait_ready(&fleet.entries[1]).await.expect("the new entry is ready");
     assert!(revision(&fleet, 1).await >= accepted);
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn when_all_entries_are_replaced_a_published_snapshot_bridges_the_trimmed_log() {
     let settings = "snapshot_every_ms = 300\n".to_owned();
-    let mut fleet = start(Spec { entry_settings: settings, ..Spec::small("snapshot") }).await;
-    let accepted = fleet.publish(&service("permits", 1_000)).await.expect("the change is accepted");
-    until("a snapshot is on the log", || async {
+    let mut fleet = start_fleet(Spec { entry_settings: settings, ..Spec::small("snapshot") }).await;
+    let accepted = fleet.publish(&put_service_change("permits", 1_000)).await.expect("the change is accepted");
+    wait_until("a snapshot is on the log", || async {
         let counts = fleet.client.json("GET", &fleet.addresses["log"], "/counts", "", None).await;
         counts.is_ok_and(|(_, counts)| counts["ends"]["config-snapshots"].as_u64().unwrap_or(0) >= 2)
     })
@@ -150,47 +162,48 @@
     }
     fleet.fault("log", &json!({ "trim_stream": "config" })).await.expect("the fault is taken");
     for name in ["entry-0", "entry-1"] {
-        fleet.restart(name).expect("the entry starts again");
+        fleet.restart(name).expect("the entry restarts");
     }
     for entry in 0..2 {
         fleet.wait_ready(&fleet.entries[entry]).await.expect("the new entry is ready");
         assert!(revision(&fleet, entry).await >= accepted);
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_frozen_through_changes_catches_up_and_never_shows_an_older_revision() {
-    let fleet = fleet("frozen-entry").await;
+    let fleet = start_small_fleet("frozen-entry").await;
     fleet.signal("entry-1", Signal::STOP).expect("the entry is stopped");
     let mut accepted = 0;
     for round in 0..5 {
-        let id = plan(&fleet, 0, service("permits", 1_000 + round)).await;
-        accepted = confirm(&fleet, 0, &id).await.1["revision"].as_u64().expect("a revision");
+        let id = create_plan(&fleet, 0, put_service_change("permits", 1_000 + round)).await;
+        accepted = confirm_plan(&fleet, 0, &id).await.1["revision"].as_u64().expect("a revision");
     }
-    fleet.signal("entry-1", Signal::CONT).expect("the entry goes on");
+    fleet.signal("entry-1", Signal::CONT).expect("the entry resumes");
     let mut newest = 0;
-    until("the entry has caught up", || {
+    wait_until("the entry has caught up", || {
         let fleet = &fleet;
         async move { revision(fleet, 1).await >= accepted }
     })
     .await;
     for _ in 0..20 {
-        let seen = revision(&fleet, 1).await;
-        assert!(seen >= newest, "{seen} after {newest}");
-        newest = seen;
+        let current = revision(&fleet, 1).await;
+        assert!(current >= newest, "{current} after {newest}");
+        newest = current;
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_plan_is_refused_with_every_fault_named() {
-    let fleet = fleet("bad-plan").await;
+    let fleet = start_small_fleet("bad-plan").await;
     let changes = json!([
         { "put_intent": { "model": "", "service": "", "workspaces": [] } },
         { "put_workspace": { "name": "x", "key_digest": "short", "weight": 0 } },
     ]);
-    let (status, answer) = operate(&fleet, 0, "POST", "/v1/intents", Some(json!({ "changes": changes }))).await;
+    let (status, answer) =
+        send_operator_request(&fleet, 0, "POST", "/v1/intents", Some(json!({ "changes": changes }))).await;
     let message = answer["error"]["message"].as_str().expect("a message");
     assert_eq!(status, 400);
     for fault in
@@ -198,7 +211,8 @@
     {
         assert!(message.contains(fault), "{message}");
     }
-    let wrong = fleet.client.json("GET", &fleet.entries[0], "/v1/intents", "wrong", None).await.expect("an answer");
+    let wrong =
+        fleet.client.json("GET", &fleet.entries[0], "/v1/intents", "wrong", None).await.expect("a response arrives");
     assert_eq!(wrong.0, 401);
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
--- a/standin/tests/history.rs
+++ b/standin/tests/history.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{close, pay, start};
+use common::{close_fleet, post_payment, start_fleet};
 use rustix::process::Signal;
 use serde_json::json;
 use standin::fleet::{Fleet, OPERATOR_KEY, Spec};
@@ -13,46 +13,46 @@
 /// Builds a history from (called, returned, operation) tuples, with times in milliseconds.
 fn history<O: Clone>(calls: &[(u64, u64, O)]) -> Vec<Call<O>> {
     let start = Instant::now();
-    let at = |millis| start + Duration::from_millis(millis);
+    let instant_at = |millis| start + Duration::from_millis(millis);
     let call = |(called, returned, operation): &(u64, u64, O)| Call {
-        called: at(*called),
-        returned: at(*returned),
+        called: instant_at(*called),
+        returned: instant_at(*returned),
         operation: operation.clone(),
     };
     calls.iter().map(call).collect()
 }
 
-fn answer(text: &str) -> OnceCall {
+fn answered(text: &str) -> OnceCall {
     OnceCall::Answer(text.to_owned())
 }
 
 #[test]
-fn right_histories_pass() {
-    let same = history(&[(0, 5, answer("1")), (3, 9, answer("1")), (10, 12, answer("1"))]);
-    assert!(is_linearizable(&AtMostOnce, &same));
-    let refused_first = history(&[(0, 5, OnceCall::NotRun), (6, 9, answer("1"))]);
+fn valid_histories_are_accepted() {
+    let repeated_answer = history(&[(0, 5, answered("1")), (3, 9, answered("1")), (10, 12, answered("1"))]);
+    assert!(is_linearizable(&AtMostOnce, &repeated_answer));
+    let refused_first = history(&[(0, 5, OnceCall::NotRun), (6, 9, answered("1"))]);
     assert!(is_linearizable(&AtMostOnce, &refused_first));
-    let overlapping = history(&[(0, 9, answer("1")), (3, 5, OnceCall::NotRun)]);
+    let overlapping = history(&[(0, 9, answered("1")), (3, 5, OnceCall::NotRun)]);
     assert!(is_linearizable(&AtMostOnce, &overlapping));
-    let unknown = history(&[(0, 5, OnceCall::Unknown), (6, 9, answer("1"))]);
+    let unknown = history(&[(0, 5, OnceCall::Unknown), (6, 9, answered("1"))]);
     assert!(is_linearizable(&AtMostOnce, &unknown));
 }
 
 #[test]
-fn wrong_histories_are_rejected() {
-    let doubled = history(&[(0, 5, answer("1")), (6, 9, answer("2"))]);
-    assert!(!is_linearizable(&AtMostOnce, &doubled));
-    let doubled_at_once = history(&[(0, 5, answer("1")), (1, 4, answer("2"))]);
-    assert!(!is_linearizable(&AtMostOnce, &doubled_at_once));
-    let false_no = history(&[(0, 5, answer("1")), (6, 9, OnceCall::NotRun)]);
-    assert!(!is_linearizable(&AtMostOnce, &false_no));
+fn invalid_histories_are_rejected() {
+    let run_twice = history(&[(0, 5, answered("1")), (6, 9, answered("2"))]);
+    assert!(!is_linearizable(&AtMostOnce, &run_twice));
+    let run_twice_concurrently = history(&[(0, 5, answered("1")), (1, 4, answered("2"))]);
+    assert!(!is_linearizable(&AtMostOnce, &run_twice_concurrently));
+    let false_not_run = history(&[(0, 5, answered("1")), (6, 9, OnceCall::NotRun)]);
+    assert!(!is_linearizable(&AtMostOnce, &false_not_run));
 }
 
 #[test]
-fn racing_plans_are_told_apart_from_lost_updates() {
+fn racing_plans_are_distinguished_from_lost_updates() {
     let accepted = |base, revision| Confirm::Accepted { base, revision };
-    let right = history(&[(0, 9, accepted(0, 4)), (1, 8, Confirm::Conflict { base: 0, winner: 4 })]);
-    assert!(is_linearizable(&Item, &right));
+    let valid = history(&[(0, 9, accepted(0, 4)), (1, 8, Confirm::Conflict { base: 0, winner: 4 })]);
+    assert!(is_linearizable(&Item, &valid));
     let lost_update = history(&[(0, 9, accepted(0, 4)), (1, 8, accepted(0, 5))]);
     assert!(!is_linearizable(&Item, &lost_update));
     let reverted = history(&[(0, 2, accepted(0, 9)), (3, 4, accepted(9, 5))]);
@@ -61,11 +61,11 @@
     assert!(!is_linearizable(&Item, &wrong_winner));
 }
 
-async fn once(fleet: &Fleet, entry: usize, key: &str) -> Call<OnceCall> {
+async fn record_payment(fleet: &Fleet, entry: usize, key: &str) -> Call<OnceCall> {
     let called = Instant::now();
-    let seen = pay(fleet, entry, Some(key), Duration::from_secs(4)).await;
-    let operation = match seen.ran() {
-        None if seen.status == 200 => OnceCall::Answer(seen.text.clone()),
+    let outcome = post_payment(fleet, entry, Some(key), Duration::from_secs(4)).await;
+    let operation = match outcome.ran() {
+        None if outcome.status == 200 => OnceCall::Answer(outcome.text.clone()),
         Some("no") => OnceCall::NotRun,
         _ => OnceCall::Unknown,
     };
@@ -74,14 +74,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_calls_under_one_key_are_at_most_once_while_the_log_and_sidecars_fail() {
-    let fleet = start(Spec { engines: 1, ..Spec::small("history-once") }).await;
+    let fleet = start_fleet(Spec { engines: 1, ..Spec::small("history-once") }).await;
     for round in 0..8u64 {
         let key = format!("key-{round}");
         let calls = (0..10u64).map(|number| {
             let (fleet, key) = (&fleet, &key);
             async move {
                 tokio::time::sleep(Duration::from_millis(number * 7)).await;
-                once(fleet, number as usize % 2, key).await
+                record_payment(fleet, number as usize % 2, key).await
             }
         });
         let faults = async {
@@ -92,7 +92,7 @@
                 _ => {
                     fleet.signal("sidecar-stall-ledger-1", Signal::STOP).expect("stopped");
                     tokio::time::sleep(Duration::from_millis(150)).await;
-                    fleet.signal("sidecar-stall-ledger-1", Signal::CONT).expect("goes on");
+                    fleet.signal("sidecar-stall-ledger-1", Signal::CONT).expect("resumed");
                 }
             }
         };
@@ -101,10 +101,10 @@
         let runs = fleet.runs().await.get(&key).copied().unwrap_or(0);
         assert!(runs <= 1, "round {round}: {runs} runs");
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
-async fn replace(fleet: &Fleet, entry: usize, round: u64, deadline_ms: u64) -> Option<Call<Confirm>> {
+async fn record_plan_change(fleet: &Fleet, entry: usize, round: u64, deadline_ms: u64) -> Option<Call<Confirm>> {
     let body =
         json!({ "changes": [{ "put_service": { "name": format!("raced-{round}"), "deadline_ms": deadline_ms } }] });
     let address = &fleet.entries[entry];
@@ -123,14 +123,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_plans_on_one_item_have_one_order_while_append_answers_are_lost() {
-    let fleet = start(Spec { engines: 1, ..Spec::small("history-plans") }).await;
+    let fleet = start_fleet(Spec { engines: 1, ..Spec::small("history-plans") }).await;
     for round in 0..6u64 {
         fleet.fault("log", &json!({ "lose_answers": round })).await.expect("taken");
         let operators = (0..8u64).map(|number| {
             let fleet = &fleet;
             async move {
                 tokio::time::sleep(Duration::from_millis(number * 3)).await;
-                replace(fleet, number as usize % 2, round, number + 1).await
+                record_plan_change(fleet, number as usize % 2, round, number + 1).await
             }
         });
         let history: Vec<Call<Confirm>> =
@@ -138,5 +138,5 @@
         assert!(history.iter().any(|call| matches!(call.operation, Confirm::Accepted { .. })));
         assert!(is_linearizable(&Item, &history), "round {round}: {history:#?}");
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
--- a/standin/tests/in_time.rs
+++ b/standin/tests/in_time.rs
@@ -4,128 +4,128 @@
 
 use std::time::Duration;
 
-use common::{close, pay, prompt, start, until};
+use common::{close_fleet, post_payment, prompt, start_fleet, wait_until};
 use rustix::process::Signal;
 use serde_json::json;
 use standin::engine::model::Sizes;
 use standin::fleet::Spec;
 
 /// Tolerance beyond a deadline for an answer on a busy machine.
-const GRACE: Duration = Duration::from_millis(1_000);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1_000);
 
-fn one_engine(name: &str) -> Spec {
+fn one_engine_spec(name: &str) -> Spec {
     Spec { engines: 1, services: 1, ..Spec::small(name) }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_on_a_frozen_engine_fails_within_its_time() {
-    let fleet = start(one_engine("frozen-engine")).await;
+    let fleet = start_fleet(one_engine_spec("frozen-engine")).await;
     let mut prompt = prompt(1_000, 2_000, 1);
     prompt.deadline = Duration::from_secs(10);
-    let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (outcome, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.fault("market-advisor-0", &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
     });
-    assert!(seen.failure.is_some(), "{seen:?}");
-    assert!(seen.took < prompt.deadline + GRACE, "{:?}", seen.took);
-    assert_eq!(seen.ran(), Some("partial"));
-    close(fleet).await;
+    assert!(outcome.failure.is_some(), "{outcome:?}");
+    assert!(outcome.took < prompt.deadline + DEADLINE_TOLERANCE, "{:?}", outcome.took);
+    assert_eq!(outcome.ran(), Some("partial"));
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_before_a_frozen_sidecar_fails_within_its_time() {
-    let fleet = start(one_engine("frozen-sidecar")).await;
+    let fleet = start_fleet(one_engine_spec("frozen-sidecar")).await;
     fleet.signal("sidecar-market-advisor-0", Signal::STOP).expect("the sidecar is stopped");
     let mut prompt = prompt(1_000, 20, 1);
     prompt.deadline = Duration::from_secs(2);
-    let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
-    assert!(seen.failure.is_some(), "{seen:?}");
-    assert!(seen.took < prompt.deadline + GRACE, "{:?}", seen.took);
-    close(fleet).await;
+    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    assert!(outcome.failure.is_some(), "{outcome:?}");
+    assert!(outcome.took < prompt.deadline + DEADLINE_TOLERANCE, "{:?}", outcome.took);
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_sidecar_is_passed_over_while_others_answer() {
-    let fleet = start(Spec { engines: 2, ..one_engine("passed-over") }).await;
+    let fleet = start_fleet(Spec { engines: 2, ..one_engine_spec("passed-over") }).await;
     fleet.signal("sidecar-market-advisor-0", Signal::STOP).expect("the sidecar is stopped");
     for seed in 0..10 {
         let prompt = prompt(1_000, 5, seed);
-        let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
-        assert_eq!(seen.text, prompt.expected(), "{seen:?}");
+        let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+        assert_eq!(outcome.text, prompt.expected(), "{outcome:?}");
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_on_a_frozen_service_fails_within_its_time_as_unknown() {
-    let fleet = start(one_engine("frozen-service")).await;
+    let fleet = start_fleet(one_engine_spec("frozen-service")).await;
     fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 20_000 })).await.expect("the fault is taken");
     let deadline = Duration::from_millis(800);
-    let seen = pay(&fleet, 0, None, deadline).await;
-    assert_eq!((seen.status, seen.ran()), (504, Some("unknown")), "{seen:?}");
-    assert!(seen.took < deadline + GRACE);
-    close(fleet).await;
+    let outcome = post_payment(&fleet, 0, None, deadline).await;
+    assert_eq!((outcome.status, outcome.ran()), (504, Some("unknown")), "{outcome:?}");
+    assert!(outcome.took < deadline + DEADLINE_TOLERANCE);
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_that_never_started_is_told_as_not_run() {
+async fn a_job_that_never_started_is_reported_as_not_run() {
     let sizes = Sizes { slots: 1, ..Spec::small("").sizes };
     // The estimates are far too optimistic, so the sidecar accepts a job that it cannot start before its deadline.
-    let spec = Spec { sizes, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine("never-started") };
-    let fleet = start(spec).await;
-    let mut hog = prompt(1_000, 3_000, 1);
-    hog.deadline = Duration::from_secs(60);
+    let spec = Spec { sizes, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine_spec("never-started") };
+    let fleet = start_fleet(spec).await;
+    let mut long_prompt = prompt(1_000, 3_000, 1);
+    long_prompt.deadline = Duration::from_secs(60);
     let entry = fleet.entries[0].clone();
     let client = fleet.client.clone();
-    let running = tokio::spawn(async move { client.prompt(&entry, &hog).await });
+    let pending = tokio::spawn(async move { client.prompt(&entry, &long_prompt).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.fault("market-advisor-0", &json!({ "freeze_ms": 3_000 })).await.expect("the fault is taken");
-    let mut late = prompt(1_000, 1, 2);
-    late.deadline = Duration::from_millis(900);
-    let seen = fleet.client.prompt(&fleet.entries[1], &late).await;
-    assert_eq!(seen.ran(), Some("no"), "{seen:?}");
-    assert!(seen.took < late.deadline + GRACE);
-    running.abort();
-    close(fleet).await;
+    let mut short_deadline_prompt = prompt(1_000, 1, 2);
+    short_deadline_prompt.deadline = Duration::from_millis(900);
+    let outcome = fleet.client.prompt(&fleet.entries[1], &short_deadline_prompt).await;
+    assert_eq!(outcome.ran(), Some("no"), "{outcome:?}");
+    assert!(outcome.took < short_deadline_prompt.deadline + DEADLINE_TOLERANCE);
+    pending.abort();
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_cannot_finish_in_its_time_is_refused_at_once_with_when_to_come_back() {
-    let fleet = start(one_engine("refused")).await;
+async fn a_prompt_that_cannot_meet_its_deadline_is_refused_at_once_with_retry_after() {
+    let fleet = start_fleet(one_engine_spec("refused")).await;
     let mut prompt = prompt(390_000, 100, 1);
     prompt.deadline = Duration::from_millis(500);
-    let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
-    assert_eq!((seen.status, seen.code(), seen.ran()), (503, "overloaded", Some("no")), "{seen:?}");
-    assert!(seen.retry_after().is_some());
-    assert!(seen.took < Duration::from_millis(450), "{:?}", seen.took);
-    close(fleet).await;
+    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    assert_eq!((outcome.status, outcome.code(), outcome.ran()), (503, "overloaded", Some("no")), "{outcome:?}");
+    assert!(outcome.retry_after().is_some());
+    assert!(outcome.took < Duration::from_millis(450), "{:?}", outcome.took);
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_frees_the_engine() {
-    let fleet = start(one_engine("gone")).await;
+    let fleet = start_fleet(one_engine_spec("gone")).await;
     let entry = fleet.entries[0].clone();
     let client = fleet.client.clone();
-    let asked = tokio::spawn(async move { client.prompt(&entry, &prompt(1_000, 4_000, 1)).await });
-    until("the prompt runs", || async { fleet.held_tokens().await > 0 }).await;
-    asked.abort();
-    until("its memory is free", || async { fleet.held_tokens().await == 0 }).await;
-    close(fleet).await;
+    let pending = tokio::spawn(async move { client.prompt(&entry, &prompt(1_000, 4_000, 1)).await });
+    wait_until("the prompt runs", || async { fleet.held_tokens().await > 0 }).await;
+    pending.abort();
+    wait_until("its memory is free", || async { fleet.held_tokens().await == 0 }).await;
+    close_fleet(fleet).await;
 }
 
 /// Guards against a claim that waits for the suspended writer of its partition beyond the call's deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_writer_is_frozen_does_not_outlast_the_calls_time() {
-    let fleet = start(Spec { entries: 3, ..one_engine("frozen-writer") }).await;
+    let fleet = start_fleet(Spec { entries: 3, ..one_engine_spec("frozen-writer") }).await;
     fleet.signal("entry-1", Signal::STOP).expect("the entry is stopped");
     let deadline = Duration::from_millis(500);
     let calls = (0..16).map(|number| {
         let fleet = &fleet;
-        async move { pay(fleet, 0, Some(&format!("frozen-writer-{number}")), deadline).await }
+        async move { post_payment(fleet, 0, Some(&format!("frozen-writer-{number}")), deadline).await }
     });
-    for seen in futures_util::future::join_all(calls).await {
-        assert!(seen.status == 200 || seen.failure.is_some(), "{seen:?}");
-        assert!(seen.took < deadline + GRACE, "{seen:?}");
+    for outcome in futures_util::future::join_all(calls).await {
+        assert!(outcome.status == 200 || outcome.failure.is_some(), "{outcome:?}");
+        assert!(outcome.took < deadline + DEADLINE_TOLERANCE, "{outcome:?}");
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
--- a/standin/tests/memory.rs
+++ b/standin/tests/memory.rs
@@ -4,80 +4,80 @@
 
 use std::time::Duration;
 
-use common::{close, prompt, start, until};
+use common::{close_fleet, prompt, start_fleet, wait_until};
 use rustix::process::Signal;
 use serde_json::json;
 use standin::fleet::{Fleet, Spec};
 
 /// Starts a fleet whose sidecars disconnect an entry that does not read for one second.
-async fn small(name: &str) -> Fleet {
-    start(Spec { sidecar_settings: "slow_entry_ms = 1000\n".into(), ..Spec::small(name) }).await
+async fn start_fleet_with_slow_entry_limit(name: &str) -> Fleet {
+    start_fleet(Spec { sidecar_settings: "slow_entry_ms = 1000\n".into(), ..Spec::small(name) }).await
 }
 
 /// Runs six prompts, executes `act` while they run, cancels them, and waits until no memory is reserved.
-async fn nothing_stays_held(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet)) {
-    let asked: Vec<_> = (0..6)
+async fn assert_memory_released(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet)) {
+    let pending: Vec<_> = (0..6)
         .map(|seed| {
             let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
             tokio::spawn(async move { client.prompt(&entry, &prompt(5_000, 3_000, seed)).await })
         })
         .collect();
-    until("the prompts run", || async { fleet.held_tokens().await > 30_000 }).await;
+    wait_until("the prompts run", || async { fleet.held_tokens().await > 30_000 }).await;
     act(fleet).await;
-    asked.iter().for_each(tokio::task::JoinHandle::abort);
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    pending.iter().for_each(tokio::task::JoinHandle::abort);
+    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_callers_went_away() {
-    let fleet = small("memory-callers").await;
-    nothing_stays_held(&fleet, async |_| {}).await;
-    close(fleet).await;
+async fn memory_is_released_after_clients_disconnect() {
+    let fleet = start_fleet_with_slow_entry_limit("memory-callers").await;
+    assert_memory_released(&fleet, async |_| {}).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_an_entry_was_killed() {
-    let fleet = small("memory-entry-killed").await;
-    nothing_stays_held(&fleet, async |fleet| fleet.signal("entry-0", Signal::KILL).expect("killed")).await;
+async fn memory_is_released_after_an_entry_is_killed() {
+    let fleet = start_fleet_with_slow_entry_limit("memory-entry-killed").await;
+    assert_memory_released(&fleet, async |fleet| fleet.signal("entry-0", Signal::KILL).expect("killed")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_an_entry_was_frozen() {
-    let fleet = small("memory-entry-frozen").await;
-    nothing_stays_held(&fleet, async |fleet| fleet.signal("entry-0", Signal::STOP).expect("stopped")).await;
-    close(fleet).await;
+async fn memory_is_released_after_an_entry_is_suspended() {
+    let fleet = start_fleet_with_slow_entry_limit("memory-entry-frozen").await;
+    assert_memory_released(&fleet, async |fleet| fleet.signal("entry-0", Signal::STOP).expect("stopped")).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_every_sidecar_was_killed() {
-    let fleet = small("memory-sidecars-killed").await;
+async fn memory_is_released_after_all_sidecars_are_killed() {
+    let fleet = start_fleet_with_slow_entry_limit("memory-sidecars-killed").await;
     let kill = async |fleet: &Fleet| {
         for number in 0..3 {
             fleet.signal(&format!("sidecar-market-advisor-{number}"), Signal::KILL).expect("killed");
         }
     };
-    nothing_stays_held(&fleet, kill).await;
+    assert_memory_released(&fleet, kill).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_an_engine_froze_and_came_back() {
-    let fleet = small("memory-engine-frozen").await;
+async fn memory_is_released_after_an_engine_is_suspended_and_resumes() {
+    let fleet = start_fleet_with_slow_entry_limit("memory-engine-frozen").await;
     let freeze = async |fleet: &Fleet| {
         fleet.fault("market-advisor-0", &json!({ "freeze_ms": 2_000 })).await.expect("frozen");
         tokio::time::sleep(Duration::from_millis(2_100)).await;
     };
-    nothing_stays_held(&fleet, freeze).await;
-    close(fleet).await;
+    assert_memory_released(&fleet, freeze).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_an_engine_was_killed_and_started_again() {
-    let mut fleet = small("memory-engine-killed").await;
+async fn memory_is_released_after_an_engine_is_killed_and_restarted() {
+    let mut fleet = start_fleet_with_slow_entry_limit("memory-engine-killed").await;
     let kill = async |fleet: &Fleet| fleet.signal("market-advisor-0", Signal::KILL).expect("killed");
-    nothing_stays_held(&fleet, kill).await;
+    assert_memory_released(&fleet, kill).await;
     fleet.kill("market-advisor-0").expect("reaped");
-    fleet.restart("market-advisor-0").expect("started again");
+    fleet.restart("market-advisor-0").expect("the process restarts");
     let prompt = prompt(500, 5, 1);
     assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
--- a/standin/tests/placement.rs
+++ b/standin/tests/placement.rs
@@ -4,17 +4,17 @@
 
 use std::time::Duration;
 
-use common::{close, prompt, start, until};
+use common::{close_fleet, prompt, start_fleet, wait_until};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use standin::fleet::{Fleet, Spec};
 
 /// Returns the spec of a fleet with four entries and seven engines, of which failure domain 0 has two and three.
-fn spec(name: &str, checks_fence: bool) -> Spec {
+fn four_entry_spec(name: &str, checks_fence: bool) -> Spec {
     Spec { entries: 4, engines: 7, services: 1, checks_fence, ..Spec::small(name) }
 }
 
-async fn loaded(fleet: &Fleet, number: usize) -> Value {
+async fn loaded_model(fleet: &Fleet, number: usize) -> Value {
     let address = &fleet.addresses[&format!("market-advisor-{number}")];
     fleet.client.json("GET", address, "/loaded", "", None).await.expect("the engine answers").1
 }
@@ -25,87 +25,88 @@
     fleet.publish(&changes).await.expect("the change is accepted");
 }
 
-async fn all_hold(fleet: &Fleet, version: &str) {
-    until(&format!("every engine holds {version}"), || async {
-        let mut all = true;
+async fn wait_until_all_loaded(fleet: &Fleet, version: &str) {
+    wait_until(&format!("every engine holds {version}"), || async {
+        let mut all_loaded = true;
         for number in 0..fleet.spec.engines {
-            let loaded = loaded(fleet, number).await;
-            all &= loaded["loaded"]["version"] == version && loaded["loaded"]["adapters"] == json!(["kinyarwanda"]);
+            let loaded = loaded_model(fleet, number).await;
+            all_loaded &=
+                loaded["loaded"]["version"] == version && loaded["loaded"]["adapters"] == json!(["kinyarwanda"]);
         }
-        all
+        all_loaded
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_come_to_hold_what_the_intents_say_while_prompts_are_answered() {
-    let fleet = start(spec("placement", true)).await;
+async fn engines_load_the_versions_of_the_intents_while_prompts_are_answered() {
+    let fleet = start_fleet(four_entry_spec("placement", true)).await;
     set_version(&fleet, "v2").await;
     let prompt = prompt(500, 5, 1);
     assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
-    all_hold(&fleet, "v2").await;
-    close(fleet).await;
+    wait_until_all_loaded(&fleet, "v2").await;
+    close_fleet(fleet).await;
 }
 
 /// Returns the name of the entry that acquired the lease of failure domain 0 last.
-fn holder(fleet: &Fleet) -> Option<&'static str> {
-    let mut last: Option<(String, &'static str)> = None;
+fn lease_holder(fleet: &Fleet) -> Option<&'static str> {
+    let mut latest: Option<(String, &'static str)> = None;
     for name in ["entry-0", "entry-3"] {
         let log = std::fs::read_to_string(fleet.log_file(name)).unwrap_or_default();
         let line = log.lines().rfind(|line| line.contains("step=lease "));
-        let stamp = line.and_then(|line| line.split("hlc=").nth(1)).map(str::to_owned);
-        if let Some(stamp) = stamp
-            && last.as_ref().is_none_or(|(newest, _)| *newest < stamp)
+        let timestamp = line.and_then(|line| line.split("hlc=").nth(1)).map(str::to_owned);
+        if let Some(timestamp) = timestamp
+            && latest.as_ref().is_none_or(|(newest, _)| *newest < timestamp)
         {
-            last = Some((stamp, name));
+            latest = Some((timestamp, name));
         }
     }
-    last.map(|(_, name)| name)
+    latest.map(|(_, name)| name)
 }
 
-async fn paused_holder(name: &str, checks_fence: bool) {
-    let fleet = start(spec(name, checks_fence)).await;
+async fn suspend_lease_holder(name: &str, checks_fence: bool) {
+    let fleet = start_fleet(four_entry_spec(name, checks_fence)).await;
     set_version(&fleet, "v2").await;
-    all_hold(&fleet, "v2").await;
-    let paused = holder(&fleet).expect("somebody holds the lease");
-    let before = loaded(&fleet, 0).await["fence"].as_u64().unwrap_or(0);
-    fleet.signal(paused, Signal::STOP).expect("the holder is paused");
+    wait_until_all_loaded(&fleet, "v2").await;
+    let suspended_entry = lease_holder(&fleet).expect("an entry holds the lease");
+    let fence_before = loaded_model(&fleet, 0).await["fence"].as_u64().unwrap_or(0);
+    fleet.signal(suspended_entry, Signal::STOP).expect("the holder is suspended");
     // The suspended entry accepts no change, so an entry of another failure domain publishes it.
     let changes = json!([{ "put_intent": { "model": "market-advisor", "service": "market-advisor",
         "workspaces": ["*"], "version": "v3", "adapters": ["kinyarwanda"] } }]);
     fleet.publish_at(1, &changes).await.expect("the change is accepted");
-    all_hold(&fleet, "v3").await;
-    assert_ne!(holder(&fleet), Some(paused), "another took the lease over");
-    fleet.signal(paused, Signal::CONT).expect("the holder wakes");
+    wait_until_all_loaded(&fleet, "v3").await;
+    assert_ne!(lease_holder(&fleet), Some(suspended_entry), "another entry acquired the lease");
+    fleet.signal(suspended_entry, Signal::CONT).expect("the holder resumes");
     tokio::time::sleep(Duration::from_secs(2)).await;
     for number in 0..fleet.spec.engines {
-        let loaded = loaded(&fleet, number).await;
-        assert_eq!(loaded["loaded"]["version"], "v3", "the paused holder changed nothing when it woke");
+        let loaded = loaded_model(&fleet, number).await;
+        assert_eq!(loaded["loaded"]["version"], "v3", "the suspended holder changed nothing when it resumed");
         assert!(
-            !checks_fence || number % 3 != 0 || loaded["fence"].as_u64().unwrap_or(0) > before,
-            "{loaded} {before}"
+            !checks_fence || number % 3 != 0 || loaded["fence"].as_u64().unwrap_or(0) > fence_before,
+            "{loaded} {fence_before}"
         );
     }
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_controller_changes_nothing_when_it_wakes() {
-    paused_holder("placement-paused", true).await;
+    suspend_lease_holder("placement-paused", true).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_controller_changes_nothing_at_engines_that_do_not_check_fences() {
-    paused_holder("placement-unfenced", false).await;
+    suspend_lease_holder("placement-unfenced", false).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn in_a_log_outage_placement_stands_still_and_goes_on_afterwards() {
-    let fleet = start(spec("placement-outage", true)).await;
+    let fleet = start_fleet(four_entry_spec("placement-outage", true)).await;
     set_version(&fleet, "v2").await;
     fleet.fault("log", &json!({ "outage_ms": 2_000 })).await.expect("the fault is taken");
     let prompt = prompt(500, 5, 1);
     assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
-    all_hold(&fleet, "v2").await;
-    close(fleet).await;
+    wait_until_all_loaded(&fleet, "v2").await;
+    close_fleet(fleet).await;
 }
--- a/standin/tests/platform_beliefs.rs
+++ b/standin/tests/platform_beliefs.rs
@@ -5,53 +5,53 @@
 use serde_json::json;
 use standin::platform::{Ask, Fault, KEY, Site, Spec};
 
-fn look(id: &str, key: &str) -> Ask {
+fn lookup(id: &str, key: &str) -> Ask {
     Ask::new("GET", "/look/1", id, key).with("deadline-ms", "800")
 }
 
-async fn pause(millis: u64) {
+async fn sleep_ms(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-async fn site(name: &str, bounds: &str) -> Site {
+async fn start_site(name: &str, bounds: &str) -> Site {
     Site::start(Spec { bounds: bounds.to_owned(), ..Spec::small(name) }).await.expect("the site starts")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_configuration_is_in_force_at_once_and_an_older_one_never_again() {
-    let site = site("beliefs-new", "").await;
+    let site = start_site("beliefs-new", "").await;
     site.configure(&["another"], |_| {});
-    pause(300).await;
-    let statuses = [site.send(0, &look("a1", KEY)).await, site.send(1, &look("a2", "another")).await];
-    assert_eq!(statuses.map(|seen| seen.status), [401, 200]);
+    sleep_ms(300).await;
+    let statuses = [site.send(0, &lookup("a1", KEY)).await, site.send(1, &lookup("a2", "another")).await];
+    assert_eq!(statuses.map(|outcome| outcome.status), [401, 200]);
     site.configure(&[KEY], |config| config["version"] = json!(1));
     site.store.put("keyed.op", "config", "not a configuration");
-    pause(300).await;
-    let statuses = [site.send(0, &look("a3", KEY)).await, site.send(1, &look("a4", "another")).await];
-    assert_eq!(statuses.map(|seen| seen.status), [401, 200]);
+    sleep_ms(300).await;
+    let statuses = [site.send(0, &lookup("a3", KEY)).await, site.send(1, &lookup("a4", "another")).await];
+    assert_eq!(statuses.map(|outcome| outcome.status), [401, 200]);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_recent_proof_no_key_is_trusted_and_the_entry_is_not_ready() {
     for fault in [Fault::Silent, Fault::Unavailable, Fault::TooMany] {
-        let site = site("beliefs-proof", "revoke_ms = 3000").await;
+        let site = start_site("beliefs-proof", "revoke_ms = 3000").await;
         // All entries lose the store, because an entry that alone loses it gets its data from the other one.
-        site.doors.iter().for_each(|door| door.set(fault));
+        site.doors.iter().for_each(|listener| listener.set(fault));
         // The key is revoked while the entries receive nothing.
         site.configure(&["another"], |_| {});
-        pause(3_200).await;
+        sleep_ms(3_200).await;
         for entry in 0..2 {
-            let seen = site.send(entry, &look(&format!("b1{entry}"), KEY)).await;
-            assert_eq!(seen.status, 503, "{fault:?}: {seen:?}");
-            assert!(!seen.header("retry-after").is_empty());
+            let outcome = site.send(entry, &lookup(&format!("b1{entry}"), KEY)).await;
+            assert_eq!(outcome.status, 503, "{fault:?}: {outcome:?}");
+            assert!(!outcome.header("retry-after").is_empty());
             assert!(!site.is_ready(entry).await, "{fault:?}");
         }
-        site.doors.iter().for_each(|door| door.set(Fault::None));
+        site.doors.iter().for_each(|listener| listener.set(Fault::None));
         for entry in 0..2 {
-            site.wait_ready(entry, true).await.expect("it comes back");
-            assert_eq!(site.send(entry, &look(&format!("b2{entry}"), "another")).await.status, 200, "{fault:?}");
-            assert_eq!(site.send(entry, &look(&format!("b3{entry}"), KEY)).await.status, 401, "{fault:?}");
+            site.wait_ready(entry, true).await.expect("the entry is ready again");
+            assert_eq!(site.send(entry, &lookup(&format!("b2{entry}"), "another")).await.status, 200, "{fault:?}");
+            assert_eq!(site.send(entry, &lookup(&format!("b3{entry}"), KEY)).await.status, 401, "{fault:?}");
         }
         site.close().expect("no invariant was breached");
     }
@@ -59,71 +59,71 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_announces_its_end_or_vanishes_gets_nothing_more() {
-    let site = site("beliefs-leave", "drain_ms = 600").await;
+    let site = start_site("beliefs-leave", "drain_ms = 600").await;
     site.store.put("keyed.servers", "plain-0", site.plain[0].record("ledger", "draining"));
-    pause(600).await;
+    sleep_ms(600).await;
     for number in 0..6 {
-        assert_eq!(site.send(number % 2, &look(&format!("c{number}"), KEY)).await.status, 200);
+        assert_eq!(site.send(number % 2, &lookup(&format!("c{number}"), KEY)).await.status, 200);
     }
     assert_eq!(site.plain[0].seen().len(), 0);
     // The announced termination of a run is final, whatever its record says later.
     site.store.put("keyed.servers", "plain-0", site.plain[0].record("ledger", "ready"));
     site.store.put("keyed.servers", "plain-1", "");
-    pause(600).await;
-    assert_eq!(site.send(0, &look("c9", KEY)).await.status, 503);
+    sleep_ms(600).await;
+    assert_eq!(site.send(0, &lookup("c9", KEY)).await.status, 503);
     assert_eq!(site.plain[0].seen().len(), 0);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn records_that_lapsed_in_an_outage_are_waited_for_and_then_taken_as_gone() {
-    let site = site("beliefs-lapse", "drain_ms = 400").await;
-    site.doors.iter().for_each(|door| door.set(Fault::Unavailable));
-    pause(700).await;
+    let site = start_site("beliefs-lapse", "drain_ms = 400").await;
+    site.doors.iter().for_each(|listener| listener.set(Fault::Unavailable));
+    sleep_ms(700).await;
     site.store.put("keyed.servers", "plain-0", "");
     site.store.put("keyed.servers", "plain-1", "");
-    site.doors.iter().for_each(|door| door.set(Fault::None));
-    pause(900).await;
-    assert_eq!(site.send(0, &look("d1", KEY)).await.status, 200, "lapsed is not gone");
+    site.doors.iter().for_each(|listener| listener.set(Fault::None));
+    sleep_ms(900).await;
+    assert_eq!(site.send(0, &lookup("d1", KEY)).await.status, 200, "a replica with an expired record is still used");
     site.store.put("keyed.servers", "plain-0", site.plain[0].record("ledger", "ready"));
-    pause(2_600).await;
+    sleep_ms(2_600).await;
     let before = site.plain[1].seen().len();
     for number in 0..6 {
-        assert_eq!(site.send(0, &look(&format!("e{number}"), KEY)).await.status, 200);
+        assert_eq!(site.send(0, &lookup(&format!("e{number}"), KEY)).await.status, 200);
     }
-    assert_eq!(site.plain[1].seen().len(), before, "one that is still missing is gone");
+    assert_eq!(site.plain[1].seen().len(), before, "a replica whose record is still missing is removed");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_forgets_its_history_changes_no_belief() {
-    let site = site("beliefs-compact", "drain_ms = 400").await;
+    let site = start_site("beliefs-compact", "drain_ms = 400").await;
     site.store.put("keyed.servers", "plain-1", "");
     site.store.compact("keyed.servers");
     site.store.compact("keyed.op");
-    pause(1_000).await;
+    sleep_ms(1_000).await;
     for number in 0..4 {
-        assert_eq!(site.send(0, &look(&format!("f{number}"), KEY)).await.status, 200);
+        assert_eq!(site.send(0, &lookup(&format!("f{number}"), KEY)).await.status, 200);
     }
-    assert_eq!(site.plain[1].seen().len(), 0, "what was removed in between is gone");
+    assert_eq!(site.plain[1].seen().len(), 0, "a replica removed before the compaction is gone");
     site.configure(&["another"], |_| {});
-    pause(500).await;
-    assert_eq!(site.send(0, &look("f9", "another")).await.status, 200);
+    sleep_ms(500).await;
+    assert_eq!(site.send(0, &lookup("f9", "another")).await.status, 200);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_that_cannot_be_decoded_proves_nothing_however_often_it_is_read() {
-    let site = site("beliefs-unsound", "revoke_ms = 1000").await;
+    let site = start_site("beliefs-unsound", "revoke_ms = 1000").await;
     site.store.put("keyed.op", "config", "not a configuration");
-    pause(1_600).await;
+    sleep_ms(1_600).await;
     for entry in 0..2 {
-        assert!(!site.is_ready(entry).await, "entry {entry} cannot know which keys were taken away");
-        assert_eq!(site.send(entry, &look(&format!("u{entry}"), KEY)).await.status, 503);
+        assert!(!site.is_ready(entry).await, "entry {entry} cannot know which keys were revoked");
+        assert_eq!(site.send(entry, &lookup(&format!("u{entry}"), KEY)).await.status, 503);
     }
     site.configure(&[KEY], |_| {});
     for entry in 0..2 {
-        site.wait_ready(entry, true).await.expect("a sound one is in force");
+        site.wait_ready(entry, true).await.expect("a valid configuration is in force");
     }
     site.close().expect("no invariant was breached");
 }
@@ -132,32 +132,32 @@
 async fn where_keys_may_outlast_an_outage_known_ones_are_served_and_nothing_is_denied() {
     for fault in [Fault::Silent, Fault::Unavailable] {
         let bounds = "revoke_ms = 1000\nconfig_apply_ms = 1000\nrevoke_strict = false";
-        let mut site = site("beliefs-lax", bounds).await;
-        site.doors.iter().for_each(|door| door.set(fault));
-        pause(2_000).await;
+        let mut site = start_site("beliefs-lax", bounds).await;
+        site.doors.iter().for_each(|listener| listener.set(fault));
+        sleep_ms(2_000).await;
         // One key is revoked and another one is added while the entries receive nothing.
         site.configure(&["another"], |_| {});
         for entry in 0..2 {
             assert!(site.is_ready(entry).await, "{fault:?}");
-            let known = site.send(entry, &look(&format!("v1{entry}"), KEY)).await;
-            assert_eq!(known.status, 200, "{fault:?}: {known:?}");
-            let unknown = site.send(entry, &look(&format!("v2{entry}"), "another")).await;
-            assert_eq!(unknown.status, 503, "{fault:?}: {unknown:?}");
+            let known_key = site.send(entry, &lookup(&format!("v1{entry}"), KEY)).await;
+            assert_eq!(known_key.status, 200, "{fault:?}: {known_key:?}");
+            let unknown_key = site.send(entry, &lookup(&format!("v2{entry}"), "another")).await;
+            assert_eq!(unknown_key.status, 503, "{fault:?}: {unknown_key:?}");
         }
-        site.doors.iter().for_each(|door| door.set(Fault::None));
-        pause(2_500).await;
+        site.doors.iter().for_each(|listener| listener.set(Fault::None));
+        sleep_ms(2_500).await;
         for entry in 0..2 {
-            assert_eq!(site.send(entry, &look(&format!("v3{entry}"), "another")).await.status, 200, "{fault:?}");
-            assert_eq!(site.send(entry, &look(&format!("v4{entry}"), KEY)).await.status, 401, "{fault:?}");
+            assert_eq!(site.send(entry, &lookup(&format!("v3{entry}"), "another")).await.status, 200, "{fault:?}");
+            assert_eq!(site.send(entry, &lookup(&format!("v4{entry}"), KEY)).await.status, 401, "{fault:?}");
         }
         // An entry without any configuration trusts no key, however lax the bound is.
-        site.doors.iter().for_each(|door| door.set(fault));
-        site.restart(0).await.expect("it starts");
-        site.restart(1).await.expect("it starts");
-        pause(500).await;
+        site.doors.iter().for_each(|listener| listener.set(fault));
+        site.restart(0).await.expect("the entry starts");
+        site.restart(1).await.expect("the entry starts");
+        sleep_ms(500).await;
         for entry in 0..2 {
             assert!(!site.is_ready(entry).await, "{fault:?}");
-            assert_ne!(site.send(entry, &look(&format!("v5{entry}"), "another")).await.status, 200, "{fault:?}");
+            assert_ne!(site.send(entry, &lookup(&format!("v5{entry}"), "another")).await.status, 200, "{fault:?}");
         }
         site.close().expect("no invariant was breached");
     }
--- a/standin/tests/platform_crashes.rs
+++ b/standin/tests/platform_crashes.rs
@@ -18,45 +18,45 @@
 use standin::platform::{Ask, Fault, KEY, Replica, Seen, Site, Spec, send};
 
 /// Text in the body of a request that crashes a replica.
-const MARKER: &str = "ends-replicas";
+const CRASH_MARKER: &str = "ends-replicas";
 /// Time after which a crashed replica is up again.
-const DOWN: Duration = Duration::from_millis(400);
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 /// Delay between two sends of the same request.
-const PAUSE: Duration = Duration::from_millis(200);
+const SEND_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum number of sends after the third crash.
-const MOST_AFTER: usize = 3;
+const MAX_SENDS_AFTER: usize = 3;
 
-/// Starts a site whose replicas crash on requests with `MARKER` in the body.
-async fn site(name: &str) -> Site {
-    start(Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) }).await
+/// Starts a site whose replicas crash on requests with `CRASH_MARKER` in the body.
+async fn start_site(name: &str) -> Site {
+    start_site_with_spec(Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) }).await
 }
 
-async fn start(spec: Spec) -> Site {
+async fn start_site_with_spec(spec: Spec) -> Site {
     let site = Site::start(spec).await.expect("the site starts");
-    site.engines.iter().chain(&site.plain).for_each(|replica| replica.end_under(MARKER, DOWN));
+    site.engines.iter().chain(&site.plain).for_each(|replica| replica.end_under(CRASH_MARKER, RESTART_DELAY));
     site
 }
 
 /// Builds a prompt with the given body.
 fn prompt(id: &str, body: &str) -> Ask {
-    let ask = Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500");
-    Ask { body: Bytes::from(body.to_owned()), ..ask }
+    let request = Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500");
+    Ask { body: Bytes::from(body.to_owned()), ..request }
 }
 
 /// Builds a repeatable call with the given body.
-fn look(id: &str, body: &str) -> Ask {
-    let ask = Ask::new("POST", "/look/1", id, KEY).with("deadline-ms", "2500");
-    Ask { body: Bytes::from(body.to_owned()), ..ask }
+fn lookup(id: &str, body: &str) -> Ask {
+    let request = Ask::new("POST", "/look/1", id, KEY).with("deadline-ms", "2500");
+    Ask { body: Bytes::from(body.to_owned()), ..request }
 }
 
 /// Returns how many requests with the marker reached `replicas`.
-fn arrivals(replicas: &[Arc<Replica>]) -> usize {
-    let marked = |body: &[u8]| body.windows(MARKER.len()).any(|part| part == MARKER.as_bytes());
-    replicas.iter().flat_map(|replica| replica.seen()).filter(|run| marked(&run.body)).count()
+fn count_marked_requests(replicas: &[Arc<Replica>]) -> usize {
+    let marked = |body: &[u8]| body.windows(CRASH_MARKER.len()).any(|window| window == CRASH_MARKER.as_bytes());
+    replicas.iter().flat_map(|replica| replica.seen()).filter(|received| marked(&received.body)).count()
 }
 
 /// Waits until the log of an entry contains a text.
-async fn wait_log(site: &Site, entry: usize, text: &str) {
+async fn wait_for_log(site: &Site, entry: usize, text: &str) {
     for _ in 0..100 {
         if site.log(entry).contains(text) {
             return;
@@ -66,184 +66,204 @@
     panic!("entry {entry} never logged {text:?}");
 }
 
-fn is_condemned(seen: &Seen) -> bool {
-    seen.status == 502 && seen.body.contains("\"condemned\"")
+fn is_condemned(outcome: &Seen) -> bool {
+    outcome.status == 502 && outcome.body.contains("\"condemned\"")
 }
 
 /// Sends the same request through each entry in turn, `times` times in all, each time with another request ID.
-async fn repeat(site: &Site, times: usize, ask: impl Fn(&str, &str) -> Ask) -> Vec<Seen> {
-    let mut seen = Vec::new();
+async fn send_repeatedly(site: &Site, times: usize, build_request: impl Fn(&str, &str) -> Ask) -> Vec<Seen> {
+    let mut outcomes = Vec::new();
     for number in 0..times {
-        let ask = ask(&format!("again-{number}"), MARKER);
-        seen.push(site.send(number % site.addresses.len(), &ask).await);
-        tokio::time::sleep(PAUSE).await;
+        let request = build_request(&format!("again-{number}"), CRASH_MARKER);
+        outcomes.push(site.send(number % site.addresses.len(), &request).await);
+        tokio::time::sleep(SEND_INTERVAL).await;
     }
-    seen
+    outcomes
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_under_which_three_replicas_ended_is_sent_no_more_by_any_entry() {
-    let site = site("crashes-prompt").await;
-    repeat(&site, 12, prompt).await;
-    assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
+async fn a_prompt_that_crashed_three_replicas_is_not_sent_again_by_any_entry() {
+    let site = start_site("crashes-prompt").await;
+    send_repeatedly(&site, 12, prompt).await;
+    assert!(
+        count_marked_requests(&site.engines) <= 3 + MAX_SENDS_AFTER,
+        "sent {} times",
+        count_marked_requests(&site.engines)
+    );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_under_which_three_replicas_ended_is_sent_no_more_by_any_entry() {
-    let site = site("crashes-call").await;
-    repeat(&site, 12, look).await;
-    assert!(arrivals(&site.plain) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.plain));
+async fn a_call_that_crashed_three_replicas_is_not_sent_again_by_any_entry() {
+    let site = start_site("crashes-call").await;
+    send_repeatedly(&site, 12, lookup).await;
+    assert!(
+        count_marked_requests(&site.plain) <= 3 + MAX_SENDS_AFTER,
+        "sent {} times",
+        count_marked_requests(&site.plain)
+    );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_was_found_lasts_over_a_loss_of_all_entries() {
-    let mut site = site("crashes-lasting").await;
-    repeat(&site, 12, prompt).await;
-    let before = arrivals(&site.engines);
+async fn a_condemnation_survives_the_loss_of_all_entries() {
+    let mut site = start_site("crashes-lasting").await;
+    send_repeatedly(&site, 12, prompt).await;
+    let before = count_marked_requests(&site.engines);
     for entry in 0..site.addresses.len() {
-        site.restart(entry).await.expect("the entry starts again");
+        site.restart(entry).await.expect("the entry restarts");
     }
     for entry in 0..site.addresses.len() {
         site.wait_ready(entry, true).await.expect("the entry is ready");
     }
-    repeat(&site, 6, prompt).await;
-    let after = arrivals(&site.engines);
-    assert!(after - before.min(3) <= MOST_AFTER, "sent {before} times before the loss, {after} in all");
+    send_repeatedly(&site, 6, prompt).await;
+    let after = count_marked_requests(&site.engines);
+    assert!(after - before.min(3) <= MAX_SENDS_AFTER, "sent {before} times before the loss, {after} in all");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_of_condemned_work_are_told_at_once_and_others_are_served() {
-    let site = site("crashes-told").await;
-    repeat(&site, 6, prompt).await;
+async fn condemned_requests_are_refused_at_once_and_others_are_served() {
+    let site = start_site("crashes-told").await;
+    send_repeatedly(&site, 6, prompt).await;
     for entry in 0..site.addresses.len() {
-        let seen = site.send(entry, &prompt("told", MARKER)).await;
-        assert!(is_condemned(&seen), "{seen:?}");
+        let outcome = site.send(entry, &prompt("told", CRASH_MARKER)).await;
+        assert!(is_condemned(&outcome), "{outcome:?}");
         // The answer does not claim that other attempts did not run, and gives no time to retry after.
-        assert_eq!(seen.header("retry-after"), "", "{seen:?}");
-        assert!(seen.took < Duration::from_millis(300), "{:?}", seen.took);
+        assert_eq!(outcome.header("retry-after"), "", "{outcome:?}");
+        assert!(outcome.took < Duration::from_millis(300), "{:?}", outcome.took);
     }
-    tokio::time::sleep(DOWN * 2).await;
+    tokio::time::sleep(RESTART_DELAY * 2).await;
     for entry in 0..site.addresses.len() {
         // The same client sends another body to the same path.
-        let seen = site.send(entry, &prompt(&format!("other-{entry}"), "as usual")).await;
-        assert!(seen.whole && seen.status == 200, "{seen:?}");
+        let outcome = site.send(entry, &prompt(&format!("other-{entry}"), "as usual")).await;
+        assert!(outcome.whole && outcome.status == 200, "{outcome:?}");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn prompts_beside_such_work_come_to_whole_answers() {
-    let site = site("crashes-beside").await;
-    let beside = (0..24).map(|number| {
+async fn prompts_beside_fatal_requests_are_answered_completely() {
+    let site = start_site("crashes-beside").await;
+    let harmless_requests = (0..24).map(|number| {
         let site = &site;
         async move {
-            tokio::time::sleep(PAUSE * number / 3).await;
-            let ask = prompt(&format!("beside-{number}"), &format!("body {number}"));
-            site.send(number as usize % site.addresses.len(), &ask).await
+            tokio::time::sleep(SEND_INTERVAL * number / 3).await;
+            let request = prompt(&format!("beside-{number}"), &format!("body {number}"));
+            site.send(number as usize % site.addresses.len(), &request).await
         }
     });
-    let (others, _) = futures_util::future::join(join_all(beside), repeat(&site, 8, prompt)).await;
+    let (others, _) = futures_util::future::join(join_all(harmless_requests), send_repeatedly(&site, 8, prompt)).await;
     assert!(!others.iter().any(is_condemned), "{others:?}");
-    let whole = others.iter().filter(|seen| seen.whole && seen.status == 200).count();
+    let complete = others.iter().filter(|outcome| outcome.whole && outcome.status == 200).count();
     // A prompt that met two crashes has no attempts left.
-    assert!(whole >= 22, "{whole} of 24 were whole");
-    assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
+    assert!(complete >= 22, "{complete} of 24 answers were complete");
+    assert!(
+        count_marked_requests(&site.engines) <= 3 + MAX_SENDS_AFTER,
+        "sent {} times",
+        count_marked_requests(&site.engines)
+    );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_who_come_at_once_through_all_entries_end_no_more_replicas_than_they_are() {
-    let site = site("crashes-at-once").await;
-    let at_once = |round: usize| {
+async fn concurrent_sends_through_all_entries_crash_few_replicas() {
+    let site = start_site("crashes-at-once").await;
+    let send_round = |round: usize| {
         let site = &site;
         let sends = (0..8).map(move |number| async move {
-            site.send(number % 3, &prompt(&format!("round-{round}-{number}"), MARKER)).await
+            site.send(number % 3, &prompt(&format!("round-{round}-{number}"), CRASH_MARKER)).await
         });
         join_all(sends)
     };
-    let ends = || site.engines.iter().map(|engine| engine.ends()).sum::<usize>();
+    let crash_count = || site.engines.iter().map(|engine| engine.ends()).sum::<usize>();
     let mut rounds = 0;
-    while ends() < 3 {
-        at_once(rounds).await;
-        tokio::time::sleep(DOWN + PAUSE).await;
+    while crash_count() < 3 {
+        send_round(rounds).await;
+        tokio::time::sleep(RESTART_DELAY + SEND_INTERVAL).await;
         rounds += 1;
-        assert!(rounds < 8, "only {} ends", ends());
+        assert!(rounds < 8, "only {} crashes", crash_count());
     }
-    let (ends_before, before) = (ends(), arrivals(&site.engines));
-    at_once(rounds).await;
-    tokio::time::sleep(DOWN + PAUSE).await;
-    assert!(arrivals(&site.engines) - before <= MOST_AFTER, "{ends_before} ends, then {}", ends());
+    let (crashes_before, before) = (crash_count(), count_marked_requests(&site.engines));
+    send_round(rounds).await;
+    tokio::time::sleep(RESTART_DELAY + SEND_INTERVAL).await;
+    assert!(
+        count_marked_requests(&site.engines) - before <= MAX_SENDS_AFTER,
+        "{crashes_before} crashes before the round, {} after it",
+        crash_count()
+    );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_hear_nothing_of_each_other_hear_of_it_from_the_store() {
+async fn isolated_entries_learn_of_condemned_requests_from_the_store() {
     let spec = Spec { entries: 3, engines: 8, apart: true, ..Spec::small("crashes-apart") };
-    let site = start(spec).await;
-    repeat(&site, 12, prompt).await;
-    assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
+    let site = start_site_with_spec(spec).await;
+    send_repeatedly(&site, 12, prompt).await;
+    assert!(
+        count_marked_requests(&site.engines) <= 3 + MAX_SENDS_AFTER,
+        "sent {} times",
+        count_marked_requests(&site.engines)
+    );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_while_the_store_is_silent_hears_of_it_from_another() {
+async fn a_starting_entry_learns_of_condemned_requests_from_a_peer_while_the_store_is_unresponsive() {
     let spec = Spec { entries: 3, engines: 8, seeded: true, ..Spec::small("crashes-late") };
-    let mut site = start(spec).await;
-    repeat(&site, 6, prompt).await;
-    let before = arrivals(&site.engines);
+    let mut site = start_site_with_spec(spec).await;
+    send_repeatedly(&site, 6, prompt).await;
+    let before = count_marked_requests(&site.engines);
     site.doors[2].set(Fault::Silent);
-    site.restart(2).await.expect("the entry starts again");
+    site.restart(2).await.expect("the entry restarts");
     site.wait_ready(2, true).await.expect("the entry is ready");
     for number in 0..4 {
-        let seen = site.send(2, &prompt(&format!("late-{number}"), MARKER)).await;
-        assert!(is_condemned(&seen), "{seen:?}");
+        let outcome = site.send(2, &prompt(&format!("late-{number}"), CRASH_MARKER)).await;
+        assert!(is_condemned(&outcome), "{outcome:?}");
     }
-    assert_eq!(arrivals(&site.engines), before);
+    assert_eq!(count_marked_requests(&site.engines), before);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_sees_a_verdict_and_lifts_it() {
-    let site = site("crashes-lifted").await;
-    repeat(&site, 6, prompt).await;
-    let before = arrivals(&site.engines);
+    let site = start_site("crashes-lifted").await;
+    send_repeatedly(&site, 6, prompt).await;
+    let before = count_marked_requests(&site.engines);
     let store = site.doors[0].address.clone();
-    let (shown, ended_well) = common::sorrelpass(&["quarantine", "--store", &store]);
-    assert!(ended_well && shown.contains("standing=condemned ends="), "{shown}");
-    let work = shown.split(['=', ' ']).nth(1).expect("a fingerprint").to_owned();
-    assert!(common::sorrelpass(&["quarantine", "--store", &store, "--lift", &work]).1);
+    let (output, succeeded) = common::sorrelpass(&["quarantine", "--store", &store]);
+    assert!(succeeded && output.contains("standing=condemned ends="), "{output}");
+    let fingerprint = output.split(['=', ' ']).nth(1).expect("a fingerprint").to_owned();
+    assert!(common::sorrelpass(&["quarantine", "--store", &store, "--lift", &fingerprint]).1);
     for entry in 0..site.addresses.len() {
-        wait_log(&site, entry, "step=quarantine-lifted").await;
+        wait_for_log(&site, entry, "step=quarantine-lifted").await;
     }
     // The replicas are repaired and no longer crash on the marker.
-    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", DOWN));
-    tokio::time::sleep(DOWN * 2).await;
-    let seen = site.send(0, &prompt("mended", MARKER)).await;
-    assert!(seen.whole && seen.status == 200, "{seen:?}");
-    assert_eq!(arrivals(&site.engines), before + 1);
+    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", RESTART_DELAY));
+    tokio::time::sleep(RESTART_DELAY * 2).await;
+    let outcome = site.send(0, &prompt("mended", CRASH_MARKER)).await;
+    assert!(outcome.whole && outcome.status == 200, "{outcome:?}");
+    assert_eq!(count_marked_requests(&site.engines), before + 1);
     assert!(
-        !common::sorrelpass(&["quarantine", "--store", &store, "--lift", &work]).1,
-        "nothing stands there any more"
+        !common::sorrelpass(&["quarantine", "--store", &store, "--lift", &fingerprint]).1,
+        "the record is already removed"
     );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_work_is_known_by_what_it_asks_for_and_by_nothing_else() {
-    let site = site("crashes-same").await;
+async fn a_fingerprint_covers_workspace_path_query_and_body_only() {
+    let site = start_site("crashes-same").await;
     site.configure(&[KEY], |config| {
         let other = serde_json::json!({ "name": "workspace-1", "api_keys": ["key-1"], "priority": 1 });
         config["tenants"].as_array_mut().expect("a list").push(other);
     });
-    let long = format!("{MARKER} {}", "x".repeat(60_000));
-    repeat(&site, 6, |id, _| prompt(id, &long)).await;
-    let before = arrivals(&site.engines);
-    let same = [
-        prompt("later", &long).with("last-event-id", "3"),
-        prompt("hurried", &long).with("x-note", "any other header"),
+    let long_body = format!("{CRASH_MARKER} {}", "x".repeat(60_000));
+    send_repeatedly(&site, 6, |id, _| prompt(id, &long_body)).await;
+    let before = count_marked_requests(&site.engines);
+    let same_fingerprint = [
+        prompt("later", &long_body).with("last-event-id", "3"),
+        prompt("hurried", &long_body).with("x-note", "any other header"),
         Ask {
             headers: vec![
                 ("request-id", "sooner".into()),
@@ -251,29 +271,29 @@
                 ("token-usage", "500,400".into()),
                 ("deadline-ms", "900".into()),
             ],
-            ..prompt("sooner", &long)
+            ..prompt("sooner", &long_body)
         },
     ];
-    for ask in same {
-        let seen = site.send(1, &ask).await;
-        assert!(is_condemned(&seen), "{seen:?}");
+    for request in same_fingerprint {
+        let outcome = site.send(1, &request).await;
+        assert!(is_condemned(&outcome), "{outcome:?}");
     }
-    assert_eq!(arrivals(&site.engines), before);
-    tokio::time::sleep(DOWN * 2).await;
-    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", DOWN));
+    assert_eq!(count_marked_requests(&site.engines), before);
+    tokio::time::sleep(RESTART_DELAY * 2).await;
+    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", RESTART_DELAY));
     let other_workspace = Ask {
         headers: prompt("w", "").headers.into_iter().map(|(name, value)| (name, value.replace(KEY, "key-1"))).collect(),
-        ..prompt("w", &long)
+        ..prompt("w", &long_body)
     };
     let others = [
         other_workspace,
-        prompt("longer", &format!("{long}x")),
-        Ask { path: "/prompt/1?again=1".to_owned(), ..prompt("query", &long) },
-        Ask { path: "/prompt/2".to_owned(), ..prompt("path", &long) },
+        prompt("longer", &format!("{long_body}x")),
+        Ask { path: "/prompt/1?again=1".to_owned(), ..prompt("query", &long_body) },
+        Ask { path: "/prompt/2".to_owned(), ..prompt("path", &long_body) },
     ];
-    for ask in others {
-        let seen = site.send(1, &ask).await;
-        assert!(seen.whole && seen.status == 200, "{ask:?}: {seen:?}");
+    for request in others {
+        let outcome = site.send(1, &request).await;
+        assert!(outcome.whole && outcome.status == 200, "{request:?}: {outcome:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -288,22 +308,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_each_entry_saw_counts_when_the_one_that_plans_is_lost_meanwhile() {
     for signal in [Signal::KILL, Signal::STOP] {
-        let mut site = site(&format!("crashes-lost-{}", signal.as_raw())).await;
+        let mut site = start_site(&format!("crashes-lost-{}", signal.as_raw())).await;
         // Two ends, seen by an entry that follows.
         let leader = leader(&site);
         let follower = (leader + 1) % site.addresses.len();
-        site.send(follower, &prompt("first", MARKER)).await;
-        assert_eq!(arrivals(&site.engines), 2);
-        site.signal(leader, signal).expect("the entry gets it");
-        tokio::time::sleep(DOWN * 4).await;
+        site.send(follower, &prompt("first", CRASH_MARKER)).await;
+        assert_eq!(count_marked_requests(&site.engines), 2);
+        site.signal(leader, signal).expect("the signal is sent");
+        tokio::time::sleep(RESTART_DELAY * 4).await;
         let others: Vec<usize> = (0..site.addresses.len()).filter(|entry| *entry != leader).collect();
         for number in 0..8 {
-            site.send(others[number % 2], &prompt(&format!("then-{number}"), MARKER)).await;
-            tokio::time::sleep(PAUSE).await;
+            site.send(others[number % 2], &prompt(&format!("then-{number}"), CRASH_MARKER)).await;
+            tokio::time::sleep(SEND_INTERVAL).await;
         }
-        assert!(arrivals(&site.engines) <= 4, "{signal:?}: sent {} times", arrivals(&site.engines));
+        assert!(
+            count_marked_requests(&site.engines) <= 4,
+            "{signal:?}: sent {} times",
+            count_marked_requests(&site.engines)
+        );
         if signal == Signal::KILL {
-            site.wait_end(leader).await.expect("it ends");
+            site.wait_end(leader).await.expect("the entry exits");
         }
         site.close().expect("no invariant was breached");
     }
@@ -313,18 +337,18 @@
 /// terminations from a peer sends the request to the same two again.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_heard_of_ends_tells_those_that_it_sees_next_from_them() {
-    let site = start(Spec { entries: 3, engines: 2, ..Spec::small("crashes-heard") }).await;
+    let site = start_site_with_spec(Spec { entries: 3, engines: 2, ..Spec::small("crashes-heard") }).await;
     let leader = leader(&site);
     let others: Vec<usize> = (0..3).filter(|entry| *entry != leader).collect();
-    site.send(others[0], &prompt("first", MARKER)).await;
-    assert_eq!(arrivals(&site.engines), 2);
-    site.signal(leader, Signal::KILL).expect("the entry gets it");
-    tokio::time::sleep(DOWN * 4).await;
+    site.send(others[0], &prompt("first", CRASH_MARKER)).await;
+    assert_eq!(count_marked_requests(&site.engines), 2);
+    site.signal(leader, Signal::KILL).expect("the signal is sent");
+    tokio::time::sleep(RESTART_DELAY * 4).await;
     for number in 0..8 {
-        site.send(others[(number + 1) % 2], &prompt(&format!("then-{number}"), MARKER)).await;
-        tokio::time::sleep(PAUSE + DOWN).await;
+        site.send(others[(number + 1) % 2], &prompt(&format!("then-{number}"), CRASH_MARKER)).await;
+        tokio::time::sleep(SEND_INTERVAL + RESTART_DELAY).await;
     }
-    assert!(arrivals(&site.engines) <= 4, "sent {} times", arrivals(&site.engines));
+    assert!(count_marked_requests(&site.engines) <= 4, "sent {} times", count_marked_requests(&site.engines));
     site.close().expect("no invariant was breached");
 }
 
@@ -333,45 +357,52 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_end_that_two_entries_saw_counts_once() {
     let spec = Spec { entries: 2, engines: 1, takes: Duration::from_secs(2), ..Spec::small("crashes-twice") };
-    let site = start(spec).await;
+    let site = start_site_with_spec(spec).await;
     // Only entry 0 observes the two earlier terminations, each caused by a request of its own.
     for number in 0..2 {
-        site.send(0, &prompt(&format!("earlier-{number}"), &format!("{MARKER} {number}"))).await;
-        tokio::time::sleep(DOWN * 3).await;
+        site.send(0, &prompt(&format!("earlier-{number}"), &format!("{CRASH_MARKER} {number}"))).await;
+        tokio::time::sleep(RESTART_DELAY * 3).await;
     }
-    let ends = |site: &Site| site.engines[0].ends();
-    let before = ends(&site);
+    let crash_count = |site: &Site| site.engines[0].ends();
+    let before = crash_count(&site);
     // Both entries send the same harmless request while another request crashes the engine; the harmless request is
     // not sent again.
-    let innocent: Vec<Ask> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
-    let sends = join_all((0..2).map(|entry| site.send(entry, &innocent[entry])));
-    let fatal = async {
+    let harmless: Vec<Ask> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
+    let sends = join_all((0..2).map(|entry| site.send(entry, &harmless[entry])));
+    let fatal_send = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        site.send(1, &prompt("fatal", &format!("{MARKER} anew"))).await
+        site.send(1, &prompt("fatal", &format!("{CRASH_MARKER} anew"))).await
     };
-    futures_util::future::join(sends, fatal).await;
-    assert!(ends(&site) > before, "it ended under them");
-    tokio::time::sleep(DOWN).await;
-    let work = |site: &Site, entry: usize| {
+    futures_util::future::join(sends, fatal_send).await;
+    assert!(crash_count(&site) > before, "the engine crashed during the requests");
+    tokio::time::sleep(RESTART_DELAY).await;
+    let fingerprint = |site: &Site, entry: usize| {
         let log = site.log(entry);
         let line = log.lines().find(|line| line.contains("step=request request=innocent")).unwrap_or("").to_owned();
-        line.split("work=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap_or("").to_owned()
+        line.split("work=").nth(1).and_then(|remainder| remainder.split(' ').next()).unwrap_or("").to_owned()
     };
     for entry in 0..2 {
-        let known = work(&site, entry);
+        let harmless_fingerprint = fingerprint(&site, entry);
         let log = site.log(entry);
-        let suspect =
-            log.lines().filter(|line| line.contains("step=suspect ") && line.contains(&format!("work={known} ")));
-        let runs: std::collections::BTreeSet<&str> =
-            suspect.filter_map(|line| line.split("run=").nth(1)).filter_map(|rest| rest.split(' ').next()).collect();
-        assert!(runs.len() <= ends(&site) - before, "entry {entry}: {runs:?} of {} ends", ends(&site) - before);
+        let suspect_lines = log
+            .lines()
+            .filter(|line| line.contains("step=suspect ") && line.contains(&format!("work={harmless_fingerprint} ")));
+        let runs: std::collections::BTreeSet<&str> = suspect_lines
+            .filter_map(|line| line.split("run=").nth(1))
+            .filter_map(|remainder| remainder.split(' ').next())
+            .collect();
+        assert!(
+            runs.len() <= crash_count(&site) - before,
+            "entry {entry}: {runs:?} of {} terminations",
+            crash_count(&site) - before
+        );
     }
     site.close().expect("no invariant was breached");
 }
 
 /// Returns the entry that the others follow.
 fn leader(site: &Site) -> usize {
-    (0..site.addresses.len()).find(|entry| site.log(*entry).contains("step=peer-joined")).expect("one plans")
+    (0..site.addresses.len()).find(|entry| site.log(*entry).contains("step=peer-joined")).expect("one entry leads")
 }
 
 /// Guards against a probe that comes too early. A terminating process closes its connections and its listener one
@@ -379,44 +410,48 @@
 /// termination is no evidence.
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_listen_a_moment_longer_are_seen_to_have_ended() {
-    let site = site("crashes-linger").await;
-    site.engines.iter().for_each(|engine| engine.linger_under(MARKER, DOWN, Duration::from_millis(5)));
-    repeat(&site, 12, prompt).await;
-    assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
+    let site = start_site("crashes-linger").await;
+    site.engines.iter().for_each(|engine| engine.linger_under(CRASH_MARKER, RESTART_DELAY, Duration::from_millis(5)));
+    send_repeatedly(&site, 12, prompt).await;
+    assert!(
+        count_marked_requests(&site.engines) <= 3 + MAX_SENDS_AFTER,
+        "sent {} times",
+        count_marked_requests(&site.engines)
+    );
     site.close().expect("no invariant was breached");
 }
 
 /// Sends a fatal request twice to a replica that restarts before the second one would crash it. Returns the number of
 /// crashes, or `None` if the two requests did not reach the same run.
-async fn ends_under_two() -> Option<usize> {
-    let replica = Replica::start("engine-0", Duration::from_millis(5)).await.expect("it starts");
-    replica.end_under(MARKER, Duration::from_millis(1));
-    let ask = |id: &str| Ask { body: Bytes::from(MARKER), ..Ask::new("POST", "/prompt/1", id, KEY) };
-    let (first, second) = (ask("first"), ask("second"));
-    let later = async {
+async fn crashes_of_two_fatal_requests() -> Option<usize> {
+    let replica = Replica::start("engine-0", Duration::from_millis(5)).await.expect("the replica starts");
+    replica.end_under(CRASH_MARKER, Duration::from_millis(1));
+    let request = |id: &str| Ask { body: Bytes::from(CRASH_MARKER), ..Ask::new("POST", "/prompt/1", id, KEY) };
+    let (first, second) = (request("first"), request("second"));
+    let second_send = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         send(&replica.address, "site.example", &second).await
     };
-    let (first, second) = tokio::join!(send(&replica.address, "site.example", &first), later);
+    let (first, second) = tokio::join!(send(&replica.address, "site.example", &first), second_send);
     assert!(!first.unwrap_or_default().whole && !second.unwrap_or_default().whole);
-    tokio::time::sleep(PAUSE).await;
-    let ends = replica.ends();
-    let at: Vec<_> = replica.seen().iter().map(|run| run.at).collect();
+    tokio::time::sleep(SEND_INTERVAL).await;
+    let crash_count = replica.ends();
+    let received_at: Vec<_> = replica.seen().iter().map(|received| received.at).collect();
     replica.end();
     // The replica crashes 15 ms after the first request. Under load the second request may reach the next run and
     // crash that one too.
-    (at.len() == 2 && at[1] - at[0] < Duration::from_millis(12)).then_some(ends)
+    (received_at.len() == 2 && received_at[1] - received_at[0] < Duration::from_millis(12)).then_some(crash_count)
 }
 
 /// Checks the stand-in itself: requests that one run received must not crash a later run, or tests would count crashes
 /// that no request explains.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_ends_once_under_all_that_one_run_of_it_was_given() {
+async fn a_replica_crashes_once_for_all_fatal_requests_of_one_run() {
     for _ in 0..20 {
-        if let Some(ends) = ends_under_two().await {
-            assert_eq!(ends, 1);
+        if let Some(crash_count) = crashes_of_two_fatal_requests().await {
+            assert_eq!(crash_count, 1);
             return;
         }
     }
-    panic!("the two requests never came to the same run");
+    panic!("the two requests never reached the same run");
 }
--- a/standin/tests/platform_eras.rs
+++ b/standin/tests/platform_eras.rs
@@ -4,257 +4,266 @@
 
 use std::time::Duration;
 
-use common::load::{load, look as look_with_key, served};
+use common::load::{count_served, lookup as lookup_with_key, send_load};
 use rustix::process::Signal;
 use standin::platform::{Ask, Copy, Fault, KEY, Site, Spec};
 
 /// Time within which a change in the store is in force at all entries.
-const IN_FORCE: Duration = Duration::from_millis(900);
+const APPLY_TIMEOUT: Duration = Duration::from_millis(900);
 /// Length of the outage of the store.
-const AWAY: Duration = Duration::from_millis(500);
+const OUTAGE: Duration = Duration::from_millis(500);
 /// Grace period after the store's return, during which records that it lost still count as present.
-const GRACE: Duration = Duration::from_millis(2_000);
+const RECOVERY_GRACE: Duration = Duration::from_millis(2_000);
 /// Interval between two heartbeats of a replica.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-fn look(id: &str, key: &str) -> Ask {
+fn lookup(id: &str, key: &str) -> Ask {
     Ask::new("GET", "/look/1", id, key).with("deadline-ms", "800")
 }
 
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let spec = Spec { entries: 3, plain: 3, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
-fn set_all(site: &Site, fault: Fault) {
-    site.doors.iter().for_each(|door| door.set(fault));
+fn set_store_fault(site: &Site, fault: Fault) {
+    site.doors.iter().for_each(|listener| listener.set(fault));
 }
 
 /// Makes the store unavailable and restores it from `copy`; `write` runs before an entry can read the store again.
-async fn come_back(site: &Site, copy: Copy, written_again: impl FnOnce(&Site)) {
-    set_all(site, Fault::Unavailable);
-    tokio::time::sleep(AWAY).await;
+async fn restore_store(site: &Site, copy: Copy, write: impl FnOnce(&Site)) {
+    set_store_fault(site, Fault::Unavailable);
+    tokio::time::sleep(OUTAGE).await;
     site.store.come_back_from(copy);
-    written_again(site);
-    set_all(site, Fault::None);
+    write(site);
+    set_store_fault(site, Fault::None);
 }
 
-fn heartbeat(site: &Site, replica: usize) {
+fn write_heartbeat(site: &Site, replica: usize) {
     let replica = &site.plain[replica];
     site.store.put("keyed.servers", &replica.id, replica.record("ledger", "ready"));
 }
 
 /// Returns the number of requests that reached a plain replica.
-fn reached(site: &Site, replica: usize) -> usize {
+fn request_count(site: &Site, replica: usize) -> usize {
     site.plain[replica].seen().len()
 }
 
-async fn statuses(site: &Site, id: &str, key: &str) -> Vec<u16> {
+async fn send_to_all(site: &Site, id: &str, key: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     for entry in 0..site.addresses.len() {
-        statuses.push(site.send(entry, &look(&format!("{id}-{entry}"), key)).await.status);
+        statuses.push(site.send(entry, &lookup(&format!("{id}-{entry}"), key)).await.status);
     }
     statuses
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_at_an_offset_that_was_given_out_before_is_in_force_at_all_entries() {
-    let site = site("eras-change").await;
+    let site = start_site("eras-change").await;
     let copy = site.store.copy();
     for _ in 0..4 {
         site.configure(&[KEY], |_| {});
     }
-    tokio::time::sleep(IN_FORCE).await;
-    come_back(&site, copy, |site| {
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    restore_store(&site, copy, |site| {
         site.configure_again(&[KEY]);
         site.announce_all();
     })
     .await;
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     // The first change gets an offset below the latest offset that the entries know.
-    for (round, (taken, given)) in [(KEY, "second"), ("second", "third"), ("third", "fourth")].into_iter().enumerate() {
-        site.configure(&[given], |_| {});
-        tokio::time::sleep(IN_FORCE).await;
-        assert_eq!(statuses(&site, &format!("given-{round}"), given).await, [200; 3], "{given}");
-        assert_eq!(statuses(&site, &format!("taken-{round}"), taken).await, [401; 3], "{taken}");
+    for (round, (revoked, added)) in [(KEY, "second"), ("second", "third"), ("third", "fourth")].into_iter().enumerate()
+    {
+        site.configure(&[added], |_| {});
+        tokio::time::sleep(APPLY_TIMEOUT).await;
+        assert_eq!(send_to_all(&site, &format!("given-{round}"), added).await, [200; 3], "{added}");
+        assert_eq!(send_to_all(&site, &format!("taken-{round}"), revoked).await, [401; 3], "{revoked}");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_below_the_known_end_of_a_log_that_has_grown_past_it_again_is_not_missed() {
-    let site = site("eras-grown").await;
+    let site = start_site("eras-grown").await;
     let copy = site.store.copy();
     site.announce_all();
     site.announce_all();
-    tokio::time::sleep(IN_FORCE).await;
-    come_back(&site, copy, |site| {
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    restore_store(&site, copy, |site| {
         site.configure_again(&[KEY]);
         site.store.put("keyed.servers", "plain-0", site.plain[0].record("ledger", "draining"));
-        (0..8).for_each(|_| [1, 2].into_iter().for_each(|replica| heartbeat(site, replica)));
+        (0..8).for_each(|_| [1, 2].into_iter().for_each(|replica| write_heartbeat(site, replica)));
     })
     .await;
-    tokio::time::sleep(IN_FORCE).await;
-    let before = reached(&site, 0);
-    let seen = load(&site, 30, Duration::from_secs(1), look_with_key).await;
-    assert_eq!(served(&seen), seen.len());
-    assert_eq!(reached(&site, 0), before, "its record says that it leaves");
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    let before = request_count(&site, 0);
+    let outcomes = send_load(&site, 30, Duration::from_secs(1), lookup_with_key).await;
+    assert_eq!(count_served(&outcomes), outcomes.len());
+    assert_eq!(request_count(&site, 0), before, "the record says that the replica is draining");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_whose_removal_the_store_has_lost_gets_nothing_until_it_writes_again() {
-    let site = site("eras-removed").await;
+    let site = start_site("eras-removed").await;
     let copy = site.store.copy();
     site.store.put("keyed.servers", "plain-0", "");
-    tokio::time::sleep(IN_FORCE).await;
-    come_back(&site, copy, |site| site.configure_again(&[KEY])).await;
-    let before = reached(&site, 0);
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    restore_store(&site, copy, |site| site.configure_again(&[KEY])).await;
+    let before = request_count(&site, 0);
     for _ in 0..4 {
-        [1, 2].into_iter().for_each(|replica| heartbeat(&site, replica));
-        load(&site, 30, HEARTBEAT, look_with_key).await;
+        [1, 2].into_iter().for_each(|replica| write_heartbeat(&site, replica));
+        send_load(&site, 30, HEARTBEAT_INTERVAL, lookup_with_key).await;
     }
-    assert_eq!(reached(&site, 0), before, "all entries know that it is gone");
-    heartbeat(&site, 0);
-    tokio::time::sleep(IN_FORCE).await;
-    load(&site, 30, Duration::from_secs(1), look_with_key).await;
-    assert!(reached(&site, 0) > before, "it lives");
+    assert_eq!(request_count(&site, 0), before, "all entries know that the replica was removed");
+    write_heartbeat(&site, 0);
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    send_load(&site, 30, Duration::from_secs(1), lookup_with_key).await;
+    assert!(request_count(&site, 0) > before, "the replica is used again");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_whose_records_the_store_has_lost_are_used_until_they_should_have_written_again() {
-    let site = site("eras-lapsed").await;
+    let site = start_site("eras-lapsed").await;
     for replica in &site.plain {
         site.store.put("keyed.servers", &replica.id, "");
     }
     let copy = site.store.copy();
     site.announce_all();
-    tokio::time::sleep(IN_FORCE).await;
-    assert_eq!(statuses(&site, "before", KEY).await, [200; 3]);
-    come_back(&site, copy, |site| site.configure_again(&[KEY])).await;
-    let seen = load(&site, 20, GRACE / 2, look_with_key).await;
-    assert_eq!(served(&seen), seen.len(), "not written again yet is not gone");
-    heartbeat(&site, 0);
-    tokio::time::sleep(GRACE + IN_FORCE).await;
-    let before = [reached(&site, 1), reached(&site, 2)];
-    let seen = load(&site, 20, Duration::from_secs(1), look_with_key).await;
-    assert_eq!(served(&seen), seen.len());
-    assert_eq!([reached(&site, 1), reached(&site, 2)], before, "what is still missing is gone");
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    assert_eq!(send_to_all(&site, "before", KEY).await, [200; 3]);
+    restore_store(&site, copy, |site| site.configure_again(&[KEY])).await;
+    let outcomes = send_load(&site, 20, RECOVERY_GRACE / 2, lookup_with_key).await;
+    assert_eq!(count_served(&outcomes), outcomes.len(), "replicas are used until their records are due");
+    write_heartbeat(&site, 0);
+    tokio::time::sleep(RECOVERY_GRACE + APPLY_TIMEOUT).await;
+    let before = [request_count(&site, 1), request_count(&site, 2)];
+    let outcomes = send_load(&site, 20, Duration::from_secs(1), lookup_with_key).await;
+    assert_eq!(count_served(&outcomes), outcomes.len());
+    assert_eq!(
+        [request_count(&site, 1), request_count(&site, 2)],
+        before,
+        "replicas whose records are still missing are removed"
+    );
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_emptied_domain_stays_empty_while_the_store_has_lost_the_word_of_it() {
-    let site = site("eras-evacuation").await;
+async fn a_domain_stays_evacuated_while_the_store_has_lost_the_record() {
+    let site = start_site("eras-evacuation").await;
     site.plain[0].stand_in("there");
     site.announce_all();
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     let copy = site.store.copy();
     site.evacuate("there");
-    tokio::time::sleep(IN_FORCE).await;
-    let before = reached(&site, 0);
-    come_back(&site, copy, |site| site.announce_all()).await;
-    load(&site, 30, GRACE / 2, look_with_key).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    let before = request_count(&site, 0);
+    restore_store(&site, copy, |site| site.announce_all()).await;
+    send_load(&site, 30, RECOVERY_GRACE / 2, lookup_with_key).await;
     site.configure_again(&[KEY]);
     site.evacuate("there");
-    load(&site, 30, GRACE, look_with_key).await;
-    assert_eq!(reached(&site, 0), before, "operators have not taken it back");
+    send_load(&site, 30, RECOVERY_GRACE, lookup_with_key).await;
+    assert_eq!(request_count(&site, 0), before, "the evacuation has not ended");
     site.end_evacuation("there");
-    tokio::time::sleep(IN_FORCE).await;
-    load(&site, 30, Duration::from_secs(1), look_with_key).await;
-    assert!(reached(&site, 0) > before, "now they have");
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    send_load(&site, 30, Duration::from_secs(1), lookup_with_key).await;
+    assert!(request_count(&site, 0) > before, "the evacuation has ended");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_older_than_the_one_in_force_proves_nothing() {
+async fn a_configuration_older_than_the_one_in_force_verifies_nothing() {
     let spec = Spec { bounds: "revoke_ms = 2000".to_owned(), ..Spec::small("eras-older") };
     let site = Site::start(spec).await.expect("the site starts");
     let copy = site.store.copy();
     site.configure(&["another"], |_| {});
-    tokio::time::sleep(IN_FORCE).await;
-    come_back(&site, copy, |site| site.announce_all()).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    restore_store(&site, copy, |site| site.announce_all()).await;
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for entry in 0..2 {
         assert_eq!(
-            site.send(entry, &look(&format!("lost-{entry}"), "another")).await.status,
+            site.send(entry, &lookup(&format!("lost-{entry}"), "another")).await.status,
             503,
-            "it may be taken away"
+            "the key may have been revoked"
         );
-        assert_eq!(site.send(entry, &look(&format!("old-{entry}"), KEY)).await.status, 503);
+        assert_eq!(site.send(entry, &lookup(&format!("old-{entry}"), KEY)).await.status, 503);
     }
     site.configure_again(&["another"]);
     for entry in 0..2 {
-        site.wait_ready(entry, true).await.expect("the newest is back");
-        assert_eq!(site.send(entry, &look(&format!("back-{entry}"), "another")).await.status, 200);
-        assert_eq!(site.send(entry, &look(&format!("gone-{entry}"), KEY)).await.status, 401);
+        site.wait_ready(entry, true).await.expect("the newest configuration is back");
+        assert_eq!(site.send(entry, &lookup(&format!("back-{entry}"), "another")).await.status, 200);
+        assert_eq!(site.send(entry, &lookup(&format!("gone-{entry}"), KEY)).await.status, 401);
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_has_lost_every_configuration_proves_nothing() {
+async fn a_store_that_has_lost_every_configuration_verifies_nothing() {
     let spec = Spec { bounds: "revoke_ms = 2000".to_owned(), ..Spec::small("eras-none") };
     let site = Site::start(spec).await.expect("the site starts");
     let copy = site.store.copy().without("keyed.op");
-    come_back(&site, copy, |site| site.announce_all()).await;
+    restore_store(&site, copy, |site| site.announce_all()).await;
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for entry in 0..2 {
-        assert_eq!(site.send(entry, &look(&format!("lost-{entry}"), KEY)).await.status, 503, "it may be taken away");
+        assert_eq!(
+            site.send(entry, &lookup(&format!("lost-{entry}"), KEY)).await.status,
+            503,
+            "the key may have been revoked"
+        );
     }
     site.configure_again(&[KEY]);
     for entry in 0..2 {
-        site.wait_ready(entry, true).await.expect("it is back");
+        site.wait_ready(entry, true).await.expect("the configuration is back");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn announcements_that_the_store_has_lost_are_written_again_in_a_few_calls() {
-    let mut site = site("eras-announced").await;
-    tokio::time::sleep(IN_FORCE).await;
+    let mut site = start_site("eras-announced").await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     let copy = site.store.copy();
-    site.restart(2).await.expect("it starts again");
-    site.wait_ready(2, true).await.expect("it is ready");
-    tokio::time::sleep(IN_FORCE).await;
+    site.restart(2).await.expect("the entry restarts");
+    site.wait_ready(2, true).await.expect("the entry is ready");
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     let announced = |site: &Site| site.store.value("keyed.peers", site.peer_address(2));
     let newest = announced(&site);
-    come_back(&site, copy, |site| {
+    restore_store(&site, copy, |site| {
         site.configure_again(&[KEY]);
         site.announce_all();
     })
     .await;
     assert_ne!(announced(&site), newest, "the copy is older");
-    tokio::time::sleep(GRACE).await;
+    tokio::time::sleep(RECOVERY_GRACE).await;
     assert_eq!(announced(&site), newest, "{}", site.log(2));
     // The entry that remains after the others stop relies on the announced addresses.
-    site.signal(0, Signal::TERM).expect("it is told");
-    site.signal(1, Signal::TERM).expect("it is told");
-    tokio::time::sleep(GRACE).await;
-    assert_eq!(site.send(2, &look("left", KEY)).await.status, 200);
+    site.signal(0, Signal::TERM).expect("the signal is sent");
+    site.signal(1, Signal::TERM).expect("the signal is sent");
+    tokio::time::sleep(RECOVERY_GRACE).await;
+    assert_eq!(site.send(2, &lookup("left", KEY)).await.status, 200);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_verdict_that_the_store_has_lost_is_written_again() {
-    let site = site("eras-verdict").await;
-    site.plain.iter().for_each(|replica| replica.end_under("fatal", HEARTBEAT));
+    let site = start_site("eras-verdict").await;
+    site.plain.iter().for_each(|replica| replica.end_under("fatal", HEARTBEAT_INTERVAL));
     let copy = site.store.copy();
     for number in 0..10 {
-        let ask = Ask { body: "fatal".into(), ..look(&format!("fatal-{number}"), KEY) };
-        site.send(number % 3, &ask).await;
-        tokio::time::sleep(HEARTBEAT).await;
+        let request = Ask { body: "fatal".into(), ..lookup(&format!("fatal-{number}"), KEY) };
+        site.send(number % 3, &request).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
     let verdicts = site.store.keys("keyed.quarantine");
     assert_eq!(verdicts.len(), 1, "{}", site.log(0));
-    come_back(&site, copy, |site| {
+    restore_store(&site, copy, |site| {
         site.configure_again(&[KEY]);
         site.announce_all();
     })
     .await;
     assert!(site.store.keys("keyed.quarantine").is_empty(), "the copy is older");
-    tokio::time::sleep(GRACE + IN_FORCE).await;
+    tokio::time::sleep(RECOVERY_GRACE + APPLY_TIMEOUT).await;
     assert_eq!(site.store.keys("keyed.quarantine"), verdicts);
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_evacuations.rs
+++ b/standin/tests/platform_evacuations.rs
@@ -6,16 +6,16 @@
 use std::time::{Duration, Instant};
 
 use common::leader;
-use common::load::{load, look, prompt, served};
+use common::load::{count_served, lookup, prompt, send_load};
 use rustix::process::Signal;
 use standin::platform::{Ask, Fault, KEY, Replica, Site, Spec};
 
 /// Failure domain that is evacuated; the other replicas are in the default one.
-const EMPTIED: &str = "there";
+const EVACUATED_DOMAIN: &str = "there";
 /// Time after the operators' request within which new requests stop; a fifth of what the bounds allow.
-const IN_FORCE: Duration = Duration::from_secs(1);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum time of a refusal that is certain in advance.
-const AT_ONCE: Duration = Duration::from_millis(300);
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(300);
 
 /// Builds a prompt that needs prefill on several engines.
 fn long_prompt(id: &str) -> Ask {
@@ -23,129 +23,130 @@
 }
 
 /// Builds a call that may run at most once.
-fn pay(id: &str) -> Ask {
+fn payment(id: &str) -> Ask {
     Ask::new("POST", "/pay/1", id, KEY).with("deadline-ms", "2500")
 }
 
 /// Starts a site with three entries, whose every second replica is in the evacuated domain.
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let spec = Spec { entries: 3, engines: 8, plain: 4, seeded: true, ..Spec::small(name) };
     let site = Site::start(spec).await.expect("the site starts");
-    there(&site).for_each(|replica| replica.stand_in(EMPTIED));
+    evacuated_replicas(&site).for_each(|replica| replica.stand_in(EVACUATED_DOMAIN));
     site.announce_all();
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     site
 }
 
-fn there(site: &Site) -> impl Iterator<Item = &Arc<Replica>> {
+fn evacuated_replicas(site: &Site) -> impl Iterator<Item = &Arc<Replica>> {
     site.engines.iter().step_by(2).chain(site.plain.iter().step_by(2))
 }
 
 /// Returns the number of requests that reached replicas of the evacuated domain since `since`.
-fn reached(site: &Site, since: Instant) -> usize {
-    there(site).flat_map(|replica| replica.seen()).filter(|run| run.at >= since).count()
+fn requests_since(site: &Site, since: Instant) -> usize {
+    evacuated_replicas(site).flat_map(|replica| replica.seen()).filter(|received| received.at >= since).count()
 }
 
 /// Sends requests of all kinds for `duration` and asserts that all of them were served.
-async fn all_are_served(site: &Site, lasts: Duration) {
-    let (short, long, looks, pays) = tokio::join!(
-        load(site, 20, lasts, prompt),
-        load(site, 5, lasts, long_prompt),
-        load(site, 20, lasts, look),
-        load(site, 10, lasts, pay),
+async fn assert_all_served(site: &Site, duration: Duration) {
+    let (short, long, lookups, payments) = tokio::join!(
+        send_load(site, 20, duration, prompt),
+        send_load(site, 5, duration, long_prompt),
+        send_load(site, 20, duration, lookup),
+        send_load(site, 10, duration, payment),
     );
-    for (kind, seen) in [("short", short), ("long", long), ("look", looks), ("pay", pays)] {
-        let failed: Vec<_> = seen.iter().filter(|seen| seen.status != 200 || !seen.whole).take(3).collect();
-        assert_eq!(served(&seen), seen.len(), "{kind}: {failed:?}");
+    for (kind, outcomes) in [("short", short), ("long", long), ("look", lookups), ("pay", payments)] {
+        let failed: Vec<_> =
+            outcomes.iter().filter(|outcome| outcome.status != 200 || !outcome.whole).take(3).collect();
+        assert_eq!(count_served(&outcomes), outcomes.len(), "{kind}: {failed:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_new_goes_to_an_emptied_domain_until_it_is_taken_back() {
-    let site = site("evacuation").await;
-    all_are_served(&site, Duration::from_secs(1)).await;
-    assert!(reached(&site, Instant::now() - Duration::from_secs(1)) > 0, "all replicas serve");
-    let begun = Instant::now();
-    site.evacuate(EMPTIED);
+async fn an_evacuated_domain_gets_no_new_requests_until_the_evacuation_ends() {
+    let site = start_site("evacuation").await;
+    assert_all_served(&site, Duration::from_secs(1)).await;
+    assert!(requests_since(&site, Instant::now() - Duration::from_secs(1)) > 0, "all replicas serve");
+    let started = Instant::now();
+    site.evacuate(EVACUATED_DOMAIN);
     // Requests that already run in the domain complete.
-    all_are_served(&site, Duration::from_secs(4)).await;
-    assert_eq!(reached(&site, begun + IN_FORCE), 0);
-    site.end_evacuation(EMPTIED);
+    assert_all_served(&site, Duration::from_secs(4)).await;
+    assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0);
+    site.end_evacuation(EVACUATED_DOMAIN);
     let ended = Instant::now();
-    all_are_served(&site, Duration::from_secs(3)).await;
-    assert!(reached(&site, ended) > 0, "the domain is used again");
+    assert_all_served(&site, Duration::from_secs(3)).await;
+    assert!(requests_since(&site, ended) > 0, "the domain is used again");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_with_replicas_nowhere_else_is_refused_at_once() {
-    let site = site("evacuation-all").await;
-    let begun = Instant::now();
+    let site = start_site("evacuation-all").await;
+    let started = Instant::now();
     // An unreadable evacuation record, one for a domain without replicas, and one for each domain with replicas.
     site.store.put_raw("keyed.op", b"evacuate/here", vec![0xff, 0x00, b'{']);
     site.evacuate("nowhere");
-    site.evacuate(EMPTIED);
-    let seen = load(&site, 20, Duration::from_secs(3), prompt).await;
-    let of_calls = load(&site, 20, Duration::from_secs(1), look).await;
-    let late: Vec<_> = seen.iter().skip(20 * IN_FORCE.as_secs() as usize).chain(&of_calls).collect();
-    for refused in &late {
-        let comes_back: f64 = refused.header("retry-after").parse().unwrap_or(0.0);
-        assert!(refused.status == 503 && refused.took < AT_ONCE && comes_back >= 1.0, "{refused:?}");
+    site.evacuate(EVACUATED_DOMAIN);
+    let outcomes = send_load(&site, 20, Duration::from_secs(3), prompt).await;
+    let lookups = send_load(&site, 20, Duration::from_secs(1), lookup).await;
+    let late_outcomes: Vec<_> = outcomes.iter().skip(20 * APPLY_TIMEOUT.as_secs() as usize).chain(&lookups).collect();
+    for refused in &late_outcomes {
+        let retry_after: f64 = refused.header("retry-after").parse().unwrap_or(0.0);
+        assert!(refused.status == 503 && refused.took < MAX_REFUSAL_TIME && retry_after >= 1.0, "{refused:?}");
     }
-    let runs = site.engines.iter().chain(&site.plain).flat_map(|replica| replica.seen());
-    assert_eq!(runs.filter(|run| run.at >= begun + IN_FORCE).count(), 0);
+    let received_requests = site.engines.iter().chain(&site.plain).flat_map(|replica| replica.seen());
+    assert_eq!(received_requests.filter(|received| received.at >= started + APPLY_TIMEOUT).count(), 0);
     site.end_evacuation("here");
-    tokio::time::sleep(IN_FORCE).await;
-    all_are_served(&site, Duration::from_secs(1)).await;
-    assert_eq!(reached(&site, begun + IN_FORCE), 0, "the other one stays emptied");
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    assert_all_served(&site, Duration::from_secs(1)).await;
+    assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0, "the other domain stays evacuated");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_outlasts_restarts_lost_leaders_and_a_dropped_history() {
-    let mut site = site("evacuation-lasts").await;
-    let begun = Instant::now();
-    site.evacuate(EMPTIED);
+async fn an_evacuation_survives_restarts_lost_leaders_and_compaction() {
+    let mut site = start_site("evacuation-lasts").await;
+    let started = Instant::now();
+    site.evacuate(EVACUATED_DOMAIN);
     site.configure(&[KEY], |_| {});
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     site.store.compact("keyed.op");
     let first = leader(&site, 3).await;
-    site.restart(first).await.expect("started again");
+    site.restart(first).await.expect("the process restarts");
     site.wait_ready(first, true).await.expect("ready");
-    all_are_served(&site, Duration::from_secs(1)).await;
+    assert_all_served(&site, Duration::from_secs(1)).await;
     // An entry that the store refuses receives the evacuation from its peers.
-    let turned_away = (first + 1) % 3;
-    site.doors[turned_away].set(Fault::TooMany);
-    site.restart(turned_away).await.expect("started again");
-    site.wait_ready(turned_away, true).await.expect("ready");
-    all_are_served(&site, Duration::from_secs(1)).await;
+    let refused_entry = (first + 1) % 3;
+    site.doors[refused_entry].set(Fault::TooMany);
+    site.restart(refused_entry).await.expect("the process restarts");
+    site.wait_ready(refused_entry, true).await.expect("ready");
+    assert_all_served(&site, Duration::from_secs(1)).await;
     site.signal((first + 2) % 3, Signal::STOP).expect("frozen");
-    site.signal((first + 2) % 3, Signal::CONT).expect("goes on");
-    all_are_served(&site, Duration::from_secs(1)).await;
-    assert_eq!(reached(&site, begun + IN_FORCE), 0);
+    site.signal((first + 2) % 3, Signal::CONT).expect("resumed");
+    assert_all_served(&site, Duration::from_secs(1)).await;
+    assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_that_is_taken_back_while_the_store_is_down_ends_when_it_returns() {
-    let site = site("evacuation-outage").await;
-    let begun = Instant::now();
-    site.evacuate(EMPTIED);
-    tokio::time::sleep(IN_FORCE).await;
-    site.doors.iter().for_each(|door| door.set(Fault::Unavailable));
+async fn an_evacuation_ended_during_a_store_outage_ends_when_the_store_returns() {
+    let site = start_site("evacuation-outage").await;
+    let started = Instant::now();
+    site.evacuate(EVACUATED_DOMAIN);
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    site.doors.iter().for_each(|listener| listener.set(Fault::Unavailable));
     // Reads that the store already holds are answered first.
-    tokio::time::sleep(IN_FORCE).await;
-    site.end_evacuation(EMPTIED);
-    all_are_served(&site, Duration::from_secs(1)).await;
-    assert_eq!(reached(&site, begun + IN_FORCE), 0, "nobody has heard of it yet");
-    site.doors.iter().for_each(|door| door.set(Fault::None));
-    tokio::time::sleep(IN_FORCE * 2).await;
-    let back = Instant::now();
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    site.end_evacuation(EVACUATED_DOMAIN);
+    assert_all_served(&site, Duration::from_secs(1)).await;
+    assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0, "no entry has received the end of the evacuation");
+    site.doors.iter().for_each(|listener| listener.set(Fault::None));
+    tokio::time::sleep(APPLY_TIMEOUT * 2).await;
+    let resumed = Instant::now();
     // The same domain is evacuated again just after the store returns.
-    site.evacuate(EMPTIED);
-    site.end_evacuation(EMPTIED);
-    all_are_served(&site, Duration::from_secs(2)).await;
-    assert!(reached(&site, back) > 0, "the domain is used again");
+    site.evacuate(EVACUATED_DOMAIN);
+    site.end_evacuation(EVACUATED_DOMAIN);
+    assert_all_served(&site, Duration::from_secs(2)).await;
+    assert!(requests_since(&site, resumed) > 0, "the domain is used again");
     site.close().expect("no invariant was breached");
 }
 
@@ -153,55 +154,67 @@
 const COLD_RATE: f64 = 4.0;
 /// Maximum number of requests that reach a cold replica in one second, by the users' rule: one and a half times its
 /// rate, plus five.
-const COLD_MOST: usize = 11;
+const MAX_COLD_REQUESTS_PER_SECOND: usize = 11;
 
 /// Starts a site whose services limit the request rate of cold replicas for `duration` after their start.
-async fn with_cold_replicas(name: &str, lasts: Duration) -> Site {
-    let site = site(name).await;
+async fn start_site_with_cold_replicas(name: &str, duration: Duration) -> Site {
+    let site = start_site(name).await;
     site.configure(&[KEY], |config| {
         for service in config["services"].as_array_mut().expect("services") {
             service["cold_per_s"] = COLD_RATE.into();
-            service["cold_start_s"] = lasts.as_secs_f64().into();
+            service["cold_start_s"] = duration.as_secs_f64().into();
         }
     });
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     site
 }
 
-fn assert_none_fell_over(site: &Site) {
+fn assert_no_crashes(site: &Site) {
     let replicas = site.engines.iter().chain(&site.plain);
-    let fallen: Vec<_> = replicas.filter(|replica| replica.ends() > 0).map(|replica| &replica.id).collect();
-    assert!(fallen.is_empty(), "{fallen:?} fell over");
+    let crashed: Vec<_> = replicas.filter(|replica| replica.ends() > 0).map(|replica| &replica.id).collect();
+    assert!(crashed.is_empty(), "crashed replicas: {crashed:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cold_replicas_get_what_they_bear_and_others_the_rest() {
-    let lasts = Duration::from_secs(5);
-    let site = with_cold_replicas("cold", lasts).await;
-    there(&site).for_each(|replica| replica.turn_cold(lasts, COLD_MOST));
+async fn cold_replicas_stay_within_their_rate_and_others_serve_the_remainder() {
+    let duration = Duration::from_secs(5);
+    let site = start_site_with_cold_replicas("cold", duration).await;
+    evacuated_replicas(&site).for_each(|replica| replica.turn_cold(duration, MAX_COLD_REQUESTS_PER_SECOND));
     site.announce_all();
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(APPLY_TIMEOUT).await;
     let since = Instant::now();
     // The replicas are warm again in the last third.
-    let (prompts, looks) =
-        tokio::join!(load(&site, 60, Duration::from_secs(6), prompt), load(&site, 60, Duration::from_secs(6), look));
-    assert_eq!((served(&prompts), served(&looks)), (prompts.len(), looks.len()), "others have room for all");
-    assert_none_fell_over(&site);
-    assert!(reached(&site, since) > 0, "they are not left empty");
+    let (prompts, lookups) = tokio::join!(
+        send_load(&site, 60, Duration::from_secs(6), prompt),
+        send_load(&site, 60, Duration::from_secs(6), lookup)
+    );
+    assert_eq!(
+        (count_served(&prompts), count_served(&lookups)),
+        (prompts.len(), lookups.len()),
+        "the other replicas have capacity for all requests"
+    );
+    assert_no_crashes(&site);
+    assert!(requests_since(&site, since) > 0, "cold replicas get some requests");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_that_returns_counts_as_cold_before_its_replicas_say_so() {
-    let lasts = Duration::from_secs(3);
-    let site = with_cold_replicas("cold-return", lasts).await;
-    site.evacuate(EMPTIED);
-    tokio::time::sleep(IN_FORCE).await;
-    there(&site).for_each(|replica| replica.turn_cold(lasts, COLD_MOST));
-    site.end_evacuation(EMPTIED);
-    let (prompts, looks) =
-        tokio::join!(load(&site, 60, Duration::from_secs(4), prompt), load(&site, 60, Duration::from_secs(4), look));
-    assert_none_fell_over(&site);
-    assert_eq!((served(&prompts), served(&looks)), (prompts.len(), looks.len()), "others have room for all");
+    let duration = Duration::from_secs(3);
+    let site = start_site_with_cold_replicas("cold-return", duration).await;
+    site.evacuate(EVACUATED_DOMAIN);
+    tokio::time::sleep(APPLY_TIMEOUT).await;
+    evacuated_replicas(&site).for_each(|replica| replica.turn_cold(duration, MAX_COLD_REQUESTS_PER_SECOND));
+    site.end_evacuation(EVACUATED_DOMAIN);
+    let (prompts, lookups) = tokio::join!(
+        send_load(&site, 60, Duration::from_secs(4), prompt),
+        send_load(&site, 60, Duration::from_secs(4), lookup)
+    );
+    assert_no_crashes(&site);
+    assert_eq!(
+        (count_served(&prompts), count_served(&lookups)),
+        (prompts.len(), lookups.len()),
+        "the other replicas have capacity for all requests"
+    );
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_facts.rs
+++ b/standin/tests/platform_facts.rs
@@ -11,43 +11,43 @@
 
 const OTHER_KEY: &str = "another-key";
 
-fn look(id: &str, key: &str) -> Ask {
+fn lookup(id: &str, key: &str) -> Ask {
     Ask::new("GET", "/look/1", id, key).with("deadline-ms", "2000")
 }
 
-async fn site(name: &str, bounds: &str) -> Site {
+async fn start_site(name: &str, bounds: &str) -> Site {
     let spec = Spec { entries: 3, bounds: bounds.to_owned(), ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
 /// Returns the entry that reads the store for the others, once all of them follow it, and then its followers.
-async fn roles(site: &Site) -> (usize, Vec<usize>) {
+async fn leader_and_followers(site: &Site) -> (usize, Vec<usize>) {
     let leader = leader(site, 3).await;
     (leader, (0..3).filter(|entry| *entry != leader).collect())
 }
 
 /// Sends requests to an entry until it answers with `status`; fails after `limit`.
-async fn answers(site: &Site, entry: usize, key: &str, status: u16, limit: Duration) {
+async fn wait_for_status(site: &Site, entry: usize, key: &str, status: u16, limit: Duration) {
     let started = Instant::now();
     for number in 0.. {
-        let seen = site.send(entry, &look(&format!("{entry}-{key}-{status}-{number}"), key)).await;
-        if seen.status == status {
+        let outcome = site.send(entry, &lookup(&format!("{entry}-{key}-{status}-{number}"), key)).await;
+        if outcome.status == status {
             return;
         }
-        assert!(started.elapsed() < limit, "entry {entry} answers {} in place of {status}", seen.status);
+        assert!(started.elapsed() < limit, "entry {entry} answers {} in place of {status}", outcome.status);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn one_entry_reads_the_store_for_all() {
-    let site = site("facts-calls", "").await;
-    let (leader, others) = roles(&site).await;
+    let site = start_site("facts-calls", "").await;
+    let (leader, others) = leader_and_followers(&site).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let before: Vec<u64> = site.doors.iter().map(|door| door.calls()).collect();
+    let before: Vec<u64> = site.doors.iter().map(|listener| listener.calls()).collect();
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let calls: Vec<u64> = site.doors.iter().zip(before).map(|(door, before)| door.calls() - before).collect();
-    assert!(calls[leader] >= 8, "the one that reads, reads on: {calls:?}");
+    let calls: Vec<u64> = site.doors.iter().zip(before).map(|(listener, before)| listener.calls() - before).collect();
+    assert!(calls[leader] >= 8, "the leader keeps reading: {calls:?}");
     // The data that followers receive stays recent enough on a machine that is not short of processor time.
     assert!(others.iter().all(|entry| calls[*entry] < calls[leader] / 2), "{calls:?}");
     site.close().expect("no invariant was breached");
@@ -55,33 +55,33 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_the_store_does_not_answer_learns_all_from_the_one_that_it_follows() {
-    let site = site("facts-cut-off", "").await;
-    let (_, others) = roles(&site).await;
+    let site = start_site("facts-cut-off", "").await;
+    let (_, others) = leader_and_followers(&site).await;
     let cut_off = others[0];
     site.doors[cut_off].set(Fault::Silent);
     // Longer than a verification by the entry itself stays valid.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
-    assert_eq!(site.send(cut_off, &look("a1", KEY)).await.status, 200);
+    assert_eq!(site.send(cut_off, &lookup("a1", KEY)).await.status, 200);
     site.configure(&[OTHER_KEY], |_| {});
-    answers(&site, cut_off, KEY, 401, Duration::from_secs(2)).await;
-    answers(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
-    let (leaving, staying) = (&site.plain[0], &site.plain[1]);
-    site.store.put("keyed.servers", &leaving.id, leaving.record("ledger", "draining"));
+    wait_for_status(&site, cut_off, KEY, 401, Duration::from_secs(2)).await;
+    wait_for_status(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
+    let (draining, ready) = (&site.plain[0], &site.plain[1]);
+    site.store.put("keyed.servers", &draining.id, draining.record("ledger", "draining"));
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let before = leaving.seen().len();
+    let before = draining.seen().len();
     for number in 0..10 {
-        assert_eq!(site.send(cut_off, &look(&format!("b{number}"), OTHER_KEY)).await.status, 200);
+        assert_eq!(site.send(cut_off, &lookup(&format!("b{number}"), OTHER_KEY)).await.status, 200);
     }
-    assert_eq!(leaving.seen().len(), before, "a leaving replica gets nothing");
-    assert!(staying.seen().len() >= 10);
+    assert_eq!(draining.seen().len(), before, "a draining replica gets no requests");
+    assert!(ready.seen().len() >= 10);
     site.close().expect("no invariant was breached");
 }
 
 /// Adds `count` routes, each with its own host and prefix, named as by the operators' tools.
-fn grow(config: &mut Value, more: usize) {
+fn add_routes(config: &mut Value, count: usize) {
     let route = config["routes"][2].clone();
     let routes = config["routes"].as_array_mut().expect("routes are a list");
-    for number in 0..more {
+    for number in 0..count {
         let mut route = route.clone();
         let name = format!("{:08x}", (number as u32).wrapping_mul(2_654_435_761));
         route["host"] = json!(format!("{name}.example"));
@@ -93,145 +93,157 @@
 
 /// Checks that an entry that the store refuses, and then its leader too, keeps a verified configuration of any size
 /// for as long as an entry that it reaches has one, and no longer.
-async fn a_follower_stays_sure(name: &str, routes: usize) {
+async fn assert_follower_stays_verified(name: &str, routes: usize) {
     let revoke = Duration::from_millis(3_000);
-    let site = site(name, "revoke_ms = 3000").await;
-    let (leader, others) = roles(&site).await;
+    let site = start_site(name, "revoke_ms = 3000").await;
+    let (leader, others) = leader_and_followers(&site).await;
     let (cut_off, reader) = (others[0], others[1]);
     site.doors[cut_off].set(Fault::Unavailable);
-    site.configure(&[KEY, OTHER_KEY], |config| grow(config, routes));
-    answers(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
+    site.configure(&[KEY, OTHER_KEY], |config| add_routes(config, routes));
+    wait_for_status(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
     // Keys are revoked one after the other, for longer than a verification stays valid.
     for round in 0..4 {
-        let (kept, taken) = if round % 2 == 0 { (KEY, OTHER_KEY) } else { (OTHER_KEY, KEY) };
-        site.configure(&[kept], |config| grow(config, routes));
-        answers(&site, cut_off, taken, 401, Duration::from_secs(2)).await;
+        let (valid, revoked) = if round % 2 == 0 { (KEY, OTHER_KEY) } else { (OTHER_KEY, KEY) };
+        site.configure(&[valid], |config| add_routes(config, routes));
+        wait_for_status(&site, cut_off, revoked, 401, Duration::from_secs(2)).await;
         tokio::time::sleep(Duration::from_millis(1_000)).await;
-        assert_eq!(site.send(cut_off, &look(&format!("k{round}"), kept)).await.status, 200, "it is sure");
+        assert_eq!(
+            site.send(cut_off, &lookup(&format!("k{round}"), valid)).await.status,
+            200,
+            "the configuration is verified"
+        );
     }
     // Only the third entry still reads the store; its data goes up to the leader and down to the other follower.
     site.doors[leader].set(Fault::Unavailable);
     tokio::time::sleep(revoke).await;
-    site.configure(&[KEY], |config| grow(config, routes));
-    answers(&site, cut_off, OTHER_KEY, 401, Duration::from_secs(3)).await;
-    assert_eq!(site.send(cut_off, &look("l1", KEY)).await.status, 200, "the third one reads for all");
+    site.configure(&[KEY], |config| add_routes(config, routes));
+    wait_for_status(&site, cut_off, OTHER_KEY, 401, Duration::from_secs(3)).await;
+    assert_eq!(site.send(cut_off, &lookup("l1", KEY)).await.status, 200, "the third entry reads for all");
     // No entry reads the store any more.
     site.doors[reader].set(Fault::Unavailable);
     tokio::time::sleep(revoke).await;
     for entry in 0..3 {
-        assert_eq!(site.send(entry, &look(&format!("m{entry}"), KEY)).await.status, 503, "nobody is sure");
+        assert_eq!(
+            site.send(entry, &lookup(&format!("m{entry}"), KEY)).await.status,
+            503,
+            "no entry has a verified configuration"
+        );
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_240_routes_an_entry_that_the_store_turns_away_stays_sure() {
-    a_follower_stays_sure("facts-240", 240).await;
+async fn with_240_routes_an_entry_refused_by_the_store_keeps_a_verified_configuration() {
+    assert_follower_stays_verified("facts-240", 240).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_1500_routes_an_entry_that_the_store_turns_away_stays_sure() {
-    a_follower_stays_sure("facts-1500", 1_500).await;
+async fn with_1500_routes_an_entry_refused_by_the_store_keeps_a_verified_configuration() {
+    assert_follower_stays_verified("facts-1500", 1_500).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_that_is_too_large_to_pass_on_is_in_force_all_the_same() {
-    let site = site("facts-large", "").await;
-    let (_, others) = roles(&site).await;
+    let site = start_site("facts-large", "").await;
+    let (_, others) = leader_and_followers(&site).await;
     site.configure(&[KEY, OTHER_KEY], |config| {
         let route = config["routes"][2].clone();
         let routes = config["routes"].as_array_mut().expect("routes are a list");
         for number in 0..400 {
-            let mut more = route.clone();
-            more["name"] = json!(format!("more-{number}"));
-            more["path_prefix"] = json!(format!("/more-{number}/"));
-            routes.push(more);
+            let mut added_route = route.clone();
+            added_route["name"] = json!(format!("more-{number}"));
+            added_route["path_prefix"] = json!(format!("/more-{number}/"));
+            routes.push(added_route);
         }
     });
     for entry in others {
-        answers(&site, entry, OTHER_KEY, 200, Duration::from_secs(2)).await;
+        wait_for_status(&site, entry, OTHER_KEY, 200, Duration::from_secs(2)).await;
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_is_refused_in_time_when_the_entry_that_reads_is_frozen_and_the_store_is_silent() {
-    let site = site("facts-frozen", "revoke_ms = 2500").await;
-    let (leader, others) = roles(&site).await;
-    for door in &site.doors {
-        door.set(Fault::Silent);
+    let site = start_site("facts-frozen", "revoke_ms = 2500").await;
+    let (leader, others) = leader_and_followers(&site).await;
+    for listener in &site.doors {
+        listener.set(Fault::Silent);
     }
-    site.signal(leader, Signal::STOP).expect("it freezes");
+    site.signal(leader, Signal::STOP).expect("the entry is suspended");
     site.configure(&[OTHER_KEY], |_| {});
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     // Only the entry that reads the store resumes; its data must not pass for newer than its last read.
-    site.signal(leader, Signal::CONT).expect("it wakes");
+    site.signal(leader, Signal::CONT).expect("the entry resumes");
     for entry in others.iter().chain([&leader]) {
-        let seen = site.send(*entry, &look(&format!("c{entry}"), KEY)).await;
-        assert_eq!(seen.status, 503, "entry {entry}: {seen:?}");
+        let outcome = site.send(*entry, &lookup(&format!("c{entry}"), KEY)).await;
+        assert_eq!(outcome.status, 503, "entry {entry}: {outcome:?}");
     }
-    for door in &site.doors {
-        door.set(Fault::None);
+    for listener in &site.doors {
+        listener.set(Fault::None);
     }
     for entry in 0..3 {
-        answers(&site, entry, OTHER_KEY, 200, Duration::from_secs(5)).await;
+        wait_for_status(&site, entry, OTHER_KEY, 200, Duration::from_secs(5)).await;
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_follower_trusts_no_key_when_it_wakes() {
-    let site = site("facts-woken", "revoke_ms = 2500").await;
-    let (_, others) = roles(&site).await;
-    let frozen = others[0];
-    site.signal(frozen, Signal::STOP).expect("it freezes");
+    let site = start_site("facts-woken", "revoke_ms = 2500").await;
+    let (_, others) = leader_and_followers(&site).await;
+    let suspended = others[0];
+    site.signal(suspended, Signal::STOP).expect("the entry is suspended");
     site.configure(&[OTHER_KEY], |_| {});
     tokio::time::sleep(Duration::from_millis(2_600)).await;
-    let late = look("d1", KEY);
-    let asked = site.send(frozen, &late);
-    let woken = async {
+    let late_lookup = lookup("d1", KEY);
+    let pending = site.send(suspended, &late_lookup);
+    let resume = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        site.signal(frozen, Signal::CONT).expect("it wakes");
+        site.signal(suspended, Signal::CONT).expect("the entry resumes");
     };
-    let (seen, ()) = tokio::join!(asked, woken);
-    assert!(seen.status == 503 || seen.status == 401, "{seen:?}");
-    answers(&site, frozen, OTHER_KEY, 200, Duration::from_secs(3)).await;
+    let (outcome, ()) = tokio::join!(pending, resume);
+    assert!(outcome.status == 503 || outcome.status == 401, "{outcome:?}");
+    wait_for_status(&site, suspended, OTHER_KEY, 200, Duration::from_secs(3)).await;
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn through_an_outage_of_the_store_entries_stay_together_and_serve_at_once_after_it() {
-    let site = site("facts-outage", "revoke_ms = 2500").await;
-    roles(&site).await;
-    for door in &site.doors {
-        door.set(Fault::Unavailable);
+    let site = start_site("facts-outage", "revoke_ms = 2500").await;
+    leader_and_followers(&site).await;
+    for listener in &site.doors {
+        listener.set(Fault::Unavailable);
     }
     for entry in 0..3 {
-        site.wait_ready(entry, false).await.expect("nobody is sure of the configuration");
+        site.wait_ready(entry, false).await.expect("no entry has a verified configuration");
     }
     // Long enough for the interval between searches for a leader to grow, if there were any searches.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    for door in &site.doors {
-        door.set(Fault::None);
+    for listener in &site.doors {
+        listener.set(Fault::None);
     }
-    let back = Instant::now();
+    let restored_at = Instant::now();
     for entry in 0..3 {
-        site.wait_ready(entry, true).await.expect("it is sure again");
-        answers(&site, entry, KEY, 200, Duration::from_secs(1)).await;
+        site.wait_ready(entry, true).await.expect("the configuration is verified again");
+        wait_for_status(&site, entry, KEY, 200, Duration::from_secs(1)).await;
     }
-    assert!(back.elapsed() < Duration::from_millis(2_500), "{:?}", back.elapsed());
+    assert!(restored_at.elapsed() < Duration::from_millis(2_500), "{:?}", restored_at.elapsed());
     for entry in 0..3 {
         let log = site.log(entry);
-        assert_eq!(log.matches("step=leader-lost").count(), 0, "nobody knew better, so nobody left: {log}");
-        assert_eq!(log.matches("step=peer-unreached").count(), 0, "nobody had to look for anyone: {log}");
+        assert_eq!(log.matches("step=leader-lost").count(), 0, "an entry left its leader during the outage: {log}");
+        assert_eq!(
+            log.matches("step=peer-unreached").count(),
+            0,
+            "an entry searched for peers during the outage: {log}"
+        );
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_follow_one_cut_off_from_the_store_read_for_themselves_in_time() {
-    let site = site("facts-reader-cut", "config_apply_ms = 800").await;
-    let (leader, others) = roles(&site).await;
+    let site = start_site("facts-reader-cut", "config_apply_ms = 800").await;
+    let (leader, others) = leader_and_followers(&site).await;
     site.doors[leader].set(Fault::Silent);
     // A read that the store already holds could still return the change.
     tokio::time::sleep(Duration::from_millis(800)).await;
@@ -242,11 +254,11 @@
     tokio::time::sleep(Duration::from_millis(800)).await;
     for number in 0..20 {
         for entry in &others {
-            let seen = site.send(*entry, &look(&format!("e{entry}-{number}"), OTHER_KEY)).await;
-            assert_eq!(seen.status, 200, "entry {entry}, {:?} later: {seen:?}", accepted.elapsed());
+            let outcome = site.send(*entry, &lookup(&format!("e{entry}-{number}"), OTHER_KEY)).await;
+            assert_eq!(outcome.status, 200, "entry {entry}, {:?} later: {outcome:?}", accepted.elapsed());
         }
-        let seen = site.send(leader, &look(&format!("e{leader}-{number}"), OTHER_KEY)).await;
-        assert_ne!(seen.status, 401, "it cannot know that there is no such key: {seen:?}");
+        let outcome = site.send(leader, &lookup(&format!("e{leader}-{number}"), OTHER_KEY)).await;
+        assert_ne!(outcome.status, 401, "the leader cannot know that the key does not exist: {outcome:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     site.close().expect("no invariant was breached");
@@ -254,19 +266,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_denied_on_an_old_proof() {
-    let site = site("facts-deny", "config_apply_ms = 1500").await;
-    for door in &site.doors {
-        door.set(Fault::Unavailable);
+    let site = start_site("facts-deny", "config_apply_ms = 1500").await;
+    for listener in &site.doors {
+        listener.set(Fault::Unavailable);
     }
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     for entry in 0..3 {
-        let missing = Ask::new("GET", "/nowhere/1", &format!("f{entry}"), KEY).with("deadline-ms", "2000");
-        for ask in [look(&format!("g{entry}"), OTHER_KEY), missing] {
-            let seen = site.send(entry, &ask).await;
-            assert_eq!(seen.status, 503, "entry {entry}: {seen:?}");
-            assert!(!seen.header("retry-after").is_empty());
+        let unknown_route = Ask::new("GET", "/nowhere/1", &format!("f{entry}"), KEY).with("deadline-ms", "2000");
+        for request in [lookup(&format!("g{entry}"), OTHER_KEY), unknown_route] {
+            let outcome = site.send(entry, &request).await;
+            assert_eq!(outcome.status, 503, "entry {entry}: {outcome:?}");
+            assert!(!outcome.header("retry-after").is_empty());
         }
-        assert_eq!(site.send(entry, &look(&format!("h{entry}"), KEY)).await.status, 200, "known keys are served");
+        assert_eq!(site.send(entry, &lookup(&format!("h{entry}"), KEY)).await.status, 200, "known keys are served");
     }
     site.close().expect("no invariant was breached");
 }
@@ -275,45 +287,45 @@
 async fn a_replica_that_went_while_only_the_reader_was_cut_off_gets_nothing_late() {
     let spec = Spec { entries: 3, plain: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
     let site = Site::start(spec).await.expect("the site starts");
-    let (leader, others) = roles(&site).await;
+    let (leader, others) = leader_and_followers(&site).await;
     // Whether the leader or an entry that reads for itself sees the removal first differs from round to round.
-    for (round, gone) in site.plain.iter().take(3).enumerate() {
+    for (round, removed_replica) in site.plain.iter().take(3).enumerate() {
         site.doors[leader].set(Fault::Unavailable);
         tokio::time::sleep(Duration::from_millis(2_500)).await;
-        site.store.put("keyed.servers", &gone.id, "");
-        let removed = Instant::now();
+        site.store.put("keyed.servers", &removed_replica.id, "");
+        let removed_at = Instant::now();
         site.doors[leader].set(Fault::None);
-        tokio::time::sleep(Duration::from_millis(2_000).saturating_sub(removed.elapsed())).await;
-        let before = gone.seen().len();
+        tokio::time::sleep(Duration::from_millis(2_000).saturating_sub(removed_at.elapsed())).await;
+        let before = removed_replica.seen().len();
         for number in 0..10 {
             for entry in &others {
-                assert_eq!(site.send(*entry, &look(&format!("i{entry}-{round}-{number}"), KEY)).await.status, 200);
+                assert_eq!(site.send(*entry, &lookup(&format!("i{entry}-{round}-{number}"), KEY)).await.status, 200);
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(gone.seen().len(), before, "its record is gone for longer than it may get requests");
+        assert_eq!(removed_replica.seen().len(), before, "a replica got requests too long after its removal");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_came_later_does_not_hide_what_was_removed_before() {
-    let site = &mut site("facts-later", "drain_ms = 2000").await;
-    let (leader, others) = roles(site).await;
+    let site = &mut start_site("facts-later", "drain_ms = 2000").await;
+    let (leader, others) = leader_and_followers(site).await;
     let (restarted, cut_off) = (others[0], others[1]);
     // Only the restarted entry reaches the store, and it has never seen the removed replica.
     site.doors[leader].set(Fault::Unavailable);
     site.doors[cut_off].set(Fault::Unavailable);
-    let gone = site.plain[0].clone();
-    site.store.put("keyed.servers", &gone.id, "");
-    site.restart(restarted).await.expect("it starts");
+    let removed_replica = site.plain[0].clone();
+    site.store.put("keyed.servers", &removed_replica.id, "");
+    site.restart(restarted).await.expect("the entry starts");
     tokio::time::sleep(Duration::from_millis(3_500)).await;
-    let before = gone.seen().len();
+    let before = removed_replica.seen().len();
     for number in 0..10 {
         for entry in 0..3 {
-            assert_eq!(site.send(entry, &look(&format!("j{entry}-{number}"), KEY)).await.status, 200);
+            assert_eq!(site.send(entry, &lookup(&format!("j{entry}-{number}"), KEY)).await.status, 200);
         }
     }
-    assert_eq!(gone.seen().len(), before, "what the first picture leaves out was removed");
+    assert_eq!(removed_replica.seen().len(), before, "a replica missing from the first snapshot is removed");
     assert!(site.breached_invariants().is_empty());
 }
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -17,9 +17,9 @@
 use standin::platform::{Ask, KEY, Replica, Seen, Site, Spec};
 
 /// Number of short prompts that are sent at the same time, below the number of slots of one engine.
-const AT_ONCE: usize = 12;
+const BURST: usize = 12;
 /// Length of a suspension, longer than a prompt waits for its engines.
-const FROZEN: Duration = Duration::from_millis(1_500);
+const SUSPENSION: Duration = Duration::from_millis(1_500);
 /// Number of rounds: which of two simultaneous events an entry handles first is random.
 const ROUNDS: usize = 8;
 
@@ -29,19 +29,19 @@
 }
 
 /// Sends `BURST` short prompts at the same time.
-async fn at_once(site: &Site, entry: usize, name: &str) -> Vec<Seen> {
-    let asks: Vec<Ask> = (0..AT_ONCE).map(|number| prompt(&format!("{name}-{number}"), 500)).collect();
-    join_all(asks.iter().map(|ask| site.send(entry, ask))).await
+async fn send_burst(site: &Site, entry: usize, prefix: &str) -> Vec<Seen> {
+    let requests: Vec<Ask> = (0..BURST).map(|number| prompt(&format!("{prefix}-{number}"), 500)).collect();
+    join_all(requests.iter().map(|request| site.send(entry, request))).await
 }
 
 /// Returns the engines that received requests whose IDs begin with `prefix`.
-fn engines(site: &Site, name: &str) -> Vec<String> {
-    let got = |engine: &&Arc<Replica>| engine.seen().iter().any(|run| run.id.starts_with(name));
-    site.engines.iter().filter(got).map(|engine| engine.id.clone()).collect()
+fn engines_reached(site: &Site, prefix: &str) -> Vec<String> {
+    let was_reached = |engine: &&Arc<Replica>| engine.seen().iter().any(|received| received.id.starts_with(prefix));
+    site.engines.iter().filter(was_reached).map(|engine| engine.id.clone()).collect()
 }
 
 /// Returns the leader of the two entries.
-fn leader(site: &Site) -> usize {
+fn current_leader(site: &Site) -> usize {
     (0..2).max_by_key(|entry| site.log(*entry).matches("step=peer-joined").count()).expect("two entries")
 }
 
@@ -49,26 +49,26 @@
 async fn engines_granted_to_a_prompt_that_has_stopped_waiting_serve_others() {
     // A resumed entry still trusts its keys.
     let bounds = "revoke_ms = 20000".to_owned();
-    let mut site = Site::start(Spec { bounds, ..Spec::small("grants-frozen") }).await.expect("it starts");
+    let mut site = Site::start(Spec { bounds, ..Spec::small("grants-frozen") }).await.expect("the site starts");
     for round in 0..ROUNDS {
-        let lost = if round == 0 { leader(&site) } else { round % 2 };
-        let left = 1 - lost;
-        site.signal(lost, Signal::KILL).expect("it gets it");
+        let killed = if round == 0 { current_leader(&site) } else { round % 2 };
+        let survivor = 1 - killed;
+        site.signal(killed, Signal::KILL).expect("the signal is sent");
         tokio::time::sleep(Duration::from_millis(50)).await;
         // The prompt waits, because an entry that has just become the leader grants no engines to long prompts.
         let long = prompt(&format!("long-{round}"), 700_000);
-        let freeze = async {
+        let suspend = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            site.signal(left, Signal::STOP).expect("it stops");
-            tokio::time::sleep(FROZEN).await;
-            site.signal(left, Signal::CONT).expect("it goes on");
+            site.signal(survivor, Signal::STOP).expect("the entry is suspended");
+            tokio::time::sleep(SUSPENSION).await;
+            site.signal(survivor, Signal::CONT).expect("the entry resumes");
         };
-        let (answer, ()) = tokio::join!(site.send(left, &long), freeze);
-        let after = at_once(&site, left, &format!("after-{round}")).await;
-        let served = after.iter().filter(|seen| seen.whole && seen.status == 200).count();
-        assert_eq!(served, AT_ONCE, "round {round}, the long prompt: {answer:?}\n{}", site.log(left));
-        site.restart(lost).await.expect("it starts again");
-        site.wait_ready(lost, true).await.expect("it is ready");
+        let (answer, ()) = tokio::join!(site.send(survivor, &long), suspend);
+        let after = send_burst(&site, survivor, &format!("after-{round}")).await;
+        let served = after.iter().filter(|outcome| outcome.whole && outcome.status == 200).count();
+        assert_eq!(served, BURST, "round {round}, the long prompt: {answer:?}\n{}", site.log(survivor));
+        site.restart(killed).await.expect("the entry restarts");
+        site.wait_ready(killed, true).await.expect("the entry is ready");
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     site.close().expect("no invariant was breached");
@@ -80,21 +80,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answered_while_its_entry_was_frozen_gets_more() {
     let takes = Duration::from_millis(100);
-    for frozen in 0..2 {
-        let spec = Spec { entries: 2, takes, ..Spec::small(&format!("grants-answered-{frozen}")) };
-        let site = Site::start(spec).await.expect("it starts");
-        let freeze = async {
+    for suspended in 0..2 {
+        let spec = Spec { entries: 2, takes, ..Spec::small(&format!("grants-answered-{suspended}")) };
+        let site = Site::start(spec).await.expect("the site starts");
+        let suspend = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            site.signal(frozen, Signal::STOP).expect("it stops");
+            site.signal(suspended, Signal::STOP).expect("the entry is suspended");
             // Shorter than the timeout after which the other entry gives the suspended one up.
             tokio::time::sleep(Duration::from_millis(400)).await;
-            site.signal(frozen, Signal::CONT).expect("it goes on");
+            site.signal(suspended, Signal::CONT).expect("the entry resumes");
         };
-        let (before, ()) = tokio::join!(at_once(&site, frozen, "before"), freeze);
-        assert!(before.iter().all(|seen| seen.whole), "{before:?}");
+        let (before, ()) = tokio::join!(send_burst(&site, suspended, "before"), suspend);
+        assert!(before.iter().all(|outcome| outcome.whole), "{before:?}");
         tokio::time::sleep(Duration::from_millis(200)).await;
-        at_once(&site, frozen, "after").await;
-        assert_eq!(engines(&site, "after"), engines(&site, "before"), "{}", site.log(frozen));
+        send_burst(&site, suspended, "after").await;
+        assert_eq!(engines_reached(&site, "after"), engines_reached(&site, "before"), "{}", site.log(suspended));
         site.close().expect("no invariant was breached");
     }
 }
@@ -104,18 +104,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_came_in_time_is_passed_on_by_an_entry_that_was_frozen() {
     let takes = Duration::from_millis(50);
-    let site = Site::start(Spec { entries: 1, takes, ..Spec::small("grants-late") }).await.expect("it starts");
+    let site = Site::start(Spec { entries: 1, takes, ..Spec::small("grants-late") }).await.expect("the site starts");
     for round in 0..ROUNDS {
-        let freeze = async {
+        let suspend = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            site.signal(0, Signal::STOP).expect("it stops");
-            tokio::time::sleep(FROZEN).await;
-            site.signal(0, Signal::CONT).expect("it goes on");
+            site.signal(0, Signal::STOP).expect("the entry is suspended");
+            tokio::time::sleep(SUSPENSION).await;
+            site.signal(0, Signal::CONT).expect("the entry resumes");
         };
         let id = format!("stream-{round}");
-        let ask = Ask::new("POST", "/prompt/1", &id, KEY).with("token-usage", "500,400").with("deadline-ms", "1000");
-        let (seen, ()) = tokio::join!(site.send(0, &ask), freeze);
-        assert!(seen.whole && seen.status == 200, "round {round}: {seen:?}\n{}", site.log(0));
+        let request =
+            Ask::new("POST", "/prompt/1", &id, KEY).with("token-usage", "500,400").with("deadline-ms", "1000");
+        let (outcome, ()) = tokio::join!(site.send(0, &request), suspend);
+        assert!(outcome.whole && outcome.status == 200, "round {round}: {outcome:?}\n{}", site.log(0));
     }
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_leaving.rs
+++ b/standin/tests/platform_leaving.rs
@@ -5,21 +5,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::load::{entry_of, load, look, prompt, served};
+use common::load::{count_served, lookup, prompt, receiving_entry, send_load};
 use standin::platform::{Act, Ask, Fault, Replica, Run, Site, Spec};
 
 /// Time after the announcement reached an entry, after which a request from that entry is a breach.
 const DRAIN: Duration = Duration::from_millis(600);
 /// Time within which an announcement that one entry received reaches the others.
-const TOLD: Duration = Duration::from_millis(400);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(400);
 
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let spec = Spec { entries: 3, engines: 8, plain: 4, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
-fn turn_store_away(site: &Site) {
-    site.doors.iter().for_each(|door| door.set(Fault::Unavailable));
+fn make_store_unavailable(site: &Site) {
+    site.doors.iter().for_each(|listener| listener.set(Fault::Unavailable));
 }
 
 fn busiest(replicas: &[Arc<Replica>]) -> &Arc<Replica> {
@@ -28,118 +28,130 @@
 
 /// Asserts that no entry sends a request to the replica later than `DRAIN` after the first one, whose response
 /// announces the draining.
-fn assert_left_alone(site: &Site, replica: &Replica, since: Instant) {
+fn assert_no_late_requests(site: &Site, replica: &Replica, since: Instant) {
     for entry in 0..site.addresses.len() {
-        let is_of = |run: &Run| run.at >= since && entry_of(site, run) == entry;
-        let runs: Vec<Run> = replica.seen().into_iter().filter(is_of).collect();
-        let Some(first) = runs.first() else { continue };
-        let late = runs.iter().filter(|run| run.at > first.at + DRAIN).count();
-        assert_eq!(late, 0, "{} got {late} late from entry {entry}: {}", replica.id, site.log(entry));
+        let is_from_entry = |received: &Run| received.at >= since && receiving_entry(site, received) == entry;
+        let received_requests: Vec<Run> = replica.seen().into_iter().filter(is_from_entry).collect();
+        let Some(first) = received_requests.first() else { continue };
+        let late_count = received_requests.iter().filter(|received| received.at > first.at + DRAIN).count();
+        assert_eq!(
+            late_count,
+            0,
+            "{} received {late_count} late requests from entry {entry}: {}",
+            replica.id,
+            site.log(entry)
+        );
     }
 }
 
 /// Sends load before and after the busiest of `replicas` begins to announce that it is draining.
-async fn play(site: &Site, replicas: &[Arc<Replica>], ask: fn(&str) -> Ask, with_store: bool) {
-    load(site, 30, Duration::from_secs(1), ask).await;
-    let leaving = busiest(replicas);
+async fn drain_busiest_under_load(
+    site: &Site,
+    replicas: &[Arc<Replica>],
+    build_request: fn(&str) -> Ask,
+    with_store: bool,
+) {
+    send_load(site, 30, Duration::from_secs(1), build_request).await;
+    let draining = busiest(replicas);
     if !with_store {
-        turn_store_away(site);
+        make_store_unavailable(site);
     }
-    leaving.say_leaving();
+    draining.say_leaving();
     let since = Instant::now();
-    let seen = load(site, 30, Duration::from_secs(3), ask).await;
-    assert_left_alone(site, leaving, since);
-    assert_eq!(served(&seen), seen.len(), "others have room for all");
-    let slowest = seen.iter().map(|seen| seen.took).max().unwrap_or_default();
-    assert!(slowest < Duration::from_millis(700), "nobody waits for the one that leaves: {slowest:?}");
+    let outcomes = send_load(site, 30, Duration::from_secs(3), build_request).await;
+    assert_no_late_requests(site, draining, since);
+    assert_eq!(count_served(&outcomes), outcomes.len(), "the other replicas have capacity for all requests");
+    let slowest = outcomes.iter().map(|outcome| outcome.took).max().unwrap_or_default();
+    assert!(slowest < Duration::from_millis(700), "a build_request waited for the draining replica: {slowest:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_replica_that_says_it_leaves_gets_nothing_more_though_the_store_is_away() {
-    let site = site("leaving-plain").await;
-    play(&site, &site.plain, look, false).await;
+async fn a_draining_plain_replica_gets_no_new_requests_during_a_store_outage() {
+    let site = start_site("leaving-plain").await;
+    drain_busiest_under_load(&site, &site.plain, lookup, false).await;
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_says_it_leaves_gets_nothing_more_though_the_store_is_away() {
-    let site = site("leaving-engine").await;
-    play(&site, &site.engines, prompt, false).await;
+async fn a_draining_engine_gets_no_new_prompts_during_a_store_outage() {
+    let site = start_site("leaving-engine").await;
+    drain_busiest_under_load(&site, &site.engines, prompt, false).await;
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_record_that_still_calls_a_leaving_replica_ready_brings_it_no_work() {
-    let site = site("leaving-heartbeats").await;
-    load(&site, 30, Duration::from_secs(1), look).await;
-    let leaving = busiest(&site.plain);
-    leaving.say_leaving();
+async fn a_ready_record_does_not_undo_an_announced_draining() {
+    let site = start_site("leaving-heartbeats").await;
+    send_load(&site, 30, Duration::from_secs(1), lookup).await;
+    let draining = busiest(&site.plain);
+    draining.say_leaving();
     let since = Instant::now();
     for _ in 0..4 {
-        load(&site, 30, Duration::from_millis(500), look).await;
+        send_load(&site, 30, Duration::from_millis(500), lookup).await;
         site.announce_all();
     }
-    let runs = leaving.seen().into_iter().filter(|run| run.at > since + DRAIN + TOLD).count();
-    assert_eq!(runs, 0, "a heartbeat takes nothing back");
+    let received_requests =
+        draining.seen().into_iter().filter(|received| received.at > since + DRAIN + PROPAGATION_TIMEOUT).count();
+    assert_eq!(received_requests, 0, "a heartbeat does not undo the draining");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_one_entry_was_told_of_a_leaving_replica_all_entries_keep_to() {
-    let mut site = site("leaving-news").await;
-    turn_store_away(&site);
+async fn draining_announced_to_one_entry_is_observed_by_all() {
+    let mut site = start_site("leaving-news").await;
+    make_store_unavailable(&site);
     site.plain[0].say_leaving();
     // Sends through one entry only, until the replica has answered.
     for number in 0..40 {
-        site.send(1, &look(&format!("first-{number}"))).await;
+        site.send(1, &lookup(&format!("first-{number}"))).await;
         if !site.plain[0].seen().is_empty() {
             break;
         }
     }
-    assert!(!site.plain[0].seen().is_empty(), "it was chosen");
-    tokio::time::sleep(TOLD).await;
+    assert!(!site.plain[0].seen().is_empty(), "the replica got a request");
+    tokio::time::sleep(PROPAGATION_TIMEOUT).await;
     let before = site.plain[0].seen().len();
-    let seen = load(&site, 30, Duration::from_secs(2), look).await;
-    assert_eq!(served(&seen), seen.len());
-    assert_eq!(site.plain[0].seen().len(), before, "the others knew it");
+    let outcomes = send_load(&site, 30, Duration::from_secs(2), lookup).await;
+    assert_eq!(count_served(&outcomes), outcomes.len());
+    assert_eq!(site.plain[0].seen().len(), before, "the other entries know that the replica is draining");
     // A starting entry reads that the replica is ready and receives from its peers that it is draining.
-    site.doors.iter().for_each(|door| door.set(Fault::None));
-    site.restart(2).await.expect("it starts again");
-    site.wait_ready(2, true).await.expect("it is ready");
-    tokio::time::sleep(TOLD).await;
+    site.doors.iter().for_each(|listener| listener.set(Fault::None));
+    site.restart(2).await.expect("the entry restarts");
+    site.wait_ready(2, true).await.expect("the entry is ready");
+    tokio::time::sleep(PROPAGATION_TIMEOUT).await;
     for number in 0..20 {
-        site.send(2, &look(&format!("second-{number}"))).await;
+        site.send(2, &lookup(&format!("second-{number}"))).await;
     }
-    assert_eq!(site.plain[0].seen().len(), before, "one that starts is told");
+    assert_eq!(site.plain[0].seen().len(), before, "a starting entry learns that the replica is draining");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_too_says_that_its_replica_leaves() {
-    let site = site("leaving-refusal").await;
-    turn_store_away(&site);
-    load(&site, 30, Duration::from_secs(1), look).await;
-    let leaving = busiest(&site.plain);
-    leaving.say_leaving();
-    leaving.next([Act::Refuse; 100]);
+async fn a_refusal_also_announces_draining() {
+    let site = start_site("leaving-refusal").await;
+    make_store_unavailable(&site);
+    send_load(&site, 30, Duration::from_secs(1), lookup).await;
+    let draining = busiest(&site.plain);
+    draining.say_leaving();
+    draining.next([Act::Refuse; 100]);
     let since = Instant::now();
-    load(&site, 30, Duration::from_secs(2), look).await;
-    assert_left_alone(&site, leaving, since);
+    send_load(&site, 30, Duration::from_secs(2), lookup).await;
+    assert_no_late_requests(&site, draining, since);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_replicas_say_they_leave_callers_are_refused_at_once_and_told_when_to_come_back() {
-    let site = site("leaving-all").await;
+async fn requests_are_refused_at_once_with_retry_after_when_all_replicas_are_draining() {
+    let site = start_site("leaving-all").await;
     site.plain.iter().for_each(|replica| replica.say_leaving());
-    load(&site, 30, Duration::from_secs(2), look).await;
-    let ran = || site.plain.iter().map(|replica| replica.seen().len()).sum::<usize>();
-    let before = ran();
-    let refused = load(&site, 30, Duration::from_secs(1), look).await;
-    for seen in &refused {
-        assert_eq!(seen.status, 503, "{seen:?}");
-        assert!(!seen.header("retry-after").is_empty() && seen.took < Duration::from_millis(150), "{seen:?}");
+    send_load(&site, 30, Duration::from_secs(2), lookup).await;
+    let received_count = || site.plain.iter().map(|replica| replica.seen().len()).sum::<usize>();
+    let before = received_count();
+    let refused = send_load(&site, 30, Duration::from_secs(1), lookup).await;
+    for outcome in &refused {
+        assert_eq!(outcome.status, 503, "{outcome:?}");
+        assert!(!outcome.header("retry-after").is_empty() && outcome.took < Duration::from_millis(150), "{outcome:?}");
     }
-    assert_eq!(ran(), before, "what is said not to have run has not run");
+    assert_eq!(received_count(), before, "requests reported as not run reach no replica");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_limits.rs
+++ b/standin/tests/platform_limits.rs
@@ -11,86 +11,95 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::load::{load, look, most, prompt, served};
+use common::load::{count_served, lookup, max_requests, prompt, send_load};
 use rustix::process::Signal;
 use standin::platform::{Replica, Seen, Site, Spec};
 
 /// Length of the windows in which the bound holds.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time after the first announcement of a limit from which the bound holds.
-const KNOWN_AFTER: Duration = Duration::from_secs(1);
+const LIMIT_APPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after the first announcement from which the bound holds while entries fail.
-const CONTACT: Duration = Duration::from_secs(3);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Requests allowed beyond the limit in a window while nothing fails: one saved up, one at the window's edge, and one
 /// in flight when the limit was announced.
-const SLACK: f64 = 3.0;
+const ALLOWED_EXCESS: f64 = 3.0;
 
 /// Returns the number of requests that may reach a replica in a window while nothing fails.
-fn calm(rate: f64) -> usize {
-    (rate * WINDOW.as_secs_f64() + SLACK) as usize
+fn bound_without_faults(rate: f64) -> usize {
+    (rate * WINDOW.as_secs_f64() + ALLOWED_EXCESS) as usize
 }
 
 /// Returns the number of requests that may reach a replica in a window while entries fail: one and a half times the
 /// limit, plus five.
-fn troubled(rate: f64) -> usize {
+fn bound_during_faults(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-async fn site(name: &str, spec: Spec) -> Site {
+async fn start_site(name: &str, spec: Spec) -> Site {
     Site::start(Spec { name: name.to_owned(), ..spec }).await.expect("the site starts")
 }
 
 /// Returns the entry that another one joined last: the current or the last leader.
-fn planner(site: &Site) -> usize {
-    let joined = |entry: &usize| {
+fn last_joined_entry(site: &Site) -> usize {
+    let last_join = |entry: &usize| {
         let log = site.log(*entry);
         let last = log.lines().rev().find(|line| line.contains("step=peer-joined"));
         last.and_then(|line| line.split_whitespace().next()).map(str::to_owned)
     };
-    (0..site.addresses.len()).max_by_key(joined).expect("there are entries")
+    (0..site.addresses.len()).max_by_key(last_join).expect("there are entries")
 }
 
-fn fleet() -> Spec {
+fn default_spec() -> Spec {
     Spec { entries: 3, engines: 8, plain: 4, ..Spec::small("") }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_in_need_get_what_they_take_and_others_the_rest() {
-    let site = site("limits-engines", fleet()).await;
-    load(&site, 20, Duration::from_secs(1), prompt).await;
+async fn rate_limited_engines_stay_within_their_limits_and_others_serve_the_remainder() {
+    let site = start_site("limits-engines", default_spec()).await;
+    send_load(&site, 20, Duration::from_secs(1), prompt).await;
     let mut busiest: Vec<&Arc<Replica>> = site.engines.iter().collect();
     busiest.sort_by_key(|engine| std::cmp::Reverse(engine.seen().len()));
     busiest[0].name_limit(Some("2.3"));
     busiest[1].name_limit(Some("1"));
-    let since = Instant::now() + KNOWN_AFTER;
-    let seen = load(&site, 20, Duration::from_secs(9), prompt).await;
+    let since = Instant::now() + LIMIT_APPLY_TIMEOUT;
+    let outcomes = send_load(&site, 20, Duration::from_secs(9), prompt).await;
     for (engine, rate) in [(busiest[0], 2.3), (busiest[1], 1.0)] {
-        let most = most(engine, since, WINDOW);
-        assert!(most <= calm(rate), "{} got {most} where it takes {}", engine.id, calm(rate));
+        let max_requests = max_requests(engine, since, WINDOW);
+        assert!(
+            max_requests <= bound_without_faults(rate),
+            "{} received {max_requests} requests in a window, the bound is {}",
+            engine.id,
+            bound_without_faults(rate)
+        );
     }
-    assert_eq!(served(&seen), seen.len(), "others have room for all");
-    assert_nothing_is_blamed(&site);
+    assert_eq!(count_served(&outcomes), outcomes.len(), "the other replicas have capacity for all requests");
+    assert_not_treated_as_failure(&site);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_replica_in_need_gets_what_it_takes_and_others_the_rest() {
-    let site = site("limits-plain", fleet()).await;
-    load(&site, 30, Duration::from_secs(1), look).await;
+async fn a_rate_limited_plain_replica_stays_within_its_limit_and_others_serve_the_remainder() {
+    let site = start_site("limits-plain", default_spec()).await;
+    send_load(&site, 30, Duration::from_secs(1), lookup).await;
     let busiest = site.plain.iter().max_by_key(|replica| replica.seen().len()).expect("there are replicas");
     busiest.name_limit(Some("1"));
-    let since = Instant::now() + KNOWN_AFTER;
-    let seen = load(&site, 30, Duration::from_secs(9), look).await;
-    let most = most(busiest, since, WINDOW);
-    assert!(most <= calm(1.0), "it got {most} where it takes {}", calm(1.0));
-    assert_eq!(served(&seen), seen.len(), "others have room for all");
-    assert_nothing_is_blamed(&site);
+    let since = Instant::now() + LIMIT_APPLY_TIMEOUT;
+    let outcomes = send_load(&site, 30, Duration::from_secs(9), lookup).await;
+    let max_requests = max_requests(busiest, since, WINDOW);
+    assert!(
+        max_requests <= bound_without_faults(1.0),
+        "the replica received {max_requests} requests in a window, the bound is {}",
+        bound_without_faults(1.0)
+    );
+    assert_eq!(count_served(&outcomes), outcomes.len(), "the other replicas have capacity for all requests");
+    assert_not_treated_as_failure(&site);
     site.close().expect("no invariant was breached");
 }
 
 /// Asserts that a rate-limited replica does not count as failed: it is not ejected, and no request is sent a second
 /// time.
-fn assert_nothing_is_blamed(site: &Site) {
+fn assert_not_treated_as_failure(site: &Site) {
     for entry in 0..site.addresses.len() {
         let log = site.log(entry);
         assert!(!log.contains("step=doubt") && !log.contains("number=2"), "entry {entry}: {log}");
@@ -99,116 +108,163 @@
 
 /// Asserts the bound at each replica, the number of requests served, and that the others were refused with a time to
 /// retry after.
-fn assert_fits(replicas: &[Arc<Replica>], rate: f64, seen: &[Seen], since: Instant, lasts: Duration) {
+fn assert_limited_throughput(
+    replicas: &[Arc<Replica>],
+    rate: f64,
+    outcomes: &[Seen],
+    since: Instant,
+    duration: Duration,
+) {
     for replica in replicas {
-        let most = most(replica, since + KNOWN_AFTER, WINDOW);
-        assert!(most <= calm(rate), "{} got {most} where it takes {}", replica.id, calm(rate));
+        let max_requests = max_requests(replica, since + LIMIT_APPLY_TIMEOUT, WINDOW);
+        assert!(
+            max_requests <= bound_without_faults(rate),
+            "{} received {max_requests} requests in a window, the bound is {}",
+            replica.id,
+            bound_without_faults(rate)
+        );
     }
-    let fits = rate * replicas.len() as f64 * lasts.as_secs_f64();
-    let served = served(seen);
-    assert!(served as f64 >= 0.9 * fits, "{served} served where {fits} fit");
-    for refused in seen.iter().filter(|seen| seen.status != 200) {
+    let expected_count = rate * replicas.len() as f64 * duration.as_secs_f64();
+    let served = count_served(outcomes);
+    assert!(served as f64 >= 0.9 * expected_count, "{served} requests served, capacity for {expected_count}");
+    for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
         assert_eq!(refused.status, 503, "{refused:?}");
         assert!(!refused.header("retry-after").is_empty(), "{refused:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_plain_replicas_are_in_need_what_fits_is_served_and_the_rest_refused_at_once() {
-    let site = site("limits-all-plain", fleet()).await;
+async fn calls_beyond_the_limits_of_all_plain_replicas_are_refused_at_once() {
+    let site = start_site("limits-all-plain", default_spec()).await;
     site.plain.iter().for_each(|replica| replica.name_limit(Some("5")));
-    let (since, lasts) = (Instant::now(), Duration::from_secs(9));
-    let seen = load(&site, 40, lasts, look).await;
-    assert_fits(&site.plain, 5.0, &seen, since, lasts);
-    for refused in seen.iter().filter(|seen| seen.status != 200) {
-        assert!(refused.took < Duration::from_millis(150), "half of what its caller wants an answer in: {refused:?}");
+    let (since, duration) = (Instant::now(), Duration::from_secs(9));
+    let outcomes = send_load(&site, 40, duration, lookup).await;
+    assert_limited_throughput(&site.plain, 5.0, &outcomes, since, duration);
+    for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
+        assert!(refused.took < Duration::from_millis(150), "refused later than half the target latency: {refused:?}");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_engines_are_in_need_what_fits_is_served_and_the_rest_refused() {
-    let site = site("limits-all-engines", fleet()).await;
+async fn prompts_beyond_the_limits_of_all_engines_are_refused() {
+    let site = start_site("limits-all-engines", default_spec()).await;
     site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
-    let (since, lasts) = (Instant::now(), Duration::from_secs(9));
-    let seen = load(&site, 30, lasts, prompt).await;
-    assert_fits(&site.engines, 2.0, &seen, since, lasts);
-    for refused in seen.iter().filter(|seen| seen.status != 200) {
-        assert!(refused.took < Duration::from_millis(300), "what its caller wants an answer in: {refused:?}");
+    let (since, duration) = (Instant::now(), Duration::from_secs(9));
+    let outcomes = send_load(&site, 30, duration, prompt).await;
+    assert_limited_throughput(&site.engines, 2.0, &outcomes, since, duration);
+    for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
+        assert!(refused.took < Duration::from_millis(300), "refused later than the target latency: {refused:?}");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_limit_holds_while_the_entry_that_plans_is_frozen_and_killed() {
-    let mut site = site("limits-leaders", Spec { entries: 4, ..fleet() }).await;
+async fn the_limit_holds_while_the_leader_is_suspended_and_killed() {
+    let mut site = start_site("limits-leaders", Spec { entries: 4, ..default_spec() }).await;
     site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
     site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
-    let since = Instant::now() + CONTACT;
-    tokio::join!(load(&site, 30, Duration::from_secs(4), prompt), load(&site, 20, Duration::from_secs(4), look));
-    let frozen = planner(&site);
-    site.signal(frozen, Signal::STOP).expect("it is told");
-    tokio::join!(load(&site, 30, Duration::from_secs(2), prompt), load(&site, 20, Duration::from_secs(2), look));
-    site.signal(frozen, Signal::CONT).expect("it is told");
-    tokio::join!(load(&site, 30, Duration::from_secs(2), prompt), load(&site, 20, Duration::from_secs(2), look));
-    let killed = planner(&site);
-    site.restart(killed).await.expect("it starts again");
-    tokio::join!(load(&site, 30, Duration::from_secs(4), prompt), load(&site, 20, Duration::from_secs(4), look));
+    let since = Instant::now() + RECOVERY_TIMEOUT;
+    tokio::join!(
+        send_load(&site, 30, Duration::from_secs(4), prompt),
+        send_load(&site, 20, Duration::from_secs(4), lookup)
+    );
+    let suspended = last_joined_entry(&site);
+    site.signal(suspended, Signal::STOP).expect("the signal is sent");
+    tokio::join!(
+        send_load(&site, 30, Duration::from_secs(2), prompt),
+        send_load(&site, 20, Duration::from_secs(2), lookup)
+    );
+    site.signal(suspended, Signal::CONT).expect("the signal is sent");
+    tokio::join!(
+        send_load(&site, 30, Duration::from_secs(2), prompt),
+        send_load(&site, 20, Duration::from_secs(2), lookup)
+    );
+    let killed = last_joined_entry(&site);
+    site.restart(killed).await.expect("the entry restarts");
+    tokio::join!(
+        send_load(&site, 30, Duration::from_secs(4), prompt),
+        send_load(&site, 20, Duration::from_secs(4), lookup)
+    );
     for replica in site.engines.iter().chain(&site.plain) {
-        let most = most(replica, since, WINDOW);
-        assert!(most <= troubled(2.0), "{} got {most} where it takes {}", replica.id, troubled(2.0));
+        let max_requests = max_requests(replica, since, WINDOW);
+        assert!(
+            max_requests <= bound_during_faults(2.0),
+            "{} received {max_requests} requests in a window, the bound is {}",
+            replica.id,
+            bound_during_faults(2.0)
+        );
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limit_holds_after_a_loss_of_all_entries() {
-    let mut site = site("limits-loss", Spec { entries: 4, ..fleet() }).await;
+    let mut site = start_site("limits-loss", Spec { entries: 4, ..default_spec() }).await;
     site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
     site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
-    let since = Instant::now() + CONTACT;
-    tokio::join!(load(&site, 30, Duration::from_secs(4), prompt), load(&site, 20, Duration::from_secs(4), look));
+    let since = Instant::now() + RECOVERY_TIMEOUT;
+    tokio::join!(
+        send_load(&site, 30, Duration::from_secs(4), prompt),
+        send_load(&site, 20, Duration::from_secs(4), lookup)
+    );
     for entry in 0..site.addresses.len() {
-        site.restart(entry).await.expect("it starts again");
+        site.restart(entry).await.expect("the entry restarts");
     }
     for entry in 0..site.addresses.len() {
-        site.wait_ready(entry, true).await.expect("it is ready");
+        site.wait_ready(entry, true).await.expect("the entry is ready");
     }
-    tokio::join!(load(&site, 30, Duration::from_secs(5), prompt), load(&site, 20, Duration::from_secs(5), look));
+    tokio::join!(
+        send_load(&site, 30, Duration::from_secs(5), prompt),
+        send_load(&site, 20, Duration::from_secs(5), lookup)
+    );
     for replica in site.engines.iter().chain(&site.plain) {
-        let most = most(replica, since, WINDOW);
-        assert!(most <= troubled(2.0), "{} got {most} where it takes {}", replica.id, troubled(2.0));
+        let max_requests = max_requests(replica, since, WINDOW);
+        assert!(
+            max_requests <= bound_during_faults(2.0),
+            "{} received {max_requests} requests in a window, the bound is {}",
+            replica.id,
+            bound_during_faults(2.0)
+        );
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_is_told_of_limits_and_keeps_them() {
-    let mut site = site("limits-start", fleet()).await;
+async fn a_starting_entry_receives_limits_from_its_peers() {
+    let mut site = start_site("limits-start", default_spec()).await;
     site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
-    load(&site, 20, Duration::from_secs(1), look).await;
-    let follower = (planner(&site) + 1) % site.addresses.len();
-    let heard_itself = |site: &Site| site.log(follower).matches("before=None source=Own").count();
-    let before = heard_itself(&site);
-    site.restart(follower).await.expect("it starts again");
-    site.wait_ready(follower, true).await.expect("it is ready");
-    load(&site, 20, Duration::from_secs(2), look).await;
-    assert_eq!(heard_itself(&site), before, "{}", site.log(follower));
+    send_load(&site, 20, Duration::from_secs(1), lookup).await;
+    let follower = (last_joined_entry(&site) + 1) % site.addresses.len();
+    let own_limit_reports = |site: &Site| site.log(follower).matches("before=None source=Own").count();
+    let before = own_limit_reports(&site);
+    site.restart(follower).await.expect("the entry restarts");
+    site.wait_ready(follower, true).await.expect("the entry is ready");
+    send_load(&site, 20, Duration::from_secs(2), lookup).await;
+    assert_eq!(own_limit_reports(&site), before, "{}", site.log(follower));
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_is_named_no_longer_binds_no_longer() {
-    let site = site("limits-over", Spec { engines: 2, plain: 2, ..fleet() }).await;
-    let all = || site.engines.iter().chain(&site.plain);
-    all().for_each(|replica| replica.name_limit(Some("1")));
-    tokio::join!(load(&site, 10, Duration::from_secs(3), prompt), load(&site, 10, Duration::from_secs(3), look));
-    all().for_each(|replica| replica.name_limit(None));
+async fn a_withdrawn_limit_no_longer_applies() {
+    let site = start_site("limits-over", Spec { engines: 2, plain: 2, ..default_spec() }).await;
+    let replicas = || site.engines.iter().chain(&site.plain);
+    replicas().for_each(|replica| replica.name_limit(Some("1")));
+    tokio::join!(
+        send_load(&site, 10, Duration::from_secs(3), prompt),
+        send_load(&site, 10, Duration::from_secs(3), lookup)
+    );
+    replicas().for_each(|replica| replica.name_limit(None));
     // Each replica gets at least one request per second, whose response shows that the limit is gone.
-    tokio::join!(load(&site, 10, Duration::from_secs(3), prompt), load(&site, 10, Duration::from_secs(3), look));
-    let (prompts, looks) =
-        tokio::join!(load(&site, 10, Duration::from_secs(2), prompt), load(&site, 10, Duration::from_secs(2), look));
-    assert_eq!(served(&prompts), prompts.len(), "prompts");
-    assert_eq!(served(&looks), looks.len(), "calls");
+    tokio::join!(
+        send_load(&site, 10, Duration::from_secs(3), prompt),
+        send_load(&site, 10, Duration::from_secs(3), lookup)
+    );
+    let (prompts, lookups) = tokio::join!(
+        send_load(&site, 10, Duration::from_secs(2), prompt),
+        send_load(&site, 10, Duration::from_secs(2), lookup)
+    );
+    assert_eq!(count_served(&prompts), prompts.len(), "prompts");
+    assert_eq!(count_served(&lookups), lookups.len(), "calls");
     site.close().expect("no invariant was breached");
 }
