--- a/standin/tests/platform_members.rs
+++ b/standin/tests/platform_members.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use common::load::{load, look, served};
-use common::until;
+use common::load::{count_served, lookup, send_load};
+use common::wait_until;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -13,52 +13,57 @@
 use standin::platform::{Ask, Fault, HOST, Site, Spec, send};
 
 /// Time within which the entries of a site have found each other.
-const TOGETHER: Duration = Duration::from_millis(1_500);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-async fn site(name: &str, entries: usize) -> Site {
-    site_with(name, entries, "").await
+async fn start_site(name: &str, entries: usize) -> Site {
+    start_site_with_bounds(name, entries, "").await
 }
 
 /// Starts a site with long bounds, because entries on a busy machine need a while for thousands of records.
-async fn patient_site(name: &str, entries: usize) -> Site {
-    site_with(name, entries, "drain_ms = 20000\nconfig_apply_ms = 20000\nrevoke_ms = 20000\nevacuate_ms = 20000").await
+async fn start_site_with_long_bounds(name: &str, entries: usize) -> Site {
+    start_site_with_bounds(
+        name,
+        entries,
+        "drain_ms = 20000\nconfig_apply_ms = 20000\nrevoke_ms = 20000\nevacuate_ms = 20000",
+    )
+    .await
 }
 
-async fn site_with(name: &str, entries: usize, bounds: &str) -> Site {
+async fn start_site_with_bounds(name: &str, entries: usize, bounds: &str) -> Site {
     let spec = Spec { entries, seeded: true, bounds: bounds.to_owned(), ..Spec::small(name) };
     let site = Site::start(spec).await.expect("the site starts");
-    tokio::time::sleep(TOGETHER).await;
+    tokio::time::sleep(DISCOVERY_TIMEOUT).await;
     site
 }
 
 /// Returns the number of calls to the store by all entries but the leader.
 fn calls_of_others(site: &Site, leader: usize) -> u64 {
     let others = site.doors.iter().enumerate().filter(|(entry, _)| *entry != leader);
-    others.map(|(_, door)| door.calls()).sum()
+    others.map(|(_, listener)| listener.calls()).sum()
 }
 
 /// Returns the entries that follow no other entry, according to the last line about this in each log.
 fn leaders(site: &Site) -> Vec<usize> {
-    let follows = |entry: &usize| {
+    let is_follower = |entry: &usize| {
         let log = site.log(*entry);
-        let ends = ["step=leader-lost", "step=leader-left", "step=start "].map(|step| log.rfind(step));
-        log.rfind("step=following") > ends.into_iter().max().flatten()
+        let last_leader_changes = ["step=leader-lost", "step=leader-left", "step=start "].map(|step| log.rfind(step));
+        log.rfind("step=following") > last_leader_changes.into_iter().max().flatten()
     };
-    (0..site.doors.len()).filter(|entry| !follows(entry)).collect()
+    (0..site.doors.len()).filter(|entry| !is_follower(entry)).collect()
 }
 
 /// Waits until all entries follow one leader and returns it: the first entry in most runs, another if that one started
 /// late.
 async fn leader(site: &Site) -> usize {
-    until("one leads all", || std::future::ready(leaders(site).len() == 1)).await;
+    wait_until("one entry leads all others", || std::future::ready(leaders(site).len() == 1)).await;
     leaders(site)[0]
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_start_costs_the_store_does_not_grow_with_the_entries() {
+async fn store_calls_at_start_do_not_grow_with_the_number_of_entries() {
     let mut calls = Vec::new();
     for entries in [4, 16] {
-        let site = site(&format!("members-start-{entries}"), entries).await;
+        let site = start_site(&format!("members-start-{entries}"), entries).await;
         let leader = leader(&site).await;
         calls.push(calls_of_others(&site, leader));
         site.close().expect("no invariant was breached");
@@ -68,22 +73,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_are_started_again_together_ask_those_that_are_there() {
-    let mut site = site("members-again", 12).await;
+async fn entries_restarted_together_get_their_data_from_running_peers() {
+    let mut site = start_site("members-again", 12).await;
     let leader = leader(&site).await;
-    let again: Vec<usize> = (0..12).filter(|entry| *entry != leader).skip(3).collect();
+    let restarted: Vec<usize> = (0..12).filter(|entry| *entry != leader).skip(3).collect();
     let before = calls_of_others(&site, leader);
-    for &entry in &again {
+    for &entry in &restarted {
         site.signal(entry, Signal::KILL).expect("killed");
     }
-    for &entry in &again {
-        site.restart(entry).await.expect("started again");
+    for &entry in &restarted {
+        site.restart(entry).await.expect("the process restarts");
     }
-    for &entry in &again {
+    for &entry in &restarted {
         site.wait_ready(entry, true).await.expect("ready");
     }
-    let seen = load(&site, 40, Duration::from_secs(1), look).await;
-    assert_eq!(served(&seen), seen.len());
+    let outcomes = send_load(&site, 40, Duration::from_secs(1), lookup).await;
+    assert_eq!(count_served(&outcomes), outcomes.len());
     let calls = calls_of_others(&site, leader) - before;
     assert!(calls < 8, "{calls} calls for 8 entries");
     site.close().expect("no invariant was breached");
@@ -91,40 +96,40 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn who_leads_next_is_known_beforehand() {
-    let site = site("members-succession", 8).await;
-    let lost = leader(&site).await;
-    let before = calls_of_others(&site, lost);
-    site.signal(lost, Signal::KILL).expect("killed");
-    tokio::time::sleep(TOGETHER * 2).await;
-    let left: Vec<usize> = leaders(&site).into_iter().filter(|entry| *entry != lost).collect();
-    assert_eq!(left.len(), 1, "one leads all that are left: {left:?}");
+    let site = start_site("members-succession", 8).await;
+    let lost_leader = leader(&site).await;
+    let before = calls_of_others(&site, lost_leader);
+    site.signal(lost_leader, Signal::KILL).expect("killed");
+    tokio::time::sleep(DISCOVERY_TIMEOUT * 2).await;
+    let remaining_leaders: Vec<usize> = leaders(&site).into_iter().filter(|entry| *entry != lost_leader).collect();
+    assert_eq!(remaining_leaders.len(), 1, "one entry leads all remaining ones: {remaining_leaders:?}");
     // The new leader reads for all entries: five calls per second, and the list of entries.
-    let calls = calls_of_others(&site, lost) - before;
+    let calls = calls_of_others(&site, lost_leader) - before;
     assert!(calls < 30, "{calls} calls");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_the_store_turns_away_makes_no_calls_for_what_others_know() {
-    let mut site = site("members-turned-away", 6).await;
+async fn an_entry_refused_by_the_store_gets_its_data_from_peers() {
+    let mut site = start_site("members-turned-away", 6).await;
     let leader = leader(&site).await;
-    let away = if leader == 3 { 4 } else { 3 };
-    site.doors[away].set(Fault::TooMany);
-    let before = site.doors[away].calls();
-    site.restart(away).await.expect("started again");
-    site.wait_ready(away, true).await.expect("ready");
+    let refused_entry = if leader == 3 { 4 } else { 3 };
+    site.doors[refused_entry].set(Fault::TooMany);
+    let before = site.doors[refused_entry].calls();
+    site.restart(refused_entry).await.expect("the process restarts");
+    site.wait_ready(refused_entry, true).await.expect("ready");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let calls = site.doors[away].calls() - before;
+    let calls = site.doors[refused_entry].calls() - before;
     assert!(calls < 3, "{calls} calls");
     site.close().expect("no invariant was breached");
 }
 
 /// One read is enough for all entries, and the leader that the store refuses requests it.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_it_costs_that_the_leader_is_turned_away_does_not_grow_with_the_entries() {
-    let mut asked_for = Vec::new();
+async fn store_calls_for_a_refused_leader_do_not_grow_with_the_number_of_entries() {
+    let mut calls_by_size = Vec::new();
     for entries in [4, 16] {
-        let site = site(&format!("members-deputies-{entries}"), entries).await;
+        let site = start_site(&format!("members-deputies-{entries}"), entries).await;
         let leader = leader(&site).await;
         let before = calls_of_others(&site, leader);
         site.doors[leader].set(Fault::TooMany);
@@ -134,37 +139,37 @@
         // An entry that reads the records for another one also reads the quarantine.
         assert!(quarantine <= records, "{entries}: {quarantine} of {records}");
         assert!(calls as f64 <= configuration + records + quarantine, "{entries}: {calls}");
-        asked_for.push(configuration + records);
+        calls_by_size.push(configuration + records);
         // No entry has lost the configuration in the meantime.
-        let seen = load(&site, 40, Duration::from_secs(1), look).await;
-        assert_eq!(served(&seen), seen.len());
+        let outcomes = send_load(&site, 40, Duration::from_secs(1), lookup).await;
+        assert_eq!(count_served(&outcomes), outcomes.len());
         site.close().expect("no invariant was breached");
     }
-    assert!(asked_for[0] > 0.0 && asked_for[1] < asked_for[0] * 1.25, "{asked_for:?}");
+    assert!(calls_by_size[0] > 0.0 && calls_by_size[1] < calls_by_size[0] * 1.25, "{calls_by_size:?}");
 }
 
 /// Returns the number of calls that all entries but one have made for the configuration, the replica records and the
 /// quarantine.
-async fn calls_by_topic(site: &Site, without: usize) -> [f64; 3] {
+async fn calls_by_topic(site: &Site, excluded: usize) -> [f64; 3] {
     let mut calls = [0.0; 3];
-    for entry in (0..site.addresses.len()).filter(|entry| *entry != without) {
+    for entry in (0..site.addresses.len()).filter(|entry| *entry != excluded) {
         for (calls, topic) in calls.iter_mut().zip(["keyed.op", "keyed.servers", "keyed.quarantine"]) {
-            *calls += labelled(site, entry, "sorrelpass_store_calls", &format!("topic=\"{topic}\"")).await;
+            *calls += metric_with_label(site, entry, "sorrelpass_store_calls", &format!("topic=\"{topic}\"")).await;
         }
     }
     calls
 }
 
 /// Returns the value of a metric of an entry, summed over all labels.
-async fn metric(site: &Site, entry: usize, name: &str) -> f64 {
-    labelled(site, entry, name, "").await
+async fn metric_total(site: &Site, entry: usize, name: &str) -> f64 {
+    metric_with_label(site, entry, name, "").await
 }
 
 /// Returns the value of a metric of an entry, summed over the lines that contain `label`.
-async fn labelled(site: &Site, entry: usize, name: &str, label: &str) -> f64 {
-    let ask = Ask { headers: Vec::new(), ..Ask::new("GET", "/metrics", "", "") };
-    let seen = send(&site.ready[entry], HOST, &ask).await.expect("the metrics");
-    let lines = seen.body.lines().filter(|line| line.starts_with(name) && line.contains(label));
+async fn metric_with_label(site: &Site, entry: usize, name: &str, label: &str) -> f64 {
+    let request = Ask { headers: Vec::new(), ..Ask::new("GET", "/metrics", "", "") };
+    let outcome = send(&site.ready[entry], HOST, &request).await.expect("the metrics");
+    let lines = outcome.body.lines().filter(|line| line.starts_with(name) && line.contains(label));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
@@ -183,52 +188,61 @@
 }
 
 /// Returns the number of replica updates that an entry has logged, repeated ones included.
-fn told(site: &Site, entry: usize) -> usize {
+fn count_received_updates(site: &Site, entry: usize) -> usize {
     let log = site.log(entry);
     let updates = log.split("step=replicas changed=").skip(1);
-    updates.filter_map(|rest| rest.split_whitespace().next()?.parse::<usize>().ok()).sum()
+    updates.filter_map(|remainder| remainder.split_whitespace().next()?.parse::<usize>().ok()).sum()
 }
 
 /// Guards against a second request for a snapshot that is in transit: it makes the first answer obsolete, and on a
 /// link that is slower than the interval between requests no answer would ever be accepted.
 #[tokio::test(flavor = "multi_thread")]
-async fn newcomers_that_start_together_get_one_picture_each() {
+async fn entries_that_join_together_receive_one_snapshot_each() {
     const REPLICAS: usize = 4_000;
-    const NEWCOMERS: usize = 8;
-    const MOST_BYTES_EACH: f64 = 60.0;
-    let mut site = patient_site("members-pictures", NEWCOMERS + 1).await;
+    const JOINING_ENTRIES: usize = 8;
+    const MAX_BYTES_PER_RECORD: f64 = 60.0;
+    let mut site = start_site_with_long_bounds("members-pictures", JOINING_ENTRIES + 1).await;
     add_records(&site, REPLICAS);
     let leader = leader(&site).await;
-    let newcomers: Vec<usize> = (0..=NEWCOMERS).filter(|entry| *entry != leader).collect();
-    let all_told = |site: &Site, times: usize| newcomers.iter().all(|entry| told(site, *entry) >= times * REPLICAS);
-    until("all are told of them", || std::future::ready(all_told(&site, 1))).await;
-    let sent = metric(&site, leader, "sorrelpass_peer_bytes").await;
-    for &entry in &newcomers {
-        site.restart(entry).await.expect("started again");
+    let joining_entries: Vec<usize> = (0..=JOINING_ENTRIES).filter(|entry| *entry != leader).collect();
+    let all_received = |site: &Site, times: usize| {
+        joining_entries.iter().all(|entry| count_received_updates(site, *entry) >= times * REPLICAS)
+    };
+    wait_until("all joining entries have all records", || std::future::ready(all_received(&site, 1))).await;
+    let sent = metric_total(&site, leader, "sorrelpass_peer_bytes").await;
+    for &entry in &joining_entries {
+        site.restart(entry).await.expect("the process restarts");
     }
-    until("all are told of them again", || std::future::ready(all_told(&site, 2))).await;
-    let bytes = (metric(&site, leader, "sorrelpass_peer_bytes").await - sent) / (REPLICAS * NEWCOMERS) as f64;
-    assert!(bytes < MOST_BYTES_EACH, "{bytes} bytes for each replica and newcomer");
+    wait_until("all joining entries have all records again", || std::future::ready(all_received(&site, 2))).await;
+    let bytes =
+        (metric_total(&site, leader, "sorrelpass_peer_bytes").await - sent) / (REPLICAS * JOINING_ENTRIES) as f64;
+    assert!(bytes < MAX_BYTES_PER_RECORD, "{bytes} bytes per replica and joining entry");
     site.close().expect("no invariant was breached");
 }
 
 /// The target fleet has 12,000 engines; twice that number fits, in few bytes and without a call to the store.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_newcomer_hears_of_24000_replicas_from_the_one_that_it_follows() {
+async fn a_joining_entry_receives_24000_replicas_from_its_leader() {
     const REPLICAS: usize = 24_000;
-    const MOST_BYTES_EACH: f64 = 40.0;
-    let mut site = patient_site("members-many", 2).await;
+    const MAX_BYTES_PER_RECORD: f64 = 40.0;
+    let mut site = start_site_with_long_bounds("members-many", 2).await;
     let leader = leader(&site).await;
-    let newcomer = 1 - leader;
+    let joining_entry = 1 - leader;
     add_records(&site, REPLICAS);
-    until("it is told of them", || std::future::ready(told(&site, newcomer) >= REPLICAS)).await;
-    let (calls, sent) = (site.doors[newcomer].calls(), metric(&site, leader, "sorrelpass_peer_bytes").await);
-    site.restart(newcomer).await.expect("started again");
-    site.wait_ready(newcomer, true).await.expect("ready");
-    until("it is told of them again", || std::future::ready(told(&site, newcomer) >= 2 * REPLICAS)).await;
-    let bytes = (metric(&site, leader, "sorrelpass_peer_bytes").await - sent) / REPLICAS as f64;
-    assert!(bytes < MOST_BYTES_EACH, "{bytes} bytes for each");
-    assert!(site.doors[newcomer].calls() <= calls + 1, "it reads nothing for itself");
-    assert_eq!(site.log(newcomer).matches("step=replica ").count(), 0, "one line for all");
+    wait_until("the joining entry has all records", || {
+        std::future::ready(count_received_updates(&site, joining_entry) >= REPLICAS)
+    })
+    .await;
+    let (calls, sent) = (site.doors[joining_entry].calls(), metric_total(&site, leader, "sorrelpass_peer_bytes").await);
+    site.restart(joining_entry).await.expect("the process restarts");
+    site.wait_ready(joining_entry, true).await.expect("ready");
+    wait_until("the joining entry has all records again", || {
+        std::future::ready(count_received_updates(&site, joining_entry) >= 2 * REPLICAS)
+    })
+    .await;
+    let bytes = (metric_total(&site, leader, "sorrelpass_peer_bytes").await - sent) / REPLICAS as f64;
+    assert!(bytes < MAX_BYTES_PER_RECORD, "{bytes} bytes per replica");
+    assert!(site.doors[joining_entry].calls() <= calls + 1, "the joining entry reads nothing from the store");
+    assert_eq!(site.log(joining_entry).matches("step=replica ").count(), 0, "one log line for all replicas");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_rest.rs
+++ b/standin/tests/platform_rest.rs
@@ -6,153 +6,163 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::load::{entry_of, load, look, prompt, served};
+use common::load::{count_served, lookup, prompt, receiving_entry, send_load};
 use standin::platform::{Act, Ask, Replica, Run, Seen, Site, Spec};
 
 /// Backoff that replicas ask for, also as the text in their responses.
-const REST: Duration = Duration::from_secs(2);
-const REST_TEXT: &str = "2";
+const BACKOFF: Duration = Duration::from_secs(2);
+const BACKOFF_HEADER: &str = "2";
 /// Time after a response from which its backoff is in force.
-const BINDS_AFTER: Duration = Duration::from_millis(500);
+const BACKOFF_APPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of requests that may still reach a replica in backoff.
-const MOST: usize = 2;
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 /// Time that a replica takes to refuse a request, after which the entry knows of the backoff.
-const ANSWERED: Duration = Duration::from_millis(100);
+const REFUSAL_TIME: Duration = Duration::from_millis(100);
 
 /// Maximum time of a refusal that is certain in advance.
-const AT_ONCE: Duration = Duration::from_millis(100);
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(100);
 
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let spec = Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
 /// Returns the replicas, ordered from the most requests to the fewest.
-async fn busiest_first<'a>(site: &Site, replicas: &'a [Arc<Replica>], ask: fn(&str) -> Ask) -> Vec<&'a Arc<Replica>> {
-    load(site, 30, Duration::from_secs(1), ask).await;
+async fn busiest_first<'a>(
+    site: &Site,
+    replicas: &'a [Arc<Replica>],
+    build_request: fn(&str) -> Ask,
+) -> Vec<&'a Arc<Replica>> {
+    send_load(site, 30, Duration::from_secs(1), build_request).await;
     let mut busiest: Vec<&Arc<Replica>> = replicas.iter().collect();
     busiest.sort_by_key(|replica| std::cmp::Reverse(replica.seen().len()));
     busiest
 }
 
 /// Returns the maximum number of requests from one entry during a backoff that the replica asked that entry for.
-fn most_in_a_rest(site: &Site, replica: &Replica) -> usize {
-    let runs: Vec<Run> = replica.seen();
-    let in_rest_of = |refusal: &Run| {
-        let is_in = |run: &&Run| {
-            let after = run.at.saturating_duration_since(refusal.at);
-            after > BINDS_AFTER && after < REST && entry_of(site, run) == entry_of(site, refusal)
+fn max_requests_in_backoff(site: &Site, replica: &Replica) -> usize {
+    let received_requests: Vec<Run> = replica.seen();
+    let requests_in_backoff = |refusal: &Run| {
+        let is_in_backoff = |received: &&Run| {
+            let after = received.at.saturating_duration_since(refusal.at);
+            after > BACKOFF_APPLY_TIMEOUT
+                && after < BACKOFF
+                && receiving_entry(site, received) == receiving_entry(site, refusal)
         };
-        runs.iter().filter(is_in).count()
+        received_requests.iter().filter(is_in_backoff).count()
     };
-    runs.iter().filter(|run| !run.ran).map(in_rest_of).max().unwrap_or(0)
+    received_requests.iter().filter(|received| !received.ran).map(requests_in_backoff).max().unwrap_or(0)
 }
 
-fn assert_rests(site: &Site, replicas: &[Arc<Replica>]) {
+fn assert_backoffs_observed(site: &Site, replicas: &[Arc<Replica>]) {
     for replica in replicas {
-        let most = most_in_a_rest(site, replica);
-        assert!(most <= MOST, "{} got {most} in a rest", replica.id);
+        let max_requests = max_requests_in_backoff(site, replica);
+        assert!(
+            max_requests <= MAX_REQUESTS_IN_BACKOFF,
+            "{} received {max_requests} requests during a backoff",
+            replica.id
+        );
     }
 }
 
 /// Asserts that refusals come within `max_elapsed`, with a time to retry after that fits the backoff.
-fn assert_refused_at_once(seen: &[Seen], most: Duration) {
-    for refused in seen.iter().filter(|seen| seen.status != 200) {
+fn assert_refused_at_once(outcomes: &[Seen], max_requests: Duration) {
+    for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
         assert_eq!(refused.status, 503, "{refused:?}");
-        assert!(refused.took < most, "{refused:?}");
-        let after: f64 = refused.header("retry-after").parse().expect("a time to come back");
-        assert!(after > 0.0 && after < 2.0 * REST.as_secs_f64(), "{refused:?}");
+        assert!(refused.took < max_requests, "{refused:?}");
+        let after: f64 = refused.header("retry-after").parse().expect("a time to retry after");
+        assert!(after > 0.0 && after < 2.0 * BACKOFF.as_secs_f64(), "{refused:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_plain_replica_that_asks_for_rest_costs_nobody_beside_it_an_answer() {
-    let site = site("rest-plain-one").await;
-    busiest_first(&site, &site.plain, look).await[0].ask_rest(Some(REST_TEXT));
-    let seen = load(&site, 30, Duration::from_secs(7), look).await;
-    assert_rests(&site, &site.plain);
-    assert_eq!(served(&seen), seen.len(), "three others have room for all");
+async fn one_plain_replica_in_backoff_causes_no_refusals() {
+    let site = start_site("rest-plain-one").await;
+    busiest_first(&site, &site.plain, lookup).await[0].ask_rest(Some(BACKOFF_HEADER));
+    let outcomes = send_load(&site, 30, Duration::from_secs(7), lookup).await;
+    assert_backoffs_observed(&site, &site.plain);
+    assert_eq!(count_served(&outcomes), outcomes.len(), "three other replicas have capacity for all requests");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_replica_that_refuses_at_once_and_names_no_time_costs_nobody_beside_it_an_answer() {
-    let site = site("refuses-plain-one").await;
-    busiest_first(&site, &site.plain, look).await[0].next([Act::Refuse; 1_000]);
-    let seen = load(&site, 30, Duration::from_secs(7), look).await;
-    assert_eq!(served(&seen), seen.len(), "three others have room for all");
+async fn a_plain_replica_that_refuses_without_retry_after_causes_no_refusals() {
+    let site = start_site("refuses-plain-one").await;
+    busiest_first(&site, &site.plain, lookup).await[0].next([Act::Refuse; 1_000]);
+    let outcomes = send_load(&site, 30, Duration::from_secs(7), lookup).await;
+    assert_eq!(count_served(&outcomes), outcomes.len(), "three other replicas have capacity for all requests");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_that_ask_for_rest_get_it_and_others_the_prompts() {
-    let site = site("rest-engines-two").await;
+async fn engines_in_backoff_get_no_prompts_and_others_serve_them() {
+    let site = start_site("rest-engines-two").await;
     let busiest = busiest_first(&site, &site.engines, prompt).await;
-    busiest[..2].iter().for_each(|engine| engine.ask_rest(Some(REST_TEXT)));
-    let seen = load(&site, 30, Duration::from_secs(7), prompt).await;
-    assert_rests(&site, &site.engines);
-    assert_eq!(served(&seen), seen.len(), "six others have room for all");
+    busiest[..2].iter().for_each(|engine| engine.ask_rest(Some(BACKOFF_HEADER)));
+    let outcomes = send_load(&site, 30, Duration::from_secs(7), prompt).await;
+    assert_backoffs_observed(&site, &site.engines);
+    assert_eq!(count_served(&outcomes), outcomes.len(), "six other engines have capacity for all prompts");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_plain_replicas_ask_for_rest_callers_are_refused_at_once_and_served_after_it() {
-    let site = site("rest-plain-all").await;
-    site.plain.iter().for_each(|replica| replica.ask_rest(Some(REST_TEXT)));
-    let refused = load(&site, 30, Duration::from_secs(5), look).await;
-    assert_rests(&site, &site.plain);
-    assert_eq!(served(&refused), 0);
+async fn calls_are_refused_during_the_backoff_of_all_plain_replicas_and_served_after_it() {
+    let site = start_site("rest-plain-all").await;
+    site.plain.iter().for_each(|replica| replica.ask_rest(Some(BACKOFF_HEADER)));
+    let refused = send_load(&site, 30, Duration::from_secs(5), lookup).await;
+    assert_backoffs_observed(&site, &site.plain);
+    assert_eq!(count_served(&refused), 0);
     assert_refused_at_once(&refused, Duration::from_millis(250));
     site.plain.iter().for_each(|replica| replica.ask_rest(None));
-    tokio::time::sleep(REST).await;
-    let seen = load(&site, 30, Duration::from_secs(1), look).await;
-    assert_eq!(served(&seen), seen.len(), "the rest is over");
+    tokio::time::sleep(BACKOFF).await;
+    let outcomes = send_load(&site, 30, Duration::from_secs(1), lookup).await;
+    assert_eq!(count_served(&outcomes), outcomes.len(), "the backoff is over");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_engines_ask_for_rest_prompts_are_refused_and_served_after_it() {
-    let site = site("rest-engines-all").await;
-    site.engines.iter().for_each(|engine| engine.ask_rest(Some(REST_TEXT)));
-    let refused = load(&site, 30, Duration::from_secs(5), prompt).await;
-    assert_rests(&site, &site.engines);
-    assert_eq!(served(&refused), 0);
-    let at_once = refused.iter().filter(|seen| seen.took < AT_ONCE).count();
+async fn prompts_are_refused_during_the_backoff_of_all_engines_and_served_after_it() {
+    let site = start_site("rest-engines-all").await;
+    site.engines.iter().for_each(|engine| engine.ask_rest(Some(BACKOFF_HEADER)));
+    let refused = send_load(&site, 30, Duration::from_secs(5), prompt).await;
+    assert_backoffs_observed(&site, &site.engines);
+    assert_eq!(count_served(&refused), 0);
+    let prompt_refusals = refused.iter().filter(|outcome| outcome.took < MAX_REFUSAL_TIME).count();
     assert!(
-        at_once > refused.len() / 2,
-        "{at_once} of {}: a rest that outlasts a prompt's patience is no reason to wait",
+        prompt_refusals > refused.len() / 2,
+        "only {prompt_refusals} of {} prompts refused at once: waiting is useless when the backoff outlasts their timeout",
         refused.len()
     );
     site.engines.iter().for_each(|engine| engine.ask_rest(None));
-    tokio::time::sleep(REST).await;
-    let seen = load(&site, 30, Duration::from_secs(1), prompt).await;
-    assert_eq!(served(&seen), seen.len(), "the rest is over");
+    tokio::time::sleep(BACKOFF).await;
+    let outcomes = send_load(&site, 30, Duration::from_secs(1), prompt).await;
+    assert_eq!(count_served(&outcomes), outcomes.len(), "the backoff is over");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_last_replica_at_rest_is_waited_for_where_callers_can_wait() {
+async fn calls_wait_for_a_short_backoff_of_the_only_replica() {
     let site = Site::start(Spec { entries: 1, plain: 1, ..Spec::small("rest-short") }).await.expect("the site starts");
     site.plain[0].ask_rest(Some("0.1"));
-    site.send(0, &look("load-0")).await;
+    site.send(0, &lookup("load-0")).await;
     site.plain[0].ask_rest(None);
     let sent = Instant::now();
-    let seen = site.send(0, &look("load-1")).await;
-    assert_eq!(seen.status, 200, "{seen:?}");
-    assert!(sent.elapsed() < Duration::from_millis(100) + ANSWERED, "half of what its caller wants an answer in");
+    let outcome = site.send(0, &lookup("load-1")).await;
+    assert_eq!(outcome.status, 200, "{outcome:?}");
+    assert!(sent.elapsed() < Duration::from_millis(100) + REFUSAL_TIME, "answered within half the target latency");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rest_that_names_no_time_binds_nobody() {
+async fn an_invalid_backoff_time_is_ignored() {
     for text in ["0", "-3", "soon", "Thu, 03 Dec 2026 11:00:00 GMT"] {
         let site =
             Site::start(Spec { entries: 1, plain: 1, ..Spec::small("rest-none") }).await.expect("the site starts");
         site.plain[0].ask_rest(Some(text));
-        site.send(0, &look("load-0")).await;
+        site.send(0, &lookup("load-0")).await;
         site.plain[0].ask_rest(None);
-        let seen = site.send(0, &look("load-1")).await;
-        assert_eq!(seen.status, 200, "{text}: {seen:?}");
+        let outcome = site.send(0, &lookup("load-1")).await;
+        assert_eq!(outcome.status, 200, "{text}: {outcome:?}");
         site.close().expect("no invariant was breached");
     }
 }
--- a/standin/tests/platform_soak.rs
+++ b/standin/tests/platform_soak.rs
@@ -13,11 +13,11 @@
 
 use standin::platform::soak::{self, Plan};
 
-async fn kept(seed: u64) {
-    play(plan(seed)).await;
+async fn run_seed(seed: u64) {
+    run_soak(plan_with_seed(seed)).await;
 }
 
-fn plan(seed: u64) -> Plan {
+fn plan_with_seed(seed: u64) -> Plan {
     let faults = Duration::from_secs(5);
     Plan {
         seed,
@@ -32,40 +32,40 @@
     }
 }
 
-async fn play(plan: Plan) {
-    let report = soak::run(&plan).await.expect("it runs");
+async fn run_soak(plan: Plan) {
+    let report = soak::run(&plan).await.expect("the soak runs");
     assert!(report.breaches.is_empty(), "{report}");
     assert!(report.statuses.get(&200).is_some_and(|served| *served > 100), "{report}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_7() {
-    kept(7).await;
+    run_seed(7).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_9() {
-    kept(9).await;
+    run_seed(9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_22() {
-    kept(22).await;
+    run_seed(22).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_31_with_work_under_which_engines_end() {
-    play(Plan { fatal: true, ..plan(31) }).await;
+async fn seed_31_with_fatal_requests() {
+    run_soak(Plan { fatal: true, ..plan_with_seed(31) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_107_with_work_under_which_engines_end() {
-    play(Plan { fatal: true, ..plan(107) }).await;
+async fn seed_107_with_fatal_requests() {
+    run_soak(Plan { fatal: true, ..plan_with_seed(107) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_201_beside_replicas_that_name_a_limit() {
-    play(Plan { limits: true, ..plan(201) }).await;
+    run_soak(Plan { limits: true, ..plan_with_seed(201) }).await;
 }
 
 /// Guards against rules that together exclude all usable engines. Under load, six short prompts were held for 0.9 s
@@ -77,27 +77,27 @@
 /// for the whole time, and 15 first events 0.64 s after their sends, 8 s before the end of that time.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_326_beside_replicas_that_name_a_limit() {
-    play(Plan { limits: true, ..plan(326) }).await;
+    run_soak(Plan { limits: true, ..plan_with_seed(326) }).await;
 }
 
 /// Makes the fault above more likely with more clients: of the seeds 301 to 316 with 48 clients, 303, 310 and 315 had
 /// prompts refused in the quiet phase.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_303_with_many_callers_beside_replicas_that_name_a_limit() {
-    play(Plan { limits: true, callers: 48, ..plan(303) }).await;
+    run_soak(Plan { limits: true, callers: 48, ..plan_with_seed(303) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_domain_that_is_emptied_and_taken_back() {
-    play(Plan { evacuations: true, ..plan(401) }).await;
+async fn seed_401_with_evacuations() {
+    run_soak(Plan { evacuations: true, ..plan_with_seed(401) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_6_with_replicas_that_say_they_leave_or_want_rest_and_a_store_that_comes_back_older() {
-    play(Plan { words: true, ..plan(6) }).await;
+async fn seed_6_with_draining_backoff_and_store_recovery() {
+    run_soak(Plan { words: true, ..plan_with_seed(6) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_1032_with_a_refusal_under_way_when_the_rest_is_over() {
-    play(Plan { words: true, ..plan(1032) }).await;
+async fn seed_1032_with_a_refusal_in_flight_when_the_backoff_ends() {
+    run_soak(Plan { words: true, ..plan_with_seed(1032) }).await;
 }
--- a/standin/tests/platform_streams.rs
+++ b/standin/tests/platform_streams.rs
@@ -10,35 +10,37 @@
     Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500")
 }
 
-fn whole_stream(id: &str) -> String {
+fn complete_stream(id: &str) -> String {
     (1..=8).map(|event| format!("id: {event}\ndata: piece {event} of {id}\n\n")).collect()
 }
 
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     Site::start(Spec::small(name)).await.expect("the site starts")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_breaks_mid_event_goes_on_at_another_engine_behind_the_last_whole_event() {
-    let site = site("streams-resume").await;
+    let site = start_site("streams-resume").await;
     site.engines.iter().for_each(|engine| engine.next([Act::BreakAfter(3)]));
-    let seen = site.send(0, &prompt("a1")).await;
+    let outcome = site.send(0, &prompt("a1")).await;
     // The second engine aborts the stream too, and only two attempts are allowed.
-    assert!(!seen.whole, "{seen:?}");
-    assert_eq!(seen.body, whole_stream("a1").split_inclusive("\n\n").take(6).collect::<String>());
-    while site.send(0, &prompt("spend")).await.body != whole_stream("spend") {}
+    assert!(!outcome.whole, "{outcome:?}");
+    assert_eq!(outcome.body, complete_stream("a1").split_inclusive("\n\n").take(6).collect::<String>());
+    while site.send(0, &prompt("spend")).await.body != complete_stream("spend") {}
     // Each entry prefers different engines; the engine that answered last is the one preferred for short answers.
-    let last = |engine: &Arc<Replica>| engine.seen().last().map(|run| run.at);
-    let writer = (0..site.engines.len()).max_by_key(|index| last(&site.engines[*index])).expect("one wrote");
-    site.engines[writer].next([Act::BreakAfter(3)]);
+    let last_request_at = |engine: &Arc<Replica>| engine.seen().last().map(|received| received.at);
+    let last_engine =
+        (0..site.engines.len()).max_by_key(|index| last_request_at(&site.engines[*index])).expect("an engine answered");
+    site.engines[last_engine].next([Act::BreakAfter(3)]);
     let mut resumed = None;
     for number in 0..20 {
         let id = format!("r{number}");
-        let seen = site.send(0, &prompt(&id)).await;
-        assert_eq!(seen.body, whole_stream(&id), "{seen:?}");
-        let runs: Vec<_> = site.engines.iter().flat_map(|engine| engine.seen()).filter(|run| run.id == id).collect();
-        if runs.len() == 2 {
-            resumed = runs.into_iter().find_map(|run| run.headers.get("last-event-id").cloned());
+        let outcome = site.send(0, &prompt(&id)).await;
+        assert_eq!(outcome.body, complete_stream(&id), "{outcome:?}");
+        let received_requests: Vec<_> =
+            site.engines.iter().flat_map(|engine| engine.seen()).filter(|received| received.id == id).collect();
+        if received_requests.len() == 2 {
+            resumed = received_requests.into_iter().find_map(|received| received.headers.get("last-event-id").cloned());
             break;
         }
     }
@@ -48,109 +50,111 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_may_not_be_resumed_breaks_visibly_and_runs_once() {
-    let site = site("streams-once").await;
+    let site = start_site("streams-once").await;
     site.configure(&[KEY], |config| config["routes"][0]["stream_resume"] = json!(false));
     tokio::time::sleep(Duration::from_millis(300)).await;
     site.engines.iter().for_each(|engine| engine.next([Act::BreakAfter(3)]));
-    let seen = site.send(0, &prompt("b1")).await;
-    assert_eq!((seen.status, seen.whole), (200, false), "{seen:?}");
+    let outcome = site.send(0, &prompt("b1")).await;
+    assert_eq!((outcome.status, outcome.whole), (200, false), "{outcome:?}");
     assert_eq!(site.engines.iter().map(|engine| engine.ran("b1")).sum::<usize>(), 1);
     site.close().expect("no invariant was breached");
 }
 
 /// Sends a prompt to an engine that accepts it and stays unresponsive. Returns the outcome at the client, the elapsed
 /// time and the index of the engine.
-async fn send_to_mute(site: &Site, id: &str) -> (Seen, Duration, usize) {
+async fn send_to_unresponsive(site: &Site, id: &str) -> (Seen, Duration, usize) {
     // Entries that have just found each other do not yet limit the wait for a first event.
     tokio::time::sleep(Duration::from_millis(600)).await;
     // An entry prefers the same engine among idle ones, so the next prompt goes there too.
     assert_eq!(site.send(0, &prompt("first")).await.status, 200);
-    let mute = site.engines.iter().position(|engine| engine.ran("first") > 0).expect("one ran it");
-    site.engines[mute].next([Act::Stall(5_000)]);
+    let unresponsive =
+        site.engines.iter().position(|engine| engine.ran("first") > 0).expect("an engine ran the prompt");
+    site.engines[unresponsive].next([Act::Stall(5_000)]);
     let sent = Instant::now();
-    let seen = site.send(0, &prompt(id)).await;
-    assert_eq!(site.engines[mute].ran(id), 1, "it was sent there");
-    (seen, sent.elapsed(), mute)
+    let outcome = site.send(0, &prompt(id)).await;
+    assert_eq!(site.engines[unresponsive].ran(id), 1, "the prompt was sent to the unresponsive engine");
+    (outcome, sent.elapsed(), unresponsive)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_from_which_nothing_comes_is_sent_to_another_engine() {
-    let site = site("streams-mute").await;
-    let (seen, took, mute) = send_to_mute(&site, "m1").await;
-    assert_eq!(seen.body, whole_stream("m1"), "{seen:?}");
-    assert!(took < Duration::from_millis(2_000), "{took:?}");
-    assert!(site.engines[mute].cancelled("m1").is_some(), "the first engine was told");
+async fn a_prompt_on_an_unresponsive_engine_is_resent_to_another() {
+    let site = start_site("streams-mute").await;
+    let (outcome, elapsed, unresponsive) = send_to_unresponsive(&site, "m1").await;
+    assert_eq!(outcome.body, complete_stream("m1"), "{outcome:?}");
+    assert!(elapsed < Duration::from_millis(2_000), "{elapsed:?}");
+    assert!(site.engines[unresponsive].cancelled("m1").is_some(), "the request was cancelled at the first engine");
     assert_eq!(site.engines.iter().map(|engine| engine.ran("m1")).sum::<usize>(), 2);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_that_may_run_once_is_not_sent_again_though_nothing_comes() {
-    let site = site("streams-mute-once").await;
+async fn a_prompt_that_may_run_once_is_not_resent_from_an_unresponsive_engine() {
+    let site = start_site("streams-mute-once").await;
     site.configure(&[KEY], |config| config["routes"][0]["stream_resume"] = json!(false));
-    let (seen, _, _) = send_to_mute(&site, "m2").await;
-    assert_eq!((seen.status, seen.header("x-sorrelpass-ran")), (504, "unknown"), "{seen:?}");
+    let (outcome, _, _) = send_to_unresponsive(&site, "m2").await;
+    assert_eq!((outcome.status, outcome.header("x-sorrelpass-ran")), (504, "unknown"), "{outcome:?}");
     assert_eq!(site.engines.iter().map(|engine| engine.ran("m2")).sum::<usize>(), 1);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_ends_the_work_before_and_after_the_first_event() {
-    let site = site("streams-cancel").await;
-    for (id, act, leave) in [("c1", Act::Stall(5_000), 150), ("c2", Act::Serve, 70)] {
-        site.engines.iter().for_each(|engine| engine.next([act]));
-        let left = Instant::now() + Duration::from_millis(leave);
-        site.send(0, &Ask { leave_after: Some(Duration::from_millis(leave)), ..prompt(id) }).await;
+    let site = start_site("streams-cancel").await;
+    for (id, behavior, disconnect_ms) in [("c1", Act::Stall(5_000), 150), ("c2", Act::Serve, 70)] {
+        site.engines.iter().for_each(|engine| engine.next([behavior]));
+        let disconnected_at = Instant::now() + Duration::from_millis(disconnect_ms);
+        site.send(0, &Ask { leave_after: Some(Duration::from_millis(disconnect_ms)), ..prompt(id) }).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
         let cancelled = site.engines.iter().find_map(|engine| engine.cancelled(id));
-        let after = cancelled.expect("the engine was told").saturating_duration_since(left);
-        assert!(after < Duration::from_millis(500), "{id}: {after:?}");
+        let delay =
+            cancelled.expect("the request was cancelled at the engine").saturating_duration_since(disconnected_at);
+        assert!(delay < Duration::from_millis(500), "{id}: {delay:?}");
     }
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_is_not_over_in_its_time_is_broken_off() {
-    let site = site("streams-late").await;
+    let site = start_site("streams-late").await;
     site.engines.iter().for_each(|engine| engine.next([Act::Stall(5_000)]));
-    let seen = site.send(0, &prompt("d1").with("x-note", "late")).await;
-    assert_eq!(seen.status, 504, "{seen:?}");
-    assert!(seen.took < Duration::from_millis(3_000), "{:?}", seen.took);
+    let outcome = site.send(0, &prompt("d1").with("x-note", "late")).await;
+    assert_eq!(outcome.status, 504, "{outcome:?}");
+    assert!(outcome.took < Duration::from_millis(3_000), "{:?}", outcome.took);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answers_errors_is_left_alone() {
-    let site = site("streams-errors").await;
-    let bad = &site.engines[0];
-    bad.next(std::iter::repeat_n(Act::Fail, 1_000));
+    let site = start_site("streams-errors").await;
+    let failing_engine = &site.engines[0];
+    failing_engine.next(std::iter::repeat_n(Act::Fail, 1_000));
     for number in 0..60 {
-        let seen = site.send(number % 2, &prompt(&format!("f{number}"))).await;
-        assert_eq!((seen.status, seen.whole), (200, true), "{seen:?}");
+        let outcome = site.send(number % 2, &prompt(&format!("f{number}"))).await;
+        assert_eq!((outcome.status, outcome.whole), (200, true), "{outcome:?}");
     }
     // Sixty prompts take about ten seconds; without an ejection nearly all of them would go to the failing engine.
-    assert!(bad.seen().len() <= 10, "{}", bad.seen().len());
+    assert!(failing_engine.seen().len() <= 10, "{}", failing_engine.seen().len());
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_says_that_it_is_slow_gets_no_prompts_until_it_is_sound_again() {
-    let site = site("streams-pace").await;
+async fn an_engine_that_reports_a_slowdown_gets_no_prompts_until_it_recovers() {
+    let site = start_site("streams-pace").await;
     tokio::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(site.send(0, &prompt("first")).await.status, 200);
-    let slow = site.engines.iter().position(|engine| engine.ran("first") > 0).expect("one ran it");
-    site.engines[slow].tell_pace(6.0);
-    site.engines[slow].next([Act::Stall(600)]);
+    let slow_engine = site.engines.iter().position(|engine| engine.ran("first") > 0).expect("an engine ran the prompt");
+    site.engines[slow_engine].tell_pace(6.0);
+    site.engines[slow_engine].next([Act::Stall(600)]);
     assert_eq!(site.send(0, &prompt("late")).await.status, 200);
-    assert!(site.engines[slow].reports() > 0, "it was late, and is asked why");
+    assert!(site.engines[slow_engine].reports() > 0, "the entry asks the late engine for its report");
     for number in 0..4 {
         assert_eq!(site.send(number % 2, &prompt(&format!("p{number}"))).await.status, 200);
     }
-    assert_eq!(site.engines[slow].seen().len(), 2, "nothing more went to it");
-    site.engines[slow].tell_pace(1.0);
+    assert_eq!(site.engines[slow_engine].seen().len(), 2, "the slow engine got no more prompts");
+    site.engines[slow_engine].tell_pace(1.0);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     // An entry prefers the same engine among idle ones.
     assert_eq!(site.send(0, &prompt("again")).await.status, 200);
-    assert_eq!(site.engines[slow].ran("again"), 1, "it is as good as before");
+    assert_eq!(site.engines[slow_engine].ran("again"), 1, "the recovered engine is preferred again");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/whole_answers.rs
+++ b/standin/tests/whole_answers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{close, fleet, prompt, start, until};
+use common::{close_fleet, prompt, start_fleet, start_small_fleet, wait_until};
 use rustix::process::Signal;
 use serde_json::json;
 use standin::fleet::{Fleet, Spec};
@@ -23,80 +23,83 @@
 }
 
 /// Streams a prompt and executes `act` with the name of the engine that runs it, while the stream is under way.
-async fn interrupted(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet, &str)) {
+async fn interrupt_stream(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet, &str)) {
     let prompt = prompt(1_000, 400, 3);
-    let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (outcome, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         let name = busy_engine(fleet).await.expect("an engine runs the prompt");
         act(fleet, &name).await;
     });
-    assert_eq!(seen.error, None);
-    assert_eq!(seen.failure, None);
-    assert!(seen.ended);
-    assert_eq!(seen.text, prompt.expected(), "the answer is whole although its engine was lost");
+    assert_eq!(outcome.error, None);
+    assert_eq!(outcome.failure, None);
+    assert!(outcome.ended);
+    assert_eq!(outcome.text, prompt.expected(), "the answer is complete although its engine was lost");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_engine_dies_goes_on_elsewhere() {
-    let fleet = fleet("engine-dies").await;
-    interrupted(&fleet, async |fleet, name| fleet.signal(name, Signal::KILL).expect("the engine is killed")).await;
-    close(fleet).await;
+    let fleet = start_small_fleet("engine-dies").await;
+    interrupt_stream(&fleet, async |fleet, name| fleet.signal(name, Signal::KILL).expect("the engine is killed")).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_sidecar_dies_goes_on_elsewhere() {
-    let fleet = fleet("sidecar-dies").await;
+    let fleet = start_small_fleet("sidecar-dies").await;
     let kill = async |fleet: &Fleet, name: &str| {
         fleet.signal(&format!("sidecar-{name}"), Signal::KILL).expect("the sidecar is killed");
     };
-    interrupted(&fleet, kill).await;
+    interrupt_stream(&fleet, kill).await;
     let breaches = fleet.breaches().expect("logs can be read");
     assert!(breaches.is_empty(), "{breaches:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_engine_freezes_goes_on_elsewhere() {
-    let fleet = fleet("engine-freezes").await;
+    let fleet = start_small_fleet("engine-freezes").await;
     let freeze = async |fleet: &Fleet, name: &str| {
         fleet.fault(name, &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
     };
-    interrupted(&fleet, freeze).await;
-    close(fleet).await;
+    interrupt_stream(&fleet, freeze).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_sidecar_freezes_goes_on_elsewhere() {
-    let fleet = fleet("sidecar-freezes").await;
+    let fleet = start_small_fleet("sidecar-freezes").await;
     let freeze = async |fleet: &Fleet, name: &str| {
         fleet.signal(&format!("sidecar-{name}"), Signal::STOP).expect("the sidecar is stopped");
     };
-    interrupted(&fleet, freeze).await;
-    close(fleet).await;
+    interrupt_stream(&fleet, freeze).await;
+    close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_engine_and_then_next_sidecar_die_goes_on_elsewhere() {
-    let fleet = start(Spec { engines: 4, ..Spec::small("twice") }).await;
-    let twice = async |fleet: &Fleet, name: &str| {
+    let fleet = start_fleet(Spec { engines: 4, ..Spec::small("twice") }).await;
+    let kill_two = async |fleet: &Fleet, name: &str| {
         fleet.signal(name, Signal::KILL).expect("the engine is killed");
-        until("another engine goes on", || async { busy_engine(fleet).await.is_some_and(|other| other != name) }).await;
-        let other = busy_engine(fleet).await.expect("another engine goes on");
-        fleet.signal(&format!("sidecar-{other}"), Signal::KILL).expect("the sidecar is killed");
+        wait_until("another engine continues the stream", || async {
+            busy_engine(fleet).await.is_some_and(|next_engine| next_engine != name)
+        })
+        .await;
+        let next_engine = busy_engine(fleet).await.expect("another engine continues the stream");
+        fleet.signal(&format!("sidecar-{next_engine}"), Signal::KILL).expect("the sidecar is killed");
     };
-    interrupted(&fleet, twice).await;
+    interrupt_stream(&fleet, kill_two).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn many_streams_at_once_are_never_mixed_up() {
-    let fleet = fleet("many").await;
+    let fleet = start_small_fleet("many").await;
     let streams = (0..60).map(|seed| {
         let fleet = &fleet;
         async move {
             let prompt = prompt(200 + 37 * seed as usize, 40, seed);
-            let seen = fleet.client.prompt(&fleet.entries[seed as usize % 2], &prompt).await;
-            assert_eq!(seen.text, prompt.expected(), "{seen:?}");
+            let outcome = fleet.client.prompt(&fleet.entries[seed as usize % 2], &prompt).await;
+            assert_eq!(outcome.text, prompt.expected(), "{outcome:?}");
         }
     });
     futures_util::future::join_all(streams).await;
-    close(fleet).await;
+    close_fleet(fleet).await;
 }
