--- a/standin/tests/bad_input.rs
+++ b/standin/tests/bad_input.rs
@@ -79,8 +79,9 @@
 async fn a_refused_caller_that_still_writes_reads_its_refusal() {
     let fleet = start_small_fleet("endless-head").await;
     let address = fleet.entries[0].clone();
-    let line =
-        tokio::task::spawn_blocking(move || status_line_of_an_endless_head(&address)).await.expect("the request ran");
+    let line = tokio::task::spawn_blocking(move || status_line_of_an_endless_head(&address))
+        .await
+        .expect("the thread completes");
     assert!(line.starts_with("HTTP/1.1 431"), "{line}");
     close_fleet(fleet).await;
 }
--- a/standin/tests/configuration.rs
+++ b/standin/tests/configuration.rs
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_frozen_through_changes_catches_up_and_never_shows_an_older_revision() {
+async fn an_entry_suspended_during_changes_catches_up_and_never_shows_an_older_revision() {
     let fleet = start_small_fleet("frozen-entry").await;
     fleet.signal("entry-1", Signal::STOP).expect("the entry is stopped");
     let mut accepted = 0;
--- a/standin/tests/gangs.rs
+++ b/standin/tests/gangs.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_of_more_than_two_engines_runs_whole() {
+async fn a_prompt_larger_than_two_engines_is_answered_completely() {
     let fleet = start_fleet(small_engines_spec("gang")).await;
     let prompt = prompt(100_000, 30, 1);
     let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn several_gangs_at_once_do_not_wait_for_each_other_for_ever() {
+async fn concurrent_gangs_do_not_deadlock() {
     let fleet = start_fleet(small_engines_spec("gangs")).await;
     let prompts: Vec<_> = (0..4)
         .map(|seed| {
@@ -74,12 +74,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_member_engine_killed_midway() {
+async fn a_gang_prompt_completes_or_fails_when_an_engine_is_killed() {
     kill_during_prefill("gang-engine", |index| format!("market-advisor-{index}")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_killed_midway_leaves_nothing_held() {
+async fn an_entry_killed_during_prefill_leaves_no_reservation() {
     let fleet = start_fleet(small_engines_spec("gang-entry")).await;
     let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
     let pending = tokio::spawn(async move { client.prompt(&entry, &prompt(100_000, 400, 1)).await });
--- a/standin/tests/in_time.rs
+++ b/standin/tests/in_time.rs
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_on_a_frozen_engine_fails_within_its_time() {
+async fn a_prompt_on_a_suspended_engine_fails_within_its_deadline() {
     let fleet = start_fleet(one_engine_spec("frozen-engine")).await;
     let mut prompt = prompt(1_000, 2_000, 1);
     prompt.deadline = Duration::from_secs(10);
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_before_a_frozen_sidecar_fails_within_its_time() {
+async fn a_prompt_to_a_suspended_sidecar_fails_within_its_deadline() {
     let fleet = start_fleet(one_engine_spec("frozen-sidecar")).await;
     fleet.signal("sidecar-market-advisor-0", Signal::STOP).expect("the sidecar is stopped");
     let mut prompt = prompt(1_000, 20, 1);
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_sidecar_is_passed_over_while_others_answer() {
+async fn a_suspended_sidecar_is_bypassed_while_others_answer() {
     let fleet = start_fleet(Spec { engines: 2, ..one_engine_spec("passed-over") }).await;
     fleet.signal("sidecar-market-advisor-0", Signal::STOP).expect("the sidecar is stopped");
     for seed in 0..10 {
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_on_a_frozen_service_fails_within_its_time_as_unknown() {
+async fn a_call_on_a_suspended_service_fails_within_its_deadline_as_unknown() {
     let fleet = start_fleet(one_engine_spec("frozen-service")).await;
     fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 20_000 })).await.expect("the fault is taken");
     let deadline = Duration::from_millis(800);
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_goes_away_frees_the_engine() {
+async fn a_client_disconnect_frees_the_engine() {
     let fleet = start_fleet(one_engine_spec("gone")).await;
     let entry = fleet.entries[0].clone();
     let client = fleet.client.clone();
@@ -115,7 +115,7 @@
 
 /// Guards against a claim that waits for the suspended writer of its partition beyond the call's deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_whose_writer_is_frozen_does_not_outlast_the_calls_time() {
+async fn a_claim_whose_writer_is_suspended_ends_within_the_deadline() {
     let fleet = start_fleet(Spec { entries: 3, ..one_engine_spec("frozen-writer") }).await;
     fleet.signal("entry-1", Signal::STOP).expect("the entry is stopped");
     let deadline = Duration::from_millis(500);
--- a/standin/tests/memory.rs
+++ b/standin/tests/memory.rs
@@ -62,11 +62,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn memory_is_released_after_an_engine_is_suspended_and_resumes() {
     let fleet = start_fleet_with_slow_entry_limit("memory-engine-frozen").await;
-    let freeze = async |fleet: &Fleet| {
+    let suspend = async |fleet: &Fleet| {
         fleet.fault("market-advisor-0", &json!({ "freeze_ms": 2_000 })).await.expect("frozen");
         tokio::time::sleep(Duration::from_millis(2_100)).await;
     };
-    assert_memory_released(&fleet, freeze).await;
+    assert_memory_released(&fleet, suspend).await;
     close_fleet(fleet).await;
 }
 
--- a/standin/tests/placement.rs
+++ b/standin/tests/placement.rs
@@ -91,17 +91,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_controller_changes_nothing_when_it_wakes() {
+async fn a_suspended_controller_changes_nothing_when_it_resumes() {
     suspend_lease_holder("placement-paused", true).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_controller_changes_nothing_at_engines_that_do_not_check_fences() {
+async fn a_suspended_controller_changes_nothing_at_engines_that_do_not_check_fences() {
     suspend_lease_holder("placement-unfenced", false).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn in_a_log_outage_placement_stands_still_and_goes_on_afterwards() {
+async fn placement_pauses_during_a_log_outage_and_resumes_afterwards() {
     let fleet = start_fleet(four_entry_spec("placement-outage", true)).await;
     set_version(&fleet, "v2").await;
     fleet.fault("log", &json!({ "outage_ms": 2_000 })).await.expect("the fault is taken");
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -78,7 +78,7 @@
 /// received late by a suspended leader, each counted as one more failure, and the engine was ejected for 8 s, the
 /// longest time for which a circuit breaker opens.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_answered_while_its_entry_was_frozen_gets_more() {
+async fn an_engine_that_answered_while_its_entry_was_suspended_stays_eligible() {
     let takes = Duration::from_millis(100);
     for suspended in 0..2 {
         let spec = Spec { entries: 2, takes, ..Spec::small(&format!("grants-answered-{suspended}")) };
@@ -102,7 +102,7 @@
 /// Guards against a random choice between a received event and the expired deadline after a suspension: a stream was
 /// aborted although each of its events had arrived in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_came_in_time_is_passed_on_by_an_entry_that_was_frozen() {
+async fn a_stream_received_in_time_is_forwarded_by_a_resumed_entry() {
     let takes = Duration::from_millis(50);
     let site = Site::start(Spec { entries: 1, takes, ..Spec::small("grants-late") }).await.expect("the site starts");
     for round in 0..ROUNDS {
--- a/standin/tests/platform_path.rs
+++ b/standin/tests/platform_path.rs
@@ -124,8 +124,9 @@
 async fn a_refused_caller_that_still_writes_reads_its_refusal() {
     let site = start_site("path-endless-head").await;
     let address = site.addresses[0].clone();
-    let line =
-        tokio::task::spawn_blocking(move || status_line_of_an_endless_head(&address)).await.expect("the request ran");
+    let line = tokio::task::spawn_blocking(move || status_line_of_an_endless_head(&address))
+        .await
+        .expect("the thread completes");
     assert!(line.starts_with("HTTP/1.1 431"), "{line}");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_rest.rs
+++ b/standin/tests/platform_rest.rs
@@ -66,10 +66,10 @@
 }
 
 /// Asserts that refusals come within `max_elapsed`, with a time to retry after that fits the backoff.
-fn assert_refused_at_once(outcomes: &[Seen], max_requests: Duration) {
+fn assert_refused_at_once(outcomes: &[Seen], max_elapsed: Duration) {
     for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
         assert_eq!(refused.status, 503, "{refused:?}");
-        assert!(refused.took < max_requests, "{refused:?}");
+        assert!(refused.took < max_elapsed, "{refused:?}");
         let after: f64 = refused.header("retry-after").parse().expect("a time to retry after");
         assert!(after > 0.0 && after < 2.0 * BACKOFF.as_secs_f64(), "{refused:?}");
     }
--- a/standin/tests/whole_answers.rs
+++ b/standin/tests/whole_answers.rs
@@ -37,14 +37,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_engine_dies_goes_on_elsewhere() {
+async fn a_stream_resumes_elsewhere_after_its_engine_is_killed() {
     let fleet = start_small_fleet("engine-dies").await;
     interrupt_stream(&fleet, async |fleet, name| fleet.signal(name, Signal::KILL).expect("the engine is killed")).await;
     close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_sidecar_dies_goes_on_elsewhere() {
+async fn a_stream_resumes_elsewhere_after_its_sidecar_is_killed() {
     let fleet = start_small_fleet("sidecar-dies").await;
     let kill = async |fleet: &Fleet, name: &str| {
         fleet.signal(&format!("sidecar-{name}"), Signal::KILL).expect("the sidecar is killed");
@@ -55,27 +55,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_engine_freezes_goes_on_elsewhere() {
+async fn a_stream_resumes_elsewhere_after_its_engine_is_suspended() {
     let fleet = start_small_fleet("engine-freezes").await;
-    let freeze = async |fleet: &Fleet, name: &str| {
+    let suspend = async |fleet: &Fleet, name: &str| {
         fleet.fault(name, &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
     };
-    interrupt_stream(&fleet, freeze).await;
+    interrupt_stream(&fleet, suspend).await;
     close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_sidecar_freezes_goes_on_elsewhere() {
+async fn a_stream_resumes_elsewhere_after_its_sidecar_is_suspended() {
     let fleet = start_small_fleet("sidecar-freezes").await;
-    let freeze = async |fleet: &Fleet, name: &str| {
+    let suspend = async |fleet: &Fleet, name: &str| {
         fleet.signal(&format!("sidecar-{name}"), Signal::STOP).expect("the sidecar is stopped");
     };
-    interrupt_stream(&fleet, freeze).await;
+    interrupt_stream(&fleet, suspend).await;
     close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_engine_and_then_next_sidecar_die_goes_on_elsewhere() {
+async fn a_stream_resumes_elsewhere_after_its_engine_and_the_next_sidecar_are_killed() {
     let fleet = start_fleet(Spec { engines: 4, ..Spec::small("twice") }).await;
     let kill_two = async |fleet: &Fleet, name: &str| {
         fleet.signal(name, Signal::KILL).expect("the engine is killed");
--- a/standin/tests/whole_path.rs
+++ b/standin/tests/whole_path.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_streamed_prompt_comes_back_whole() {
+async fn a_streamed_prompt_is_answered_completely() {
     let fleet = start_small_fleet("stream").await;
     let prompt = prompt(1_000, 20, 7);
     let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_that_is_not_streamed_comes_back_whole_with_usage() {
+async fn a_prompt_without_streaming_is_answered_completely_with_usage() {
     let fleet = start_small_fleet("whole").await;
     let mut prompt = prompt(1_000, 20, 8);
     prompt.stream = false;
