--- a/standin/tests/platform_leaving.rs
+++ b/standin/tests/platform_leaving.rs
@@ -62,7 +62,7 @@
     assert_no_late_requests(site, draining, since);
     assert_eq!(count_served(&outcomes), outcomes.len(), "the other replicas have capacity for all requests");
     let slowest = outcomes.iter().map(|outcome| outcome.took).max().unwrap_or_default();
-    assert!(slowest < Duration::from_millis(700), "a build_request waited for the draining replica: {slowest:?}");
+    assert!(slowest < Duration::from_millis(700), "a request waited for the draining replica: {slowest:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
