--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -15,7 +15,7 @@
 
 use std::hint::black_box;
 
-use coord::parcel::{Shelf, Version};
+use coord::delta::{VersionCache, Version};
 use divan::Bencher;
 
 const ROUTE_COUNTS: &[u64] = &[30, 240, 1_500];
@@ -34,8 +34,8 @@
     (0..routes).map(route).collect::<Vec<_>>().join(",").into_bytes()
 }
 
-fn version_cache(routes: u64, versions: u64) -> Shelf {
-    let mut cache = Shelf::default();
+fn version_cache(routes: u64, versions: u64) -> VersionCache {
+    let mut cache = VersionCache::default();
     for offset in 0..versions {
         cache.keep(Version { offset, value: configuration(routes, offset).into() });
     }
@@ -71,7 +71,7 @@
 #[divan::bench(args = ROUTE_COUNTS)]
 fn decode_full(bencher: Bencher, routes: u64) {
     let delta = version_cache(routes, 2).parcel(None).expect("encoding succeeds").expect("a newer version exists");
-    bencher.with_inputs(Shelf::default).bench_refs(|cache| black_box(cache.open(&delta)));
+    bencher.with_inputs(VersionCache::default).bench_refs(|cache| black_box(cache.open(&delta)));
 }
 
 #[divan::bench(args = ROUTE_COUNTS)]
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -5,7 +5,7 @@
 //! verdicts. Recording a termination takes 2.5 and 273 µs with 100 and 4,000 of each.
 
 use coord::name::Name;
-use coord::quarantine::{News, Register, Weight, Work};
+use coord::quarantine::{Event, State, Weight, Fingerprint};
 
 fn main() {
     divan::main();
@@ -15,14 +15,14 @@
 #[divan::bench(args = [200, 20_000, 4 << 20])]
 fn fingerprint(bencher: divan::Bencher<'_, '_>, bytes: usize) {
     let body = vec![7; bytes];
-    bencher.bench(|| Work::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"]));
+    bencher.bench(|| Fingerprint::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"]));
 }
 
 /// Looks up the status of a fingerprint beside `suspect_count` suspects and as many verdicts.
 #[divan::bench(args = [0, 100, 4_000])]
 fn status(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
     let register = register(suspect_count);
-    let work = Work::of([b"another".as_slice()]);
+    let work = Fingerprint::of([b"another".as_slice()]);
     bencher.bench(|| register.standing(divan::black_box(work)));
 }
 
@@ -30,21 +30,21 @@
 #[divan::bench(args = [100, 4_000])]
 fn record_termination(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
     let register = register(suspect_count);
-    let work = Work::of([b"another".as_slice()]);
-    let news = News::Ended { work, run: Name::from("run"), weight: Weight::Strong };
+    let work = Fingerprint::of([b"another".as_slice()]);
+    let news = Event::Ended { work, run: Name::from("run"), weight: Weight::Strong };
     bencher.with_inputs(|| (register.clone(), news.clone())).bench_values(|(mut register, news)| {
         register.hear(news);
         register
     });
 }
 
-fn register(count: u32) -> Register {
-    let mut register = Register::default();
+fn register(count: u32) -> State {
+    let mut register = State::default();
     for number in 0..count {
-        let work = |kind: &[u8]| Work::of([kind, &number.to_le_bytes()]);
-        register.hear(News::Condemned(work(b"condemned")));
+        let work = |kind: &[u8]| Fingerprint::of([kind, &number.to_le_bytes()]);
+        register.hear(Event::Condemned(work(b"condemned")));
         let run = Name::from(format!("run-{}", number / 16));
-        register.hear(News::Ended { work: work(b"suspect"), run, weight: Weight::Strong });
+        register.hear(Event::Ended { work: work(b"suspect"), run, weight: Weight::Strong });
     }
     register
 }
--- a/coord/examples/answer.rs
+++ b/coord/examples/answer.rs
@@ -1,12 +1,12 @@
 //! Delivers duplicate frames and frames of another attempt to a receiver, which passes on only the complete answer of
 //! the live attempt.
 
-use coord::answer::{Receiver, Tally};
+use coord::answer::{Receiver, FrameDigest};
 use coord::name::Attempt;
 
 fn main() {
     let (live, stale) = (Attempt(2), Attempt(1));
-    let mut tally = Tally::new();
+    let mut tally = FrameDigest::new();
     let mut receiver = Receiver::new(live);
     for text in ["Your ", "stall ", "permit"] {
         let number = tally.add(text.as_bytes());
--- a/coord/examples/claim.rs
+++ b/coord/examples/claim.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use coord::claim::{Binding, Board, Key};
+use coord::claim::{Binding, Claims, Key};
 use coord::name::Incarnation;
 use coord::time::Moment;
 
 fn main() {
-    let mut board = Board::new(Duration::from_secs(3_600));
+    let mut board = Claims::new(Duration::from_secs(3_600));
     let key = Key { workspace: "market".into(), key: "levy-42".into() };
     for (offset, endpoint) in ["ledger-1", "ledger-2"].into_iter().enumerate() {
         let proposed = Binding { endpoint: endpoint.into(), incarnation: Incarnation(7) };
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -4,7 +4,7 @@
 
 use coord::fence::Fence;
 use coord::name::{Incarnation, Name};
-use coord::placement::{Board, Load, Record};
+use coord::placement::{Placements, Load, Record};
 use coord::time::Moment;
 
 fn claim(process: &str) -> Record {
@@ -18,7 +18,7 @@
 }
 
 fn main() {
-    let mut board = Board::new();
+    let mut board = Placements::new();
     let log = [
         (0, claim("entry-1"), "entry-1 claims"),
         (100, place(0, "v1"), "entry-1 places v1"),
--- a/coord/src/answer.rs
+++ b/coord/src/answer.rs
@@ -16,18 +16,18 @@
 
 /// Numbers and hashes the frames of one attempt, at the sender and at the receiver.
 #[derive(Clone)]
-pub struct Tally {
+pub struct FrameDigest {
     count: u64,
     digest: Xxh3,
 }
 
-impl Default for Tally {
+impl Default for FrameDigest {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Tally {
+impl FrameDigest {
     /// Creates the digest of an empty answer.
     pub fn new() -> Self {
         Self { count: 0, digest: Xxh3::new() }
@@ -61,13 +61,13 @@
 /// Accepts the frames of the live attempt, in order, and rejects all others.
 pub struct Receiver {
     live: Attempt,
-    tally: Tally,
+    tally: FrameDigest,
 }
 
 impl Receiver {
     /// Creates a receiver for the frames of attempt `live`.
     pub fn new(live: Attempt) -> Self {
-        Self { live, tally: Tally::new() }
+        Self { live, tally: FrameDigest::new() }
     }
 
     /// Checks a frame, and adds it to the count and digest if the verdict is [`Verdict::Pass`].
--- a/coord/src/rest.rs
+++ b/coord/src/backoff.rs
@@ -11,9 +11,9 @@
 
 /// End of the backoff by replica, for one process.
 #[derive(Clone, Debug, Default)]
-pub struct Register(BTreeMap<Name, Moment>);
+pub struct Backoffs(BTreeMap<Name, Moment>);
 
-impl Register {
+impl Backoffs {
     /// Records at `now` that a replica asks for a backoff of `rest`.
     pub fn hear(&mut self, replica: &Name, rest: Duration, now: Moment) {
         self.0.retain(|_, until| *until > now);
--- a/coord/src/budget.rs
+++ b/coord/src/budget.rs
@@ -46,7 +46,7 @@
 /// every possible window must leave room for that. Several processes keep a common bound without coordination if each
 /// uses its own part of the allowance, because the shares of first attempts add up.
 #[derive(Clone, Debug)]
-pub struct Windowed {
+pub struct WindowedBudget {
     share: f64,
     allowance: f64,
     window: Duration,
@@ -59,7 +59,7 @@
     allowance / processes.max(1) as f64
 }
 
-impl Windowed {
+impl WindowedBudget {
     /// Creates a budget of `allowance` retries plus `share` retries per first attempt in every `window`.
     pub fn new(share: f64, allowance: f64, window: Duration) -> Self {
         Self { share, allowance, window, first_attempts: VecDeque::new(), retries: VecDeque::new() }
--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -28,14 +28,14 @@
 
 /// Claims replayed from the log. The claim with the lowest offset holds the key for a window.
 #[derive(Debug)]
-pub struct Board {
+pub struct Claims {
     window: Duration,
     bound: HashMap<Key, (Binding, Moment)>,
     claims_by_age: VecDeque<(Moment, Key)>,
     next: u64,
 }
 
-impl Board {
+impl Claims {
     /// Creates an empty board that keeps a binding for `window` after its claim.
     pub fn new(window: Duration) -> Self {
         Self { window, bound: HashMap::new(), claims_by_age: VecDeque::new(), next: 0 }
--- a/coord/src/parcel.rs
+++ b/coord/src/delta.rs
@@ -36,7 +36,7 @@
 
 /// Compressed version for transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct Delta {
     /// Log offset of the version.
     pub offset: u64,
     /// Offset of the base version needed to decompress; `None` if the delta holds the full version.
@@ -76,14 +76,14 @@
 
 /// Cache of the newest versions of a document, with deltas of the latest one.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct VersionCache {
     /// Versions from oldest to newest.
     versions: VecDeque<Version>,
     /// Deltas of the newest version by base offset, since many receivers request the same one.
-    cached_deltas: BTreeMap<Option<u64>, Parcel>,
+    cached_deltas: BTreeMap<Option<u64>, Delta>,
 }
 
-impl Shelf {
+impl VersionCache {
     /// Adds a version, unless it is not newer than the versions held.
     pub fn keep(&mut self, version: Version) {
         if self.versions.back().is_some_and(|newest| newest.offset >= version.offset) {
@@ -98,7 +98,7 @@
 
     /// Returns a delta of the newest version for a receiver that has all records below the offset `next`. Returns
     /// `None` if the receiver has the newest version or the cache is empty.
-    pub fn parcel(&mut self, next: Option<u64>) -> Result<Option<Parcel>, Error> {
+    pub fn parcel(&mut self, next: Option<u64>) -> Result<Option<Delta>, Error> {
         let Some(newest) = self.versions.back() else { return Ok(None) };
         if next.is_some_and(|next| newest.offset < next) {
             return Ok(None);
@@ -114,7 +114,7 @@
     }
 
     /// Decompresses a delta and returns the version it holds.
-    pub fn open(&self, delta: &Parcel) -> Result<Version, Error> {
+    pub fn open(&self, delta: &Delta) -> Result<Version, Error> {
         let base = match delta.base {
             None => &[][..],
             Some(base) => self.value_at(base).ok_or(Error::Unknown { base })?,
@@ -129,10 +129,10 @@
 }
 
 /// Compresses `version` with `base` as the dictionary.
-fn compress_version(version: &Version, base: Option<&Version>) -> Result<Parcel, Error> {
+fn compress_version(version: &Version, base: Option<&Version>) -> Result<Delta, Error> {
     let dictionary = base.map_or(&[][..], |base| &base.value);
     let mut compressor = Compressor::with_dictionary(COMPRESSION_LEVEL, dictionary)?;
     compressor.include_checksum(true)?;
     let packed = compressor.compress(&version.value)?.into();
-    Ok(Parcel { offset: version.offset, base: base.map(|base| base.offset), packed })
+    Ok(Delta { offset: version.offset, base: base.map(|base| base.offset), packed })
 }
--- a/coord/src/engine.rs
+++ b/coord/src/engine.rs
@@ -8,7 +8,7 @@
 
 /// Capacity and speed of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct Profile {
     /// Number of requests that run concurrently.
     pub slots: u32,
     /// KV memory, in tokens.
@@ -31,7 +31,7 @@
     pub hop_ms: f64,
 }
 
-impl Figures {
+impl Profile {
     /// Returns the prefill time of a prompt of `tokens` tokens in milliseconds, without step overhead.
     pub fn read_ms(&self, tokens: u64) -> f64 {
         tokens as f64 / self.read_per_ms + self.attention_ms(tokens)
--- a/coord/src/evacuation.rs
+++ b/coord/src/evacuation.rs
@@ -2,7 +2,7 @@
 //! the evacuation.
 //!
 //! Evacuations are recorded in a log. A process that reads the log has applied all records below an offset; a process
-//! that receives them from a peer gets the peer's full [`Picture`]. The snapshot with the higher offset wins, so that
+//! that receives them from a peer gets the peer's full [`Snapshot`]. The snapshot with the higher offset wins, so that
 //! late messages never undo newer ones, whichever way they arrive. A log recovered from an older copy of itself may
 //! have lost records: domains missing from it stay evacuated for a grace period in which operators can repeat the
 //! evacuation.
@@ -17,16 +17,16 @@
 
 /// Content of one log record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Event {
     /// The evacuation of a failure domain started.
-    Begun(Name),
+    Started(Name),
     /// The evacuation ended; the domain's replicas may be used again.
     Ended(Name),
 }
 
 /// Snapshot of the evacuated failure domains at one log offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Picture {
+pub struct Snapshot {
     /// Offset of the next log record; all records below it are applied.
     pub next: u64,
     /// Names of the evacuated failure domains.
@@ -35,28 +35,28 @@
 
 /// Evacuations that this process has recorded.
 #[derive(Debug, Default)]
-pub struct Register {
-    snapshot: Picture,
+pub struct Evacuations {
+    snapshot: Snapshot,
     /// Domains that were evacuated before the log was recovered and are missing from the recovered log.
     missing: BTreeSet<Name>,
     /// End of the grace period of the missing domains.
     missing_until: Moment,
 }
 
-impl Register {
+impl Evacuations {
     /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records that are
     /// already applied are ignored.
-    pub fn hear(&mut self, offset: u64, news: News) -> bool {
+    pub fn hear(&mut self, offset: u64, news: Event) -> bool {
         if offset < self.snapshot.next {
             return false;
         }
         self.snapshot.next = offset + 1;
         match news {
-            News::Begun(domain) => {
+            Event::Started(domain) => {
                 self.missing.remove(&domain);
                 self.snapshot.domains.insert(domain)
             }
-            News::Ended(domain) => {
+            Event::Ended(domain) => {
                 self.missing.remove(&domain);
                 self.snapshot.domains.remove(&domain)
             }
@@ -65,7 +65,7 @@
 
     /// Applies a full snapshot unless it is older than the current one, and returns whether the set of evacuated
     /// domains changed. Domains that a recovered log has lost stay evacuated until `grace_until`.
-    pub fn replace(&mut self, mut snapshot: Picture, grace_until: Moment) -> bool {
+    pub fn replace(&mut self, mut snapshot: Snapshot, grace_until: Moment) -> bool {
         if snapshot.next < self.snapshot.next {
             return false;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Returns a snapshot of the evacuated domains.
-    pub fn picture(&self) -> &Picture {
+    pub fn picture(&self) -> &Snapshot {
         &self.snapshot
     }
 }
--- a/coord/src/remembered.rs
+++ b/coord/src/expiring_set.rs
@@ -7,18 +7,18 @@
 
 /// Set of items with their insertion times.
 #[derive(Debug)]
-pub struct Remembered<T> {
+pub struct ExpiringSet<T> {
     inserted_at: HashMap<T, Moment>,
     insertion_order: VecDeque<(Moment, T)>,
 }
 
-impl<T: Copy + Eq + Hash> Default for Remembered<T> {
+impl<T: Copy + Eq + Hash> Default for ExpiringSet<T> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<T: Copy + Eq + Hash> Remembered<T> {
+impl<T: Copy + Eq + Hash> ExpiringSet<T> {
     /// Creates an empty set.
     pub fn new() -> Self {
         Self { inserted_at: HashMap::new(), insertion_order: VecDeque::new() }
--- a/coord/src/intent.rs
+++ b/coord/src/intent.rs
@@ -103,7 +103,7 @@
 /// Object that a change modifies; two plans conflict if they modify the same object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Item {
+pub enum Resource {
     /// Intent, by model name.
     Intent(Name),
     /// Workspace, by name.
@@ -138,7 +138,7 @@
 
 /// Validation error in a change, as reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ValidationError {
     /// Index of the change in the plan, from zero.
     pub change: usize,
     /// Name of the invalid field.
@@ -149,24 +149,24 @@
 
 impl Change {
     /// Returns the object that the change modifies.
-    pub fn item(&self) -> Item {
+    pub fn item(&self) -> Resource {
         match self {
-            Change::PutIntent(intent) => Item::Intent(intent.model.clone()),
-            Change::DeleteIntent(model) => Item::Intent(model.clone()),
-            Change::PutWorkspace(workspace) => Item::Workspace(workspace.name.clone()),
-            Change::DeleteWorkspace(name) => Item::Workspace(name.clone()),
-            Change::PutService(service) => Item::Service(service.name.clone()),
-            Change::DeleteService(name) => Item::Service(name.clone()),
-            Change::Drain(endpoint) | Change::Undrain(endpoint) => Item::Drain(endpoint.clone()),
+            Change::PutIntent(intent) => Resource::Intent(intent.model.clone()),
+            Change::DeleteIntent(model) => Resource::Intent(model.clone()),
+            Change::PutWorkspace(workspace) => Resource::Workspace(workspace.name.clone()),
+            Change::DeleteWorkspace(name) => Resource::Workspace(name.clone()),
+            Change::PutService(service) => Resource::Service(service.name.clone()),
+            Change::DeleteService(name) => Resource::Service(name.clone()),
+            Change::Drain(endpoint) | Change::Undrain(endpoint) => Resource::Drain(endpoint.clone()),
         }
     }
 
     /// Returns all validation errors of the change, which has position `index` in its plan.
-    pub fn faults(&self, index: usize) -> Vec<Fault> {
+    pub fn faults(&self, index: usize) -> Vec<ValidationError> {
         let mut faults = Vec::new();
         let mut check = |is_invalid: bool, field: &str, reason: &str| {
             if is_invalid {
-                faults.push(Fault { change: index, field: field.to_owned(), reason: reason.to_owned() });
+                faults.push(ValidationError { change: index, field: field.to_owned(), reason: reason.to_owned() });
             }
         };
         match self {
--- a/coord/src/limit/allowance.rs
+++ b/coord/src/limit/allowance.rs
@@ -17,7 +17,7 @@
 
 /// Token bucket that fills at a share of a replica's limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct TokenBucket {
     /// Fill rate in requests per second.
     rate: f64,
     /// Requests that could be sent at `updated_at`; negative if requests are already promised for later.
@@ -25,7 +25,7 @@
     updated_at: Moment,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// Creates a bucket for a `share` of a limit of `rate` requests per second.
     ///
     /// `initial_fraction`, from 0 to 1, is the initial credit in requests. Entries that cannot communicate draw it at
--- a/coord/src/limit/group.rs
+++ b/coord/src/limit/group.rs
@@ -14,7 +14,7 @@
 /// leaders add up to one without communication between them. When a leader is lost, each of its entries uses its own
 /// share until it has found the next leader.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Group {
+pub struct GroupSize {
     /// Maximum group size since `period_start`.
     max_size: usize,
     period_start: Moment,
@@ -22,7 +22,7 @@
     previous_max_size: usize,
 }
 
-impl Group {
+impl GroupSize {
     /// Records the current number of entries in the group.
     pub fn note(&mut self, entries: usize, now: Moment) {
         let age = now.since(self.period_start);
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -1,12 +1,12 @@
 //! Rate limits that replicas announce: the number of requests per second that a replica accepts from all entries
 //! together.
 //!
-//! [`Register`] holds the limits that this process or its peers received. A replica reports its limit in each
+//! [`ReplicaLimits`] holds the limits that this process or its peers received. A replica reports its limit in each
 //! response, and responses can overtake each other: one report is certainly newer than another only if its request
 //! was sent after the other response arrived. While the order is unknown, the stricter limit is in force; the next
 //! response settles it.
 //!
-//! [`Allowance`] counts the requests that may still be sent to a limited replica. [`Group`] yields the share of a
+//! [`TokenBucket`] counts the requests that may still be sent to a limited replica. [`GroupSize`] yields the share of a
 //! limit that the entries of one leader may use.
 
 mod allowance;
@@ -15,15 +15,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use self::allowance::Allowance;
-pub use self::group::Group;
+pub use self::allowance::TokenBucket;
+pub use self::group::GroupSize;
 
 use crate::name::Name;
 use crate::time::Moment;
 
 /// Report of a replica's limit in one response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct TimedReport {
     /// Requests per second accepted from all entries together; `None` if the replica has no limit.
     pub rate: Option<f64>,
     /// Send time of the request.
@@ -32,24 +32,24 @@
     pub heard: Moment,
 }
 
-impl Word {
+impl TimedReport {
     /// Returns whether this report is certainly newer than `other`.
-    fn is_newer_than(&self, other: &Word) -> bool {
+    fn is_newer_than(&self, other: &TimedReport) -> bool {
         self.asked >= other.heard
     }
 
     /// Returns whether this report allows fewer requests than `other`.
-    fn is_stricter_than(&self, other: &Word) -> bool {
+    fn is_stricter_than(&self, other: &TimedReport) -> bool {
         self.rate.unwrap_or(f64::INFINITY) < other.rate.unwrap_or(f64::INFINITY)
     }
 }
 
 /// Report in transit between entries, with ages in place of moments because clocks differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct News {
+pub struct RelayedReport {
     /// Replica that reported the limit.
     pub replica: Name,
-    /// Reported limit, as in [`Word`].
+    /// Reported limit, as in [`TimedReport`].
     pub rate: Option<f64>,
     /// Time since the request was sent.
     pub asked_ago: Duration,
@@ -57,17 +57,17 @@
     pub heard_ago: Duration,
 }
 
-impl News {
+impl RelayedReport {
     /// Converts a report for sending at `now`.
-    pub fn of(replica: &Name, report: &Word, now: Moment) -> Self {
+    pub fn of(replica: &Name, report: &TimedReport, now: Moment) -> Self {
         let (asked_ago, heard_ago) = (now.since(report.asked), now.since(report.heard));
         Self { replica: replica.clone(), rate: report.rate, asked_ago, heard_ago }
     }
 
     /// Converts back to moments at the receive time `now`. The transit time makes both moments later by the same
     /// amount.
-    pub fn word(&self, now: Moment) -> Word {
-        Word { rate: self.rate, asked: now - self.asked_ago, heard: now - self.heard_ago }
+    pub fn word(&self, now: Moment) -> TimedReport {
+        TimedReport { rate: self.rate, asked: now - self.asked_ago, heard: now - self.heard_ago }
     }
 }
 
@@ -75,21 +75,21 @@
 #[derive(Clone, Copy, Debug)]
 struct ReplicaLimit {
     /// Report in force; of several with the same limit, the oldest.
-    report: Word,
+    report: TimedReport,
     /// Earliest start time of the current run of the replica; responses to earlier requests belong to a previous run.
     run_started: Moment,
 }
 
 /// Limits by replica. A replica that never reported a limit uses no memory.
 #[derive(Debug, Default)]
-pub struct Register(BTreeMap<Name, ReplicaLimit>);
+pub struct ReplicaLimits(BTreeMap<Name, ReplicaLimit>);
 
-impl Register {
+impl ReplicaLimits {
     /// Records a report and returns whether the limit in force changed.
     ///
     /// Of reports with the same limit the first is kept, so that all entries that received the change hold the same
     /// one.
-    pub fn hear(&mut self, replica: &Name, report: Word) -> bool {
+    pub fn hear(&mut self, replica: &Name, report: TimedReport) -> bool {
         let Some(limit) = self.0.get_mut(replica) else {
             if report.rate.is_some() {
                 self.0.insert(replica.clone(), ReplicaLimit { report, run_started: Moment::ZERO });
@@ -117,14 +117,14 @@
     }
 
     /// Returns the reports that a peer needs: current limits and the withdrawal of earlier ones.
-    pub fn all(&self, now: Moment) -> Vec<News> {
-        self.0.iter().map(|(replica, limit)| News::of(replica, &limit.report, now)).collect()
+    pub fn all(&self, now: Moment) -> Vec<RelayedReport> {
+        self.0.iter().map(|(replica, limit)| RelayedReport::of(replica, &limit.report, now)).collect()
     }
 
     /// Returns the report in force of one replica in the form sent to peers.
-    pub fn news(&self, replica: &str, now: Moment) -> Option<News> {
+    pub fn news(&self, replica: &str, now: Moment) -> Option<RelayedReport> {
         let (replica, limit) = self.0.get_key_value(replica)?;
-        Some(News::of(replica, &limit.report, now))
+        Some(RelayedReport::of(replica, &limit.report, now))
     }
 
     /// Discards the limit of a replica that restarted, since it belonged to the previous run. Returns whether the
@@ -132,7 +132,7 @@
     pub fn restarted(&mut self, replica: &str, now: Moment) -> bool {
         let Some(limit) = self.0.get_mut(replica) else { return false };
         let was_limited = limit.report.rate.is_some();
-        *limit = ReplicaLimit { report: Word { rate: None, asked: now, heard: now }, run_started: now };
+        *limit = ReplicaLimit { report: TimedReport { rate: None, asked: now, heard: now }, run_started: now };
         was_limited
     }
 
--- a/coord/src/memory.rs
+++ b/coord/src/memory.rs
@@ -7,7 +7,7 @@
 
 /// Reservation of memory by one owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hold {
+pub struct Reservation {
     /// Amount of reserved KV memory, in tokens.
     pub tokens: u64,
     /// Expiry time unless the memory is freed earlier.
@@ -19,7 +19,7 @@
 pub struct Ledger<K> {
     capacity: u64,
     held: u64,
-    holds: HashMap<K, Hold>,
+    holds: HashMap<K, Reservation>,
 }
 
 impl<K: Eq + Hash + Copy> Ledger<K> {
@@ -35,7 +35,7 @@
             return false;
         }
         self.held += tokens;
-        self.holds.insert(owner, Hold { tokens, until });
+        self.holds.insert(owner, Reservation { tokens, until });
         self.check_invariants();
         true
     }
--- a/coord/src/name.rs
+++ b/coord/src/name.rs
@@ -31,7 +31,7 @@
 /// Whether a request was executed, as far as proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// The request was not executed and never will be.
     No,
     /// Neither execution nor its absence is proven.
@@ -40,13 +40,13 @@
     Partial,
 }
 
-impl Ran {
+impl ExecutionStatus {
     /// Returns the value used on the wire and in headers.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Ran::No => "no",
-            Ran::Unknown => "unknown",
-            Ran::Partial => "partial",
+            ExecutionStatus::No => "no",
+            ExecutionStatus::Unknown => "unknown",
+            ExecutionStatus::Partial => "partial",
         }
     }
 }
--- a/coord/src/placement.rs
+++ b/coord/src/placement.rs
@@ -62,13 +62,13 @@
 
 /// Leases and orders replayed from the control stream.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Placements {
     next: u64,
     leases: BTreeMap<Name, Lease>,
     orders: BTreeMap<Name, Order>,
 }
 
-impl Board {
+impl Placements {
     /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -7,10 +7,10 @@
 use super::policy::{MIN_PENDING_SHARE, OVERDUE_FACTOR};
 use super::slowdown::{LATE_FACTOR, LATE_MARGIN_MS};
 use crate::breaker::Breaker;
-use crate::engine::Figures;
-use crate::limit::Allowance;
+use crate::engine::Profile;
+use crate::limit::TokenBucket;
 use crate::name::Name;
-use crate::quarantine::Work;
+use crate::quarantine::Fingerprint;
 use crate::time::Moment;
 
 /// Part of a prompt that is still to be prefilled.
@@ -30,7 +30,7 @@
     pub gap_target_ms: f64,
     pub is_short: bool,
     /// Fingerprint of its request, if it is suspected of crashing engines.
-    pub suspect: Option<Work>,
+    pub suspect: Option<Fingerprint>,
 }
 
 /// Aggregates over the sequences of an engine, cached so that a scan of all engines does not recompute them.
@@ -45,7 +45,7 @@
     /// Number of sequences whose prompts are short.
     short_sequence_count: usize,
     /// Fingerprint of one of the sequences that is suspected of crashing engines.
-    suspect: Option<Work>,
+    suspect: Option<Fingerprint>,
 }
 
 /// State of one engine as known to the planner. It may be incomplete, because other planners may use the engine too.
@@ -55,13 +55,13 @@
     /// Circuit breaker; `None` until the first failure.
     pub breaker: Option<Breaker>,
     /// Allowance under the engine's announced rate limit; `None` if it announces no limit.
-    pub limit: Option<Allowance>,
+    pub limit: Option<TokenBucket>,
     /// Time of the last first event that was not overdue.
     pub answered_at: Moment,
     /// Profile at nominal speed.
-    nominal_profile: Arc<Figures>,
+    nominal_profile: Arc<Profile>,
     /// Profile at the current slowdown.
-    profile: Arc<Figures>,
+    profile: Arc<Profile>,
     /// Slowdown factor that the engine reported; 1.0 is nominal speed.
     slowdown: f64,
     /// Time of the last slowdown probe.
@@ -76,7 +76,7 @@
 
 impl Engine {
     /// Creates an idle engine.
-    pub fn new(name: Name, profile: Arc<Figures>) -> Self {
+    pub fn new(name: Name, profile: Arc<Profile>) -> Self {
         Self {
             name,
             breaker: None,
@@ -100,16 +100,16 @@
     }
 
     /// Returns the profile at the current slowdown.
-    pub fn profile(&self) -> &Arc<Figures> {
+    pub fn profile(&self) -> &Arc<Profile> {
         &self.profile
     }
 
-    pub fn nominal_profile(&self) -> &Arc<Figures> {
+    pub fn nominal_profile(&self) -> &Arc<Profile> {
         &self.nominal_profile
     }
 
     /// Replaces the profile at nominal speed and applies the current slowdown to it.
-    pub fn set_profile(&mut self, profile: Arc<Figures>) {
+    pub fn set_profile(&mut self, profile: Arc<Profile>) {
         self.nominal_profile = profile;
         self.set_slowdown(self.slowdown);
     }
@@ -143,7 +143,7 @@
     }
 
     /// Returns the fingerprint of a request at this engine that is suspected of crashing engines.
-    pub fn suspect(&self) -> Option<Work> {
+    pub fn suspect(&self) -> Option<Fingerprint> {
         self.aggregates.suspect
     }
 
--- a/coord/src/planner/estimate.rs
+++ b/coord/src/planner/estimate.rs
@@ -5,7 +5,7 @@
 use super::job::{Job, Team};
 use super::policy::{MAX_SHORT_PREFILL_MS, PASSES_TO_FIRST_EVENT, Policy};
 use super::wait_queue::Prompt;
-use crate::engine::{Figures, millis};
+use crate::engine::{Profile, millis};
 use crate::time::Moment;
 
 /// Time later than any that is compared with it.
@@ -13,7 +13,7 @@
 
 /// Computes the estimates for a prompt on engines with the given profile; without a profile, it counts as short and
 /// never late.
-pub(super) fn estimate_prompt(job: Job, profile: Option<&Figures>, engines: usize, policy: &Policy) -> Prompt {
+pub(super) fn estimate_prompt(job: Job, profile: Option<&Profile>, engines: usize, policy: &Policy) -> Prompt {
     let Some(profile) = profile else {
         return Prompt { job, prefill_ms: job.prompt as f64, is_short: true, late_after: NEVER };
     };
@@ -27,7 +27,7 @@
 }
 
 /// Returns whether one engine can prefill the prompt without exceeding the gap target of an answer like its own.
-fn is_short(job: &Job, profile: &Figures, policy: &Policy) -> bool {
+fn is_short(job: &Job, profile: &Profile, policy: &Policy) -> bool {
     let gap_target_ms = if job.gap_ms > 0.0 { job.gap_ms } else { f64::INFINITY };
     let full_pass_ms = profile.pass_ms((f64::from(profile.slots) * policy.slot_share) as u32, 0);
     let prefill_ms = profile.read_ms(job.prompt);
--- a/coord/src/planner/fleet.rs
+++ b/coord/src/planner/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::engine::Engine;
-use crate::engine::Figures;
+use crate::engine::Profile;
 use crate::name::Name;
 
 /// Engines in the order of their names.
@@ -13,10 +13,10 @@
 
 impl Fleet {
     /// Replaces the set of engines; engines that remain keep their state.
-    pub fn set(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
+    pub fn set(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Profile>)>) {
         let previous = std::mem::take(&mut self.0).into_iter();
         let mut previous: BTreeMap<Name, Engine> = previous.map(|engine| (engine.name.clone(), engine)).collect();
-        let engines: BTreeMap<Name, Arc<Figures>> = engines.into_iter().collect();
+        let engines: BTreeMap<Name, Arc<Profile>> = engines.into_iter().collect();
         for (name, profile) in engines {
             let engine = match previous.remove(&name) {
                 Some(mut engine) => {
@@ -51,7 +51,7 @@
     }
 
     /// Returns the profile at nominal speed, which is the same for all engines of a service.
-    pub fn nominal_profile(&self) -> Option<&Arc<Figures>> {
+    pub fn nominal_profile(&self) -> Option<&Arc<Profile>> {
         self.0.first().map(Engine::nominal_profile)
     }
 }
--- a/coord/src/planner/job.rs
+++ b/coord/src/planner/job.rs
@@ -6,7 +6,7 @@
 
 use super::policy::MAX_RESERVED_OUTPUT_TOKENS;
 use crate::name::Name;
-use crate::quarantine::Work;
+use crate::quarantine::Fingerprint;
 use crate::time::Moment;
 
 /// Identity of a job, unique within one planner.
@@ -35,7 +35,7 @@
     /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Fingerprint of the request, if it is known.
-    pub work: Option<Work>,
+    pub work: Option<Fingerprint>,
 }
 
 impl Job {
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -42,12 +42,12 @@
 use self::snapshot::FleetSnapshot;
 pub use self::snapshot::{EngineCounts, Exclusion};
 use self::wait_queue::{Candidate, WaitQueue};
-use crate::engine::Figures;
-use crate::limit::Allowance;
+use crate::engine::Profile;
+use crate::limit::TokenBucket;
 use crate::name::Name;
 use crate::pick::rendezvous;
-use crate::quarantine::Work;
-use crate::rest;
+use crate::quarantine::Fingerprint;
+use crate::backoff;
 use crate::time::Moment;
 
 /// Bounds the number of engines that are listed to explain why prompts wait; 12 give a log line of some 300 bytes.
@@ -69,9 +69,9 @@
     granted: GrantedJobs,
     overload: Overload,
     /// Fingerprints of requests that are suspected of crashing engines.
-    suspects: BTreeSet<Work>,
+    suspects: BTreeSet<Fingerprint>,
     /// Backoffs that engines requested, by entry.
-    backoffs: BTreeMap<u64, rest::Register>,
+    backoffs: BTreeMap<u64, backoff::Backoffs>,
 }
 
 impl Planner {
@@ -82,7 +82,7 @@
     }
 
     /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
-    pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
+    pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Profile>)>) {
         self.fleet.set(engines);
         self.path_failures.retain_engines(|name| self.fleet.position(name).is_some());
         let profile = self.fleet.nominal_profile().map(AsRef::as_ref);
@@ -178,12 +178,12 @@
     }
 
     /// Sets the fingerprints that are suspected of crashing engines; their prompts are isolated from others.
-    pub fn set_suspects(&mut self, suspects: impl IntoIterator<Item = Work>) {
+    pub fn set_suspects(&mut self, suspects: impl IntoIterator<Item = Fingerprint>) {
         self.suspects = suspects.into_iter().collect();
     }
 
     /// Returns the fingerprint of a job if it is suspected.
-    fn suspected_fingerprint(&self, job: &Job) -> Option<Work> {
+    fn suspected_fingerprint(&self, job: &Job) -> Option<Fingerprint> {
         job.work.filter(|fingerprint| self.suspects.contains(fingerprint))
     }
 
@@ -251,7 +251,7 @@
         match (rate, &mut engine.limit) {
             (None, limit) => *limit = None,
             (Some(rate), Some(limit)) => limit.set(rate, share, now),
-            (Some(rate), limit) => *limit = Some(Allowance::new(rate, share, initial_share(salt, &engine.name), now)),
+            (Some(rate), limit) => *limit = Some(TokenBucket::new(rate, share, initial_share(salt, &engine.name), now)),
         }
     }
 
--- a/coord/src/planner/place/isolated.rs
+++ b/coord/src/planner/place/isolated.rs
@@ -3,7 +3,7 @@
 
 use super::PlacementContext;
 use crate::planner::snapshot::EngineState;
-use crate::quarantine::Work;
+use crate::quarantine::Fingerprint;
 
 impl<'a> PlacementContext<'a> {
     /// Returns whether an otherwise idle engine could hold the prompt.
@@ -20,7 +20,7 @@
     /// resend: when the victims of a crash were resent without isolation, a service of 18 engines lost 26 engines in
     /// 22 s. Repeats of one suspect share an engine, so that they crash one engine together instead of one each, and
     /// a request that many callers send is still served while it is suspected.
-    pub(super) fn select_isolated(&self, fingerprint: Work) -> Option<usize> {
+    pub(super) fn select_isolated(&self, fingerprint: Fingerprint) -> Option<usize> {
         let is_suitable =
             |state: &EngineState| state.suspect.is_none_or(|suspect| suspect == fingerprint) && state.fits(self.job());
         let cost = |state: &EngineState| (state.suspect.is_none(), state.sequence_count);
--- a/coord/src/planner/rate_limited.rs
+++ b/coord/src/planner/rate_limited.rs
@@ -13,7 +13,7 @@
 use super::Planner;
 use super::overload::{RETRY_AFTER_SHARE, Refusal};
 use super::wait_queue::Candidate;
-use crate::limit::Allowance;
+use crate::limit::TokenBucket;
 use crate::time::Moment;
 
 /// Times at which the rate limits admit the next requests, earliest first.
@@ -21,12 +21,12 @@
 /// A simple average rate would not do: eight engines that were exhausted at the same moment admit nothing for a while
 /// and then eight requests at once.
 struct SendSlots<'a> {
-    limits: Vec<&'a Allowance>,
+    limits: Vec<&'a TokenBucket>,
     next_sends: BinaryHeap<Reverse<(Duration, usize)>>,
 }
 
 impl<'a> SendSlots<'a> {
-    fn new(limits: Vec<&'a Allowance>, now: Moment) -> Self {
+    fn new(limits: Vec<&'a TokenBucket>, now: Moment) -> Self {
         let sends = limits.iter().enumerate().map(|(index, limit)| Reverse((limit.wait(now), index)));
         let next_sends = sends.collect();
         Self { limits, next_sends }
@@ -47,7 +47,7 @@
 impl Planner {
     /// Removes and returns the prompts for which the rate limits of all engines leave no capacity in time.
     pub(super) fn refuse_rate_limited(&mut self, now: Moment) -> Vec<Refusal> {
-        let limits: Option<Vec<&Allowance>> = self.fleet.engines().iter().map(|engine| engine.limit.as_ref()).collect();
+        let limits: Option<Vec<&TokenBucket>> = self.fleet.engines().iter().map(|engine| engine.limit.as_ref()).collect();
         let Some(limits) = limits.filter(|limits| !limits.is_empty()) else { return Vec::new() };
         let candidates = self.waiting.list_ordered(now);
         let mut send_slots = SendSlots::new(limits, now);
--- a/coord/src/planner/snapshot.rs
+++ b/coord/src/planner/snapshot.rs
@@ -6,7 +6,7 @@
 use super::job::Job;
 use super::place::ExcludedEngines;
 use super::policy::{MAX_TEAM_SLOWDOWN, Policy};
-use crate::quarantine::Work;
+use crate::quarantine::Fingerprint;
 use crate::time::Moment;
 
 /// State of one engine when the snapshot was taken.
@@ -40,7 +40,7 @@
     /// Whether its announced rate limit, if any, admits one more request now.
     pub is_within_limit: bool,
     /// Fingerprint of a request at this engine that is suspected of crashing engines.
-    pub suspect: Option<Work>,
+    pub suspect: Option<Fingerprint>,
     /// Slowdown factor; 1.0 is nominal speed.
     pub slowdown: f64,
 }
--- a/coord/src/inquiry.rs
+++ b/coord/src/poll.rs
@@ -17,14 +17,14 @@
 
 /// State of the requests on one connection.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Inquiry {
+pub struct Poll {
     /// Number of the latest request; the first request has number 1.
     number: u64,
     /// Send time of the latest request while its response is outstanding.
     outstanding_since: Option<Moment>,
 }
 
-impl Inquiry {
+impl Poll {
     /// Returns whether another request may be sent at `now`.
     pub fn may_ask(&self, now: Moment) -> bool {
         self.outstanding_since.is_none_or(|sent_at| now.since(sent_at) >= RESPONSE_TIMEOUT)
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -1,13 +1,13 @@
 //! Quarantine of requests that repeatedly coincide with replica terminations.
 //!
 //! A faulty request can terminate every replica that starts to run it. All repetitions of a request share a
-//! fingerprint, [`Work`]. Each termination is evidence against the fingerprints of all requests on the replica, most
+//! fingerprint, [`Fingerprint`]. Each termination is evidence against the fingerprints of all requests on the replica, most
 //! of them innocent; a fingerprint that is present again at the next termination accumulates evidence. A fingerprint
 //! with enough evidence is *condemned*: no replica receives its requests until an operator lifts the verdict. A
 //! complete successful answer clears it.
 //!
-//! Processes exchange evidence and verdicts as [`News`], which can arrive in any order, late or repeatedly. A
-//! [`Register`] that received a verdict keeps it, whatever else arrives. Entries do not expire with time.
+//! Processes exchange evidence and verdicts as [`Event`], which can arrive in any order, late or repeatedly. A
+//! [`State`] that received a verdict keeps it, whatever else arrives. Entries do not expire with time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -38,9 +38,9 @@
 
 /// Fingerprint of a request, equal for each repetition, whichever entry receives it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Work(pub [u8; 16]);
+pub struct Fingerprint(pub [u8; 16]);
 
-impl Work {
+impl Fingerprint {
     /// Returns the fingerprint of a request from its parts. Each part is prefixed with its length, so that different
     /// lists of parts never yield the same input. The hash uses its own context, so that hashes of the same text from
     /// other sources do not reveal the fingerprint.
@@ -56,13 +56,13 @@
     }
 }
 
-impl fmt::Display for Work {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for Work {
+impl fmt::Debug for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Work({self})")
     }
@@ -70,24 +70,24 @@
 
 /// Error for a text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct ParseFingerprintError;
 
-impl fmt::Display for Malformed {
+impl fmt::Display for ParseFingerprintError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a fingerprint is 32 hexadecimal digits")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for ParseFingerprintError {}
 
-impl FromStr for Work {
-    type Err = Malformed;
+impl FromStr for Fingerprint {
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
         if text.len() != 32 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(Malformed);
+            return Err(ParseFingerprintError);
         }
-        u128::from_str_radix(text, 16).map(|number| Self(number.to_be_bytes())).map_err(|_| Malformed)
+        u128::from_str_radix(text, 16).map(|number| Self(number.to_be_bytes())).map_err(|_| ParseFingerprintError)
     }
 }
 
@@ -112,37 +112,37 @@
 
 /// Event that a process observes and sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Event {
     /// A replica terminated while it held a request with the fingerprint.
     Ended {
         /// Fingerprint of the request.
-        work: Work,
+        work: Fingerprint,
         /// Name of the terminated run, unique among all runs of all replicas.
         run: Name,
         /// Strength of the evidence.
         weight: Weight,
     },
     /// A request with the fingerprint completed successfully.
-    Cleared(Work),
+    Cleared(Fingerprint),
     /// The fingerprint is condemned.
-    Condemned(Work),
+    Condemned(Fingerprint),
     /// An operator lifted the verdict or the suspicion.
-    Lifted(Work),
+    Lifted(Fingerprint),
 }
 
-impl News {
+impl Event {
     /// Returns the fingerprint that the event concerns.
-    pub const fn work(&self) -> Work {
+    pub const fn work(&self) -> Fingerprint {
         match self {
-            News::Ended { work, .. } => *work,
-            News::Cleared(work) | News::Condemned(work) | News::Lifted(work) => *work,
+            Event::Ended { work, .. } => *work,
+            Event::Cleared(work) | Event::Condemned(work) | Event::Lifted(work) => *work,
         }
     }
 }
 
 /// Status of a fingerprint in the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Status {
     /// The evidence is below the suspicion threshold.
     Clear,
     /// Requests are sent, but isolated from others.
@@ -179,54 +179,54 @@
 
 /// Suspects and verdicts that one process has recorded.
 #[derive(Clone, Debug, Default)]
-pub struct Register {
-    suspects: BTreeMap<Work, Suspect>,
-    condemned: BTreeMap<Work, Verdict>,
+pub struct State {
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    condemned: BTreeMap<Fingerprint, Verdict>,
     next_sequence: u64,
 }
 
-impl Register {
+impl State {
     /// Returns the status of a fingerprint.
-    pub fn standing(&self, work: Work) -> Standing {
+    pub fn standing(&self, work: Fingerprint) -> Status {
         if self.condemned.contains_key(&work) {
-            return Standing::Condemned;
+            return Status::Condemned;
         }
         match self.suspects.get(&work) {
-            Some(suspect) if suspect.points() >= SUSPECT_POINTS => Standing::Suspect,
-            _ => Standing::Clear,
+            Some(suspect) if suspect.points() >= SUSPECT_POINTS => Status::Suspect,
+            _ => Status::Clear,
         }
     }
 
     /// Applies an event and returns the events to send to peers. The result is empty if the event was already
     /// recorded or adds too little evidence.
-    pub fn hear(&mut self, event: News) -> Vec<News> {
+    pub fn hear(&mut self, event: Event) -> Vec<Event> {
         match event {
-            News::Ended { work, run, weight } => self.record_termination(work, run, weight),
-            News::Cleared(work) => self.clear(work),
-            News::Condemned(work) => self.condemn(work),
-            News::Lifted(work) => self.lift(work),
+            Event::Ended { work, run, weight } => self.record_termination(work, run, weight),
+            Event::Cleared(work) => self.clear(work),
+            Event::Condemned(work) => self.condemn(work),
+            Event::Lifted(work) => self.lift(work),
         }
     }
 
     /// Returns the recorded runs that terminated under a condemned fingerprint, with the strength of the evidence.
-    pub fn ends(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
+    pub fn ends(&self, work: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
         let terminations = self.condemned.get(&work).map(|verdict| &verdict.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns the evidence against a fingerprint that is not condemned, by terminated run.
-    pub fn evidence(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
+    pub fn evidence(&self, work: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
         let terminations = self.suspects.get(&work).map(|suspect| &suspect.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns all condemned fingerprints.
-    pub fn condemned(&self) -> impl Iterator<Item = Work> {
+    pub fn condemned(&self) -> impl Iterator<Item = Fingerprint> {
         self.condemned.keys().copied()
     }
 
     /// Returns the suspects with their points.
-    pub fn suspects(&self) -> impl Iterator<Item = (Work, u32)> {
+    pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, u32)> {
         let counted = self.suspects.iter().map(|(work, suspect)| (*work, suspect.points()));
         counted.filter(|(_, points)| *points >= SUSPECT_POINTS)
     }
@@ -234,22 +234,22 @@
     /// Returns the fingerprints whose evidence is worth persisting. If this process is isolated, so that no peer
     /// receives its events, that includes all suspects: terminations observed by three isolated processes then
     /// condemn a fingerprint just as those observed by one.
-    pub fn lasting(&self, is_isolated: bool) -> impl Iterator<Item = Work> {
+    pub fn lasting(&self, is_isolated: bool) -> impl Iterator<Item = Fingerprint> {
         let min_points = if is_isolated { SUSPECT_POINTS } else { PERSISTENT_POINTS };
         let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(work, _)| work);
         self.condemned().chain(suspects)
     }
 
     /// Returns the events that bring a new peer up to date.
-    pub fn all(&self) -> Vec<News> {
-        let condemned = self.condemned().map(News::Condemned);
+    pub fn all(&self) -> Vec<Event> {
+        let condemned = self.condemned().map(Event::Condemned);
         let suspects = self.suspects().flat_map(|(work, _)| {
-            self.evidence(work).map(move |(run, weight)| News::Ended { work, run: run.clone(), weight })
+            self.evidence(work).map(move |(run, weight)| Event::Ended { work, run: run.clone(), weight })
         });
         condemned.chain(suspects).collect()
     }
 
-    fn record_termination(&mut self, work: Work, run: Name, weight: Weight) -> Vec<News> {
+    fn record_termination(&mut self, work: Fingerprint, run: Name, weight: Weight) -> Vec<Event> {
         if self.condemned.contains_key(&work) || self.is_attributed(&run) {
             return Vec::new();
         }
@@ -265,7 +265,7 @@
         let (points, termination_count) = (suspect.points(), suspect.terminations.len());
         let mut relayed = Vec::new();
         if points >= SUSPECT_POINTS {
-            relayed.push(News::Ended { work, run, weight });
+            relayed.push(Event::Ended { work, run, weight });
         }
         if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(work)) {
             relayed.extend(self.condemn(work));
@@ -284,14 +284,14 @@
     /// Returns whether another fingerprint was on all replicas that terminated under this one, so that either may be
     /// the cause. The newest termination is left out because its report for the other fingerprint may still be in
     /// transit.
-    fn is_ambiguous(&self, work: Work) -> bool {
+    fn is_ambiguous(&self, work: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&work) else { return false };
         let earlier: Vec<&Name> = suspect.terminations.keys().filter(|run| **run != suspect.newest_run).collect();
         let mut others = self.suspects.iter().filter(|(other, _)| **other != work);
         others.any(|(_, other)| earlier.iter().all(|run| other.terminations.contains_key(*run)))
     }
 
-    fn condemn(&mut self, work: Work) -> Vec<News> {
+    fn condemn(&mut self, work: Fingerprint) -> Vec<Event> {
         if self.condemned.contains_key(&work) {
             return Vec::new();
         }
@@ -303,28 +303,28 @@
         self.next_sequence += 1;
         self.condemned.insert(work, Verdict { terminations, sequence: self.next_sequence });
         self.evict();
-        vec![News::Condemned(work)]
+        vec![Event::Condemned(work)]
     }
 
     /// Clears a fingerprint after a complete successful answer. An answer that was in flight when its request was
     /// condemned proves the verdict wrong.
-    fn clear(&mut self, work: Work) -> Vec<News> {
+    fn clear(&mut self, work: Fingerprint) -> Vec<Event> {
         let relayed = match self.standing(work) {
-            Standing::Clear => Vec::new(),
-            Standing::Suspect => vec![News::Cleared(work)],
-            Standing::Condemned => vec![News::Lifted(work)],
+            Status::Clear => Vec::new(),
+            Status::Suspect => vec![Event::Cleared(work)],
+            Status::Condemned => vec![Event::Lifted(work)],
         };
         self.remove(work);
         relayed
     }
 
-    fn lift(&mut self, work: Work) -> Vec<News> {
-        let was_recorded = self.standing(work) != Standing::Clear;
+    fn lift(&mut self, work: Fingerprint) -> Vec<Event> {
+        let was_recorded = self.standing(work) != Status::Clear;
         self.remove(work);
-        if was_recorded { vec![News::Lifted(work)] } else { Vec::new() }
+        if was_recorded { vec![Event::Lifted(work)] } else { Vec::new() }
     }
 
-    fn remove(&mut self, work: Work) {
+    fn remove(&mut self, work: Fingerprint) {
         self.suspects.remove(&work);
         self.condemned.remove(&work);
     }
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::intent::{Change, Config, Item};
+use crate::intent::{Change, Config, Resource};
 use crate::name::Name;
 
 /// Maximum number of unconfirmed plans, and of verdicts kept for repeated confirmations.
@@ -43,7 +43,7 @@
     /// Configuration at the offset.
     pub config: Arc<Config>,
     /// Latest change of each item.
-    pub changed: Vec<(Item, LastChange)>,
+    pub changed: Vec<(Resource, LastChange)>,
     /// Unconfirmed plans with their base revisions.
     pub plans: Vec<(Name, u64, Vec<Change>)>,
     /// Verdicts on confirmed plans.
@@ -71,7 +71,7 @@
     /// Another plan changed an item after the base revision.
     Conflict {
         /// Item that both plans change.
-        item: Item,
+        item: Resource,
         /// Change that took effect first.
         winner: LastChange,
     },
@@ -84,7 +84,7 @@
 pub struct Replay {
     next: u64,
     config: Arc<Config>,
-    changed: BTreeMap<Item, LastChange>,
+    changed: BTreeMap<Resource, LastChange>,
     plans: HashMap<Name, (u64, Arc<Vec<Change>>)>,
     plan_order: VecDeque<Name>,
     verdicts: HashMap<Name, Verdict>,
--- a/coord/src/pause.rs
+++ b/coord/src/retry_delay.rs
@@ -7,14 +7,14 @@
 
 /// Initial and maximum retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pause {
+pub struct RetryDelay {
     /// Delay after the first failure.
     pub first: Duration,
     /// Upper bound of the delay.
     pub longest: Duration,
 }
 
-impl Pause {
+impl RetryDelay {
     /// Returns the delay after `failures` consecutive failures.
     pub fn after(&self, failures: u32) -> Duration {
         let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -41,37 +41,37 @@
 
 /// State of a replica's record in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum RecordState {
     /// The record is present.
-    Here(Record),
+    Present(Record),
     /// The record was removed.
     Removed(Name),
     /// The record was not written by the replica itself, so the replica must not be used.
     Unusable(Name),
 }
 
-impl News {
+impl RecordState {
     /// Returns the identity of the replica.
     pub fn id(&self) -> &Name {
         match self {
-            News::Here(record) => &record.id,
-            News::Removed(id) | News::Unusable(id) => id,
+            RecordState::Present(record) => &record.id,
+            RecordState::Removed(id) | RecordState::Unusable(id) => id,
         }
     }
 }
 
 /// State of a replica's record at a store offset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct Update {
     /// Store offset of the record's latest change.
     pub offset: u64,
     /// State of the record at the offset.
-    pub news: News,
+    pub news: RecordState,
 }
 
 /// Run of a replica that is draining, as stated by the replica itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Leaver {
+pub struct DrainingRun {
     /// Identity of the replica.
     pub id: Name,
     /// Start time of the run in Unix milliseconds, if known.
@@ -80,13 +80,13 @@
 
 /// Availability of a replica for work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// The replica takes work.
     Ready,
     /// Another writer replaced the record; the replica takes no work until it writes the record again.
     Unusable,
     /// The record expired right after a store outage; the replica takes work until the given time.
-    Lapsed(Moment),
+    Expired(Moment),
     /// The replica is draining or gone and takes no new work.
     Gone,
 }
@@ -97,7 +97,7 @@
     /// Latest record of the replica.
     pub record: Record,
     /// Availability for work.
-    pub standing: Standing,
+    pub standing: Availability,
     /// Offset of the latest record change, including heartbeats.
     offset: u64,
     /// Offset of the latest effective change; heartbeats rewrite unchanged records.
@@ -111,22 +111,22 @@
 impl Replica {
     /// Returns whether the replica takes new work, regardless of evacuations.
     pub fn takes_work(&self) -> bool {
-        matches!(self.standing, Standing::Ready | Standing::Lapsed(_))
+        matches!(self.standing, Availability::Ready | Availability::Expired(_))
     }
 
     /// Returns whether the replica is gone because its record was removed.
     fn is_removed(&self) -> bool {
-        self.standing == Standing::Gone && !self.has_record
+        self.standing == Availability::Gone && !self.has_record
     }
 
     /// Returns the latest effective change in the form sent to peers at `now`.
-    fn to_update(&self, now: Moment) -> Sighting {
+    fn to_update(&self, now: Moment) -> Update {
         let news = match (self.has_record, self.standing) {
-            (true, Standing::Unusable) => News::Unusable(self.record.id.clone()),
-            (true, _) => News::Here(Record { cold: self.cold_until.since(now), ..self.record.clone() }),
-            (false, _) => News::Removed(self.record.id.clone()),
+            (true, Availability::Unusable) => RecordState::Unusable(self.record.id.clone()),
+            (true, _) => RecordState::Present(Record { cold: self.cold_until.since(now), ..self.record.clone() }),
+            (false, _) => RecordState::Removed(self.record.id.clone()),
         };
-        Sighting { offset: self.changed_offset, news }
+        Update { offset: self.changed_offset, news }
     }
 }
 
@@ -155,7 +155,7 @@
     /// Identity of the replica.
     pub id: Name,
     /// New availability.
-    pub standing: Standing,
+    pub standing: Availability,
     /// Whether the replica has restarted, so that its requests and its memory contents are lost.
     pub restarted: bool,
     /// Whether the replica is cold and accepts fewer requests.
@@ -163,7 +163,7 @@
 }
 
 impl Change {
-    fn of(id: &Name, standing: Standing) -> Self {
+    fn of(id: &Name, standing: Availability) -> Self {
         Self { id: id.clone(), standing, restarted: false, cold: false }
     }
 }
@@ -182,18 +182,18 @@
 
     /// Returns the latest update of each replica that changed at offset `from` or later. A peer without any data
     /// (`from` 0) does not receive removed replicas, whose number grows without bound.
-    pub fn since(&self, from: u64, now: Moment) -> Vec<Sighting> {
+    pub fn since(&self, from: u64, now: Moment) -> Vec<Update> {
         let is_relevant = |replica: &&Replica| replica.changed_offset >= from && (from > 0 || replica.has_record);
         let changed = self.replicas.values().filter(is_relevant);
         changed.map(|replica| replica.to_update(now)).collect()
     }
 
     /// Applies the state of a record at its offset; a state older than the recorded one is ignored.
-    pub fn hear(&mut self, offset: u64, news: News, now: Moment) -> Option<Change> {
+    pub fn hear(&mut self, offset: u64, news: RecordState, now: Moment) -> Option<Change> {
         match news {
-            News::Here(record) => self.apply_record(offset, record, now),
-            News::Removed(id) => self.apply_removal(offset, &id, now),
-            News::Unusable(id) => self.apply_unusable(offset, &id),
+            RecordState::Present(record) => self.apply_record(offset, record, now),
+            RecordState::Removed(id) => self.apply_removal(offset, &id, now),
+            RecordState::Unusable(id) => self.apply_unusable(offset, &id),
         }
     }
 
@@ -227,7 +227,7 @@
             record.leaving || is_stated || (!restarted && current.is_some_and(|current| current.record.leaving));
         // The record now states that the replica is draining, so peers receive it with the record.
         let is_confirmed = is_stated && record.leaving;
-        let standing = if leaving { Standing::Gone } else { Standing::Ready };
+        let standing = if leaving { Availability::Gone } else { Availability::Ready };
         let cold_until = now + record.cold;
         let cold = cold_until > now;
         let cold_changed = current.is_some_and(|current| {
@@ -255,14 +255,14 @@
             return None;
         }
         replica.offset = offset;
-        if replica.has_record && replica.standing == Standing::Unusable {
+        if replica.has_record && replica.standing == Availability::Unusable {
             return None;
         }
         replica.has_record = true;
         replica.changed_offset = offset;
-        let changed = replica.standing != Standing::Unusable;
-        replica.standing = Standing::Unusable;
-        changed.then(|| Change::of(id, Standing::Unusable))
+        let changed = replica.standing != Availability::Unusable;
+        replica.standing = Availability::Unusable;
+        changed.then(|| Change::of(id, Availability::Unusable))
     }
 
     fn apply_removal(&mut self, offset: u64, id: &Name, now: Moment) -> Option<Change> {
@@ -277,9 +277,9 @@
             replica.changed_offset = offset;
         }
         let standing = match replica.standing {
-            Standing::Ready if now < grace_until => Standing::Lapsed(grace_until),
-            Standing::Lapsed(until) if now < until => return None,
-            _ => Standing::Gone,
+            Availability::Ready if now < grace_until => Availability::Expired(grace_until),
+            Availability::Expired(until) if now < until => return None,
+            _ => Availability::Gone,
         };
         let changed = replica.standing != standing;
         replica.standing = standing;
@@ -287,7 +287,7 @@
     }
 
     /// Applies a full snapshot with all offsets below `end_offset`; records missing from it were removed.
-    pub fn replace(&mut self, end_offset: u64, records: Vec<Sighting>, now: Moment) -> Vec<Change> {
+    pub fn replace(&mut self, end_offset: u64, records: Vec<Update>, now: Moment) -> Vec<Change> {
         let snapshot_ids: HashSet<&Name> = records.iter().map(|update| update.news.id()).collect();
         let is_missing = |replica: &&Replica| replica.offset < end_offset && !snapshot_ids.contains(&replica.record.id);
         let missing: Vec<Name> =
@@ -304,9 +304,9 @@
     pub fn expire(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         for (id, replica) in &mut self.replicas {
-            if matches!(replica.standing, Standing::Lapsed(until) if until <= now) {
-                replica.standing = Standing::Gone;
-                changes.push(Change::of(id, Standing::Gone));
+            if matches!(replica.standing, Availability::Expired(until) if until <= now) {
+                replica.standing = Availability::Gone;
+                changes.push(Change::of(id, Availability::Gone));
             }
         }
         changes
@@ -315,13 +315,13 @@
     /// Marks a replica as gone because another replica was found at its address.
     pub fn displaced(&mut self, id: &str) -> Option<Change> {
         let replica = self.replicas.get_mut(id)?;
-        let changed = replica.standing != Standing::Gone;
-        replica.standing = Standing::Gone;
-        changed.then(|| Change::of(&replica.record.id, Standing::Gone))
+        let changed = replica.standing != Availability::Gone;
+        replica.standing = Availability::Gone;
+        changed.then(|| Change::of(&replica.record.id, Availability::Gone))
     }
 
     /// Returns whether this run is already recorded as draining, or a later run is recorded.
-    pub fn knows_leaver(&self, leaver: &Leaver) -> bool {
+    pub fn knows_leaver(&self, leaver: &DrainingRun) -> bool {
         let is_same_or_later =
             |born: Option<u64>| leaver.born.zip(born).is_none_or(|(stated, current)| stated <= current);
         let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(stated, current)| stated < current);
@@ -332,24 +332,24 @@
     }
 
     /// Records that a run stated that it is draining; a run of an unknown replica is stored for later.
-    pub fn leaves(&mut self, leaver: Leaver) -> Option<Change> {
+    pub fn leaves(&mut self, leaver: DrainingRun) -> Option<Change> {
         if self.knows_leaver(&leaver) {
             return None;
         }
-        let Leaver { id, born } = leaver;
+        let DrainingRun { id, born } = leaver;
         self.draining_runs.insert(id.clone(), born);
         let replica = self.replicas.get_mut(&id)?;
         replica.record.leaving = true;
-        let changed = replica.standing != Standing::Gone;
-        replica.standing = Standing::Gone;
-        changed.then(|| Change::of(&id, Standing::Gone))
+        let changed = replica.standing != Availability::Gone;
+        replica.standing = Availability::Gone;
+        changed.then(|| Change::of(&id, Availability::Gone))
     }
 
     /// Returns the draining runs that the store's records do not show.
-    pub fn leavers(&self) -> impl Iterator<Item = Leaver> {
+    pub fn leavers(&self) -> impl Iterator<Item = DrainingRun> {
         let is_unreported = |id: &Name| self.replicas.get(id).is_none_or(|replica| replica.has_record);
         let unreported = self.draining_runs.iter().filter(move |(id, _)| is_unreported(id));
-        unreported.map(|(id, born)| Leaver { id: id.clone(), born: *born })
+        unreported.map(|(id, born)| DrainingRun { id: id.clone(), born: *born })
     }
 
     /// Returns whether no later run than the one in `record` is recorded.
--- a/coord/src/route.rs
+++ b/coord/src/route.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::engine::Figures;
+use crate::engine::Profile;
 use crate::name::Name;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// The request may be executed any number of times.
     Safe,
     /// The request may be executed at most once.
@@ -20,7 +20,7 @@
 
 /// Share of a route's traffic for one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Name,
     /// Weight among the shares of the route; 0 sends no traffic to the service.
@@ -37,7 +37,7 @@
     /// Path prefix, with a trailing slash.
     pub prefix: Name,
     /// Whether requests may be executed more than once.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Whether responses are event streams.
     pub streaming: bool,
     /// Whether another replica may continue a stream after the last event delivered.
@@ -55,7 +55,7 @@
     /// Whether requests need no API key.
     pub public: bool,
     /// Services that receive the traffic of the route.
-    pub shares: Vec<Share>,
+    pub shares: Vec<WeightedService>,
 }
 
 /// Minimum time that callers wait for the next event of a stream, including the first.
@@ -91,7 +91,7 @@
 
     /// Returns whether a request may be sent again after it may have been executed.
     pub fn repeatable(&self) -> bool {
-        self.repeat == Repeat::Safe || self.resumable
+        self.repeat == Idempotency::Safe || self.resumable
     }
 }
 
@@ -103,14 +103,14 @@
     /// Maximum number of connections to one replica from all callers together.
     pub max_connections: u32,
     /// Engine parameters; `None` for a plain service.
-    pub engine: Option<Arc<Figures>>,
+    pub engine: Option<Arc<Profile>>,
     /// Limit of cold replicas; `None` if they accept as many requests as warm ones.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdLimit>,
 }
 
 /// Reduced limit of a replica that is cold: for a while after its start, and whenever it reports so.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdLimit {
     /// Requests per second from all entries together.
     pub rate: f64,
     /// Duration of the cold period after a start.
@@ -152,7 +152,7 @@
 
 /// Reason for rejecting a request during routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum RouteError {
     /// No route of the host matches the path.
     NoRoute,
     /// The API key is missing or unknown.
@@ -192,9 +192,9 @@
     }
 
     /// Returns the route for a host and a path.
-    pub fn route(&self, host: &str, path: &str) -> Result<&Route, Denied> {
-        let routes = self.hosts.get(host).ok_or(Denied::NoRoute)?;
-        routes.iter().find(|route| path.starts_with(&*route.prefix)).ok_or(Denied::NoRoute)
+    pub fn route(&self, host: &str, path: &str) -> Result<&Route, RouteError> {
+        let routes = self.hosts.get(host).ok_or(RouteError::NoRoute)?;
+        routes.iter().find(|route| path.starts_with(&*route.prefix)).ok_or(RouteError::NoRoute)
     }
 
     /// Returns whether requests on `route` require an API key.
@@ -203,8 +203,8 @@
     }
 
     /// Returns the workspace that `key` belongs to.
-    pub fn workspace(&self, key: Option<&str>) -> Result<&Workspace, Denied> {
-        key.and_then(|key| self.keys.get(key)).ok_or(Denied::UnknownKey)
+    pub fn workspace(&self, key: Option<&str>) -> Result<&Workspace, RouteError> {
+        key.and_then(|key| self.keys.get(key)).ok_or(RouteError::UnknownKey)
     }
 
     /// Returns a service by name.
--- a/coord/src/scheduler/capacity.rs
+++ b/coord/src/scheduler/capacity.rs
@@ -1,20 +1,20 @@
 //! Free slots and memory of an endpoint, and the part that is reserved for short jobs.
 
-use super::message::Level;
+use super::message::PrefillPriority;
 use crate::queue::Job;
 
-/// Longest prompt of [`Level::Middle`], in tokens.
+/// Longest prompt of [`PrefillPriority::Middle`], in tokens.
 const MAX_MIDDLE_TOKENS: u64 = 16_000;
-/// Longest prompt of [`Level::Long`], in tokens.
+/// Longest prompt of [`PrefillPriority::Long`], in tokens.
 const MAX_LONG_TOKENS: u64 = 100_000;
 
 /// Returns the prefill priority of a job.
-pub fn level(job: &Job, short_tokens: u64) -> Level {
+pub fn level(job: &Job, short_tokens: u64) -> PrefillPriority {
     match job.prefill_tokens {
-        tokens if tokens <= short_tokens => Level::Short,
-        tokens if tokens <= MAX_MIDDLE_TOKENS => Level::Middle,
-        tokens if tokens <= MAX_LONG_TOKENS => Level::Long,
-        _ => Level::Huge,
+        tokens if tokens <= short_tokens => PrefillPriority::Short,
+        tokens if tokens <= MAX_MIDDLE_TOKENS => PrefillPriority::Middle,
+        tokens if tokens <= MAX_LONG_TOKENS => PrefillPriority::Long,
+        _ => PrefillPriority::Huge,
     }
 }
 
@@ -40,7 +40,7 @@
 impl Capacity {
     /// Returns whether the job can start now.
     pub fn fits(&self, job: &Job) -> bool {
-        if level(job, self.short_tokens) == Level::Short {
+        if level(job, self.short_tokens) == PrefillPriority::Short {
             return self.free_slots > 0 && job.memory_tokens <= self.free_memory;
         }
         // A prompt that never fits beside the reserved memory may use all of it on an otherwise empty engine.
--- a/coord/src/scheduler/message.rs
+++ b/coord/src/scheduler/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::name::{Attempt, Ran};
+use crate::name::{Attempt, ExecutionStatus};
 
 /// Sizes and limits of one endpoint.
 #[derive(Clone, Debug)]
@@ -27,15 +27,15 @@
 
 /// Reason for refusing a job. A refused job did not run and will not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum RefusalReason {
     /// The endpoint is draining.
-    Leaving,
+    Draining,
     /// The endpoint fails its health checks.
     Unhealthy,
     /// The attempt was cancelled before it arrived.
-    Voided,
+    Cancelled,
     /// The attempt was offered before.
-    Repeated,
+    Duplicate,
     /// The job cannot finish before its deadline.
     TooLate,
     /// Too many jobs wait.
@@ -48,9 +48,9 @@
 
 /// Refusal with a retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Reason for the refusal.
-    pub reason: Refusal,
+    pub reason: RefusalReason,
     /// Time after which a similar job could be accepted.
     pub retry_after: Duration,
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start the job on the engine with this priority.
-    Start(Attempt, Level),
+    Start(Attempt, PrefillPriority),
     /// Discard the job, because its deadline passed before it started.
     Expire(Attempt),
     /// Stop the job on the engine, because its deadline passed while it ran.
@@ -72,7 +72,7 @@
 
 /// Prefill priority of a job on the engine. Prefill of a higher level goes first and pauses that of lower levels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Level {
+pub enum PrefillPriority {
     /// Prompts longer than long ones, and spans.
     Huge,
     /// Long prompts.
@@ -85,26 +85,26 @@
 
 /// Result of cancelling an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Voided {
+pub enum CancelOutcome {
     /// The attempt had not started and never will.
     NotRun,
     /// The attempt had started; it is being stopped or has finished.
     Started,
 }
 
-impl Voided {
+impl CancelOutcome {
     /// Returns whether the attempt ran, as far as a caller may be told.
-    pub fn ran(self) -> Ran {
+    pub fn ran(self) -> ExecutionStatus {
         match self {
-            Voided::NotRun => Ran::No,
-            Voided::Started => Ran::Unknown,
+            CancelOutcome::NotRun => ExecutionStatus::No,
+            CancelOutcome::Started => ExecutionStatus::Unknown,
         }
     }
 }
 
 /// State of an idempotency key that is bound to this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Once {
+pub enum KeyState {
     /// The key was new; this attempt is now bound to it and may run.
     First,
     /// The given attempt is bound to the key and has not finished.
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -16,14 +16,14 @@
 use crate::memory::Ledger;
 use crate::name::Attempt;
 use crate::queue::{Job, Order, Queue};
-use crate::remembered::Remembered;
+use crate::expiring_set::ExpiringSet;
 use crate::span::Spans;
 use crate::time::Moment;
 
 #[derive(Clone, Debug)]
 struct RunningJob {
     job: Job,
-    level: Level,
+    level: PrefillPriority,
     started_at: Moment,
     first_token_at: Option<Moment>,
 }
@@ -46,9 +46,9 @@
     memory: Ledger<Attempt>,
     spans: Spans,
     /// Attempts that never started and never will.
-    cancelled: Remembered<Attempt>,
+    cancelled: ExpiringSet<Attempt>,
     /// Attempts that started and have finished.
-    finished: Remembered<Attempt>,
+    finished: ExpiringSet<Attempt>,
     keys: HashMap<Key, (Attempt, bool)>,
     keys_by_age: VecDeque<(Moment, Key)>,
     is_draining: bool,
@@ -68,8 +68,8 @@
             running: HashMap::new(),
             memory,
             spans: Spans::default(),
-            cancelled: Remembered::new(),
-            finished: Remembered::new(),
+            cancelled: ExpiringSet::new(),
+            finished: ExpiringSet::new(),
             keys: HashMap::new(),
             keys_by_age: VecDeque::new(),
             is_draining: false,
@@ -89,13 +89,13 @@
     }
 
     /// Returns the state of `key`, and binds it to `attempt` if it is new.
-    pub fn once(&mut self, key: &Key, attempt: Attempt, now: Moment) -> Once {
+    pub fn once(&mut self, key: &Key, attempt: Attempt, now: Moment) -> KeyState {
         if let Some((bound_attempt, is_done)) = self.keys.get(key) {
-            return if *is_done { Once::Done(*bound_attempt) } else { Once::Running(*bound_attempt) };
+            return if *is_done { KeyState::Done(*bound_attempt) } else { KeyState::Running(*bound_attempt) };
         }
         self.keys.insert(key.clone(), (attempt, false));
         self.keys_by_age.push_back((now, key.clone()));
-        Once::First
+        KeyState::First
     }
 
     /// Records that the attempt of a key has finished.
@@ -120,39 +120,39 @@
     }
 
     /// Accepts a job, or refuses it with a reason.
-    pub fn offer(&mut self, job: Job, now: Moment) -> Result<(), Refused> {
+    pub fn offer(&mut self, job: Job, now: Moment) -> Result<(), Refusal> {
         self.check_offer(&job, now)?;
         self.queue.push(job);
         Ok(())
     }
 
-    fn check_offer(&self, job: &Job, now: Moment) -> Result<(), Refused> {
-        let refuse = |reason, retry_after| Err(Refused { reason, retry_after });
+    fn check_offer(&self, job: &Job, now: Moment) -> Result<(), Refusal> {
+        let refuse = |reason, retry_after| Err(Refusal { reason, retry_after });
         if self.is_draining {
-            return refuse(Refusal::Leaving, Duration::ZERO);
+            return refuse(RefusalReason::Draining, Duration::ZERO);
         }
         if self.is_unhealthy {
-            return refuse(Refusal::Unhealthy, UNHEALTHY_RETRY_AFTER);
+            return refuse(RefusalReason::Unhealthy, UNHEALTHY_RETRY_AFTER);
         }
         if self.cancelled.contains(job.attempt) {
-            return refuse(Refusal::Voided, Duration::ZERO);
+            return refuse(RefusalReason::Cancelled, Duration::ZERO);
         }
         if self.finished.contains(job.attempt)
             || self.running.contains_key(&job.attempt)
             || self.queue.iter().any(|queued| queued.attempt == job.attempt)
         {
-            return refuse(Refusal::Repeated, Duration::ZERO);
+            return refuse(RefusalReason::Duplicate, Duration::ZERO);
         }
         if job.memory_tokens > self.limits.memory_tokens {
-            return refuse(Refusal::TooLarge, Duration::ZERO);
+            return refuse(RefusalReason::TooLarge, Duration::ZERO);
         }
         if self.queue.len() >= self.limits.queue {
-            return refuse(Refusal::QueueFull, self.queue_wait(job, now));
+            return refuse(RefusalReason::QueueFull, self.queue_wait(job, now));
         }
         let needed = self.estimate_times(job, now).1.mul_f64(ESTIMATE_MARGIN);
         let time_left = job.deadline.since(now);
         if needed > time_left {
-            return refuse(Refusal::TooLate, needed - time_left);
+            return refuse(RefusalReason::TooLate, needed - time_left);
         }
         Ok(())
     }
@@ -167,7 +167,7 @@
     /// Returns the remaining time of prefill on the engine that goes before that of `job`.
     fn prefill_ahead(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
-        let spans = if level == Level::Huge { self.spans.prefill_left(now) } else { Duration::ZERO };
+        let spans = if level == PrefillPriority::Huge { self.spans.prefill_left(now) } else { Duration::ZERO };
         let running: Duration = self
             .running
             .values()
@@ -203,13 +203,13 @@
         self.estimate_times(job, now).0.max(Duration::from_millis(10))
     }
 
-    fn level(&self, job: &Job) -> Level {
+    fn level(&self, job: &Job) -> PrefillPriority {
         // FIFO order, the baseline, ignores prompt lengths.
         if !self.queue.keeps_headroom() {
-            return Level::Huge;
+            return PrefillPriority::Huge;
         }
         let level = level(job, self.limits.short_tokens);
-        if level == Level::Short || self.limits.grade_long { level } else { Level::Huge }
+        if level == PrefillPriority::Short || self.limits.grade_long { level } else { PrefillPriority::Huge }
     }
 
     /// Returns the free slots and memory.
@@ -231,7 +231,7 @@
     fn interference(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
         let paused = self.running.values().filter(|run| run.first_token_at.is_none() && run.level < level).count();
-        let spans = usize::from(level > Level::Huge && !self.spans.prefill_left(now).is_zero());
+        let spans = usize::from(level > PrefillPriority::Huge && !self.spans.prefill_left(now).is_zero());
         job.cost * (paused + spans) as u32
     }
 
@@ -302,7 +302,7 @@
             return;
         }
         let capacity = self.capacity(now);
-        let is_stuck = |job: &&Job| self.is_unhealthy || (!capacity.fits(job) && self.level(job) != Level::Short);
+        let is_stuck = |job: &&Job| self.is_unhealthy || (!capacity.fits(job) && self.level(job) != PrefillPriority::Short);
         let evicted: Vec<Attempt> = self.queue.iter().filter(is_stuck).map(|job| job.attempt).collect();
         for attempt in evicted {
             self.queue.remove(attempt);
@@ -351,22 +351,22 @@
 
     /// Reserves memory for a span under a lease until `until`. If too little memory is free, starts collecting it and
     /// refuses with the time after which to retry.
-    pub fn reserve(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> Result<(), Refused> {
-        let refuse = |reason, retry_after| Err(Refused { reason, retry_after });
+    pub fn reserve(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> Result<(), Refusal> {
+        let refuse = |reason, retry_after| Err(Refusal { reason, retry_after });
         if let Some(held) = self.spans.get_mut(span) {
             held.until = until;
             return Ok(());
         }
         if self.is_draining || self.is_unhealthy {
-            let reason = if self.is_draining { Refusal::Leaving } else { Refusal::Unhealthy };
+            let reason = if self.is_draining { RefusalReason::Draining } else { RefusalReason::Unhealthy };
             return refuse(reason, UNHEALTHY_RETRY_AFTER);
         }
         if tokens > self.limits.memory_tokens {
-            return refuse(Refusal::TooLarge, Duration::ZERO);
+            return refuse(RefusalReason::TooLarge, Duration::ZERO);
         }
         self.has_new_span |= !self.spans.is_wanted(span);
         if !self.spans.want(span, tokens, until, now) || !self.memory.hold(span, tokens, until) {
-            return refuse(Refusal::QueueFull, SPAN_RETRY_AFTER);
+            return refuse(RefusalReason::QueueFull, SPAN_RETRY_AFTER);
         }
         self.spans.hold(span, tokens, until);
         self.check_memory_accounting();
@@ -404,18 +404,18 @@
     /// Cancels an attempt if it has not started.
     ///
     /// If another attempt is bound to the key `once`, that attempt may run, so that the result is
-    /// [`Voided::Started`].
-    pub fn void(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> Voided {
+    /// [`CancelOutcome::Started`].
+    pub fn void(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> CancelOutcome {
         let binding = once.and_then(|key| self.keys.get(key));
         if binding.is_some_and(|(bound_attempt, _)| *bound_attempt != attempt) {
-            return Voided::Started;
+            return CancelOutcome::Started;
         }
         if self.running.contains_key(&attempt) || self.finished.contains(attempt) {
-            return Voided::Started;
+            return CancelOutcome::Started;
         }
         self.queue.remove(attempt);
         self.cancelled.insert(attempt, now);
-        Voided::NotRun
+        CancelOutcome::NotRun
     }
 
     /// Starts draining: refuses all new work.
--- a/coord/src/search.rs
+++ b/coord/src/search.rs
@@ -8,14 +8,14 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-use crate::pause::Pause;
+use crate::retry_delay::RetryDelay;
 use crate::time::Moment;
 
 /// Maximum number of candidates per round: the leader and the next two in rank.
-pub const ROUND: usize = 3;
+pub const MAX_CANDIDATES_PER_ROUND: usize = 3;
 /// Retry delay of a failed candidate. It starts at two heartbeat intervals of a leader, within which the candidate
 /// may come up; its maximum bounds how long the two sides of a healed partition take to find each other.
-const RETRY_DELAY: Pause = Pause { first: Duration::from_millis(300), longest: Duration::from_secs(4) };
+const RETRY_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(300), longest: Duration::from_secs(4) };
 
 /// Failed attempts to reach a candidate.
 #[derive(Clone, Copy, Debug)]
@@ -28,21 +28,21 @@
 
 /// Candidates that failed recently.
 #[derive(Debug)]
-pub struct Search<K> {
+pub struct LeaderSearch<K> {
     failures: HashMap<K, Failure>,
 }
 
-impl<K> Default for Search<K> {
+impl<K> Default for LeaderSearch<K> {
     fn default() -> Self {
         Self { failures: HashMap::new() }
     }
 }
 
-impl<K: Clone + Eq + Hash> Search<K> {
+impl<K: Clone + Eq + Hash> LeaderSearch<K> {
     /// Selects the candidates for a round at `now`. `candidates` must be in order of rank.
     pub fn round(&self, candidates: impl IntoIterator<Item = K>, now: Moment) -> Vec<K> {
         let is_eligible = |candidate: &K| self.failures.get(candidate).is_none_or(|failure| failure.retry_at <= now);
-        candidates.into_iter().filter(is_eligible).take(ROUND).collect()
+        candidates.into_iter().filter(is_eligible).take(MAX_CANDIDATES_PER_ROUND).collect()
     }
 
     /// Records that a candidate was unreachable or is not a leader. `jitter` scales the retry delay, so that
--- a/coord/src/standing.rs
+++ b/coord/src/succession.rs
@@ -15,9 +15,9 @@
 /// The scale is coarse on purpose: a returning process takes over from one with at most half of its capacity, but not
 /// from one of similar capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Power(pub u8);
+pub struct Capacity(pub u8);
 
-impl Power {
+impl Capacity {
     /// Returns the capacity of a process with a share of a core and a link rate in Mbit/s; the scarcer resource
     /// decides.
     pub fn of(cores: f64, link_mbps: f64) -> Self {
@@ -28,19 +28,19 @@
 
 /// Rank in the order of succession; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Standing {
-    capacity: Reverse<Power>,
+pub struct Rank {
+    capacity: Reverse<Capacity>,
     announced_offset: u64,
 }
 
-impl Standing {
+impl Rank {
     /// Creates the rank of a process from its capacity and the log offset of its announcement.
-    pub fn new(capacity: Power, announced_offset: u64) -> Self {
+    pub fn new(capacity: Capacity, announced_offset: u64) -> Self {
         Self { capacity: Reverse(capacity), announced_offset }
     }
 
     /// Returns the capacity of the process.
-    pub fn power(&self) -> Power {
+    pub fn power(&self) -> Capacity {
         self.capacity.0
     }
 }
--- a/coord/src/end.rs
+++ b/coord/src/termination.rs
@@ -27,46 +27,46 @@
 
 /// Interval in which a termination happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct Interval {
     /// Time at which the process was still running or had not started.
     pub after: Moment,
     /// Time by which the process had terminated.
     pub by: Moment,
 }
 
-impl Span {
+impl Interval {
     /// Returns the interval of a termination that is known only to have happened before `now`.
     pub const fn before(now: Moment) -> Self {
         Self { after: Moment::ZERO, by: now }
     }
 
-    fn overlaps(&self, other: &Span) -> bool {
+    fn overlaps(&self, other: &Interval) -> bool {
         self.after <= other.by && other.after <= self.by
     }
 
     /// Returns the intersection of both intervals.
-    fn intersection(&self, other: &Span) -> Span {
-        Span { after: self.after.max(other.after), by: self.by.min(other.by) }
+    fn intersection(&self, other: &Interval) -> Interval {
+        Interval { after: self.after.max(other.after), by: self.by.min(other.by) }
     }
 }
 
 /// Interval in transit between processes, with ages in place of moments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Age {
+pub struct IntervalAge {
     start_age: Duration,
     end_age: Duration,
 }
 
-impl Age {
+impl IntervalAge {
     /// Converts `span` for sending at `now`.
-    pub fn of(span: &Span, now: Moment) -> Self {
+    pub fn of(span: &Interval, now: Moment) -> Self {
         Self { start_age: now.since(span.after), end_age: now.since(span.by) }
     }
 
     /// Converts back to an interval at the receive time `now`. The interval is widened by the longest transit time
     /// because the actual one is unknown.
-    pub fn span(&self, now: Moment) -> Span {
-        Span { after: now - self.start_age - MAX_TRANSIT_TIME, by: now - self.end_age }
+    pub fn span(&self, now: Moment) -> Interval {
+        Interval { after: now - self.start_age - MAX_TRANSIT_TIME, by: now - self.end_age }
     }
 }
 
@@ -99,7 +99,7 @@
 struct Termination {
     /// The first name is the one used in this process.
     names: Vec<Name>,
-    span: Span,
+    span: Interval,
 }
 
 impl Termination {
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether a reported termination may be this one. One process never gives two names to one termination.
-    fn may_match(&self, run: &RunName, span: &Span) -> bool {
+    fn may_match(&self, run: &RunName, span: &Interval) -> bool {
         let has_same_author = |name: &Name| run.author.is_some() && RunName::parse(name).author == run.author;
         let has_other_start = self.start_ms().zip(run.start_ms).is_some_and(|(own, other)| own != other);
         self.span.overlaps(span) && !has_other_start && !self.names.iter().any(has_same_author)
@@ -117,7 +117,7 @@
 
 /// Terminations of replica processes that this process has recorded.
 #[derive(Debug)]
-pub struct Ends {
+pub struct Terminations {
     /// Unique part, after the replica, of the names that this process generates.
     author: Name,
     next_number: u64,
@@ -125,7 +125,7 @@
     replicas: BTreeMap<Name, Vec<Termination>>,
 }
 
-impl Ends {
+impl Terminations {
     /// Creates an empty set. `author` must be unique among processes and contain neither `-` nor `~`.
     pub fn new(author: impl fmt::Display) -> Self {
         Self { author: author.to_string().into(), next_number: 0, replicas: BTreeMap::new() }
@@ -133,7 +133,7 @@
 
     /// Records a termination observed by this process. `start_ms` is the start time in the replica's record. Returns the
     /// name of the terminated run and whether the termination is new.
-    pub fn saw(&mut self, replica: &Name, start_ms: Option<u64>, span: Span) -> (Name, bool) {
+    pub fn saw(&mut self, replica: &Name, start_ms: Option<u64>, span: Interval) -> (Name, bool) {
         let terminations = self.replicas.entry(replica.clone()).or_default();
         let overlapping = terminations.iter_mut().filter(|termination| termination.span.overlaps(&span));
         // The request was running on the first run that terminated after it was sent.
@@ -153,7 +153,7 @@
     }
 
     /// Records a termination reported by another process, and returns its name in this process.
-    pub fn heard(&mut self, name: &Name, span: Span) -> Name {
+    pub fn heard(&mut self, name: &Name, span: Interval) -> Name {
         let run = RunName::parse(name);
         let terminations = self.replicas.entry(run.replica.into()).or_default();
         if let Some(termination) = terminations.iter().find(|termination| termination.names.contains(name)) {
@@ -170,7 +170,7 @@
     }
 
     /// Returns the interval in which a run terminated, or `None` if no such termination is recorded.
-    pub fn span(&self, run: &Name) -> Option<Span> {
+    pub fn span(&self, run: &Name) -> Option<Interval> {
         let terminations = self.replicas.get(RunName::parse(run).replica)?;
         terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.span)
     }
--- a/coord/tests/common/mod.rs
+++ b/coord/tests/common/mod.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use coord::engine::Figures;
+use coord::engine::Profile;
 
 /// Returns the parameters of an engine with `slots` slots and `stride` token steps per pass with decoding requests.
-pub fn figures(slots: u32, stride: u32) -> Arc<Figures> {
-    Arc::new(Figures {
+pub fn figures(slots: u32, stride: u32) -> Arc<Profile> {
+    Arc::new(Profile {
         slots,
         memory: 450_000,
         stride,
--- a/coord/tests/ends.rs
+++ b/coord/tests/ends.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use coord::end::{Age, Ends, Span};
+use coord::termination::{IntervalAge, Terminations, Interval};
 use coord::name::Name;
 use coord::time::Moment;
 use rand::rngs::SmallRng;
@@ -19,23 +19,23 @@
     Moment::from_millis(100_000 + ms)
 }
 
-fn span(after: u64, by: u64) -> Span {
-    Span { after: at(after), by: at(by) }
+fn span(after: u64, by: u64) -> Interval {
+    Interval { after: at(after), by: at(by) }
 }
 
-fn observe(ends: &mut Ends, replica: &str, after: u64, by: u64) -> Name {
+fn observe(ends: &mut Terminations, replica: &str, after: u64, by: u64) -> Name {
     ends.saw(&replica.into(), None, span(after, by)).0
 }
 
 /// Reports `run` from `from` to `ends`, which share a clock, with a transit time of `transit_ms`.
-fn report_to(ends: &mut Ends, from: &Ends, run: &Name, sent: u64, transit_ms: u64) -> Name {
-    let age = Age::of(&from.span(run).expect("the termination is recorded"), at(sent));
+fn report_to(ends: &mut Terminations, from: &Terminations, run: &Name, sent: u64, transit_ms: u64) -> Name {
+    let age = IntervalAge::of(&from.span(run).expect("the termination is recorded"), at(sent));
     ends.heard(run, age.span(at(sent + transit_ms)))
 }
 
 #[test]
 fn a_termination_observed_after_another_was_reported_is_a_new_one() {
-    let (mut observer, mut receiver) = (Ends::new("a"), Ends::new("b"));
+    let (mut observer, mut receiver) = (Terminations::new("a"), Terminations::new("b"));
     let first = observe(&mut observer, "r", 0, 100);
     assert_eq!(report_to(&mut receiver, &observer, &first, 100, 20), first);
     let second = observe(&mut receiver, "r", 1_800, 1_900);
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_termination_observed_by_two_processes_counts_once_despite_an_earlier_one() {
-    let (mut a, mut b) = (Ends::new("a"), Ends::new("b"));
+    let (mut a, mut b) = (Terminations::new("a"), Terminations::new("b"));
     let earlier = observe(&mut a, "r", 0, 100);
     let (of_a, of_b) = (observe(&mut a, "r", 2_000, 2_100), observe(&mut b, "r", 1_950, 2_090));
     assert_eq!(report_to(&mut b, &a, &of_a, 2_100, 20), of_b);
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_termination_reported_under_two_names_counts_once() {
-    let (mut a, mut b, mut c) = (Ends::new("a"), Ends::new("b"), Ends::new("c"));
+    let (mut a, mut b, mut c) = (Terminations::new("a"), Terminations::new("b"), Terminations::new("c"));
     let (of_a, of_b) = (observe(&mut a, "r", 2_000, 2_100), observe(&mut b, "r", 1_950, 2_090));
     assert_eq!(report_to(&mut c, &a, &of_a, 2_100, 10), of_a);
     assert_eq!(report_to(&mut c, &b, &of_b, 2_100, 400), of_a);
@@ -64,14 +64,14 @@
 
 #[test]
 fn terminations_that_one_process_distinguishes_stay_distinct() {
-    let (mut a, mut b) = (Ends::new("a"), Ends::new("b"));
+    let (mut a, mut b) = (Terminations::new("a"), Terminations::new("b"));
     let (first, second) = (observe(&mut a, "r", 0, 20), observe(&mut a, "r", 300, 320));
     assert_ne!(report_to(&mut b, &a, &first, 320, 10), report_to(&mut b, &a, &second, 320, 10));
 }
 
 #[test]
 fn a_connection_loss_found_late_belongs_to_the_run_that_received_the_request() {
-    let mut ends = Ends::new("a");
+    let mut ends = Terminations::new("a");
     let (first, second) = (observe(&mut ends, "r", 0, 20), observe(&mut ends, "r", 1_000, 1_020));
     assert_eq!(observe(&mut ends, "r", 10, 5_000), first);
     assert_eq!(observe(&mut ends, "r", 900, 5_000), second);
@@ -79,7 +79,7 @@
 
 #[test]
 fn start_times_in_records_distinguish_runs() {
-    let (mut a, mut b) = (Ends::new("a"), Ends::new("b"));
+    let (mut a, mut b) = (Terminations::new("a"), Terminations::new("b"));
     let (first, _) = a.saw(&"r".into(), Some(7), span(0, 20));
     let (second, _) = b.saw(&"r".into(), Some(8), span(0, 30));
     assert_ne!(report_to(&mut a, &b, &second, 30, 10), first);
@@ -90,18 +90,18 @@
 
 #[test]
 fn a_stored_termination_differs_from_one_observed_after_the_store_was_read() {
-    let mut ends = Ends::new("b");
+    let mut ends = Terminations::new("b");
     let stored: Name = "r~a-0".into();
-    assert_eq!(ends.heard(&stored, Span::before(at(50))), stored);
+    assert_eq!(ends.heard(&stored, Interval::before(at(50))), stored);
     assert_ne!(observe(&mut ends, "r", 60, 80), stored);
     // A termination observed before the store was read may be the stored one.
     let own = observe(&mut ends, "q", 10, 40);
-    assert_eq!(ends.heard(&"q~a-1".into(), Span::before(at(50))), own);
+    assert_eq!(ends.heard(&"q~a-1".into(), Interval::before(at(50))), own);
 }
 
 #[test]
 fn names_in_another_format_are_replica_names() {
-    let mut ends = Ends::new("b");
+    let mut ends = Terminations::new("b");
     let old: Name = "engine-3/2".into();
     assert_eq!(ends.heard(&old, span(0, 20)), old);
     assert_eq!(ends.heard(&old, span(500, 520)), old);
@@ -112,7 +112,7 @@
 
 #[test]
 fn the_number_of_recorded_terminations_is_bounded() {
-    let mut ends = Ends::new("a");
+    let mut ends = Terminations::new("a");
     let runs: Vec<Name> = (0..1_000).map(|number| observe(&mut ends, "r", number * 100, number * 100 + 10)).collect();
     let known = runs.iter().filter(|run| ends.span(run).is_some()).count();
     assert!((16..=64).contains(&known), "{known}");
@@ -125,7 +125,7 @@
     arrives_at: u64,
     receiver: usize,
     run: Name,
-    age: Age,
+    age: IntervalAge,
     termination: usize,
 }
 
@@ -133,7 +133,7 @@
 /// by hours.
 fn simulate(seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut registries: Vec<Ends> = (0..ENTRIES).map(|entry| Ends::new(format!("{entry}"))).collect();
+    let mut registries: Vec<Terminations> = (0..ENTRIES).map(|entry| Terminations::new(format!("{entry}"))).collect();
     let clock = |entry: usize, ms: u64| Moment::from_millis(100_000 + ms) + Duration::from_secs(3_600 * entry as u64);
     // Names of each termination at each entry.
     let mut names: Vec<Vec<BTreeSet<Name>>> = vec![Vec::new(); ENTRIES];
@@ -155,7 +155,7 @@
             let id: Name = format!("r{replica}").into();
             for entry in (0..ENTRIES).filter(|_| random.random_bool(0.6)).collect::<Vec<_>>() {
                 let sent = now.saturating_sub(random.random_range(0..200));
-                let span = Span { after: clock(entry, sent), by: clock(entry, now) };
+                let span = Interval { after: clock(entry, sent), by: clock(entry, now) };
                 let (run, _) = registries[entry].saw(&id, None, span);
                 names[entry][termination_count].insert(run.clone());
                 for receiver in (0..ENTRIES).filter(|receiver| *receiver != entry) {
@@ -164,7 +164,7 @@
                         arrives_at,
                         receiver,
                         run: run.clone(),
-                        age: Age::of(&span, clock(entry, now)),
+                        age: IntervalAge::of(&span, clock(entry, now)),
                         termination: termination_count,
                     });
                 }
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use coord::evacuation::{News as EvacuationEvent, Picture, Register};
+use coord::evacuation::{Event as EvacuationEvent, Snapshot, Evacuations};
 use coord::name::Name;
 use coord::offset::{Text, era, number, plain};
-use coord::roster::{News, Record, Roster, Sighting, Standing};
+use coord::roster::{RecordState, Record, Roster, Update, Availability};
 use coord::time::Moment;
 
 const NOW: Moment = Moment::from_millis(1_000);
@@ -24,8 +24,8 @@
     }
 }
 
-fn update(offset: u64) -> Sighting {
-    Sighting { offset, news: News::Here(record()) }
+fn update(offset: u64) -> Update {
+    Update { offset, news: RecordState::Present(record()) }
 }
 
 fn takes_work(roster: &Roster) -> bool {
@@ -50,50 +50,50 @@
 #[test]
 fn a_replica_whose_removal_was_lost_takes_no_work_until_it_writes_again() {
     let mut roster = Roster::default();
-    roster.hear(3, News::Here(record()), NOW);
-    roster.hear(8, News::Removed("r".into()), NOW);
+    roster.hear(3, RecordState::Present(record()), NOW);
+    roster.hear(8, RecordState::Removed("r".into()), NOW);
     roster.replace(number(1, 5), vec![update(number(1, 3))], NOW);
     assert!(!takes_work(&roster), "the recovered log still contains the record");
     roster.replace(number(1, 6), vec![update(number(1, 3))], NOW);
     assert!(!takes_work(&roster), "the same record is read again");
     assert!(roster.since(0, NOW).is_empty(), "the replica is not reported to peers");
-    roster.hear(number(1, 7), News::Here(record()), NOW);
+    roster.hear(number(1, 7), RecordState::Present(record()), NOW);
     assert!(takes_work(&roster), "the replica has written its record again");
 }
 
 #[test]
 fn a_replica_whose_record_was_lost_is_used_for_the_grace_period() {
     let mut roster = Roster::default();
-    roster.hear(3, News::Here(record()), NOW);
+    roster.hear(3, RecordState::Present(record()), NOW);
     roster.store_returned(NOW, GRACE);
     roster.replace(number(1, 2), Vec::new(), NOW);
     assert!(takes_work(&roster));
     let mut rewritten = roster;
-    rewritten.hear(number(1, 4), News::Here(record()), NOW);
+    rewritten.hear(number(1, 4), RecordState::Present(record()), NOW);
     assert!(takes_work(&rewritten) && rewritten.expire(NOW + GRACE).is_empty(), "the record was written again");
     let mut roster = Roster::default();
-    roster.hear(3, News::Here(record()), NOW);
+    roster.hear(3, RecordState::Present(record()), NOW);
     roster.store_returned(NOW, GRACE);
     roster.replace(number(1, 2), Vec::new(), NOW);
-    assert_eq!(roster.expire(NOW + GRACE)[0].standing, Standing::Gone);
+    assert_eq!(roster.expire(NOW + GRACE)[0].standing, Availability::Gone);
 }
 
 fn domains(names: &[&str]) -> std::collections::BTreeSet<Name> {
     names.iter().map(|name| Name::from(*name)).collect()
 }
 
-fn snapshot(next: u64, names: &[&str]) -> Picture {
-    Picture { next, domains: domains(names) }
+fn snapshot(next: u64, names: &[&str]) -> Snapshot {
+    Snapshot { next, domains: domains(names) }
 }
 
 #[test]
 fn a_domain_whose_evacuation_was_lost_stays_evacuated_for_the_grace_period() {
-    let mut register = Register::default();
-    register.hear(6, EvacuationEvent::Begun("a".into()));
-    register.hear(7, EvacuationEvent::Begun("b".into()));
+    let mut register = Evacuations::default();
+    register.hear(6, EvacuationEvent::Started("a".into()));
+    register.hear(7, EvacuationEvent::Started("b".into()));
     assert!(!register.replace(snapshot(number(1, 2), &[]), NOW + GRACE));
     assert_eq!(register.picture().domains, domains(&["a", "b"]));
-    register.hear(number(1, 2), EvacuationEvent::Begun("a".into()));
+    register.hear(number(1, 2), EvacuationEvent::Started("a".into()));
     assert!(!register.expire(NOW), "the grace period is not over");
     assert!(register.expire(NOW + GRACE));
     assert_eq!(register.picture().domains, domains(&["a"]), "only the repeated evacuation stays in force");
@@ -102,8 +102,8 @@
 
 #[test]
 fn a_domain_whose_evacuation_ends_after_the_recovery_is_used_at_once() {
-    let mut register = Register::default();
-    register.hear(6, EvacuationEvent::Begun("a".into()));
+    let mut register = Evacuations::default();
+    register.hear(6, EvacuationEvent::Started("a".into()));
     register.replace(snapshot(number(1, 2), &[]), NOW + GRACE);
     assert!(register.hear(number(1, 2), EvacuationEvent::Ended("a".into())));
     register.replace(snapshot(number(1, 3), &[]), NOW + GRACE);
@@ -112,7 +112,7 @@
 
 #[test]
 fn an_event_of_an_earlier_era_changes_nothing() {
-    let mut register = Register::default();
+    let mut register = Evacuations::default();
     register.replace(snapshot(number(1, 2), &["a"]), NOW);
     assert!(!register.replace(snapshot(9, &["b"]), NOW));
     assert!(!register.hear(9, EvacuationEvent::Ended("a".into())));
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use coord::evacuation::{News, Picture, Register};
+use coord::evacuation::{Event, Snapshot, Evacuations};
 use coord::name::Name;
 use coord::roster::{self, Record, Roster};
 use coord::time::Moment;
@@ -47,8 +47,8 @@
     format!("domain-{domain}").into()
 }
 
-fn event((domain, begun): (u8, bool)) -> News {
-    if begun { News::Begun(domain_name(domain)) } else { News::Ended(domain_name(domain)) }
+fn event((domain, begun): (u8, bool)) -> Event {
+    if begun { Event::Started(domain_name(domain)) } else { Event::Ended(domain_name(domain)) }
 }
 
 /// Returns the evacuated domains according to the log below `next`.
@@ -65,7 +65,7 @@
 }
 
 /// Makes a process read the log from `back` records before its current offset.
-fn read_log(register: &mut Register, log: &[(u8, bool)], back: usize) {
+fn read_log(register: &mut Evacuations, log: &[(u8, bool)], back: usize) {
     let from = (register.picture().next as usize).saturating_sub(back);
     for (offset, record) in log.iter().enumerate().skip(from) {
         register.hear(offset as u64, event(*record));
@@ -76,15 +76,15 @@
     #[test]
     fn each_process_follows_the_log_and_never_goes_back(steps in prop::collection::vec(step(), 1..80)) {
         let mut log: Vec<(u8, bool)> = Vec::new();
-        let mut registers: Vec<Register> = (0..PROCESSES).map(|_| Register::default()).collect();
-        let mut last_sent = Picture::default();
+        let mut registers: Vec<Evacuations> = (0..PROCESSES).map(|_| Evacuations::default()).collect();
+        let mut last_sent = Snapshot::default();
         for step in steps {
             let previous_offsets: Vec<u64> = registers.iter().map(|register| register.picture().next).collect();
             match step {
                 Step::Write(domain, begun) => log.push((domain, begun)),
                 Step::Read(reader) => read_log(&mut registers[reader], &log, 0),
                 Step::ReadSnapshot(reader) => {
-                    let snapshot = Picture { next: log.len() as u64, domains: expected_domains(&log, log.len()) };
+                    let snapshot = Snapshot { next: log.len() as u64, domains: expected_domains(&log, log.len()) };
                     registers[reader].replace(snapshot, GRACE_UNTIL);
                 }
                 Step::Reread(reader, back) => read_log(&mut registers[reader], &log, back),
@@ -124,7 +124,7 @@
 fn roster(now: Moment) -> Roster {
     let mut roster = Roster::default();
     for number in 0..4 {
-        roster.hear(u64::from(number), roster::News::Here(record(number, number % 2, Duration::ZERO)), now);
+        roster.hear(u64::from(number), roster::RecordState::Present(record(number, number % 2, Duration::ZERO)), now);
     }
     roster
 }
@@ -165,7 +165,7 @@
     let mut roster = roster(now);
     let mut apply = |offset, cold_ms, now| {
         let record = record(1, 1, Duration::from_millis(cold_ms));
-        roster.hear(offset, roster::News::Here(record), now).map(|change| change.cold)
+        roster.hear(offset, roster::RecordState::Present(record), now).map(|change| change.cold)
     };
     assert_eq!(apply(10, 3_000, now), Some(true));
     // Heartbeats arrive somewhat early or late.
@@ -186,7 +186,7 @@
 fn a_peer_receives_the_remaining_cold_time_of_a_replica() {
     let now = Moment::from_micros(1_000_000_000);
     let (mut reader, mut receiver) = (Roster::default(), Roster::default());
-    reader.hear(1, roster::News::Here(record(1, 0, COLD_TIME)), now);
+    reader.hear(1, roster::RecordState::Present(record(1, 0, COLD_TIME)), now);
     let later = now + COLD_TIME / 2;
     for sighting in reader.since(0, later) {
         receiver.hear(sighting.offset, sighting.news, later);
--- a/coord/tests/inquiry.rs
+++ b/coord/tests/inquiry.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use coord::inquiry::Inquiry;
+use coord::poll::Poll;
 use coord::time::Moment;
 
 /// Counts of a simulation over ten seconds.
@@ -16,7 +16,7 @@
 /// Sends a request every `period_ms`, if allowed, on a link that transfers one response at a time in `answer_ms`.
 fn simulate(period_ms: u64, answer_ms: u64) -> Counts {
     let start = Moment::from_micros(1_000_000_000);
-    let mut inquiry = Inquiry::default();
+    let mut inquiry = Poll::default();
     let mut in_transit: VecDeque<(Moment, u64)> = VecDeque::new();
     let mut counts = Counts::default();
     for ms in 0..10_000 {
@@ -45,7 +45,7 @@
 #[test]
 fn a_lost_response_is_requested_again_and_no_longer_counts() {
     let now = Moment::from_micros(1_000_000_000);
-    let mut inquiry = Inquiry::default();
+    let mut inquiry = Poll::default();
     assert!(inquiry.is_new() && inquiry.may_ask(now));
     let lost = inquiry.ask(now);
     assert!(!inquiry.may_ask(now + Duration::from_millis(900)));
@@ -59,7 +59,7 @@
 
 /// Returns the delay of a requester that has already sent its first request.
 fn next_delay(is_complete: bool) -> Duration {
-    let mut inquiry = Inquiry::default();
+    let mut inquiry = Poll::default();
     inquiry.ask(Moment::ZERO);
     inquiry.pause(Duration::from_millis(250), is_complete, 0.5)
 }
@@ -72,6 +72,6 @@
 
 #[test]
 fn requesters_that_start_together_spread_out() {
-    let first = |random| Inquiry::default().pause(Duration::from_millis(250), true, random);
+    let first = |random| Poll::default().pause(Duration::from_millis(250), true, random);
     assert!(first(0.1) < first(0.9) && first(0.9) < Duration::from_millis(250));
 }
--- a/coord/tests/limits.rs
+++ b/coord/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Which of several reported limits is in force for a replica, and how many requests it allows.
 
-use coord::limit::{Allowance, Group, News, Register, Word};
+use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
 use coord::name::Name;
 use coord::time::Moment;
 
@@ -8,12 +8,12 @@
     Moment::from_millis(ms)
 }
 
-fn report(rate: Option<f64>, requested_ms: u64, received_ms: u64) -> Word {
-    Word { rate, asked: at(requested_ms), heard: at(received_ms) }
+fn report(rate: Option<f64>, requested_ms: u64, received_ms: u64) -> TimedReport {
+    TimedReport { rate, asked: at(requested_ms), heard: at(received_ms) }
 }
 
-fn register(reports: &[Word]) -> Register {
-    let mut register = Register::default();
+fn register(reports: &[TimedReport]) -> ReplicaLimits {
+    let mut register = ReplicaLimits::default();
     for report in reports {
         register.hear(&Name::from("a"), *report);
     }
@@ -57,12 +57,12 @@
 #[test]
 fn a_relayed_report_keeps_its_age() {
     let original = report(Some(2.0), 40, 50);
-    let relayed = News::of(&Name::from("a"), &original, at(80));
+    let relayed = RelayedReport::of(&Name::from("a"), &original, at(80));
     assert_eq!(relayed.word(at(1_080)), report(Some(2.0), 1_040, 1_050));
 }
 
 /// Returns the number of requests admitted within `duration_ms` if one arrives every millisecond.
-fn admitted_count(allowance: &mut Allowance, from_ms: u64, duration_ms: u64) -> usize {
+fn admitted_count(allowance: &mut TokenBucket, from_ms: u64, duration_ms: u64) -> usize {
     let mut count = 0;
     for ms in from_ms..from_ms + duration_ms {
         if allowance.admits(at(ms)) {
@@ -75,22 +75,22 @@
 
 #[test]
 fn an_idle_period_is_followed_by_one_extra_request_and_no_burst() {
-    let mut allowance = Allowance::new(2.0, 1.0, 0.0, at(0));
+    let mut allowance = TokenBucket::new(2.0, 1.0, 0.0, at(0));
     assert_eq!(admitted_count(&mut allowance, 0, 4_001), 8);
     assert_eq!(admitted_count(&mut allowance, 60_000, 4_000), 8);
-    let mut high_rate = Allowance::new(100.0, 1.0, 0.0, at(0));
+    let mut high_rate = TokenBucket::new(100.0, 1.0, 0.0, at(0));
     assert!((100..=126).contains(&admitted_count(&mut high_rate, 60_000, 1_000)));
 }
 
 #[test]
 fn a_replica_with_limit_zero_gets_one_request_every_ten_seconds() {
-    let mut allowance = Allowance::new(0.0, 1.0, 0.0, at(0));
+    let mut allowance = TokenBucket::new(0.0, 1.0, 0.0, at(0));
     assert_eq!(admitted_count(&mut allowance, 0, 40_001), 4);
 }
 
 #[test]
 fn changing_a_limit_does_not_refund_used_capacity() {
-    let mut allowance = Allowance::new(10.0, 1.0, 1.0, at(0));
+    let mut allowance = TokenBucket::new(10.0, 1.0, 1.0, at(0));
     assert!(admitted_count(&mut allowance, 0, 10) > 0);
     allowance.set(1.0, 1.0, at(10));
     assert!(!allowance.admits(at(500)));
@@ -98,7 +98,7 @@
 
 #[test]
 fn the_shares_in_a_partition_add_up_to_one_and_lost_entries_are_forgotten() {
-    let mut group = Group::default();
+    let mut group = GroupSize::default();
     group.note(5, at(100_000));
     assert_eq!(group.share(5, 0, at(100_000)), 1.0);
     let later = at(101_000);
@@ -109,6 +109,6 @@
     }
     assert_eq!(group.share(3, 0, at(200_000)), 1.0);
     // An entry that has never met another uses the number of entries in the store.
-    assert_eq!(Group::default().share(1, 770, at(0)), 1.0 / 770.0);
-    assert_eq!(Group::default().share(1, 0, at(0)), 1.0);
+    assert_eq!(GroupSize::default().share(1, 770, at(0)), 1.0 / 770.0);
+    assert_eq!(GroupSize::default().share(1, 0, at(0)), 1.0);
 }
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use coord::limit::{Allowance, Group, News, Register, Word};
+use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
 use coord::name::Name;
 use coord::time::Moment;
 use rand::rngs::SmallRng;
@@ -26,9 +26,9 @@
 const TRANSIT_STEPS: u64 = 2;
 
 struct Entry {
-    register: Register,
-    allowances: BTreeMap<Name, Allowance>,
-    group: Group,
+    register: ReplicaLimits,
+    allowances: BTreeMap<Name, TokenBucket>,
+    group: GroupSize,
     /// Leader of the entry; the entry itself if it has no other.
     leader: usize,
     /// Side of the partition that the entry is on.
@@ -56,15 +56,15 @@
     /// Requests received by replica, with the step and whether the entry was informed.
     arrivals: BTreeMap<Name, Vec<(u64, bool)>>,
     /// Reports in transit, with the arrival step and the receiving entry.
-    in_transit: Vec<(u64, usize, News)>,
+    in_transit: Vec<(u64, usize, RelayedReport)>,
 }
 
 impl Simulation {
     fn new(parameters: Parameters, seed: u64) -> Self {
         let entry = |_| Entry {
-            register: Register::default(),
+            register: ReplicaLimits::default(),
             allowances: BTreeMap::new(),
-            group: Group::default(),
+            group: GroupSize::default(),
             leader: 0,
             side: 0,
             leaderless_until: 0,
@@ -141,7 +141,7 @@
         let share = state.group.share(group_size, 0, now);
         for (replica, rate) in state.register.limited() {
             let allowance = state.allowances.entry(replica.clone());
-            allowance.or_insert_with(|| Allowance::new(rate, share, start, now)).set(rate, share, now);
+            allowance.or_insert_with(|| TokenBucket::new(rate, share, start, now)).set(rate, share, now);
         }
     }
 
@@ -161,15 +161,15 @@
         let is_informed =
             self.entries[entry].first_reported.get(&name).is_some_and(|at| at + INFORM_DELAY_STEPS <= self.step);
         self.arrivals.entry(name.clone()).or_default().push((self.step, is_informed));
-        let report = Word { rate: Some(self.parameters.rates[replica]), asked: now, heard: now };
+        let report = TimedReport { rate: Some(self.parameters.rates[replica]), asked: now, heard: now };
         self.entries[entry].first_reported.entry(name.clone()).or_insert(self.step);
         if self.entries[entry].register.hear(&name, report) {
-            self.relay(entry, &News::of(&name, &report, now));
+            self.relay(entry, &RelayedReport::of(&name, &report, now));
         }
     }
 
     /// Sends a report to all entries with the same leader.
-    fn relay(&mut self, entry: usize, report: &News) {
+    fn relay(&mut self, entry: usize, report: &RelayedReport) {
         let leader = self.leader_of(entry);
         for other in 0..self.parameters.entries {
             if other != entry && self.leader_of(other) == leader {
@@ -182,7 +182,7 @@
         let now = self.now();
         let (due, later) = std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= self.step);
         self.in_transit = later;
-        let due: Vec<(u64, usize, News)> = due;
+        let due: Vec<(u64, usize, RelayedReport)> = due;
         for (_, entry, report) in due {
             self.entries[entry].register.hear(&report.replica, report.word(now));
         }
--- a/coord/tests/parcel.rs
+++ b/coord/tests/parcel.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use assert_matches::assert_matches;
-use coord::parcel::{Error, Parcel, Shelf, Version};
+use coord::delta::{Error, Delta, VersionCache, Version};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -23,14 +23,14 @@
     (0..routes).map(route).collect::<Vec<_>>().join(",").into_bytes()
 }
 
-fn delta(cache: &mut Shelf, next: Option<u64>) -> Parcel {
+fn delta(cache: &mut VersionCache, next: Option<u64>) -> Delta {
     cache.parcel(next).expect("encoding succeeds").expect("a newer version exists")
 }
 
 #[test]
 fn a_change_of_one_route_makes_a_small_delta_at_any_size() {
     for routes in [240, 1_500] {
-        let (mut sender, mut receiver) = (Shelf::default(), Shelf::default());
+        let (mut sender, mut receiver) = (VersionCache::default(), VersionCache::default());
         sender.keep(version(3, configuration(routes, &[])));
         let full = delta(&mut sender, None);
         let first = receiver.open(&full).expect("a full delta needs no base");
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_receiver_with_the_newest_version_or_an_empty_cache_yields_no_delta() {
-    let mut cache = Shelf::default();
+    let mut cache = VersionCache::default();
     assert_matches!(cache.parcel(None), Ok(None));
     cache.keep(version(5, "five"));
     assert_matches!(cache.parcel(Some(6)), Ok(None));
@@ -59,19 +59,19 @@
 
 #[test]
 fn a_delta_decodes_only_with_its_own_base() {
-    let mut sender = Shelf::default();
+    let mut sender = VersionCache::default();
     sender.keep(version(1, configuration(240, &[])));
     sender.keep(version(2, configuration(240, &[7])));
     let change = delta(&mut sender, Some(2));
-    assert_matches!(Shelf::default().open(&change), Err(Error::Unknown { base: 1 }));
-    let mut other = Shelf::default();
+    assert_matches!(VersionCache::default().open(&change), Err(Error::Unknown { base: 1 }));
+    let mut other = VersionCache::default();
     other.keep(version(1, configuration(240, &[100, 101])));
     assert_matches!(other.open(&change), Err(Error::Codec(_)));
 }
 
 #[test]
 fn a_receiver_far_behind_gets_the_full_version() {
-    let mut cache = Shelf::default();
+    let mut cache = VersionCache::default();
     for offset in 0..20 {
         cache.keep(version(offset, configuration(10, &[offset])));
     }
@@ -81,9 +81,9 @@
 
 #[test]
 fn a_delta_that_decompresses_beyond_the_limit_fails() {
-    let mut cache = Shelf::default();
+    let mut cache = VersionCache::default();
     cache.keep(version(1, vec![0; 2 << 20]));
-    assert_matches!(Shelf::default().open(&delta(&mut cache, None)), Err(Error::Codec(_)));
+    assert_matches!(VersionCache::default().open(&delta(&mut cache, None)), Err(Error::Codec(_)));
 }
 
 proptest! {
@@ -92,7 +92,7 @@
     fn receivers_hold_the_version_sent_or_fail(
         steps in vec((vec(any::<u8>(), 0..200), 0_u64..3, any::<Option<(usize, u8)>>()), 1..30),
     ) {
-        let (mut sender, mut receiver) = (Shelf::default(), Shelf::default());
+        let (mut sender, mut receiver) = (VersionCache::default(), VersionCache::default());
         let mut sent = HashMap::new();
         let mut next = None;
         for (offset, (value, lost, damage)) in steps.into_iter().enumerate() {
--- a/coord/tests/parts.rs
+++ b/coord/tests/parts.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use coord::answer::{Receiver, Tally, Verdict};
+use coord::answer::{Receiver, FrameDigest, Verdict};
 use coord::budget::Budget;
-use coord::claim::{Binding, Board, Key};
+use coord::claim::{Binding, Claims, Key};
 use coord::estimate::Quantile;
 use coord::fence::{Fence, Guard, Lease};
 use coord::membership::{Members, Role, Sample, Vm};
@@ -40,7 +40,7 @@
     assert_eq!(receiver.accept(live, 0, b"a"), Verdict::Drop);
     assert_eq!(receiver.accept(live, 2, b"c"), Verdict::Gap);
     assert_eq!(receiver.accept(live, 1, b"b"), Verdict::Pass);
-    let mut tally = Tally::new();
+    let mut tally = FrameDigest::new();
     tally.add(b"a");
     tally.add(b"b");
     assert!(receiver.is_whole(live, tally.seal()));
@@ -60,7 +60,7 @@
 
 #[test]
 fn the_first_claim_on_the_log_holds_for_its_window() {
-    let mut board = Board::new(Duration::from_secs(10));
+    let mut board = Claims::new(Duration::from_secs(10));
     assert_eq!(board.replay(0, at(0), key("k"), binding("a", 1)), binding("a", 1));
     board.skip_to(1);
     assert_eq!(board.replay(1, at(5_000), key("k"), binding("b", 2)), binding("a", 1));
--- a/coord/tests/pause.rs
+++ b/coord/tests/pause.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use coord::pause::Pause;
+use coord::retry_delay::RetryDelay;
 
-const FOLLOWER_DELAY: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_secs(2) };
+const FOLLOWER_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(400), longest: Duration::from_secs(2) };
 const MAX_CALLS_PER_S: f64 = 16.0;
 
 /// Returns the number of calls that `processes` processes make during an outage.
-fn calls(delay: Pause, processes: usize, outage: Duration) -> usize {
+fn calls(delay: RetryDelay, processes: usize, outage: Duration) -> usize {
     let mut elapsed = Duration::ZERO;
     let mut calls_per_process = 0;
     while elapsed < outage {
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -7,7 +7,7 @@
 use coord::fence::Fence;
 use coord::intent::{Change, Config, Intent};
 use coord::name::{Incarnation, Name};
-use coord::placement::{Board, Endpoint, Load, Order, Record, roll_out};
+use coord::placement::{Placements, Endpoint, Load, Order, Record, roll_out};
 use coord::time::Moment;
 use proptest::prelude::*;
 
@@ -39,7 +39,7 @@
     fn only_placements_of_the_current_holder_take_effect(
         steps in prop::collection::vec((0..3usize, any::<bool>(), 0..5_000u64), 1..100),
     ) {
-        let mut board = Board::new();
+        let mut board = Placements::new();
         let mut now = 0;
         let mut fences: [Option<Fence>; 3] = [None; 3];
         let mut newest = None;
--- a/coord/tests/plain/engine.rs
+++ b/coord/tests/plain/engine.rs
@@ -7,7 +7,7 @@
 
 use super::memory_tokens;
 use super::policy::{MIN_PENDING_SHARE, OVERDUE_FACTOR};
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::time::Moment;
 
 /// Part of a prompt that is still to be prefilled.
@@ -30,7 +30,7 @@
 /// State of one engine as known to the planner.
 #[derive(Debug)]
 pub struct Engine {
-    pub profile: Arc<Figures>,
+    pub profile: Arc<Profile>,
     /// Pending prefill, in order.
     parts: VecDeque<Part>,
     /// Time at which prefill of the first part started.
@@ -40,7 +40,7 @@
 
 impl Engine {
     /// Creates an idle engine.
-    pub fn new(profile: Arc<Figures>) -> Self {
+    pub fn new(profile: Arc<Profile>) -> Self {
         Self { profile, parts: VecDeque::new(), front_started_at: Moment::ZERO, sequences: BTreeMap::new() }
     }
 
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -17,7 +17,7 @@
 use self::order::Candidate;
 use self::place::CandidateScope;
 use self::policy::SETTLING_PERIOD;
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Policy, Team};
 use coord::time::Moment;
@@ -44,7 +44,7 @@
     }
 
     /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
-    pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
+    pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Profile>)>) {
         let mut previous = std::mem::take(&mut self.engines);
         for (name, profile) in engines {
             let engine = match previous.remove(&name) {
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -11,7 +11,7 @@
 use common::figures;
 use coord::name::Name;
 use coord::planner::{Id, Job, Planner, Policy};
-use coord::quarantine::Work;
+use coord::quarantine::Fingerprint;
 use coord::time::Moment;
 
 fn planner(engines: usize) -> Planner {
@@ -41,7 +41,7 @@
 }
 
 /// Submits `number` short prompts with the same fingerprint and returns their engines.
-fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, work: Option<Work>, now: Moment) -> Vec<Name> {
+fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, work: Option<Fingerprint>, now: Moment) -> Vec<Name> {
     (first..first + number).for_each(|number| planner.submit(id(number), Job { work, ..short::job(3_000, now) }));
     planner.pump(now).into_iter().map(|grant| grant.team.writer).collect()
 }
@@ -51,8 +51,8 @@
     let mut planner = planner(8);
     let now = Moment::from_millis(10_000);
     let others: BTreeSet<Name> = submit_and_pump(&mut planner, 0, 12, None, now).into_iter().collect();
-    let fingerprint = |number: u8| Some(Work([number; 16]));
-    planner.set_suspects([1, 2].map(|number| Work([number; 16])));
+    let fingerprint = |number: u8| Some(Fingerprint([number; 16]));
+    planner.set_suspects([1, 2].map(|number| Fingerprint([number; 16])));
     let first = submit_and_pump(&mut planner, 100, 5, fingerprint(1), now);
     assert_eq!(first.len(), 5, "a request that many callers send is served while it is suspected");
     let first: BTreeSet<Name> = first.into_iter().collect();
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -14,7 +14,7 @@
 use common::figures;
 use coord::name::Name;
 use coord::planner::{Exclusion, Grant, Id, Job, Planner, Policy};
-use coord::quarantine::Work;
+use coord::quarantine::Fingerprint;
 use coord::time::Moment;
 
 /// Entry whose prompts are checked.
@@ -24,7 +24,7 @@
 /// Share of the engines that counts as most of them.
 const MIN_USABLE_SHARE: f64 = 0.6;
 /// Fingerprint of a request that is suspected of crashing engines.
-const SUSPECT: Work = Work([7; 16]);
+const SUSPECT: Fingerprint = Fingerprint([7; 16]);
 
 /// State of an engine that the planner is brought to assume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/coord/tests/planner_load/play.rs
+++ b/coord/tests/planner_load/play.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Planner, Policy};
 use coord::time::Moment;
@@ -154,7 +154,7 @@
     /// End of the outage of all entries, if there is one.
     outage_until: Option<u64>,
     planner: Planner,
-    figures: Arc<Figures>,
+    figures: Arc<Profile>,
     engines: Vec<Engine>,
     prompts: BTreeMap<u64, Prompt>,
     event_queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -171,7 +171,7 @@
 }
 
 impl Simulation {
-    pub fn new(policy: Policy, figures: Arc<Figures>, seed: u64) -> Self {
+    pub fn new(policy: Policy, figures: Arc<Profile>, seed: u64) -> Self {
         let planner = planner(policy, &figures);
         let engines = (0..ENGINES).map(|_| Engine::default()).collect();
         let rng = StdRng::seed_from_u64(seed);
@@ -455,7 +455,7 @@
     }
 }
 
-fn planner(policy: Policy, figures: &Arc<Figures>) -> Planner {
+fn planner(policy: Policy, figures: &Arc<Profile>) -> Planner {
     let mut planner = Planner::new(policy, 0);
     planner.set_engines((0..ENGINES).map(|index| (name(index), figures.clone())));
     planner
--- a/coord/tests/planner_load/turnover.rs
+++ b/coord/tests/planner_load/turnover.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::planner::Policy;
 
 use crate::mix::{Distribution, PromptKind};
 use crate::play::{Outcomes, Simulation};
 
 /// Returns the profile of engines with a large model, where attention dominates the prefill time of long prompts.
-fn large_model_profile() -> Arc<Figures> {
-    Arc::new(Figures {
+fn large_model_profile() -> Arc<Profile> {
+    Arc::new(Profile {
         slots: 12,
         memory: 344_250,
         stride: 38,
--- a/coord/tests/planner_machine.rs
+++ b/coord/tests/planner_machine.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use common::figures;
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Planner, Policy};
 use coord::time::Moment;
 use proptest::prelude::*;
 
-fn engines(count: usize) -> Vec<(Name, Arc<Figures>)> {
+fn engines(count: usize) -> Vec<(Name, Arc<Profile>)> {
     (0..count).map(|index| (format!("engine-{index:02}").into(), figures(16, 46))).collect()
 }
 
--- a/coord/tests/quarantine.rs
+++ b/coord/tests/quarantine.rs
@@ -1,18 +1,18 @@
 //! Conditions under which a fingerprint is condemned because replicas terminate while they hold its requests.
 
 use coord::name::Name;
-use coord::quarantine::{News, Register, Standing, Weight, Work};
+use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
 
-fn fingerprint(number: u32) -> Work {
-    Work(u128::from(number).to_be_bytes())
+fn fingerprint(number: u32) -> Fingerprint {
+    Fingerprint(u128::from(number).to_be_bytes())
 }
 
-fn termination(number: u32, run: &str, weight: Weight) -> News {
-    News::Ended { work: fingerprint(number), run: Name::from(run), weight }
+fn termination(number: u32, run: &str, weight: Weight) -> Event {
+    Event::Ended { work: fingerprint(number), run: Name::from(run), weight }
 }
 
-fn register(events: impl IntoIterator<Item = News>) -> Register {
-    let mut register = Register::default();
+fn register(events: impl IntoIterator<Item = Event>) -> State {
+    let mut register = State::default();
     events.into_iter().for_each(|event| drop(register.hear(event)));
     register
 }
@@ -20,10 +20,10 @@
 #[test]
 fn the_third_termination_at_the_start_of_a_request_condemns_it() {
     let mut register = register([termination(1, "a", Weight::Strong), termination(1, "b", Weight::Strong)]);
-    assert_eq!(register.standing(fingerprint(1)), Standing::Suspect);
+    assert_eq!(register.standing(fingerprint(1)), Status::Suspect);
     let relayed = register.hear(termination(1, "c", Weight::Strong));
-    assert_eq!(relayed, [termination(1, "c", Weight::Strong), News::Condemned(fingerprint(1))]);
-    assert_eq!(register.standing(fingerprint(1)), Standing::Condemned);
+    assert_eq!(relayed, [termination(1, "c", Weight::Strong), Event::Condemned(fingerprint(1))]);
+    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
     assert!(register.hear(termination(1, "d", Weight::Strong)).is_empty());
 }
 
@@ -31,16 +31,16 @@
 fn one_termination_counts_once_however_many_processes_report_it() {
     let reports = (0..9).map(|_| termination(1, "a", Weight::Strong));
     let register = register(reports.chain([termination(1, "a", Weight::Faint)]));
-    assert_eq!(register.standing(fingerprint(1)), Standing::Suspect);
+    assert_eq!(register.standing(fingerprint(1)), Status::Suspect);
     assert_eq!(register.suspects().collect::<Vec<_>>(), [(fingerprint(1), 2)]);
 }
 
 #[test]
 fn faint_evidence_condemns_only_after_five_terminations() {
     let mut register = register(["a", "b", "c", "d"].map(|run| termination(1, run, Weight::Faint)));
-    assert_ne!(register.standing(fingerprint(1)), Standing::Condemned);
+    assert_ne!(register.standing(fingerprint(1)), Status::Condemned);
     register.hear(termination(1, "e", Weight::Faint));
-    assert_eq!(register.standing(fingerprint(1)), Standing::Condemned);
+    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
 }
 
 #[test]
@@ -53,13 +53,13 @@
         termination(1, "c", Weight::Strong),
     ]);
     // A report that the other fingerprint was on the third replica too may still be in transit.
-    assert_eq!(register.standing(fingerprint(1)), Standing::Suspect);
+    assert_eq!(register.standing(fingerprint(1)), Status::Suspect);
     register.hear(termination(1, "d", Weight::Strong));
-    assert_eq!(register.standing(fingerprint(1)), Standing::Condemned);
-    assert_eq!(register.standing(fingerprint(2)), Standing::Clear);
+    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
+    assert_eq!(register.standing(fingerprint(2)), Status::Clear);
     // Reports of the same terminations that arrive later do not count either.
     assert!(register.hear(termination(2, "c", Weight::Strong)).is_empty());
-    assert_eq!(register.standing(fingerprint(2)), Standing::Clear);
+    assert_eq!(register.standing(fingerprint(2)), Status::Clear);
 }
 
 #[test]
@@ -69,11 +69,11 @@
     // The innocent fingerprint is reported first at the third termination.
     register.hear(termination(2, "c", Weight::Faint));
     register.hear(termination(1, "c", Weight::Strong));
-    assert_eq!(register.standing(fingerprint(2)), Standing::Suspect);
+    assert_eq!(register.standing(fingerprint(2)), Status::Suspect);
     register.hear(termination(1, "d", Weight::Strong));
     register.hear(termination(1, "e", Weight::Strong));
-    assert_eq!(register.standing(fingerprint(1)), Standing::Condemned);
-    assert_eq!(register.standing(fingerprint(2)), Standing::Clear);
+    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
+    assert_eq!(register.standing(fingerprint(2)), Status::Clear);
 }
 
 #[test]
@@ -86,34 +86,34 @@
 #[test]
 fn a_successful_answer_clears_a_suspect_and_lifts_a_verdict() {
     let mut with_suspect = register([termination(1, "a", Weight::Strong)]);
-    assert_eq!(with_suspect.hear(News::Cleared(fingerprint(1))), [News::Cleared(fingerprint(1))]);
-    assert_eq!(with_suspect.standing(fingerprint(1)), Standing::Clear);
-    let mut with_verdict = register([News::Condemned(fingerprint(1))]);
-    assert_eq!(with_verdict.hear(News::Cleared(fingerprint(1))), [News::Lifted(fingerprint(1))]);
-    assert_eq!(with_verdict.standing(fingerprint(1)), Standing::Clear);
+    assert_eq!(with_suspect.hear(Event::Cleared(fingerprint(1))), [Event::Cleared(fingerprint(1))]);
+    assert_eq!(with_suspect.standing(fingerprint(1)), Status::Clear);
+    let mut with_verdict = register([Event::Condemned(fingerprint(1))]);
+    assert_eq!(with_verdict.hear(Event::Cleared(fingerprint(1))), [Event::Lifted(fingerprint(1))]);
+    assert_eq!(with_verdict.standing(fingerprint(1)), Status::Clear);
 }
 
 #[test]
 fn an_operator_lifts_a_verdict_and_new_evidence_brings_it_back() {
-    let mut register = register([News::Condemned(fingerprint(1)), News::Lifted(fingerprint(1))]);
-    assert_eq!(register.standing(fingerprint(1)), Standing::Clear);
+    let mut register = register([Event::Condemned(fingerprint(1)), Event::Lifted(fingerprint(1))]);
+    assert_eq!(register.standing(fingerprint(1)), Status::Clear);
     for run in ["a", "b", "c"] {
         register.hear(termination(1, run, Weight::Strong));
     }
-    assert_eq!(register.standing(fingerprint(1)), Standing::Condemned);
+    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
 }
 
 #[test]
 fn a_flood_of_suspects_evicts_no_verdict_and_no_suspect_with_more_points() {
     let mut register = register([
-        News::Condemned(fingerprint(1)),
+        Event::Condemned(fingerprint(1)),
         termination(2, "a", Weight::Strong),
         termination(2, "b", Weight::Strong),
     ]);
     for number in 10..20_000 {
         register.hear(termination(number, &format!("run-{}", number / 16), Weight::Faint));
     }
-    assert_eq!(register.standing(fingerprint(1)), Standing::Condemned);
+    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
     assert_eq!(register.suspects().collect::<Vec<_>>(), [(fingerprint(2), 4)]);
     assert!((10..20_000).filter(|number| register.evidence(fingerprint(*number)).next().is_some()).count() < 4_096);
 }
@@ -121,12 +121,12 @@
 #[test]
 fn a_process_that_receives_all_events_of_another_reaches_the_same_status() {
     let original = register([
-        News::Condemned(fingerprint(1)),
+        Event::Condemned(fingerprint(1)),
         termination(2, "a", Weight::Strong),
         termination(2, "b", Weight::Strong),
         termination(3, "a", Weight::Strong),
     ]);
-    let mut other = Register::default();
+    let mut other = State::default();
     original.all().into_iter().for_each(|event| drop(other.hear(event)));
     (1..=3).for_each(|number| assert_eq!(other.standing(fingerprint(number)), original.standing(fingerprint(number))));
     assert_eq!(other.all(), original.all());
@@ -134,16 +134,16 @@
 
 #[test]
 fn only_the_text_of_a_fingerprint_parses() {
-    let original = Work(std::array::from_fn(|index| index as u8 * 17));
+    let original = Fingerprint(std::array::from_fn(|index| index as u8 * 17));
     assert_eq!(original.to_string().parse(), Ok(original));
     for text in ["", "0", "g0000000000000000000000000000000", "+0000000000000000000000000000000", "é"] {
-        assert!(text.parse::<Work>().is_err(), "{text:?}");
+        assert!(text.parse::<Fingerprint>().is_err(), "{text:?}");
     }
 }
 
 #[test]
 fn a_fingerprint_distinguishes_lists_of_parts() {
-    let fingerprint_of = |parts: &[&str]| Work::of(parts.iter().map(|part| part.as_bytes()));
+    let fingerprint_of = |parts: &[&str]| Fingerprint::of(parts.iter().map(|part| part.as_bytes()));
     assert_eq!(fingerprint_of(&["host", "path", ""]), fingerprint_of(&["host", "path", ""]));
     let others = [
         fingerprint_of(&["host", "path"]),
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use coord::name::Name;
-use coord::quarantine::{News, Register, Standing, Weight, Work};
+use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
 /// Fingerprint of the request that terminates every replica that starts it.
-const FATAL_FINGERPRINT: Work = Work([0xff; 16]);
+const FATAL_FINGERPRINT: Fingerprint = Fingerprint([0xff; 16]);
 const ENTRIES: usize = 5;
 const REPLICAS: usize = 18;
 /// Number of other requests running at any time.
@@ -34,7 +34,7 @@
 /// Non-fatal request on a replica.
 #[derive(Clone, Copy)]
 struct Request {
-    work: Work,
+    work: Fingerprint,
     entry: usize,
     /// Whether the request has produced output.
     has_output: bool,
@@ -45,9 +45,9 @@
 struct Simulation {
     parameters: Parameters,
     random: SmallRng,
-    registers: Vec<Register>,
+    registers: Vec<State>,
     /// Events in transit, with the arrival step and the receiving entry.
-    in_transit: Vec<(usize, usize, News)>,
+    in_transit: Vec<(usize, usize, Event)>,
     /// Running requests by replica.
     running: Vec<Vec<Request>>,
     terminations: Vec<usize>,
@@ -61,7 +61,7 @@
         Self {
             parameters,
             random: SmallRng::seed_from_u64(seed),
-            registers: vec![Register::default(); ENTRIES],
+            registers: vec![State::default(); ENTRIES],
             in_transit: Vec::new(),
             running: vec![Vec::new(); REPLICAS],
             terminations: vec![0; REPLICAS],
@@ -75,7 +75,7 @@
         self.random.random::<f64>() < probability
     }
 
-    fn publish(&mut self, entry: usize, news: News) {
+    fn publish(&mut self, entry: usize, news: Event) {
         let relayed = self.registers[entry].hear(news);
         for other in (0..ENTRIES).filter(|other| *other != entry) {
             for news in &relayed {
@@ -95,9 +95,9 @@
 
     /// Selects a replica: for a suspect the least loaded replica without other suspects, for other requests a random
     /// replica without suspects.
-    fn select_replica(&mut self, entry: usize, work: Work) -> usize {
+    fn select_replica(&mut self, entry: usize, work: Fingerprint) -> usize {
         let register = &self.registers[entry];
-        let is_suspect = |work: Work| register.standing(work) == Standing::Suspect;
+        let is_suspect = |work: Fingerprint| register.standing(work) == Status::Suspect;
         let free: Vec<usize> = (0..REPLICAS)
             .filter(|replica| !self.running[*replica].iter().any(|request| is_suspect(request.work)))
             .collect();
@@ -116,7 +116,7 @@
         let victims = std::mem::take(&mut self.running[replica]);
         for request in &victims {
             let weight = if request.has_output { Weight::Faint } else { Weight::Strong };
-            self.publish(request.entry, News::Ended { work: request.work, run: run.clone(), weight });
+            self.publish(request.entry, Event::Ended { work: request.work, run: run.clone(), weight });
         }
         for request in victims.into_iter().filter(|request| request.sends < MAX_SENDS) {
             let sent_again = Request { has_output: false, sends: request.sends + 1, ..request };
@@ -127,14 +127,14 @@
 
     fn send_fatal(&mut self) {
         let entry = self.random.random_range(0..ENTRIES);
-        if self.registers[entry].standing(FATAL_FINGERPRINT) == Standing::Condemned {
+        if self.registers[entry].standing(FATAL_FINGERPRINT) == Status::Condemned {
             return;
         }
         let replica = self.select_replica(entry, FATAL_FINGERPRINT);
         self.fatal_terminations += 1;
         let run: Name = format!("{replica}/{}", self.terminations[replica] + 1).into();
         self.terminate_replica(replica);
-        self.publish(entry, News::Ended { work: FATAL_FINGERPRINT, run, weight: Weight::Strong });
+        self.publish(entry, Event::Ended { work: FATAL_FINGERPRINT, run, weight: Weight::Strong });
     }
 
     fn run(&mut self, steps: usize) {
@@ -143,7 +143,7 @@
             self.deliver();
             if self.running.iter().map(Vec::len).sum::<usize>() < CONCURRENT_REQUESTS {
                 self.next_fingerprint += 1;
-                let work = Work(self.next_fingerprint.to_be_bytes());
+                let work = Fingerprint(self.next_fingerprint.to_be_bytes());
                 let entry = self.random.random_range(0..ENTRIES);
                 let replica = self.select_replica(entry, work);
                 self.running[replica].push(Request { work, entry, has_output: false, sends: 1 });
@@ -170,12 +170,12 @@
             return;
         }
         let request = self.running[replica].swap_remove(index);
-        self.publish(request.entry, News::Cleared(request.work));
+        self.publish(request.entry, Event::Cleared(request.work));
     }
 
     /// Returns the condemned fingerprints other than the fatal one.
-    fn wrongly_condemned(&self) -> BTreeSet<Work> {
-        let condemned = self.registers.iter().flat_map(Register::condemned);
+    fn wrongly_condemned(&self) -> BTreeSet<Fingerprint> {
+        let condemned = self.registers.iter().flat_map(State::condemned);
         condemned.filter(|work| *work != FATAL_FINGERPRINT).collect()
     }
 }
@@ -191,7 +191,7 @@
         simulation.run(3_000);
         assert_eq!(simulation.wrongly_condemned(), BTreeSet::new(), "seed {seed}");
         assert!(
-            simulation.registers.iter().all(|register| register.standing(FATAL_FINGERPRINT) == Standing::Condemned),
+            simulation.registers.iter().all(|register| register.standing(FATAL_FINGERPRINT) == Status::Condemned),
             "seed {seed}"
         );
         *terminations.entry(simulation.fatal_terminations).or_default() += 1;
--- a/coord/tests/rests.rs
+++ b/coord/tests/rests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coord::name::Name;
-use coord::rest::Register;
+use coord::backoff::Backoffs;
 use coord::time::Moment;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -15,7 +15,7 @@
 #[test]
 fn of_several_backoffs_the_one_that_ends_last_applies() {
     let replica = Name::from("r");
-    let mut backoffs = Register::default();
+    let mut backoffs = Backoffs::default();
     backoffs.hear(&replica, 3 * SECOND, at(0));
     backoffs.hear(&replica, SECOND, at(500));
     assert_eq!(backoffs.left("r", at(1_000)), 2 * SECOND, "a shorter backoff does not replace a longer one");
@@ -28,7 +28,7 @@
 #[test]
 fn the_earliest_backoff_end_is_zero_if_a_replica_is_available() {
     let names: Vec<Name> = ["a", "b", "c"].map(Name::from).into();
-    let mut backoffs = Register::default();
+    let mut backoffs = Backoffs::default();
     backoffs.hear(&names[0], 3 * SECOND, at(0));
     backoffs.hear(&names[1], SECOND, at(0));
     assert_eq!(backoffs.soonest(names[..2].iter(), at(0)), Some(SECOND));
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_restarted_replica_is_not_in_backoff() {
-    let mut backoffs = Register::default();
+    let mut backoffs = Backoffs::default();
     backoffs.hear(&"r".into(), SECOND, at(0));
     backoffs.forget("r");
     assert_eq!(backoffs.left("r", at(0)), Duration::ZERO);
@@ -48,7 +48,7 @@
 
 #[test]
 fn an_endless_backoff_does_not_overflow() {
-    let mut backoffs = Register::default();
+    let mut backoffs = Backoffs::default();
     backoffs.hear(&"r".into(), Duration::MAX, at(5));
     assert!(backoffs.left("r", at(5)) > 1_000 * SECOND);
 }
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coord::roster::{Leaver, News, Record, Roster, Sighting, Standing};
+use coord::roster::{DrainingRun, RecordState, Record, Roster, Update, Availability};
 use coord::time::Moment;
 
 const NOW: Moment = Moment::from_millis(1_000);
@@ -20,8 +20,8 @@
     }
 }
 
-fn draining_run(born: Option<u64>) -> Leaver {
-    Leaver { id: "r".into(), born }
+fn draining_run(born: Option<u64>) -> DrainingRun {
+    DrainingRun { id: "r".into(), born }
 }
 
 fn takes_work(roster: &Roster) -> bool {
@@ -29,7 +29,7 @@
 }
 
 fn apply_record(roster: &mut Roster, offset: u64, born: Option<u64>, leaving: bool) {
-    roster.hear(offset, News::Here(record(born, leaving)), NOW);
+    roster.hear(offset, RecordState::Present(record(born, leaving)), NOW);
 }
 
 #[test]
@@ -37,14 +37,14 @@
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, None, false);
     let change = roster.leaves(draining_run(None)).expect("a change");
-    assert_eq!(change.standing, Standing::Gone);
+    assert_eq!(change.standing, Availability::Gone);
     assert_eq!(roster.leaves(draining_run(None)), None, "the same statement again changes nothing");
     apply_record(&mut roster, 2, None, false);
     assert!(!takes_work(&roster), "after a heartbeat");
-    roster.hear(3, News::Removed("r".into()), NOW);
+    roster.hear(3, RecordState::Removed("r".into()), NOW);
     apply_record(&mut roster, 4, None, false);
     assert!(!takes_work(&roster), "after its record expired and reappeared");
-    roster.replace(9, vec![Sighting { offset: 8, news: News::Here(record(None, false)) }], NOW);
+    roster.replace(9, vec![Update { offset: 8, news: RecordState::Present(record(None, false)) }], NOW);
     assert!(!takes_work(&roster), "after a full snapshot");
 }
 
@@ -88,14 +88,14 @@
     assert_eq!(roster.leavers().collect::<Vec<_>>(), [draining_run(None)]);
     let updates = roster.since(0, NOW);
     assert!(
-        matches!(&updates[..], [Sighting { news: News::Here(record), .. }] if record.leaving),
+        matches!(&updates[..], [Update { news: RecordState::Present(record), .. }] if record.leaving),
         "a full snapshot shows the drain"
     );
     apply_record(&mut roster, 7, None, true);
     assert_eq!(roster.leavers().count(), 0);
     let updates = roster.since(7, NOW);
     assert!(
-        matches!(&updates[..], [Sighting { offset: 7, news: News::Here(record) }] if record.leaving),
+        matches!(&updates[..], [Update { offset: 7, news: RecordState::Present(record) }] if record.leaving),
         "{updates:?}"
     );
 }
@@ -105,7 +105,7 @@
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, None, false);
     roster.leaves(draining_run(None));
-    roster.hear(2, News::Removed("r".into()), NOW);
+    roster.hear(2, RecordState::Removed("r".into()), NOW);
     assert_eq!(roster.leavers().count(), 0);
     apply_record(&mut roster, 3, None, false);
     assert_eq!(roster.leavers().count(), 1, "the record expired and reappeared");
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coord::name::Name;
-use coord::roster::{News, Record, Roster, Sighting, Standing};
+use coord::roster::{RecordState, Record, Roster, Update, Availability};
 use coord::time::Moment;
 use proptest::prelude::*;
 
@@ -77,24 +77,24 @@
                     if leaving {
                         expected.ended.insert(number);
                     }
-                    roster.hear(expected.offset, News::Here(record(number, leaving)), now);
+                    roster.hear(expected.offset, RecordState::Present(record(number, leaving)), now);
                 }
                 Step::Remove(number) => {
                     expected.offset += 1;
                     expected.newest.remove(&number);
-                    roster.hear(expected.offset, News::Removed(name(number)), now);
+                    roster.hear(expected.offset, RecordState::Removed(name(number)), now);
                 }
                 Step::StoreRecovered => roster.store_returned(now, GRACE),
                 Step::Redeliver(number) => {
                     // An outdated update that arrives again has no effect.
                     if let Some((offset, _)) = expected.newest.get(&number).filter(|(offset, _)| *offset > 1) {
                         let before = roster.get(&name(number)).map(|replica| replica.standing);
-                        roster.hear(offset - 1, News::Removed(name(number)), now);
+                        roster.hear(offset - 1, RecordState::Removed(name(number)), now);
                         prop_assert_eq!(before, roster.get(&name(number)).map(|replica| replica.standing));
                     }
                 }
                 Step::ApplySnapshot => {
-                    let update = |(offset, record): &(u64, Record)| Sighting { offset: *offset, news: News::Here(record.clone()) };
+                    let update = |(offset, record): &(u64, Record)| Update { offset: *offset, news: RecordState::Present(record.clone()) };
                     let newest = expected.newest.values().map(update).collect();
                     roster.replace(expected.offset + 1, newest, now);
                 }
@@ -106,17 +106,17 @@
             for number in &expected.known {
                 let Some(replica) = roster.get(&name(*number)) else { continue };
                 if expected.ended.contains(number) {
-                    prop_assert_eq!(replica.standing, Standing::Gone);
+                    prop_assert_eq!(replica.standing, Availability::Gone);
                 } else if expected.newest.contains_key(number) {
-                    prop_assert_eq!(replica.standing, Standing::Ready);
+                    prop_assert_eq!(replica.standing, Availability::Ready);
                 } else {
-                    prop_assert_ne!(replica.standing, Standing::Ready);
+                    prop_assert_ne!(replica.standing, Availability::Ready);
                 }
             }
         }
         roster.expire(now + GRACE + GRACE);
         for number in &expected.known {
-            let gone = roster.get(&name(*number)).is_none_or(|replica| replica.standing == Standing::Gone);
+            let gone = roster.get(&name(*number)).is_none_or(|replica| replica.standing == Availability::Gone);
             prop_assert_eq!(gone, expected.ended.contains(number) || !expected.newest.contains_key(number));
         }
     }
@@ -126,9 +126,9 @@
 fn without_an_outage_a_missing_record_is_gone_at_once() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, News::Here(record(1, false)), now);
-    roster.hear(2, News::Removed(name(1)), now);
-    assert_eq!(roster.get("replica-1").map(|replica| replica.standing), Some(Standing::Gone));
+    roster.hear(1, RecordState::Present(record(1, false)), now);
+    roster.hear(2, RecordState::Removed(name(1)), now);
+    assert_eq!(roster.get("replica-1").map(|replica| replica.standing), Some(Availability::Gone));
     assert_eq!(roster.usable("service").count(), 0);
 }
 
@@ -136,7 +136,7 @@
 fn an_outdated_snapshot_removes_nothing() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(7, News::Here(record(1, false)), now);
+    roster.hear(7, RecordState::Present(record(1, false)), now);
     let changes = roster.replace(5, vec![], now);
     assert!(changes.is_empty(), "{changes:?}");
     assert_eq!(roster.usable("service").count(), 1);
@@ -146,7 +146,7 @@
 fn a_replica_whose_address_belongs_to_another_is_gone() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, News::Here(record(1, false)), now);
+    roster.hear(1, RecordState::Present(record(1, false)), now);
     assert!(roster.displaced("replica-1").is_some());
     assert_eq!(roster.usable("service").count(), 0);
     assert!(roster.displaced("replica-1").is_none(), "reported once");
@@ -169,11 +169,11 @@
                     if leaving {
                         ended.insert(number);
                     }
-                    reader.hear(offset, News::Here(record(number, leaving)), now);
+                    reader.hear(offset, RecordState::Present(record(number, leaving)), now);
                     offset += 1;
                 }
                 Step::Remove(number) => {
-                    reader.hear(offset, News::Removed(name(number)), now);
+                    reader.hear(offset, RecordState::Removed(name(number)), now);
                     offset += 1;
                 }
                 Step::StoreRecovered | Step::ApplySnapshot | Step::Wait(_) => {}
@@ -186,8 +186,8 @@
                 for number in 0..5 {
                     let standing = |roster: &Roster| roster.get(&name(number)).map(|known| known.standing);
                     // A replica that appeared and disappeared unreported counts as gone.
-                    let receiver = standing(&receiver).unwrap_or(Standing::Gone);
-                    prop_assert_eq!(standing(&reader).unwrap_or(Standing::Gone), receiver);
+                    let receiver = standing(&receiver).unwrap_or(Availability::Gone);
+                    prop_assert_eq!(standing(&reader).unwrap_or(Availability::Gone), receiver);
                 }
             }
         }
@@ -199,7 +199,7 @@
         let mut roster = Roster::default();
         let now = Moment::from_millis(10_000);
         for offset in 0..heartbeats {
-            roster.hear(offset, News::Here(record(1, false)), now);
+            roster.hear(offset, RecordState::Present(record(1, false)), now);
         }
         prop_assert_eq!(roster.since(1, now), vec![]);
         prop_assert_eq!(roster.since(0, now).len(), 1);
@@ -209,7 +209,7 @@
 #[test]
 fn a_replica_missing_from_a_full_snapshot_does_not_return_with_an_older_record() {
     let now = Moment::from_millis(1_000);
-    let update = |offset, number| Sighting { offset, news: News::Here(record(number, false)) };
+    let update = |offset, number| Update { offset, news: RecordState::Present(record(number, false)) };
     // The replica disappears at offset 50 without announcing its end, unnoticed by the outdated process.
     let mut outdated = Roster::default();
     outdated.hear(10, update(10, 1).news, now);
@@ -230,8 +230,8 @@
 }
 
 /// Returns a record change for the run of replica 1 with start time `born`.
-fn run_record(born: u64, leaving: bool) -> News {
-    News::Here(Record { born: Some(born), ..record(1, leaving) })
+fn run_record(born: u64, leaving: bool) -> RecordState {
+    RecordState::Present(Record { born: Some(born), ..record(1, leaving) })
 }
 
 #[test]
@@ -240,7 +240,7 @@
     let now = Moment::from_millis(10_000);
     roster.hear(1, run_record(1_000, false), now);
     let change = roster.hear(2, run_record(2_000, false), now).expect("a change");
-    assert!(change.restarted && change.standing == Standing::Ready);
+    assert!(change.restarted && change.standing == Availability::Ready);
     assert!(roster.hear(3, run_record(2_000, false), now).is_none(), "a heartbeat");
 }
 
@@ -248,15 +248,15 @@
 fn a_record_of_another_writer_is_unusable_until_the_replica_writes_its_own() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, News::Here(record(1, false)), now);
-    let change = roster.hear(2, News::Unusable(name(1)), now).expect("a change");
-    assert_eq!(change.standing, Standing::Unusable);
-    assert!(roster.hear(3, News::Unusable(name(1)), now).is_none(), "reported once");
+    roster.hear(1, RecordState::Present(record(1, false)), now);
+    let change = roster.hear(2, RecordState::Unusable(name(1)), now).expect("a change");
+    assert_eq!(change.standing, Availability::Unusable);
+    assert!(roster.hear(3, RecordState::Unusable(name(1)), now).is_none(), "reported once");
     assert_eq!(roster.usable("service").count(), 0);
-    assert!(roster.hear(1, News::Here(record(1, false)), now).is_none(), "an outdated update");
-    roster.hear(4, News::Here(record(1, false)), now);
+    assert!(roster.hear(1, RecordState::Present(record(1, false)), now).is_none(), "an outdated update");
+    roster.hear(4, RecordState::Present(record(1, false)), now);
     assert_eq!(roster.usable("service").count(), 1);
-    assert!(roster.hear(5, News::Unusable(name(7)), now).is_none(), "an unknown replica");
+    assert!(roster.hear(5, RecordState::Unusable(name(7)), now).is_none(), "an unknown replica");
 }
 
 proptest! {
@@ -270,15 +270,15 @@
     ) {
         let (mut reader, mut receiver) = (Roster::default(), Roster::default());
         let now = Moment::from_millis(10_000);
-        let mut log: Vec<News> = Vec::new();
+        let mut log: Vec<RecordState> = Vec::new();
         let mut born: u64 = 1;
         let mut ended = BTreeSet::new();
         let mut sent_offset = 0;
         for (step, start_delay, index) in steps {
             match step {
                 0 => born += 1,
-                1 => log.push(News::Unusable(name(1))),
-                2 => log.push(News::Removed(name(1))),
+                1 => log.push(RecordState::Unusable(name(1))),
+                2 => log.push(RecordState::Removed(name(1))),
                 // A record of an earlier run is written late.
                 3 => log.push(run_record(born.saturating_sub(start_delay.into()), false)),
                 4 => {
@@ -310,7 +310,7 @@
             if step == 5 {
                 let other = receiver.get("replica-1").map(|known| (known.standing, known.record.born));
                 // A replica that appeared and disappeared unreported counts as gone.
-                let takes_work = other.is_some_and(|(standing, _)| standing == Standing::Ready);
+                let takes_work = other.is_some_and(|(standing, _)| standing == Availability::Ready);
                 prop_assert_eq!(takes_work, known.takes_work());
             }
         }
--- a/coord/tests/scheduler_machine.rs
+++ b/coord/tests/scheduler_machine.rs
@@ -11,7 +11,7 @@
 use coord::estimate::Estimate;
 use coord::name::Attempt;
 use coord::queue::{Fifo, Job, Order, Slack};
-use coord::scheduler::{Action, Limits, Once, Scheduler, Voided};
+use coord::scheduler::{Action, Limits, KeyState, Scheduler, CancelOutcome};
 use coord::time::Moment;
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -188,18 +188,18 @@
     fn claim(&mut self, attempt: u128, key: u8) {
         let key_name = Key { workspace: "w".into(), key: format!("k{key}").into() };
         match self.scheduler.once(&key_name, Attempt(attempt), self.now) {
-            Once::First => assert_eq!(self.key_owners.insert(key, attempt), None, "a key is bound once"),
-            Once::Running(owner) | Once::Done(owner) => assert_eq!(self.key_owners.get(&key), Some(&owner.0)),
+            KeyState::First => assert_eq!(self.key_owners.insert(key, attempt), None, "a key is bound once"),
+            KeyState::Running(owner) | KeyState::Done(owner) => assert_eq!(self.key_owners.get(&key), Some(&owner.0)),
         }
     }
 
     fn cancel(&mut self, attempt: u128) {
         match self.scheduler.void(Attempt(attempt), None, self.now) {
-            Voided::NotRun => {
+            CancelOutcome::NotRun => {
                 assert!(!self.started.contains(&attempt), "a started attempt is never reported as not run");
                 self.cancelled.insert(attempt);
             }
-            Voided::Started => assert!(self.started.contains(&attempt), "an unstarted attempt is cancellable"),
+            CancelOutcome::Started => assert!(self.started.contains(&attempt), "an unstarted attempt is cancellable"),
         }
     }
 
--- a/coord/tests/search.rs
+++ b/coord/tests/search.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use coord::search::{ROUND, Search};
+use coord::search::{MAX_CANDIDATES_PER_ROUND, LeaderSearch};
 use coord::time::Moment;
 use proptest::prelude::*;
 
@@ -14,7 +14,7 @@
 /// failed attempts and the time at which the last process found the leader. A process ranks behind all processes with
 /// a lower index.
 fn simulate(count: usize, alive: &BTreeSet<usize>, until: Moment) -> (usize, Option<Moment>) {
-    let mut searches: Vec<Search<usize>> = (0..count).map(|_| Search::default()).collect();
+    let mut searches: Vec<LeaderSearch<usize>> = (0..count).map(|_| LeaderSearch::default()).collect();
     let mut failed_attempts = 0;
     let mut searching: BTreeSet<usize> = alive.iter().copied().skip(1).collect();
     let leader = alive.first().copied();
@@ -43,19 +43,19 @@
 fn without_a_leader_a_hundred_processes_make_few_attempts() {
     // None of the highest-ranked processes can lead because all wait for the store, for 8 s.
     let count = 103;
-    let mut searches: Vec<Search<usize>> = (0..count).map(|_| Search::default()).collect();
+    let mut searches: Vec<LeaderSearch<usize>> = (0..count).map(|_| LeaderSearch::default()).collect();
     let mut attempts = 0;
     let mut now = Moment::from_millis(1_000);
     while now < Moment::from_millis(9_000) {
         for (process, search) in searches.iter_mut().enumerate() {
-            for candidate in search.round(0..process.min(ROUND), now) {
+            for candidate in search.round(0..process.min(MAX_CANDIDATES_PER_ROUND), now) {
                 attempts += 1;
                 search.failed(candidate, 1.0, now);
             }
         }
         now = now + ROUND_INTERVAL;
     }
-    assert!(attempts <= count * ROUND * 5, "{attempts} attempts in 8 s");
+    assert!(attempts <= count * MAX_CANDIDATES_PER_ROUND * 5, "{attempts} attempts in 8 s");
 }
 
 proptest! {
@@ -65,24 +65,24 @@
         let first = *alive.first().unwrap_or(&0);
         let (failed_attempts, last) = simulate(103, &alive, Moment::from_millis(60_000));
         prop_assert!(last.is_some(), "a process never found the leader");
-        // A round eliminates up to `ROUND` dead candidates.
-        let rounds = first / ROUND + 1;
+        // A round eliminates up to `MAX_CANDIDATES_PER_ROUND` dead candidates.
+        let rounds = first / MAX_CANDIDATES_PER_ROUND + 1;
         let rounds = 2 * rounds + 1;
         let deadline = Duration::from_millis(1_000) + ROUND_INTERVAL * rounds as u32;
         prop_assert!(last.unwrap_or_default() <= Moment::ZERO + deadline, "{last:?}, first {first}");
-        prop_assert!(failed_attempts <= 103 * ROUND * rounds, "{failed_attempts} failed attempts");
+        prop_assert!(failed_attempts <= 103 * MAX_CANDIDATES_PER_ROUND * rounds, "{failed_attempts} failed attempts");
     }
 
     #[test]
     fn a_round_is_short_and_in_the_order_of_ranks(failures in prop::collection::vec((0..20u8, 0..4_000u64), 0..60)) {
-        let mut search = Search::default();
+        let mut search = LeaderSearch::default();
         let mut now = Moment::from_millis(1_000);
         for (candidate, wait) in failures {
             search.failed(candidate, 1.0, now);
             prop_assert!(!search.round([candidate], now).contains(&candidate), "a failed candidate is skipped at first");
             now = now + Duration::from_millis(wait);
             let round = search.round(0..20u8, now);
-            prop_assert!(round.len() <= ROUND && round.is_sorted());
+            prop_assert!(round.len() <= MAX_CANDIDATES_PER_ROUND && round.is_sorted());
         }
         search.restart();
         prop_assert_eq!(search.round(0..20u8, now), vec![0, 1, 2]);
--- a/coord/tests/windowed_budget.rs
+++ b/coord/tests/windowed_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coord::budget::{Windowed, part};
+use coord::budget::{WindowedBudget, part};
 use coord::time::Moment;
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
 
     #[test]
     fn no_retry_exceeds_the_share_of_the_window_that_ends_with_it(steps in prop::collection::vec((any::<bool>(), 0..1_500u64), 1..200)) {
-        let mut budget = Windowed::new(0.2, 3.0, WINDOW);
+        let mut budget = WindowedBudget::new(0.2, 3.0, WINDOW);
         let mut now = Moment::from_millis(20_000);
         let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
         for (is_first_attempt, pause) in steps {
@@ -32,7 +32,7 @@
 
 #[test]
 fn processes_that_keep_their_parts_keep_the_common_bound() {
-    let mut parts: Vec<Windowed> = (0..4).map(|_| Windowed::new(0.2, 2.0, WINDOW)).collect();
+    let mut parts: Vec<WindowedBudget> = (0..4).map(|_| WindowedBudget::new(0.2, 2.0, WINDOW)).collect();
     let now = Moment::from_millis(20_000);
     let mut retries = 0;
     for (index, part) in parts.iter_mut().enumerate() {
@@ -49,13 +49,13 @@
     let (allowance, processes) = (276.0, 103);
     let now = Moment::from_millis(20_000);
     let spend = |assumed_processes: usize| -> usize {
-        let mut parts: Vec<Windowed> =
-            (0..processes).map(|_| Windowed::new(0.2, part(allowance, assumed_processes), WINDOW)).collect();
+        let mut parts: Vec<WindowedBudget> =
+            (0..processes).map(|_| WindowedBudget::new(0.2, part(allowance, assumed_processes), WINDOW)).collect();
         parts.iter_mut().map(|budget| (0..20).filter(|_| budget.spend(now)).count()).sum()
     };
     assert!(spend(32) as f64 > allowance, "32 processes were assumed");
     assert!(spend(processes) as f64 <= allowance);
-    let mut budget = Windowed::new(0.2, part(allowance, 32), WINDOW);
+    let mut budget = WindowedBudget::new(0.2, part(allowance, 32), WINDOW);
     assert!((0..8).all(|_| budget.spend(now)));
     budget.set_allowance(part(allowance, processes));
     assert!(!budget.spend(now), "earlier retries still count");
--- a/sorrelpass/src/cmd/quarantine.rs
+++ b/sorrelpass/src/cmd/quarantine.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use coord::quarantine::Work;
+use coord::quarantine::Fingerprint;
 use eyre::{Result, eyre};
 use platform::store::{Client, Keyed, QUARANTINE};
 
@@ -30,7 +30,7 @@
     store: SocketAddr,
     /// Fingerprint of the requests to send again
     #[bpaf(argument("WORK"))]
-    lift: Option<Work>,
+    lift: Option<Fingerprint>,
 }
 
 /// Lifts the quarantine of the given fingerprint or, without one, prints all records.
@@ -48,7 +48,7 @@
 }
 
 /// Removes the record of a fingerprint from the store.
-async fn lift(client: &mut Client, records: &[Keyed], fingerprint: Work) -> Result<()> {
+async fn lift(client: &mut Client, records: &[Keyed], fingerprint: Fingerprint) -> Result<()> {
     let key = fingerprint.to_string();
     if !records.iter().any(|record| *record.key == *key) {
         return Err(eyre!("step=lift work={fingerprint}: the store has no record of this fingerprint"));
--- a/sorrelpass/src/config/gateway.rs
+++ b/sorrelpass/src/config/gateway.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coord::planner;
-use coord::standing::Power;
+use coord::succession::Capacity;
 
 use super::reader::Reader;
 use super::{MAX_DURATION_MS, Process, read_address, read_process};
@@ -35,7 +35,7 @@
     /// Peer addresses of some other entries, possibly outdated, which are contacted while the store does not answer.
     pub seeds: Vec<SocketAddr>,
     /// Capacity of the process, by which the leader of the entries is chosen.
-    pub power: Power,
+    pub power: Capacity,
     /// Bandwidth of the VM's network link, in Mbit/s; 0 if it is unknown.
     pub link_mbps: f64,
     /// Time and retry bounds that the deployment sets.
@@ -117,7 +117,7 @@
     let seeds = reader.sockets("gateway", "seeds");
     let cores = reader.number("gateway", "cores", 0.0..=MAX_CORES, 0.0);
     let link_mbps = reader.number("gateway", "link_mbps", 0.0..=MAX_LINK_MBPS, 0.0);
-    let power = Power::of(cores, link_mbps);
+    let power = Capacity::of(cores, link_mbps);
     let bounds = read_bounds(reader);
     let policy = read_policy(reader);
     let listen = listen?;
--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -207,7 +207,7 @@
             ticket::TicketError::OtherWorkspace => "belongs to another workspace",
             ticket::TicketError::Expired => "has expired; whether it ran is no longer known",
         };
-        let ran = if error == ticket::TicketError::Expired { coord::name::Ran::Unknown } else { coord::name::Ran::No };
+        let ran = if error == ticket::TicketError::Expired { coord::name::ExecutionStatus::Unknown } else { coord::name::ExecutionStatus::No };
         Failure::bad_request("invalid_ticket", format!("the ticket {reason}")).ran(ran)
     })?;
     Ok(Some(RunPolicy::OnceTicket(Key { workspace, key }, verified.binding)))
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coord::claim::{Binding, Board, Key};
-use coord::name::{Name, Ran};
+use coord::claim::{Binding, Claims, Key};
+use coord::name::{Name, ExecutionStatus};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, oneshot, watch};
 
@@ -70,7 +70,7 @@
 struct Partition {
     stream: String,
     log: Box<dyn Log>,
-    bindings: RefCell<Board>,
+    bindings: RefCell<Claims>,
     waiting_replies: RefCell<HashMap<Key, Vec<oneshot::Sender<Binding>>>>,
     proposals: RefCell<Vec<Claim>>,
     proposals_added: Notify,
@@ -141,7 +141,7 @@
         let partition = Rc::new(Self {
             stream: format!("claims-{index}"),
             log,
-            bindings: RefCell::new(Board::new(shared.settings.once_window)),
+            bindings: RefCell::new(Claims::new(shared.settings.once_window)),
             waiting_replies: RefCell::default(),
             proposals: RefCell::default(),
             proposals_added: Notify::new(),
@@ -312,15 +312,15 @@
 
 /// Queries all entries for a key. Returns its binding, if known, and whether the key is proven not to have
 /// run.
-async fn query_peers(shared: &Shared, key: &Key) -> (Option<Binding>, Ran) {
+async fn query_peers(shared: &Shared, key: &Key) -> (Option<Binding>, ExecutionStatus) {
     let peers = shared.peers();
-    let mut ran = if peers.len() > MAX_PEERS_QUERIED { Ran::Unknown } else { Ran::No };
+    let mut ran = if peers.len() > MAX_PEERS_QUERIED { ExecutionStatus::Unknown } else { ExecutionStatus::No };
     let answers = peers.iter().take(MAX_PEERS_QUERIED).map(|entry| peer::fetch_binding(entry, key));
     for answer in futures_util::future::join_all(answers).await {
         match answer {
-            Ok(Some(bound)) => return (Some(bound), Ran::Unknown),
+            Ok(Some(bound)) => return (Some(bound), ExecutionStatus::Unknown),
             Ok(None) => {}
-            Err(_) => ran = Ran::Unknown,
+            Err(_) => ran = ExecutionStatus::Unknown,
         }
     }
     (lookup_local(shared, key.clone()).await.flatten(), ran)
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -12,7 +12,7 @@
 use coord::fence::Fence;
 use coord::membership::{Role, Vm};
 use coord::name::Name;
-use coord::placement::{Board, Endpoint, Load, Order, Record, roll_out};
+use coord::placement::{Placements, Endpoint, Load, Order, Record, roll_out};
 use coord::time::Moment;
 use tokio::sync::watch;
 
@@ -37,7 +37,7 @@
 struct Controller {
     shared: Arc<Shared>,
     log: Box<dyn Log>,
-    placements: Board,
+    placements: Placements,
     /// Timestamp of the newest record and the local time when it was read. Leases are judged by the log's
     /// clock.
     log_clock: Option<(Moment, Moment)>,
@@ -52,7 +52,7 @@
     let mut controller = Controller {
         shared,
         log,
-        placements: Board::new(),
+        placements: Placements::new(),
         log_clock: None,
         observed_loads: HashMap::new(),
         client: http::caller_h2(),
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -8,9 +8,9 @@
 use axum::extract::{Path, State};
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
-use coord::intent::{Change, Config, Fault};
+use coord::intent::{Change, Config, ValidationError};
 use coord::membership::Role;
-use coord::name::{Name, Ran};
+use coord::name::{Name, ExecutionStatus};
 use coord::replay::{Record, Verdict};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -91,7 +91,7 @@
         let message = format!("the base is newer than revision {} in force here", config.revision);
         return Err(Failure::bad_request("invalid_plan", message));
     }
-    let faults: Vec<Fault> =
+    let faults: Vec<ValidationError> =
         request.changes.iter().enumerate().flat_map(|(index, change)| change.faults(index)).collect();
     if faults.is_empty() {
         return Ok(());
@@ -173,7 +173,7 @@
 
 /// Returns the failure of an append whose outcome is unknown. The call can be repeated without harm.
 fn log_unavailable(error: &eyre::Report) -> Failure {
-    Failure::busy("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).ran(Ran::Unknown)
+    Failure::busy("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).ran(ExecutionStatus::Unknown)
 }
 
 /// Handles `GET /v1/intents`: returns the configuration in use.
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -4,7 +4,7 @@
 use axum::http::{HeaderName, HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
-use coord::name::{Name, Ran};
+use coord::name::{Name, ExecutionStatus};
 use futures_util::stream;
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
@@ -31,7 +31,7 @@
 }
 
 fn entry_stopped() -> Failure {
-    Failure::new(StatusCode::BAD_GATEWAY, "stopping", "the entry stopped").ran(Ran::Unknown)
+    Failure::new(StatusCode::BAD_GATEWAY, "stopping", "the entry stopped").ran(ExecutionStatus::Unknown)
 }
 
 /// Encodes the chunks of one answer; `prefix` precedes the choices of each chunk.
@@ -120,7 +120,7 @@
         Ok(AnswerPart::Piece { bytes, .. }) => (encoder.encode_choices(&bytes), false),
         Ok(AnswerPart::End { usage, .. }) => (encoder.encode_end(usage), true),
         Ok(AnswerPart::Started | AnswerPart::Head { .. }) => (Bytes::new(), false),
-        Err(failure) => (Bytes::from(format!("data: {}\n\n", failure.ran(Ran::Partial).body())), true),
+        Err(failure) => (Bytes::from(format!("data: {}\n\n", failure.ran(ExecutionStatus::Partial).body())), true),
     }
 }
 
--- a/sorrelpass/src/entry/route/failures.rs
+++ b/sorrelpass/src/entry/route/failures.rs
@@ -4,7 +4,7 @@
 
 use axum::http::StatusCode;
 use coord::claim::Binding;
-use coord::name::Ran;
+use coord::name::ExecutionStatus;
 
 use crate::failure::Failure;
 
@@ -26,14 +26,14 @@
 }
 
 /// Returns the failure of a request whose attempt was lost and may have run.
-pub fn attempt_lost(ran: Ran, message: impl Into<String>) -> Failure {
+pub fn attempt_lost(ran: ExecutionStatus, message: impl Into<String>) -> Failure {
     Failure::new(StatusCode::BAD_GATEWAY, LOST_CODE, message).ran(ran).after(DEFAULT_RETRY_AFTER)
 }
 
 /// Returns the failure of a request whose key is bound to a sidecar incarnation that is gone.
 pub fn outcome_unknown(binding: &Binding) -> Failure {
     let message = format!("the call is bound to {} run {}, which is gone", binding.endpoint, binding.incarnation);
-    Failure::new(StatusCode::BAD_GATEWAY, UNKNOWN_CODE, message).ran(Ran::Unknown)
+    Failure::new(StatusCode::BAD_GATEWAY, UNKNOWN_CODE, message).ran(ExecutionStatus::Unknown)
 }
 
 /// Returns the failure of a request that the endpoint refused.
--- a/sorrelpass/src/entry/route/gang_attempt.rs
+++ b/sorrelpass/src/entry/route/gang_attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coord::name::Ran;
+use coord::name::ExecutionStatus;
 use coord::prefix::Chain;
 
 use super::{AttemptOutcome, RequestTask};
@@ -31,7 +31,7 @@
         self.tried_endpoints.clear();
         for _ in 0..MAX_GANGS {
             if self.time_left().is_zero() {
-                return Err(self.deadline_failure(Ran::No));
+                return Err(self.deadline_failure(ExecutionStatus::No));
             }
             match self.attempt_on_gang().await {
                 Ok(AttemptOutcome::Finished) => return Ok(()),
@@ -76,7 +76,7 @@
         let leases = SpanLeases::reserve(self.app, members, self.time_left() / 4).await?;
         let filled = match tokio::time::timeout(self.time_left(), leases.prefill(&texts)).await {
             Ok(filled) => filled?,
-            Err(_) => return Ok(AttemptOutcome::Fail(self.deadline_failure(Ran::Unknown))),
+            Err(_) => return Ok(AttemptOutcome::Fail(self.deadline_failure(ExecutionStatus::Unknown))),
         };
         event!("gang-filled", request = %self.request.id, tokens = filled.tokens);
         self.prefilled_spans = Some(filled);
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -8,9 +8,9 @@
 use axum::http::StatusCode;
 use bytes::Bytes;
 use coord::claim::{Binding, Key};
-use coord::name::{Incarnation, Name, Ran};
+use coord::name::{Incarnation, Name, ExecutionStatus};
 use coord::prefix::Chain;
-use coord::scheduler::Refusal;
+use coord::scheduler::RefusalReason;
 use coord::time::{Moment, micros};
 use tokio::sync::mpsc;
 
@@ -165,7 +165,7 @@
             RunPolicy::OnceClaimedKey(key) => {
                 // Nothing has been sent yet, but an earlier call under the same key may have run.
                 let Ok(claimed) = tokio::time::timeout(self.time_left(), self.claim_key(&key)).await else {
-                    return Err(self.deadline_failure(Ran::Unknown));
+                    return Err(self.deadline_failure(ExecutionStatus::Unknown));
                 };
                 let binding = claimed?;
                 self.run_on_bound_sidecar(key, binding).await
@@ -252,7 +252,7 @@
             }
             for (target, incarnation) in targets {
                 if self.time_left().is_zero() {
-                    return Err(self.deadline_failure(Ran::No));
+                    return Err(self.deadline_failure(ExecutionStatus::No));
                 }
                 self.tried_endpoints.push(target.endpoint.clone());
                 // A call that may run at most once is retried only at the sidecar that may have accepted
@@ -287,17 +287,17 @@
                 "the answer broke off and could not go on elsewhere",
                 DEFAULT_RETRY_AFTER,
             )
-            .ran(Ran::Partial);
+            .ran(ExecutionStatus::Partial);
         }
         let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-        if self.last_refusal == Some(Refused::Scheduler(Refusal::TooLarge)) {
+        if self.last_refusal == Some(Refused::Scheduler(RefusalReason::TooLarge)) {
             return Failure::busy("no_memory", "no endpoint has the memory that this prompt needs", wait);
         }
         Failure::busy("overloaded", "no endpoint can finish this in its time now", wait)
     }
 
-    fn deadline_failure(&self, ran: Ran) -> Failure {
-        let ran = if self.is_answer_started { Ran::Partial } else { ran };
+    fn deadline_failure(&self, ran: ExecutionStatus) -> Failure {
+        let ran = if self.is_answer_started { ExecutionStatus::Partial } else { ran };
         let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(ran).after(wait)
     }
@@ -346,7 +346,7 @@
                     outcome
                 };
             };
-            let is_retryable = failure.ran == Ran::Unknown && failure.code == LOST_CODE && !self.is_answer_started;
+            let is_retryable = failure.ran == ExecutionStatus::Unknown && failure.code == LOST_CODE && !self.is_answer_started;
             if !is_retryable || self.time_left() <= BOUND_RETRY_DELAY {
                 return AttemptOutcome::Fail(failure);
             }
@@ -391,7 +391,7 @@
             Ok(Err(error)) => self.handle_attempt_error(error, idempotency_key.is_some()).await,
             Err(_) => {
                 let cancelled_ran = upstream::cancel_attempt(self.app, target, &work).await;
-                let ran = if is_started || may_run_already { Ran::Unknown } else { cancelled_ran };
+                let ran = if is_started || may_run_already { ExecutionStatus::Unknown } else { cancelled_ran };
                 AttemptOutcome::Fail(self.deadline_failure(ran))
             }
         }
@@ -449,7 +449,7 @@
     async fn send_to_caller(&self, part: AnswerPart) -> Result<(), AttemptError> {
         let timeout = self.app.shared.settings.slow_caller;
         let caller_lost =
-            |message: &str| AttemptError::Lost { ran: Ran::Partial, step: CALLER_STEP.into(), message: message.into() };
+            |message: &str| AttemptError::Lost { ran: ExecutionStatus::Partial, step: CALLER_STEP.into(), message: message.into() };
         match tokio::time::timeout(timeout, self.request.parts.send(Ok(part))).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(caller_lost("the caller went away")),
@@ -465,12 +465,12 @@
                 self.last_refusal = refused;
                 if refused == Some(Refused::OtherIncarnation) && is_keyed {
                     return AttemptOutcome::Fail(
-                        attempt_lost(Ran::Unknown, "the sidecar that held this call was restarted")
+                        attempt_lost(ExecutionStatus::Unknown, "the sidecar that held this call was restarted")
                             .with_code(UNKNOWN_CODE),
                     );
                 }
                 if refused == Some(Refused::Expired) {
-                    return AttemptOutcome::Fail(self.deadline_failure(Ran::No));
+                    return AttemptOutcome::Fail(self.deadline_failure(ExecutionStatus::No));
                 }
                 AttemptOutcome::TryAnother
             }
@@ -478,14 +478,14 @@
             AttemptError::Lost { ran, step, message } => {
                 event!("attempt-lost", request = %self.request.id, at = %step, ran = ran.as_str(), reason = %message);
                 if step == CALLER_STEP {
-                    return AttemptOutcome::Fail(attempt_lost(Ran::Partial, message).with_code("caller_too_slow"));
+                    return AttemptOutcome::Fail(attempt_lost(ExecutionStatus::Partial, message).with_code("caller_too_slow"));
                 }
                 // The sidecar's clock may reach the deadline slightly before this one.
                 if self.time_left() <= MAX_CLOCK_SKEW {
                     return AttemptOutcome::Fail(self.deadline_failure(ran));
                 }
                 if is_keyed {
-                    let ran = if self.is_answer_started { Ran::Partial } else { Ran::Unknown };
+                    let ran = if self.is_answer_started { ExecutionStatus::Partial } else { ExecutionStatus::Unknown };
                     return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}")));
                 }
                 self.retry_within_budget(ran, &step, &message).await
@@ -494,10 +494,10 @@
     }
 
     /// Continues a repeatable request on another endpoint if the retry budget allows it.
-    async fn retry_within_budget(&mut self, ran: Ran, step: &str, message: &str) -> AttemptOutcome {
+    async fn retry_within_budget(&mut self, ran: ExecutionStatus, step: &str, message: &str) -> AttemptOutcome {
         let is_allowed = self.app.shared.call_event_loop(Command::TakeRetry).await.unwrap_or(false);
         if !is_allowed {
-            let ran = if self.is_answer_started { Ran::Partial } else { ran };
+            let ran = if self.is_answer_started { ExecutionStatus::Partial } else { ran };
             return AttemptOutcome::Fail(attempt_lost(ran, format!("{step}: {message}; the retry budget is spent")));
         }
         metric::retry();
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use coord::answer::{Receiver, Seal, Verdict};
-use coord::name::{Incarnation, Ran};
+use coord::name::{Incarnation, ExecutionStatus};
 use coord::pick::Offer;
-use coord::scheduler::Voided;
+use coord::scheduler::CancelOutcome;
 use futures_util::stream;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::Request;
@@ -116,7 +116,7 @@
     /// The attempt was lost and may have run.
     Lost {
         /// Whether the attempt ran, as far as known.
-        ran: Ran,
+        ran: ExecutionStatus,
         /// Step at which the attempt was lost.
         step: String,
         /// Description of the error.
@@ -126,7 +126,7 @@
 
 impl AttemptError {
     fn lost(step: &str, message: impl ToString) -> Self {
-        AttemptError::Lost { ran: Ran::Unknown, step: step.to_owned(), message: message.to_string() }
+        AttemptError::Lost { ran: ExecutionStatus::Unknown, step: step.to_owned(), message: message.to_string() }
     }
 }
 
@@ -223,7 +223,7 @@
             Frame::Failed { status: Some(status), message, .. } => {
                 Some(Err(AttemptError::Rejected { status, message }))
             }
-            Frame::Failed { ran: Ran::No, .. } => {
+            Frame::Failed { ran: ExecutionStatus::No, .. } => {
                 Some(Err(AttemptError::NotRun { refused: None, retry_after: Duration::ZERO }))
             }
             Frame::Failed { ran, step, message, .. } => Some(Err(AttemptError::Lost { ran, step, message })),
@@ -231,9 +231,9 @@
     }
 }
 
-/// Cancels an attempt. Returns `Ran::No` only if the sidecar proves that it did not
+/// Cancels an attempt. Returns `ExecutionStatus::No` only if the sidecar proves that it did not
 /// and will not run.
-pub async fn cancel_attempt(app: &HandlerState, target: &Target, work: &Open) -> Ran {
+pub async fn cancel_attempt(app: &HandlerState, target: &Target, work: &Open) -> ExecutionStatus {
     let Open { attempt, incarnation, ref once, .. } = *work;
     let bytes = wire::encode(&wire::Void { attempt, once: once.clone() });
     let call = http::exchange(&app.client, &target.address, "POST", wire::VOID, bytes);
@@ -244,9 +244,9 @@
     };
     let ran = match answer {
         // A different incarnation has no record of work sent to the previous one.
-        Some(answer) if incarnation.is_some_and(|sent| sent != answer.incarnation) => Ran::Unknown,
-        Some(answer) if answer.voided == Voided::NotRun && incarnation.is_some() => Ran::No,
-        _ => Ran::Unknown,
+        Some(answer) if incarnation.is_some_and(|sent| sent != answer.incarnation) => ExecutionStatus::Unknown,
+        Some(answer) if answer.voided == CancelOutcome::NotRun && incarnation.is_some() => ExecutionStatus::No,
+        _ => ExecutionStatus::Unknown,
     };
     event!("voided", peer = %target.endpoint, attempt = %attempt, ran = ran.as_str());
     ran
--- a/sorrelpass/src/failure.rs
+++ b/sorrelpass/src/failure.rs
@@ -4,7 +4,7 @@
 
 use axum::http::{HeaderName, HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
-use coord::name::Ran;
+use coord::name::ExecutionStatus;
 use serde_json::{Value, json};
 
 use crate::util;
@@ -22,7 +22,7 @@
     /// Human-readable description.
     pub message: String,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Time after which the caller may retry; `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
@@ -30,7 +30,7 @@
 impl Failure {
     /// Creates a failure of a request that did not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
-        Self { status, code, message: message.into(), ran: Ran::No, retry_after: None }
+        Self { status, code, message: message.into(), ran: ExecutionStatus::No, retry_after: None }
     }
 
     /// Creates a failure with status 400, for a request that is invalid.
@@ -50,7 +50,7 @@
     }
 
     /// Sets whether the request ran.
-    pub fn ran(mut self, ran: Ran) -> Self {
+    pub fn ran(mut self, ran: ExecutionStatus) -> Self {
         self.ran = ran;
         self
     }
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use coord::evacuation::{News, Picture};
+use coord::evacuation::{Event, Snapshot};
 use coord::offset::Text;
-use coord::parcel::Version;
-use coord::roster::{Change, Leaver, Replica, Sighting, Standing};
+use coord::delta::Version;
+use coord::roster::{Change, DrainingRun, Replica, Update, Availability};
 use platform::{evacuation, table};
 
 use super::now;
@@ -60,8 +60,8 @@
     let records = page.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
     let has_changed = if is_snapshot {
         let evacuated =
-            records.filter_map(|(_, news)| if let News::Begun(domain) = news { Some(domain) } else { None });
-        register.replace(Picture { next: page.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
+            records.filter_map(|(_, news)| if let Event::Started(domain) = news { Some(domain) } else { None });
+        register.replace(Snapshot { next: page.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
     } else {
         records.fold(false, |has_changed, (offset, news)| register.hear(offset, news) || has_changed)
     };
@@ -72,7 +72,7 @@
 }
 
 /// Applies the set of evacuated failure domains that another entry sent.
-pub fn apply_evacuation_snapshot(gateway: &Gateway, snapshot: Picture) {
+pub fn apply_evacuation_snapshot(gateway: &Gateway, snapshot: Snapshot) {
     if gateway.evacuations.borrow_mut().replace(snapshot, now() + STORE_RECOVERY_GRACE) {
         enforce_evacuations(gateway);
     }
@@ -110,18 +110,18 @@
 }
 
 /// Applies replica updates that were read from the log of the store.
-pub fn apply_updates(gateway: &Gateway, updates: Vec<Sighting>, source: Source) {
+pub fn apply_updates(gateway: &Gateway, updates: Vec<Update>, source: Source) {
     let now = now();
     let mut roster = gateway.roster.borrow_mut();
     let changes: Vec<Change> =
-        updates.into_iter().filter_map(|Sighting { offset, news }| roster.hear(offset, news, now)).collect();
+        updates.into_iter().filter_map(|Update { offset, news }| roster.hear(offset, news, now)).collect();
     drop(roster);
     // One call for all changes: each call rebuilds the lists of engines, which takes longer the more engines there are.
     publish_changes(gateway, &changes, source);
 }
 
 /// Applies a snapshot of all replica records below the offset `end`. A replica that is not in the snapshot was removed.
-pub fn apply_snapshot(gateway: &Gateway, end: u64, newest: Vec<Sighting>, source: Source) {
+pub fn apply_snapshot(gateway: &Gateway, end: u64, newest: Vec<Update>, source: Source) {
     let changes = gateway.roster.borrow_mut().replace(end, newest, now());
     publish_changes(gateway, &changes, source);
 }
@@ -137,9 +137,9 @@
 }
 
 /// Marks runs of replicas that reported that they are draining. Returns those that were not marked before.
-pub fn apply_draining_runs(gateway: &Gateway, runs: Vec<Leaver>, source: Source) -> Vec<Leaver> {
+pub fn apply_draining_runs(gateway: &Gateway, runs: Vec<DrainingRun>, source: Source) -> Vec<DrainingRun> {
     let mut roster = gateway.roster.borrow_mut();
-    let new_runs: Vec<Leaver> = runs.into_iter().filter(|run| !roster.knows_leaver(run)).collect();
+    let new_runs: Vec<DrainingRun> = runs.into_iter().filter(|run| !roster.knows_leaver(run)).collect();
     let changes: Vec<Change> = new_runs.iter().cloned().filter_map(|run| roster.leaves(run)).collect();
     drop(roster);
     publish_changes(gateway, &changes, source);
@@ -151,15 +151,15 @@
 /// store.
 fn publish_changes(gateway: &Gateway, changes: &[Change], source: Source) {
     if source == Source::Peer && !changes.is_empty() {
-        let ready = changes.iter().filter(|change| change.standing == Standing::Ready).count();
+        let ready = changes.iter().filter(|change| change.standing == Availability::Ready).count();
         event!("replicas", changed = changes.len(), ready);
     }
     for change in changes {
         let standing = match change.standing {
-            Standing::Ready => "ready",
-            Standing::Unusable => "unusable",
-            Standing::Lapsed(_) => "lapsed",
-            Standing::Gone => "gone",
+            Availability::Ready => "ready",
+            Availability::Unusable => "unusable",
+            Availability::Expired(_) => "lapsed",
+            Availability::Gone => "gone",
         };
         match source {
             Source::Store | Source::Response => event!("replica", peer = %change.id, standing),
@@ -168,7 +168,7 @@
         if change.cold {
             event!("replica-cold", peer = %change.id);
         }
-        if change.standing == Standing::Gone {
+        if change.standing == Availability::Gone {
             gateway.limits.forget(&change.id);
             gateway.rests.forget(&change.id);
         }
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::name::{Name, Ran};
-use coord::quarantine::{Weight, Work};
+use coord::name::{Name, ExecutionStatus};
+use coord::quarantine::{Weight, Fingerprint};
 use coord::roster::Record;
 use coord::route::{Route, Workspace};
 use coord::time::Moment;
@@ -57,7 +57,7 @@
     /// Request that is sent to replicas.
     pub outgoing: Outgoing,
     /// Fingerprint of the request, which is the same for every retry.
-    pub work: Work,
+    pub work: Fingerprint,
     /// Time at which the head of the request was received.
     pub started: Moment,
     /// Timeout that the caller allows.
@@ -153,7 +153,7 @@
     /// well.
     fn condemned_failure(&self) -> Failure {
         metric::refused_condemned();
-        let ran = if self.possible_executions == 0 { Ran::No } else { Ran::Unknown };
+        let ran = if self.possible_executions == 0 { ExecutionStatus::No } else { ExecutionStatus::Unknown };
         Failure::new(StatusCode::BAD_GATEWAY, "condemned", "replicas end under this request").ran(ran)
     }
 
@@ -235,7 +235,7 @@
             let delay = retry_after.unwrap_or(BUSY_RETRY_AFTER);
             return Failure::busy("overloaded", "no replica takes this now", delay);
         }
-        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").ran(Ran::Unknown)
+        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").ran(ExecutionStatus::Unknown)
     }
 
     /// Returns the failure of a request whose deadline has passed.
@@ -248,7 +248,7 @@
             // the deadline has failed.
             self.record_failure(replica, NO_ANSWER);
         }
-        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(Ran::Unknown)
+        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").ran(ExecutionStatus::Unknown)
     }
 }
 
