--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/desk/mod.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Id, Job, Planner, Policy, Team};
-use coord::quarantine::Work;
+use coord::quarantine::Fingerprint;
 use coord::time::Moment;
 use tokio::sync::{Notify, mpsc, oneshot};
 
@@ -86,7 +86,7 @@
     /// Planners by service.
     planners: RefCell<HashMap<Name, Planner>>,
     /// Fingerprints of requests that are suspected of crashing engines.
-    suspects: RefCell<Vec<Work>>,
+    suspects: RefCell<Vec<Fingerprint>>,
     /// Waiting prompts of this entry, by number.
     waiting: RefCell<HashMap<u64, WaitingPrompt>>,
     /// Granted prompts of this entry, by number.
@@ -174,8 +174,8 @@
     }
 
     /// Sets the engines of a service.
-    pub fn set_engines(&self, service: &Name, figures: &Arc<Figures>, engines: impl Iterator<Item = Name>) {
-        let engines: Vec<(Name, Arc<Figures>)> = engines.map(|name| (name, figures.clone())).collect();
+    pub fn set_engines(&self, service: &Name, figures: &Arc<Profile>, engines: impl Iterator<Item = Name>) {
+        let engines: Vec<(Name, Arc<Profile>)> = engines.map(|name| (name, figures.clone())).collect();
         let mut planners = self.planners.borrow_mut();
         let planner = planners.entry(service.clone()).or_insert_with(|| self.new_planner());
         planner.set_engines(engines);
@@ -208,7 +208,7 @@
     }
 
     /// Sets the fingerprints of requests that are suspected of crashing engines.
-    pub fn set_suspects(&self, suspects: Vec<Work>) {
+    pub fn set_suspects(&self, suspects: Vec<Fingerprint>) {
         let mut planners = self.planners.borrow_mut();
         planners.values_mut().for_each(|planner| planner.set_suspects(suspects.iter().copied()));
         *self.suspects.borrow_mut() = suspects;
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::inquiry::Inquiry;
-use coord::search::Search;
+use coord::poll::Poll;
+use coord::search::LeaderSearch;
 use eyre::{Result, eyre};
 use platform::store::Client;
 use tokio::sync::{mpsc, oneshot};
@@ -66,7 +66,7 @@
     gateway: Rc<Gateway>,
     own_address: SocketAddr,
     client: Client,
-    search: Search<SocketAddr>,
+    search: LeaderSearch<SocketAddr>,
     /// Known entries in the succession order.
     ranked: Vec<Peer>,
     /// Number of searches since the last one that found a leader.
@@ -85,7 +85,7 @@
             gateway,
             own_address,
             client,
-            search: Search::default(),
+            search: LeaderSearch::default(),
             ranked,
             failed_searches: 0,
             search_delay: MIN_SEARCH_DELAY,
@@ -223,7 +223,7 @@
 /// Waits before the next search for a leader. Returns the delay after the search that follows.
 async fn sleep_before_search(
     gateway: &Gateway,
-    search: &mut Search<SocketAddr>,
+    search: &mut LeaderSearch<SocketAddr>,
     is_leader: bool,
     delay: Duration,
 ) -> Duration {
@@ -316,7 +316,7 @@
     let bounds = gateway.bounds();
     let sync_interval = MAX_SYNC_INTERVAL.min(bounds.apply().min(bounds.drain) / MIN_SYNCS_PER_BOUND);
     let mut next_sync = Instant::now();
-    let mut inquiry = Inquiry::default();
+    let mut inquiry = Poll::default();
     if !gateway.membership.is_announced() {
         link.send(Report::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue).await?;
     }
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use coord::inquiry::Inquiry;
+use coord::poll::Poll;
 use eyre::{Result, eyre};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -99,7 +99,7 @@
     for runs in leaving::sync_messages(gateway) {
         link.send(Order::Leaving(runs), queue).await?;
     }
-    let mut inquiry = Inquiry::default();
+    let mut inquiry = Poll::default();
     let mut heartbeat = tokio::time::interval(BEAT);
     heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
--- a/sorrelpass/src/gateway/leaving.rs
+++ b/sorrelpass/src/gateway/leaving.rs
@@ -4,7 +4,7 @@
 //! replica. The entry that received the response therefore distributes the information to all other entries via the
 //! leader.
 
-use coord::roster::{Leaver, Record};
+use coord::roster::{DrainingRun, Record};
 use platform::dialect;
 
 use super::belief;
@@ -26,12 +26,12 @@
     event!("replica-draining", peer = %record.id, for_itself);
     metric::leaving_told();
     if for_itself {
-        apply_updates(gateway, vec![Leaver { id: record.id.clone(), born: record.born }], Source::Own);
+        apply_updates(gateway, vec![DrainingRun { id: record.id.clone(), born: record.born }], Source::Own);
     }
 }
 
 /// Marks runs of replicas as draining, and distributes those that were not marked before.
-pub fn apply_updates(gateway: &Gateway, runs: Vec<Leaver>, source: Source) {
+pub fn apply_updates(gateway: &Gateway, runs: Vec<DrainingRun>, source: Source) {
     let origin = match source {
         Source::Own => belief::Source::Response,
         Source::Leader | Source::Follower => belief::Source::Peer,
@@ -44,7 +44,7 @@
 }
 
 /// Returns all known draining runs of replicas in messages for an entry that has just connected.
-pub fn sync_messages(gateway: &Gateway) -> Vec<Vec<Leaver>> {
-    let runs: Vec<Leaver> = gateway.roster.borrow().leavers().collect();
-    runs.chunks(MAX_RUNS_PER_MESSAGE).map(<[Leaver]>::to_vec).collect()
+pub fn sync_messages(gateway: &Gateway) -> Vec<Vec<DrainingRun>> {
+    let runs: Vec<DrainingRun> = gateway.roster.borrow().leavers().collect();
+    runs.chunks(MAX_RUNS_PER_MESSAGE).map(<[DrainingRun]>::to_vec).collect()
 }
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use coord::limit::{Allowance, Group, News, Register, Word};
+use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
 use coord::name::Name;
 use coord::roster::Record;
 use coord::time::Moment;
@@ -35,14 +35,14 @@
 /// Rate limits as this entry knows them.
 #[derive(Default)]
 pub struct Limits {
-    register: RefCell<Register>,
+    register: RefCell<ReplicaLimits>,
     /// Cold replicas, with their rate limit while they are cold, in requests per second.
     cold: RefCell<BTreeMap<Name, f64>>,
     /// Notified when the set of cold replicas may have changed.
     cold_changed: Notify,
     /// Remaining allowances of plain replicas, from which this entry grants permits while it is the leader or has no
     /// leader.
-    allowances: RefCell<HashMap<Name, Allowance>>,
+    allowances: RefCell<HashMap<Name, TokenBucket>>,
     /// Replicas that have no permit for this entry before the given time.
     no_permit_until: RefCell<HashMap<Name, Moment>>,
     /// Replicas whose limit could not be parsed.
@@ -50,7 +50,7 @@
     /// Permit requests of this entry that the leader has not answered.
     permit_requests: PermitRequests,
     /// Recent sizes of the group of entries with the same leader.
-    group: Cell<Group>,
+    group: Cell<GroupSize>,
     /// Number of entries in the store at the last read.
     stored_entries: Cell<usize>,
 }
@@ -97,8 +97,8 @@
     }
 
     /// Returns the full register for another entry, split into messages.
-    pub fn messages(&self) -> Vec<Vec<News>> {
-        self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[News]>::to_vec).collect()
+    pub fn messages(&self) -> Vec<Vec<RelayedReport>> {
+        self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[RelayedReport]>::to_vec).collect()
     }
 
     /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
@@ -133,8 +133,8 @@
     match answer.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
-            let report = Word { rate, asked: sent_at, heard: now() };
-            hear(gateway, vec![News::of(replica, &report, now())], Source::Own);
+            let report = TimedReport { rate, asked: sent_at, heard: now() };
+            hear(gateway, vec![RelayedReport::of(replica, &report, now())], Source::Own);
         }
         // The previous limit stays in force. The error is logged once, not for each response.
         Err(error) if gateway.limits.unparsable.borrow_mut().insert(replica.clone()) => {
@@ -145,7 +145,7 @@
 }
 
 /// Applies reports of rate limits, and relays the ones that change a limit.
-pub fn hear(gateway: &Gateway, reports: Vec<News>, source: Source) {
+pub fn hear(gateway: &Gateway, reports: Vec<RelayedReport>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
     let mut changed = Vec::new();
@@ -192,7 +192,7 @@
         return;
     };
     let now = now();
-    let new_allowance = || Allowance::new(rate, share, rand::random_range(0.0..1.0), now);
+    let new_allowance = || TokenBucket::new(rate, share, rand::random_range(0.0..1.0), now);
     allowances.entry(replica.clone()).or_insert_with(new_allowance).set(rate, share, now);
 }
 
--- a/sorrelpass/src/gateway/link.rs
+++ b/sorrelpass/src/gateway/link.rs
@@ -7,10 +7,10 @@
 use coord::evacuation;
 use coord::limit;
 use coord::name::Name;
-use coord::parcel::Parcel;
+use coord::delta::Delta;
 use coord::planner::{self, Team};
-use coord::quarantine::Work;
-use coord::roster::Leaver;
+use coord::quarantine::Fingerprint;
+use coord::roster::DrainingRun;
 use coord::time::Moment;
 use eyre::{Result, WrapErr, eyre};
 use futures_util::{SinkExt, StreamExt};
@@ -50,7 +50,7 @@
     gap_ms: f64,
     deadline_in: Duration,
     priority: u32,
-    work: Option<Work>,
+    work: Option<Fingerprint>,
 }
 
 impl Ask {
@@ -120,11 +120,11 @@
     /// is to ask again for the newest configuration.
     pub configuration: Option<CopyState>,
     /// Newest configuration, if the requester has an older one and the delta is small enough to be sent.
-    pub delta: Option<Parcel>,
+    pub delta: Option<Delta>,
     /// Whether there is a newer configuration that is too large to be sent, so that the requester must read it itself.
     pub is_too_large: bool,
     /// Failure domains that operators have evacuated.
-    pub evacuations: evacuation::Picture,
+    pub evacuations: evacuation::Snapshot,
     /// State of the sender's copy of the replicas' records, or `None` before its first verification, or if
     /// `replica_updates` is not valid.
     pub replicas: Option<CopyState>,
@@ -205,7 +205,7 @@
     /// Quarantine events: requests that are suspected or known to terminate replicas.
     Quarantine(Vec<Told>),
     /// Reports of the rate limits that replicas announced.
-    Limits(Vec<limit::News>),
+    Limits(Vec<limit::RelayedReport>),
     /// Requests a permit at one of several replicas, all of which announced rate limits.
     Turn {
         /// Number by which the follower identifies the permit request.
@@ -228,7 +228,7 @@
     /// much older.
     Absent(Duration),
     /// Runs of replicas that reported that they are draining.
-    Leaving(Vec<Leaver>),
+    Leaving(Vec<DrainingRun>),
     /// Reports that an engine refused a request of the sender and asked it to back off.
     Rests {
         /// Service of the engine.
@@ -285,7 +285,7 @@
     /// Quarantine events: requests that are suspected or known to terminate replicas.
     Quarantine(Vec<Told>),
     /// Reports of the rate limits that replicas announced.
-    Limits(Vec<limit::News>),
+    Limits(Vec<limit::RelayedReport>),
     /// Answers [`Report::Turn`].
     Turn {
         /// Number of the permit request.
@@ -294,7 +294,7 @@
         turn: Result<Turn, Duration>,
     },
     /// Runs of replicas that reported that they are draining.
-    Leaving(Vec<Leaver>),
+    Leaving(Vec<DrainingRun>),
 }
 
 /// Permit to send one request to a replica that announced a rate limit.
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::standing::Power;
+use coord::succession::Capacity;
 use coord::time::Moment;
 use platform::store::{self, Client};
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
     /// Incarnation of the entry's process.
     incarnation: String,
     /// Capacity of the entry, by which leaders are ranked.
-    capacity: Power,
+    capacity: Capacity,
 }
 
 impl Announcement {
--- a/sorrelpass/src/gateway/packed.rs
+++ b/sorrelpass/src/gateway/packed.rs
@@ -5,7 +5,7 @@
 //! other, and compression reduces them to a quarter of their size.
 
 use bytes::Bytes;
-use coord::roster::Sighting;
+use coord::roster::Update;
 use eyre::{Result, WrapErr};
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 
 impl Packed {
     /// Encodes and compresses replica updates.
-    pub fn new(updates: &[Sighting]) -> Result<Self> {
+    pub fn new(updates: &[Update]) -> Result<Self> {
         if updates.is_empty() {
             return Ok(Self::default());
         }
@@ -30,7 +30,7 @@
     }
 
     /// Decompresses and decodes the replica updates.
-    pub fn decompress(&self) -> Result<Vec<Sighting>> {
+    pub fn decompress(&self) -> Result<Vec<Update>> {
         if self.0.is_empty() {
             return Ok(Vec::new());
         }
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coord::search::Search;
-use coord::standing::{Power, Standing};
+use coord::search::LeaderSearch;
+use coord::succession::{Capacity, Rank};
 use eyre::eyre;
 use platform::connection::connect;
 use platform::store::{self, Client};
@@ -32,7 +32,7 @@
     /// Incarnation of the process that announced itself.
     incarnation: String,
     /// Rank of the entry in the succession order.
-    rank: Standing,
+    rank: Rank,
 }
 
 impl Peer {
@@ -96,8 +96,8 @@
     let value = String::from_utf8_lossy(record.value.as_ref()?).into_owned();
     let (incarnation, capacity) = value.split_once(' ').unwrap_or((&value, ""));
     // An entry whose announcement has no capacity ranks last.
-    let capacity = Power(capacity.parse().unwrap_or_default());
-    let rank = Standing::new(capacity, record.offset);
+    let capacity = Capacity(capacity.parse().unwrap_or_default());
+    let rank = Rank::new(capacity, record.offset);
     Some(Peer { address: record.key.parse().ok()?, incarnation: incarnation.to_owned(), rank })
 }
 
@@ -113,7 +113,7 @@
 
 /// Searches for a leader among `peers`. Tries only the candidates that `search` selects for this round, and the leaders
 /// that these follow.
-pub async fn find_leader(search: &mut Search<SocketAddr>, peers: &[Peer], own_address: SocketAddr) -> SearchOutcome {
+pub async fn find_leader(search: &mut LeaderSearch<SocketAddr>, peers: &[Peer], own_address: SocketAddr) -> SearchOutcome {
     let others = peers.iter().filter(|peer| peer.address != own_address);
     for address in search.round(others.map(|peer| peer.address), now()) {
         let Some(peer) = peers.iter().find(|peer| peer.address == address) else { continue };
--- a/sorrelpass/src/gateway/place.rs
+++ b/sorrelpass/src/gateway/place.rs
@@ -9,7 +9,7 @@
 use coord::breaker::Breaker;
 use coord::name::Name;
 use coord::roster::{Record, Roster};
-use coord::route::Repeat;
+use coord::route::Idempotency;
 
 use super::now;
 use crate::config;
@@ -62,7 +62,7 @@
         &self,
         roster: &Roster,
         service: &str,
-        repeat: Repeat,
+        repeat: Idempotency,
         is_eligible: impl Fn(&Name) -> bool,
     ) -> Option<Record> {
         let candidates = roster.usable(service).filter(|record| is_eligible(&record.id));
@@ -83,13 +83,13 @@
     /// Ranks a replica by the state of its breaker; the lowest rank is selected first. A replica on trial ranks
     /// before healthy ones for requests that may be executed more than once, and after them for other requests. A
     /// replica whose breaker is open ranks last, but is selected if there is no other.
-    fn breaker_rank(&self, replica: &Name, repeat: Repeat) -> u8 {
+    fn breaker_rank(&self, replica: &Name, repeat: Idempotency) -> u8 {
         let Some(breaker) = self.breakers.get(replica) else { return 1 };
         let now = now();
         match (breaker.admits(now), breaker.is_on_trial(now), repeat) {
             (false, _, _) => 3,
-            (true, true, Repeat::Safe) => 0,
-            (true, true, Repeat::Once) => 2,
+            (true, true, Idempotency::Safe) => 0,
+            (true, true, Idempotency::Once) => 2,
             (true, false, _) => 1,
         }
     }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::end::Span;
+use coord::termination::Interval;
 use coord::name::Name;
-use coord::quarantine::{News, Weight, Work};
+use coord::quarantine::{Event, Weight, Fingerprint};
 use coord::roster::Record;
 use coord::time::Moment;
 use platform::connection::Liveness;
@@ -32,7 +32,7 @@
     /// Request id that the caller sent.
     pub request: Name,
     /// Fingerprint of the request.
-    pub fingerprint: Work,
+    pub fingerprint: Fingerprint,
     /// Replica that the request was sent to.
     pub record: Record,
     /// Time at which the request was sent.
@@ -79,13 +79,13 @@
         if known_draining.unwrap_or(self.record.leaving) {
             return;
         }
-        let span = Span { after: self.sent_at, by: now() };
+        let span = Interval { after: self.sent_at, by: now() };
         let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.born, span);
         if is_new {
             metric::replica_ended();
         }
         forget_removed_replicas(gateway);
-        apply_events(gateway, vec![News::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
+        apply_events(gateway, vec![Event::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
     }
 }
 
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -12,8 +12,8 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-use coord::end::Ends;
-use coord::quarantine::{News, Register, Standing, Work};
+use coord::termination::Terminations;
+use coord::quarantine::{Event, State, Status, Fingerprint};
 use tokio::sync::{Notify, watch};
 
 pub use self::evidence::LostConnection;
@@ -40,13 +40,13 @@
 
 /// Quarantine as this entry knows it.
 pub struct Quarantine {
-    register: RefCell<Register>,
+    register: RefCell<State>,
     /// Read position in the quarantine topic of the store.
     topic: Topic,
     /// Contents of the store, as far as this entry has read or written them.
-    stored: RefCell<HashMap<Work, Entry>>,
+    stored: RefCell<HashMap<Fingerprint, Entry>>,
     /// Terminations of replicas that this entry has observed or received.
-    ends: RefCell<Ends>,
+    ends: RefCell<Terminations>,
     /// Notified when a record may have to be written to the store.
     write_needed: Notify,
     /// Counter that increases with each verdict.
@@ -60,34 +60,34 @@
             register: RefCell::default(),
             topic: Topic::default(),
             stored: RefCell::default(),
-            ends: RefCell::new(Ends::new(util::incarnation())),
+            ends: RefCell::new(Terminations::new(util::incarnation())),
             write_needed: Notify::new(),
             verdicts: watch::Sender::default(),
         }
     }
 
     /// Returns whether requests with the fingerprint are no longer sent.
-    pub fn is_condemned(&self, fingerprint: Work) -> bool {
-        self.register.borrow().standing(fingerprint) == Standing::Condemned
+    pub fn is_condemned(&self, fingerprint: Fingerprint) -> bool {
+        self.register.borrow().standing(fingerprint) == Status::Condemned
     }
 
     /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
     /// event of its own, so the list is always complete.
     fn update_planners(&self, gateway: &Gateway) {
         let register = self.register.borrow();
-        let suspects: Vec<Work> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
+        let suspects: Vec<Fingerprint> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
         metric::quarantine(suspects.len(), register.condemned().count());
         gateway.desk.set_suspects(suspects);
     }
 
     /// Returns whether any evidence or verdict exists against a fingerprint.
-    fn has_evidence(&self, fingerprint: Work) -> bool {
+    fn has_evidence(&self, fingerprint: Fingerprint) -> bool {
         let register = self.register.borrow();
-        register.standing(fingerprint) != Standing::Clear || register.evidence(fingerprint).next().is_some()
+        register.standing(fingerprint) != Status::Clear || register.evidence(fingerprint).next().is_some()
     }
 
     /// Waits until a fingerprint is condemned.
-    pub async fn wait_until_condemned(&self, fingerprint: Work) {
+    pub async fn wait_until_condemned(&self, fingerprint: Fingerprint) {
         // Waiting fails only when the sender is dropped, which has the lifetime of `self`.
         let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(fingerprint)).await;
     }
@@ -103,7 +103,7 @@
     }
 
     /// Returns the wire form of events, with ages relative to the current time.
-    fn to_wire(&self, events: &[News]) -> Vec<Told> {
+    fn to_wire(&self, events: &[Event]) -> Vec<Told> {
         let ends = self.ends.borrow();
         events.iter().map(|event| Told::from_event(event.clone(), &ends)).collect()
     }
@@ -119,7 +119,7 @@
 }
 
 /// Applies events, and relays the ones that change the register.
-fn apply_events(gateway: &Gateway, events: Vec<News>, source: Source) {
+fn apply_events(gateway: &Gateway, events: Vec<Event>, source: Source) {
     let quarantine = &gateway.quarantine;
     if source == Source::Own && gateway.desk.has_leader() {
         gateway.desk.report(Report::Quarantine(quarantine.to_wire(&events)));
@@ -140,27 +140,27 @@
 }
 
 /// Records that a request with the fingerprint completed successfully.
-pub fn cleared(gateway: &Gateway, fingerprint: Work) {
+pub fn cleared(gateway: &Gateway, fingerprint: Fingerprint) {
     if gateway.quarantine.has_evidence(fingerprint) {
-        apply_events(gateway, vec![News::Cleared(fingerprint)], Source::Own);
+        apply_events(gateway, vec![Event::Cleared(fingerprint)], Source::Own);
     }
 }
 
 /// Logs a change of the register, and announces a verdict to the tasks that wait for one.
-fn log_change(gateway: &Gateway, event: &News) {
+fn log_change(gateway: &Gateway, event: &Event) {
     let fingerprint = event.work();
     let quarantine = &gateway.quarantine;
     match event {
-        News::Ended { run, weight, .. } => {
+        Event::Ended { run, weight, .. } => {
             let ends = quarantine.register.borrow().evidence(fingerprint).count();
             event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends);
         }
-        News::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
-        News::Condemned(_) => {
+        Event::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
+        Event::Condemned(_) => {
             warn_event!("condemned", work = %fingerprint);
             metric::condemned();
             quarantine.verdicts.send_modify(|verdicts| *verdicts += 1);
         }
-        News::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
+        Event::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
     }
 }
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -1,8 +1,8 @@
 //! Stored form of the quarantine: one record for each request fingerprint.
 
-use coord::end::{Ends, Span};
+use coord::termination::{Terminations, Interval};
 use coord::name::Name;
-use coord::quarantine::{News, Register, Standing, Weight, Work};
+use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
 use coord::time::Moment;
 use eyre::{Result, WrapErr};
 use platform::store::Keyed;
@@ -31,18 +31,18 @@
 
 impl Entry {
     /// Returns the evidence and verdict of a register for a fingerprint.
-    pub fn of(register: &Register, fingerprint: Work) -> Self {
+    pub fn of(register: &State, fingerprint: Fingerprint) -> Self {
         let ends = register
             .evidence(fingerprint)
             .chain(register.ends(fingerprint))
             .map(|(run, weight)| End { run: run.clone(), weight });
-        Self { condemned: register.standing(fingerprint) == Standing::Condemned, ends: ends.collect() }
+        Self { condemned: register.standing(fingerprint) == Status::Condemned, ends: ends.collect() }
     }
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
     /// does not contain the times of the terminations.
-    pub fn with_local_run_names(self, ends: &mut Ends, now: Moment) -> Self {
-        let rename = |end: End| End { run: ends.heard(&end.run, Span::before(now)), ..end };
+    pub fn with_local_run_names(self, ends: &mut Terminations, now: Moment) -> Self {
+        let rename = |end: End| End { run: ends.heard(&end.run, Interval::before(now)), ..end };
         Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
     }
 
@@ -52,18 +52,18 @@
     }
 
     /// Returns the record as events for a register.
-    pub fn news(&self, work: Work) -> Vec<News> {
+    pub fn news(&self, work: Fingerprint) -> Vec<Event> {
         if self.condemned {
-            return vec![News::Condemned(work)];
+            return vec![Event::Condemned(work)];
         }
-        let to_event = |end: &End| News::Ended { work, run: end.run.clone(), weight: end.weight };
+        let to_event = |end: &End| Event::Ended { work, run: end.run.clone(), weight: end.weight };
         self.ends.iter().map(to_event).collect()
     }
 }
 
 /// Decodes a record of the quarantine topic into the fingerprint and its entry. The entry is `None` if the record was
 /// removed.
-pub fn decode(record: &Keyed) -> Result<(Work, Option<Entry>)> {
+pub fn decode(record: &Keyed) -> Result<(Fingerprint, Option<Entry>)> {
     let work = record.key.parse().wrap_err("step=decode-quarantine")?;
     let Some(value) = &record.value else { return Ok((work, None)) };
     eyre::ensure!(
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use coord::offset::Text;
-use coord::quarantine::{News, Register, Standing, Work};
+use coord::quarantine::{Event, State, Status, Fingerprint};
 use eyre::Result;
 use platform::store::{Client, Keyed, QUARANTINE};
 
@@ -31,7 +31,7 @@
 
 /// A record to write.
 struct PendingWrite {
-    fingerprint: Work,
+    fingerprint: Fingerprint,
     /// New value of the record, or `None` to remove it.
     entry: Option<Entry>,
 }
@@ -96,7 +96,7 @@
         }
         // This entry has not seen a stored record that the removal could refer to, so its own evidence may be newer.
         None if stored.remove(&fingerprint).is_none() => return,
-        None => vec![News::Lifted(fingerprint)],
+        None => vec![Event::Lifted(fingerprint)],
     };
     drop(stored);
     apply_events(gateway, events, Source::Own);
@@ -130,21 +130,21 @@
     }
     let register = quarantine.register.borrow();
     let stored = quarantine.stored.borrow();
-    let is_new = |fingerprint: &Work| {
+    let is_new = |fingerprint: &Fingerprint| {
         stored.get(fingerprint).is_none_or(|stored_entry| has_new_evidence(&register, *fingerprint, stored_entry))
     };
     let unwritten = register.lasting(gateway.desk.is_alone()).find(is_new);
     if let Some(fingerprint) = unwritten {
         return Some(PendingWrite { fingerprint, entry: Some(Entry::of(&register, fingerprint)) });
     }
-    let is_clear = |fingerprint: &&Work| {
-        register.standing(**fingerprint) == Standing::Clear && register.evidence(**fingerprint).next().is_none()
+    let is_clear = |fingerprint: &&Fingerprint| {
+        register.standing(**fingerprint) == Status::Clear && register.evidence(**fingerprint).next().is_none()
     };
     stored.keys().find(is_clear).map(|fingerprint| PendingWrite { fingerprint: *fingerprint, entry: None })
 }
 
 /// Returns whether a register has more evidence against a fingerprint than the store.
-fn has_new_evidence(register: &Register, fingerprint: Work, stored_entry: &Entry) -> bool {
+fn has_new_evidence(register: &State, fingerprint: Fingerprint, stored_entry: &Entry) -> bool {
     let local = Entry::of(register, fingerprint);
     !stored_entry.condemned && (local.condemned || local.ends.iter().any(|end| !stored_entry.ends.contains(end)))
 }
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -1,7 +1,7 @@
 //! Wire form of quarantine events between entries.
 
-use coord::end::{Age, Ends, Span};
-use coord::quarantine::News;
+use coord::termination::{IntervalAge, Terminations, Interval};
+use coord::quarantine::Event;
 use serde::{Deserialize, Serialize};
 
 use super::super::now;
@@ -9,27 +9,27 @@
 /// A quarantine event, with the age of the termination that it reports. Ages are sent since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    event: News,
+    event: Event,
     /// Age of the termination, or `None` if the event reports no termination or its time is unknown.
-    termination_age: Option<Age>,
+    termination_age: Option<IntervalAge>,
 }
 
 impl Told {
     /// Returns the wire form of an event that is sent now.
-    pub(super) fn from_event(event: News, ends: &Ends) -> Self {
+    pub(super) fn from_event(event: Event, ends: &Terminations) -> Self {
         let span = match &event {
-            News::Ended { run, .. } => ends.span(run),
-            News::Cleared(_) | News::Condemned(_) | News::Lifted(_) => None,
+            Event::Ended { run, .. } => ends.span(run),
+            Event::Cleared(_) | Event::Condemned(_) | Event::Lifted(_) => None,
         };
-        Self { event, termination_age: span.map(|span| Age::of(&span, now())) }
+        Self { event, termination_age: span.map(|span| IntervalAge::of(&span, now())) }
     }
 
     /// Returns the event as received now, with the name that the run has in this process.
-    pub(super) fn into_event(self, ends: &mut Ends) -> News {
+    pub(super) fn into_event(self, ends: &mut Terminations) -> Event {
         let now = now();
-        let span = self.termination_age.map_or(Span::before(now), |age| age.span(now));
+        let span = self.termination_age.map_or(Interval::before(now), |age| age.span(now));
         match self.event {
-            News::Ended { work, run, weight } => News::Ended { work, run: ends.heard(&run, span), weight },
+            Event::Ended { work, run, weight } => Event::Ended { work, run: ends.heard(&run, span), weight },
             other => other,
         }
     }
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coord::offset::Text;
-use coord::pause::Pause;
+use coord::retry_delay::RetryDelay;
 use eyre::Result;
 use platform::store::{Client, Keyed, Read};
 
@@ -21,12 +21,12 @@
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Retry delay after failed calls. A failed call costs as much as a successful one, and one second is short
 /// compared with an outage.
-const RETRY_DELAY: Pause = Pause { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
+const RETRY_DELAY: RetryDelay = RetryDelay { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
 /// Retry delay before the first snapshot, without which the entry cannot serve requests: some response times of the
 /// store.
-const INITIAL_RETRY_DELAY: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
+const INITIAL_RETRY_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
 /// Retry delay of a follower, which gets the data from its leader once the store has recovered.
-const FOLLOWER_RETRY_DELAY: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
+const FOLLOWER_RETRY_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
 /// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one
 /// follower may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an
 /// outage of 8 s as with independent retry delays.
@@ -97,7 +97,7 @@
             None => INITIAL_RETRY_DELAY,
             // Each failed call of a leader delegates a read to followers, at least as often as the leader itself
             // would read.
-            Some(_) if !gateway.desk.is_alone() => Pause {
+            Some(_) if !gateway.desk.is_alone() => RetryDelay {
                 longest: RETRY_DELAY.longest.min(watch::replicas_read_interval(&gateway.bounds())),
                 ..RETRY_DELAY
             },
--- a/sorrelpass/src/gateway/rests.rs
+++ b/sorrelpass/src/gateway/rests.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use coord::name::Name;
-use coord::rest::Register;
+use coord::backoff::Backoffs;
 use coord::roster::Record;
 use platform::dialect;
 use tokio::sync::Notify;
@@ -21,7 +21,7 @@
 /// Backoff times that replicas asked this entry to keep.
 #[derive(Default)]
 pub struct Rests {
-    register: RefCell<Register>,
+    register: RefCell<Backoffs>,
     /// Notified when a replica asks for backoff.
     asked: Notify,
 }
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::budget::{self, Windowed};
+use coord::budget::{self, WindowedBudget};
 use coord::evacuation;
 use coord::name::Name;
 use coord::offset;
@@ -88,7 +88,7 @@
     /// Known replicas of all services.
     pub roster: RefCell<Roster>,
     /// Failure domains that operators have evacuated.
-    pub evacuations: RefCell<evacuation::Register>,
+    pub evacuations: RefCell<evacuation::Evacuations>,
     /// Selects replicas of plain services.
     pub placer: RefCell<Placer>,
     /// Queue of prompts that wait for engines.
@@ -100,7 +100,7 @@
     /// Replicas that asked this entry to back off.
     pub rests: Rests,
     /// Retry budgets by service.
-    retry_budgets: RefCell<HashMap<Name, Windowed>>,
+    retry_budgets: RefCell<HashMap<Name, WindowedBudget>>,
     /// Largest number of entries that was observed, at least [`MIN_ENTRY_COUNT`].
     entry_count: Cell<usize>,
     /// Latest known era of the store, or `None` before the first response.
@@ -339,10 +339,10 @@
         self.with_retry_budget(service, |budget| budget.spend(now()))
     }
 
-    fn with_retry_budget<T>(&self, service: &Name, action: impl FnOnce(&mut Windowed) -> T) -> T {
+    fn with_retry_budget<T>(&self, service: &Name, action: impl FnOnce(&mut WindowedBudget) -> T) -> T {
         let bounds = self.bounds();
         let allowance = budget::part(bounds.retry_allowance, self.entry_count.get());
-        let new_budget = || Windowed::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
+        let new_budget = || WindowedBudget::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
         let mut budgets = self.retry_budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(new_budget);
         budget.set_allowance(allowance);
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use coord::offset::Text;
-use coord::parcel::{Parcel, Shelf, Version};
+use coord::delta::{Delta, VersionCache, Version};
 use coord::quota::Bucket;
 use coord::time::Moment;
 use tokio::sync::Notify;
@@ -43,7 +43,7 @@
     /// State of the copy of the topic with the replicas' records.
     pub replicas: Topic,
     /// The newest configurations in their encoded form, from which deltas are made.
-    configurations: RefCell<Shelf>,
+    configurations: RefCell<VersionCache>,
     /// Compressed records of all replicas and the offset that they are valid for. Entries that start at the same time
     /// request the same ones.
     replica_snapshot: RefCell<Option<(u64, Packed)>>,
@@ -113,7 +113,7 @@
     }
 
     /// Decodes the configuration in a delta from another entry. Returns `None` and logs the error if that fails.
-    fn open_delta(&self, delta: &Parcel) -> Option<Version> {
+    fn open_delta(&self, delta: &Delta) -> Option<Version> {
         match self.configurations.borrow().open(delta) {
             Ok(document) => Some(document),
             Err(error) => {
@@ -178,7 +178,7 @@
     /// The requester already has the newest configuration.
     UpToDate,
     /// The response carries the configuration in this delta.
-    Delta(Parcel),
+    Delta(Delta),
     /// The link budget is used up: the requester keeps its configuration and asks again.
     Deferred,
     /// The requester must read the configuration from the store: its delta is too large, or could not be made.
--- a/sorrelpass/src/gateway/watch.rs
+++ b/sorrelpass/src/gateway/watch.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::parcel::Version;
-use coord::roster::Sighting;
+use coord::delta::Version;
+use coord::roster::Update;
 use coord::time::Moment;
 use eyre::{Result, eyre};
 use platform::store::Keyed;
@@ -213,7 +213,7 @@
 
 /// Decodes replica records. Logs the error of a record that cannot be decoded only if its replica accepted work until
 /// now.
-fn decode_updates(gateway: &Gateway, records: &[Keyed]) -> Vec<Sighting> {
+fn decode_updates(gateway: &Gateway, records: &[Keyed]) -> Vec<Update> {
     let mut updates = Vec::with_capacity(records.len());
     for record in records {
         let replica::Decoded { news, fault } = replica::decode(record);
@@ -221,7 +221,7 @@
             let fault: String = fault.chars().take(MAX_LOGGED_ERROR_CHARS).collect();
             warn_event!("replica-record", peer = %record.key, offset = record.offset, fault = %fault);
         }
-        updates.push(Sighting { offset: record.offset, news });
+        updates.push(Update { offset: record.offset, news });
     }
     updates
 }
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -3,8 +3,8 @@
 use std::cell::RefCell;
 
 use bytes::{Bytes, BytesMut};
-use coord::name::Ran;
-use coord::scheduler::Level;
+use coord::name::ExecutionStatus;
+use coord::scheduler::PrefillPriority;
 use http_body_util::BodyExt;
 use hyper::Request;
 use hyper_util::client::legacy::Client;
@@ -19,12 +19,12 @@
 use crate::wire::{Open, Usage};
 
 /// Returns the value of the engine's priority header; requests with a higher value run first.
-const fn priority_value(level: Level) -> u16 {
+const fn priority_value(level: PrefillPriority) -> u16 {
     match level {
-        Level::Huge => 0,
-        Level::Long => 3,
-        Level::Middle => 6,
-        Level::Short => 9,
+        PrefillPriority::Huge => 0,
+        PrefillPriority::Long => 3,
+        PrefillPriority::Middle => 6,
+        PrefillPriority::Short => 9,
     }
 }
 
@@ -62,7 +62,7 @@
         .map_err(|error| CallError::outcome_unknown("build-request", error.to_string()))?;
     thread_client().request(request).await.map_err(|error| {
         let call_error = CallError::outcome_unknown("call", error.to_string());
-        if error.is_connect() { CallError { ran: Ran::No, step: "connect", ..call_error } } else { call_error }
+        if error.is_connect() { CallError { ran: ExecutionStatus::No, step: "connect", ..call_error } } else { call_error }
     })
 }
 
@@ -104,7 +104,7 @@
     shared: &Shared,
     work: &Open,
     request_body: RequestBody,
-    level: Level,
+    level: PrefillPriority,
     writer: &mut AnswerWriter<'_>,
 ) -> Result<(), CallError> {
     let mut request = Request::builder()
@@ -122,7 +122,7 @@
     if !status.is_success() {
         let text = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let message = String::from_utf8_lossy(&text).into_owned();
-        return Err(CallError { ran: Ran::No, step: "engine", message, status: Some(status.as_u16()) });
+        return Err(CallError { ran: ExecutionStatus::No, step: "engine", message, status: Some(status.as_u16()) });
     }
     let mut decoder = SseDecoder::default();
     let mut answer = AnswerState::default();
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -8,7 +8,7 @@
 use coord::name::{Attempt, Name};
 use coord::prefix::{Cache, Chain};
 use coord::queue::Job;
-use coord::scheduler::{Action, Level, Once, Refusal, Refused, Scheduler, Voided};
+use coord::scheduler::{Action, PrefillPriority, KeyState, RefusalReason, Refusal, Scheduler, CancelOutcome};
 use coord::time::{Moment, micros};
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// The job starts, at the given priority level.
-    Start(Level),
+    Start(PrefillPriority),
     /// The deadline passed before the job started; it never starts.
     Expired,
     /// The scheduler removed the job from its queue, as it could not start here for a long time; it never starts.
@@ -44,7 +44,7 @@
     /// The job is accepted; the receiver gets its signals.
     Accepted(mpsc::UnboundedReceiver<Signal>),
     /// The job is refused: it did not run and will not.
-    Refused(Refused),
+    Refused(Refusal),
     /// A job with the same key ran or runs here; the transcript is its answer.
     Duplicate(Transcript),
 }
@@ -81,7 +81,7 @@
         /// Idempotency key of the attempt, if it has one.
         once: Option<Key>,
         /// Receives whether the attempt had started; one that had not never will.
-        reply: Option<oneshot::Sender<Voided>>,
+        reply: Option<oneshot::Sender<CancelOutcome>>,
     },
     /// Reserves memory for a span, or renews the span's lease.
     ReserveSpan(Hold, oneshot::Sender<Held>),
@@ -245,11 +245,11 @@
         let attempt = work.attempt;
         if let (Some(key), Some(transcript)) = (&work.once, transcript) {
             match self.scheduler.once(key, attempt, now) {
-                Once::First => {
+                KeyState::First => {
                     self.transcripts.insert(key.clone(), transcript);
                     self.key_by_attempt.insert(attempt, key.clone());
                 }
-                Once::Running(_) | Once::Done(_) => return self.make_duplicate(key, transcript),
+                KeyState::Running(_) | KeyState::Done(_) => return self.make_duplicate(key, transcript),
             }
         }
         let job = self.make_job(attempt, &work.ask, now);
@@ -301,17 +301,17 @@
         self.chains.remove(&attempt);
     }
 
-    fn cancel_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
+    fn cancel_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<CancelOutcome>>) {
         let outcome = self.scheduler.void(attempt, once, util::now());
         match outcome {
-            Voided::NotRun => {
+            CancelOutcome::NotRun => {
                 self.send_signal(attempt, Signal::CancelledBeforeStart);
                 self.remove_attempt(attempt);
                 self.unbind_key(attempt);
             }
             // A call that may run at most once is not cancelled, so that its outcome becomes known.
-            Voided::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
-            Voided::Started => {}
+            CancelOutcome::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
+            CancelOutcome::Started => {}
         }
         event!("void", attempt = %attempt, voided = ?outcome);
         if let Some(reply) = reply {
@@ -336,7 +336,7 @@
                 event!("reserve-span", span = %hold.span, tokens = hold.tokens);
                 Held::Yes
             }
-            Err(refused) if refused.reason == Refusal::QueueFull => Held::Wait(micros(refused.retry_after)),
+            Err(refused) if refused.reason == RefusalReason::QueueFull => Held::Wait(micros(refused.retry_after)),
             Err(_) => Held::No,
         }
     }
@@ -423,7 +423,7 @@
         }
     }
 
-    fn start_job(&mut self, attempt: Attempt, level: Level) {
+    fn start_job(&mut self, attempt: Attempt, level: PrefillPriority) {
         let is_notified = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
         if !is_notified {
             // The job's task has ended, so nothing was sent to the endpoint.
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use axum::body::{Body, Bytes};
-use coord::answer::Tally;
-use coord::name::{Attempt, Ran};
-use coord::scheduler::{Level, Refusal};
+use coord::answer::FrameDigest;
+use coord::name::{Attempt, ExecutionStatus};
+use coord::scheduler::{PrefillPriority, RefusalReason};
 use tokio::sync::mpsc;
 
 use super::event_loop::{Command, Signal};
@@ -92,7 +92,7 @@
     /// Destination of the frames.
     pub output: &'a Output,
     attempt: Attempt,
-    frame_digest: Tally,
+    frame_digest: FrameDigest,
     /// Number of output tokens sent.
     pub tokens: u64,
     /// Whether any piece was sent.
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug)]
 pub struct CallError {
     /// Whether the call ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Step that failed.
     pub step: &'static str,
     /// Description of the error.
@@ -132,7 +132,7 @@
 impl CallError {
     /// Creates an error of a call that may have run.
     pub fn outcome_unknown(step: &'static str, message: impl Into<String>) -> Self {
-        Self { ran: Ran::Unknown, step, message: message.into(), status: None }
+        Self { ran: ExecutionStatus::Unknown, step, message: message.into(), status: None }
     }
 }
 
@@ -159,7 +159,7 @@
     let mut writer = AnswerWriter {
         output: &output,
         attempt: work.attempt,
-        frame_digest: Tally::new(),
+        frame_digest: FrameDigest::new(),
         tokens: 0,
         has_pieces: false,
     };
@@ -179,8 +179,8 @@
     }
     let mut has_not_run = false;
     if let Err(error) = result {
-        has_not_run = error.ran == Ran::No && error.status.is_none();
-        let ran = if has_pieces { Ran::Partial } else { error.ran };
+        has_not_run = error.ran == ExecutionStatus::No && error.status.is_none();
+        let ran = if has_pieces { ExecutionStatus::Partial } else { error.ran };
         let step = error.step.to_owned();
         let _ = output.send(&Frame::Failed { ran, step, message: error.message, status: error.status }).await;
     }
@@ -194,7 +194,7 @@
     work: &Open,
     signals: &mut mpsc::UnboundedReceiver<Signal>,
     output: &Output,
-) -> Option<Level> {
+) -> Option<PrefillPriority> {
     let signal = tokio::select! {
         signal = signals.recv() => signal,
         () = output.closed() => {
@@ -211,15 +211,15 @@
     match signal {
         Some(Signal::Start(level)) => Some(level),
         Some(Signal::Expired) => send_refusal(output, wire::Refused::Expired).await,
-        Some(Signal::Evicted) => send_refusal(output, wire::Refused::Scheduler(Refusal::Evicted)).await,
+        Some(Signal::Evicted) => send_refusal(output, wire::Refused::Scheduler(RefusalReason::Evicted)).await,
         Some(Signal::CancelledBeforeStart | Signal::Cancel) | None => {
-            send_refusal(output, wire::Refused::Scheduler(Refusal::Voided)).await
+            send_refusal(output, wire::Refused::Scheduler(RefusalReason::Cancelled)).await
         }
     }
 }
 
 /// Notifies the entry that the job did not start and never will.
-async fn send_refusal(output: &Output, reason: wire::Refused) -> Option<Level> {
+async fn send_refusal(output: &Output, reason: wire::Refused) -> Option<PrefillPriority> {
     let _ = output.send(&Frame::Refused { reason, retry_after_micros: 0 }).await;
     None
 }
@@ -240,7 +240,7 @@
     shared: &Shared,
     work: &Open,
     request_body: RequestBody,
-    level: Level,
+    level: PrefillPriority,
     writer: &mut AnswerWriter<'_>,
 ) -> Result<(), CallError> {
     if work.call.prompt {
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -170,7 +170,7 @@
     }))))
 }
 
-fn refusal_frame(refused: coord::scheduler::Refused) -> Frame {
+fn refusal_frame(refused: coord::scheduler::Refusal) -> Frame {
     Frame::Refused {
         reason: wire::Refused::Scheduler(refused.reason),
         retry_after_micros: coord::time::micros(refused.retry_after),
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -5,9 +5,9 @@
 
 use bytes::{Bytes, BytesMut};
 use coord::claim::Key;
-use coord::name::{Attempt, Incarnation, Name, Ran};
+use coord::name::{Attempt, Incarnation, Name, ExecutionStatus};
 use coord::prefix::Chain;
-use coord::scheduler::{Quote, Refusal, Voided};
+use coord::scheduler::{Quote, RefusalReason, CancelOutcome};
 use eyre::{Result, WrapErr, eyre};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -151,7 +151,7 @@
     /// Failure after the request was accepted.
     Failed {
         /// Whether the request ran.
-        ran: Ran,
+        ran: ExecutionStatus,
         /// Step that failed.
         step: String,
         /// Description of the failure.
@@ -177,7 +177,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refused {
     /// The scheduler refused the request.
-    Scheduler(Refusal),
+    Scheduler(RefusalReason),
     /// The request admits only another incarnation of the sidecar.
     OtherIncarnation,
     /// The deadline passed while the request waited in the queue.
@@ -200,7 +200,7 @@
     /// attempt ran.
     pub incarnation: Incarnation,
     /// Whether the attempt had started before it was cancelled.
-    pub voided: Voided,
+    pub voided: CancelOutcome,
 }
 
 /// Request to reserve memory for a span, or to renew the span's lease.
