--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -49,10 +49,10 @@
     format!("engine-{engine:05}").into()
 }
 
-fn job(prompt: u64, now: Moment) -> Job {
-    let (aim, gap_ms) = if prompt < 30_000 { (300, 250.0) } else { (4_000, 1_000.0) };
-    let aim = now + Duration::from_millis(aim);
-    Job { prompt, output: 1_000, aim, gap_ms, deadline: now + Duration::from_secs(10), priority: 1, work: None }
+fn job(prompt_tokens: u64, now: Moment) -> Job {
+    let (first_event_target, gap_target_ms) = if prompt_tokens < 30_000 { (300, 250.0) } else { (4_000, 1_000.0) };
+    let first_event_target = now + Duration::from_millis(first_event_target);
+    Job { prompt_tokens, max_output_tokens: 1_000, first_event_target, gap_target_ms, deadline: now + Duration::from_secs(10), priority: 1, fingerprint: None }
 }
 
 /// Puts either planner implementation into the same loaded state.
@@ -64,15 +64,15 @@
         for index in 0..engines {
             for sequence in 0..4 {
                 let id = Id { entry: OTHER_ENTRY, number: (index * 4 + sequence) as u64 };
-                let team = Team { writer: name(index), helpers: Vec::new() };
-                planner.adopt(id, &job(9_000, $now), team, sequence == 0 && index % 2 == 0, $now);
+                let team = Team { decoder: name(index), helpers: Vec::new() };
+                planner.add_granted(id, &job(9_000, $now), team, sequence == 0 && index % 2 == 0, $now);
             }
         }
         for number in 0..waiting {
             let prompt = if number % 3 == 0 { 300_000 } else { 22_000 };
             planner.submit(Id { entry: 0, number }, job(prompt, $now));
         }
-        planner.pump($now);
+        planner.grant_ready($now);
         planner
     }};
 }
@@ -89,8 +89,8 @@
     bencher.bench_local(|| {
         number += 1;
         planner.submit(event_id(number), job(3_000, now));
-        black_box(planner.pump(now));
-        planner.end(event_id(number), now);
+        black_box(planner.grant_ready(now));
+        planner.finish(event_id(number), now);
     });
 }
 
@@ -105,9 +105,9 @@
         number += 1;
         now = now + Duration::from_micros(100);
         planner.submit(event_id(number), job(3_000, now));
-        black_box(planner.pump(now));
+        black_box(planner.grant_ready(now));
         black_box(planner.refuse(now));
-        planner.end(event_id(number), now);
+        planner.finish(event_id(number), now);
     });
 }
 
@@ -131,7 +131,7 @@
     bencher.bench_local(|| {
         number += 1;
         planner.submit(event_id(number), job(3_000, now));
-        black_box(planner.pump(now));
-        planner.end(event_id(number), now);
+        black_box(planner.grant_ready(now));
+        planner.finish(event_id(number), now);
     });
 }
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -23,7 +23,7 @@
 fn status(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
     let register = register(suspect_count);
     let work = Fingerprint::of([b"another".as_slice()]);
-    bencher.bench(|| register.standing(divan::black_box(work)));
+    bencher.bench(|| register.status(divan::black_box(work)));
 }
 
 /// Records a replica termination under a fingerprint beside `suspect_count` suspects and as many verdicts.
@@ -31,9 +31,9 @@
 fn record_termination(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
     let register = register(suspect_count);
     let work = Fingerprint::of([b"another".as_slice()]);
-    let news = Event::Ended { work, run: Name::from("run"), weight: Weight::Strong };
+    let news = Event::Terminated { work, run: Name::from("run"), weight: Weight::Strong };
     bencher.with_inputs(|| (register.clone(), news.clone())).bench_values(|(mut register, news)| {
-        register.hear(news);
+        register.apply(news);
         register
     });
 }
@@ -42,9 +42,9 @@
     let mut register = State::default();
     for number in 0..count {
         let work = |kind: &[u8]| Fingerprint::of([kind, &number.to_le_bytes()]);
-        register.hear(Event::Condemned(work(b"condemned")));
+        register.apply(Event::Condemned(work(b"condemned")));
         let run = Name::from(format!("run-{}", number / 16));
-        register.hear(Event::Ended { work: work(b"suspect"), run, weight: Weight::Strong });
+        register.apply(Event::Terminated { work: work(b"suspect"), run, weight: Weight::Strong });
     }
     register
 }
--- a/coord/src/backoff.rs
+++ b/coord/src/backoff.rs
@@ -15,28 +15,28 @@
 
 impl Backoffs {
     /// Records at `now` that a replica asks for a backoff of `rest`.
-    pub fn hear(&mut self, replica: &Name, rest: Duration, now: Moment) {
+    pub fn record(&mut self, replica: &Name, rest: Duration, now: Moment) {
         self.0.retain(|_, until| *until > now);
         let until = self.0.entry(replica.clone()).or_default();
         *until = (*until).max(now + rest);
     }
 
     /// Returns the time left in the backoff of a replica; zero if it may receive requests.
-    pub fn left(&self, replica: &str, now: Moment) -> Duration {
+    pub fn time_left(&self, replica: &str, now: Moment) -> Duration {
         self.0.get(replica).map_or(Duration::ZERO, |until| until.since(now))
     }
 
     /// Returns the replicas in backoff with the time left.
-    pub fn resting(&self, now: Moment) -> impl Iterator<Item = (&Name, Duration)> {
+    pub fn active(&self, now: Moment) -> impl Iterator<Item = (&Name, Duration)> {
         let time_left = self.0.iter().map(move |(replica, until)| (replica, until.since(now)));
         time_left.filter(|(_, time_left)| !time_left.is_zero())
     }
 
     /// Returns the time until the first of `replicas` may receive a request, or `None` if there are no replicas.
-    pub fn soonest<'a>(&self, replicas: impl Iterator<Item = &'a Name>, now: Moment) -> Option<Duration> {
+    pub fn earliest_end<'a>(&self, replicas: impl Iterator<Item = &'a Name>, now: Moment) -> Option<Duration> {
         let mut earliest = None;
         for replica in replicas {
-            let time_left = self.left(replica, now);
+            let time_left = self.time_left(replica, now);
             if time_left.is_zero() {
                 return Some(time_left);
             }
@@ -46,7 +46,7 @@
     }
 
     /// Ends the backoff of a replica that is gone or has restarted.
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove(&mut self, replica: &str) {
         self.0.remove(replica);
     }
 }
--- a/coord/src/breaker.rs
+++ b/coord/src/breaker.rs
@@ -38,7 +38,7 @@
 
 impl Breaker {
     /// Records a failure; `share`, from 0 to 1, is the part of the failure that is attributed to the replica.
-    pub fn failed(&mut self, share: f64, now: Moment) {
+    pub fn record_failure(&mut self, share: f64, now: Moment) {
         self.weight = self.decayed_weight(now) + share;
         self.weighed_at = now;
         self.trial_started = None;
@@ -51,12 +51,12 @@
 
     /// Makes the breaker half-open after a failure that the replica took part in but may not have caused, so that a
     /// trial request decides.
-    pub fn suspect(&mut self, now: Moment) {
+    pub fn require_trial(&mut self, now: Moment) {
         self.half_open_until = self.open_until.max(now) + HALF_OPEN_TIME;
     }
 
     /// Records a success.
-    pub fn succeeded(&mut self, now: Moment) {
+    pub fn record_success(&mut self, now: Moment) {
         // A success while the breaker is open belongs to a request sent before the failures and says nothing about
         // the present state.
         if now >= self.open_until {
@@ -66,20 +66,20 @@
     }
 
     /// Records that a request is sent; in the half-open state it becomes the trial request.
-    pub fn begin(&mut self, now: Moment) {
-        if self.is_on_trial(now) {
+    pub fn record_request(&mut self, now: Moment) {
+        if self.is_half_open(now) {
             self.trial_started = Some(now);
         }
     }
 
     /// Returns whether a request may be sent at `now`.
-    pub fn admits(&self, now: Moment) -> bool {
+    pub fn allows_request(&self, now: Moment) -> bool {
         let has_trial_in_flight = self.trial_started.is_some_and(|started| now.since(started) < TRIAL_TIMEOUT);
-        now >= self.open_until && !(self.is_on_trial(now) && has_trial_in_flight)
+        now >= self.open_until && !(self.is_half_open(now) && has_trial_in_flight)
     }
 
     /// Returns whether the breaker is half-open, so that the next request is a trial.
-    pub fn is_on_trial(&self, now: Moment) -> bool {
+    pub fn is_half_open(&self, now: Moment) -> bool {
         now < self.half_open_until
     }
 
--- a/coord/src/budget.rs
+++ b/coord/src/budget.rs
@@ -23,12 +23,12 @@
     }
 
     /// Records a first attempt.
-    pub fn earn(&mut self) {
+    pub fn record_request(&mut self) {
         self.level = (self.level + self.share * RETRY_COST).min(self.cap);
     }
 
     /// Takes one retry from the budget, or returns `false` if the budget is exhausted.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_retry(&mut self) -> bool {
         if self.level < RETRY_COST {
             return false;
         }
@@ -55,7 +55,7 @@
 }
 
 /// Returns the part of a common allowance that each of `processes` may use independently of the others.
-pub fn part(allowance: f64, processes: usize) -> f64 {
+pub fn allowance_per_process(allowance: f64, processes: usize) -> f64 {
     allowance / processes.max(1) as f64
 }
 
@@ -71,13 +71,13 @@
     }
 
     /// Records a first attempt.
-    pub fn earn(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Moment) {
         self.evict_expired(now);
         self.first_attempts.push_back(now);
     }
 
     /// Takes one retry from the budget, or returns `false` if the budget is exhausted.
-    pub fn spend(&mut self, now: Moment) -> bool {
+    pub fn try_retry(&mut self, now: Moment) -> bool {
         self.evict_expired(now);
         let bound = self.allowance + self.share * self.first_attempts.len() as f64;
         if self.retries.len() as f64 + RETRY_COST > bound {
--- a/coord/src/evacuation.rs
+++ b/coord/src/evacuation.rs
@@ -46,7 +46,7 @@
 impl Evacuations {
     /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records that are
     /// already applied are ignored.
-    pub fn hear(&mut self, offset: u64, news: Event) -> bool {
+    pub fn apply(&mut self, offset: u64, news: Event) -> bool {
         if offset < self.snapshot.next {
             return false;
         }
@@ -65,7 +65,7 @@
 
     /// Applies a full snapshot unless it is older than the current one, and returns whether the set of evacuated
     /// domains changed. Domains that a recovered log has lost stay evacuated until `grace_until`.
-    pub fn replace(&mut self, mut snapshot: Snapshot, grace_until: Moment) -> bool {
+    pub fn apply_snapshot(&mut self, mut snapshot: Snapshot, grace_until: Moment) -> bool {
         if snapshot.next < self.snapshot.next {
             return false;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Returns a snapshot of the evacuated domains.
-    pub fn picture(&self) -> &Snapshot {
+    pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 }
--- a/coord/src/limit/allowance.rs
+++ b/coord/src/limit/allowance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::engine::millis;
+use crate::engine::duration_from_ms;
 use crate::time::Moment;
 
 /// Time in seconds for which unused capacity accumulates, at least enough for one request. A longer time would follow
@@ -43,14 +43,14 @@
 
     /// Resets the credit to `initial_fraction` of one request, for a leader that has no record of what others sent
     /// recently.
-    pub fn restart(&mut self, initial_fraction: f64, now: Moment) {
+    pub fn reset(&mut self, initial_fraction: f64, now: Moment) {
         self.credit = initial_fraction * REQUEST_COST;
         self.updated_at = now;
     }
 
     /// Returns the time between two requests at the current rate.
-    pub fn pause(&self) -> Duration {
-        millis(REQUEST_COST / self.rate * 1e3)
+    pub fn request_interval(&self) -> Duration {
+        duration_from_ms(REQUEST_COST / self.rate * 1e3)
     }
 
     /// Returns the number of requests that may be sent at `now`; negative if requests are already promised for later.
@@ -60,15 +60,15 @@
     }
 
     /// Returns whether a request may be sent at `now`.
-    pub fn admits(&self, now: Moment) -> bool {
-        self.wait(now).is_zero()
+    pub fn allows_request(&self, now: Moment) -> bool {
+        self.time_until_next(now).is_zero()
     }
 
     /// Returns the time until the next request may be sent.
-    pub fn wait(&self, now: Moment) -> Duration {
+    pub fn time_until_next(&self, now: Moment) -> Duration {
         let deficit = REQUEST_COST - self.credit(now);
         // Moments have a resolution of one microsecond, so a smaller deficit counts as zero.
-        if deficit <= self.rate * 1e-6 { Duration::ZERO } else { millis(deficit / self.rate * 1e3) }
+        if deficit <= self.rate * 1e-6 { Duration::ZERO } else { duration_from_ms(deficit / self.rate * 1e3) }
     }
 
     /// Takes one request from the bucket, to be sent now or as soon as the credit allows.
--- a/coord/src/limit/group.rs
+++ b/coord/src/limit/group.rs
@@ -24,7 +24,7 @@
 
 impl GroupSize {
     /// Records the current number of entries in the group.
-    pub fn note(&mut self, entries: usize, now: Moment) {
+    pub fn record_size(&mut self, entries: usize, now: Moment) {
         let age = now.since(self.period_start);
         if age >= SIZE_RETENTION {
             self.previous_max_size = if age < SIZE_RETENTION * 2 { self.max_size } else { 0 };
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -27,15 +27,15 @@
     /// Requests per second accepted from all entries together; `None` if the replica has no limit.
     pub rate: Option<f64>,
     /// Send time of the request.
-    pub asked: Moment,
+    pub requested_at: Moment,
     /// Arrival time of the response.
-    pub heard: Moment,
+    pub received_at: Moment,
 }
 
 impl TimedReport {
     /// Returns whether this report is certainly newer than `other`.
     fn is_newer_than(&self, other: &TimedReport) -> bool {
-        self.asked >= other.heard
+        self.requested_at >= other.received_at
     }
 
     /// Returns whether this report allows fewer requests than `other`.
@@ -52,22 +52,22 @@
     /// Reported limit, as in [`TimedReport`].
     pub rate: Option<f64>,
     /// Time since the request was sent.
-    pub asked_ago: Duration,
+    pub requested_ago: Duration,
     /// Time since the response arrived.
-    pub heard_ago: Duration,
+    pub received_ago: Duration,
 }
 
 impl RelayedReport {
     /// Converts a report for sending at `now`.
     pub fn of(replica: &Name, report: &TimedReport, now: Moment) -> Self {
-        let (asked_ago, heard_ago) = (now.since(report.asked), now.since(report.heard));
-        Self { replica: replica.clone(), rate: report.rate, asked_ago, heard_ago }
+        let (requested_ago, received_ago) = (now.since(report.requested_at), now.since(report.received_at));
+        Self { replica: replica.clone(), rate: report.rate, requested_ago, received_ago }
     }
 
     /// Converts back to moments at the receive time `now`. The transit time makes both moments later by the same
     /// amount.
-    pub fn word(&self, now: Moment) -> TimedReport {
-        TimedReport { rate: self.rate, asked: now - self.asked_ago, heard: now - self.heard_ago }
+    pub fn timed_report(&self, now: Moment) -> TimedReport {
+        TimedReport { rate: self.rate, requested_at: now - self.requested_ago, received_at: now - self.received_ago }
     }
 }
 
@@ -89,14 +89,14 @@
     ///
     /// Of reports with the same limit the first is kept, so that all entries that received the change hold the same
     /// one.
-    pub fn hear(&mut self, replica: &Name, report: TimedReport) -> bool {
+    pub fn apply(&mut self, replica: &Name, report: TimedReport) -> bool {
         let Some(limit) = self.0.get_mut(replica) else {
             if report.rate.is_some() {
                 self.0.insert(replica.clone(), ReplicaLimit { report, run_started: Moment::ZERO });
             }
             return report.rate.is_some();
         };
-        let is_from_current_run = report.asked >= limit.run_started;
+        let is_from_current_run = report.requested_at >= limit.run_started;
         let takes_precedence = report.is_newer_than(&limit.report)
             || (!limit.report.is_newer_than(&report) && report.is_stricter_than(&limit.report));
         if !is_from_current_run || !takes_precedence || report.rate == limit.report.rate {
@@ -117,27 +117,27 @@
     }
 
     /// Returns the reports that a peer needs: current limits and the withdrawal of earlier ones.
-    pub fn all(&self, now: Moment) -> Vec<RelayedReport> {
+    pub fn relayed_reports(&self, now: Moment) -> Vec<RelayedReport> {
         self.0.iter().map(|(replica, limit)| RelayedReport::of(replica, &limit.report, now)).collect()
     }
 
     /// Returns the report in force of one replica in the form sent to peers.
-    pub fn news(&self, replica: &str, now: Moment) -> Option<RelayedReport> {
+    pub fn relayed_report(&self, replica: &str, now: Moment) -> Option<RelayedReport> {
         let (replica, limit) = self.0.get_key_value(replica)?;
         Some(RelayedReport::of(replica, &limit.report, now))
     }
 
     /// Discards the limit of a replica that restarted, since it belonged to the previous run. Returns whether the
     /// replica had a limit.
-    pub fn restarted(&mut self, replica: &str, now: Moment) -> bool {
+    pub fn reset_for_restart(&mut self, replica: &str, now: Moment) -> bool {
         let Some(limit) = self.0.get_mut(replica) else { return false };
         let was_limited = limit.report.rate.is_some();
-        *limit = ReplicaLimit { report: TimedReport { rate: None, asked: now, heard: now }, run_started: now };
+        *limit = ReplicaLimit { report: TimedReport { rate: None, requested_at: now, received_at: now }, run_started: now };
         was_limited
     }
 
     /// Removes a replica that no longer exists.
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove(&mut self, replica: &str) {
         self.0.remove(replica);
     }
 }
--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -123,7 +123,7 @@
         self.profile = if slowdown == 1.0 {
             self.nominal_profile.clone()
         } else {
-            Arc::new(self.nominal_profile.at_pace(slowdown))
+            Arc::new(self.nominal_profile.slowed_by(slowdown))
         };
         self.update_aggregates();
     }
--- a/coord/src/planner/estimate.rs
+++ b/coord/src/planner/estimate.rs
@@ -5,7 +5,7 @@
 use super::job::{Job, Team};
 use super::policy::{MAX_SHORT_PREFILL_MS, PASSES_TO_FIRST_EVENT, Policy};
 use super::wait_queue::Prompt;
-use crate::engine::{Profile, millis};
+use crate::engine::{Profile, duration_from_ms};
 use crate::time::Moment;
 
 /// Time later than any that is compared with it.
@@ -15,22 +15,22 @@
 /// never late.
 pub(super) fn estimate_prompt(job: Job, profile: Option<&Profile>, engines: usize, policy: &Policy) -> Prompt {
     let Some(profile) = profile else {
-        return Prompt { job, prefill_ms: job.prompt as f64, is_short: true, late_after: NEVER };
+        return Prompt { job, prefill_ms: job.prompt_tokens as f64, is_short: true, late_after: NEVER };
     };
-    let prefill_ms = profile.read_ms(job.prompt);
+    let prefill_ms = profile.prefill_ms(job.prompt_tokens);
     let is_short = is_short(&job, profile, policy);
     let parts = if is_short { 1 } else { policy.most_parts.min(engines) };
     // On average half a pass is under way when the prompt arrives, and a whole pass produces the first event.
     let pass_ms = profile.pass_ms(profile.slots / 2, 0);
     let first_event_ms = prefill_ms / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT;
-    Prompt { job, prefill_ms, is_short, late_after: job.aim - millis(first_event_ms) }
+    Prompt { job, prefill_ms, is_short, late_after: job.first_event_target - duration_from_ms(first_event_ms) }
 }
 
 /// Returns whether one engine can prefill the prompt without exceeding the gap target of an answer like its own.
 fn is_short(job: &Job, profile: &Profile, policy: &Policy) -> bool {
-    let gap_target_ms = if job.gap_ms > 0.0 { job.gap_ms } else { f64::INFINITY };
+    let gap_target_ms = if job.gap_target_ms > 0.0 { job.gap_target_ms } else { f64::INFINITY };
     let full_pass_ms = profile.pass_ms((f64::from(profile.slots) * policy.slot_share) as u32, 0);
-    let prefill_ms = profile.read_ms(job.prompt);
+    let prefill_ms = profile.prefill_ms(job.prompt_tokens);
     prefill_ms <= gap_target_ms * policy.pause_share - full_pass_ms && prefill_ms <= MAX_SHORT_PREFILL_MS
 }
 
--- a/coord/src/planner/job.rs
+++ b/coord/src/planner/job.rs
@@ -22,26 +22,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
     /// Number of prompt tokens.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Upper bound of the output tokens.
-    pub output: u64,
+    pub max_output_tokens: u64,
     /// Target time of the first event.
-    pub aim: Moment,
+    pub first_event_target: Moment,
     /// Gap target: longest time between two events that the caller accepts, in milliseconds; 0 if the caller sets
     /// none.
-    pub gap_ms: f64,
+    pub gap_target_ms: f64,
     /// Time at which the caller gives up.
     pub deadline: Moment,
     /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Fingerprint of the request, if it is known.
-    pub work: Option<Fingerprint>,
+    pub fingerprint: Option<Fingerprint>,
 }
 
 impl Job {
     /// Returns the memory that the job takes, in tokens.
     pub(in crate::planner) fn memory_tokens(&self) -> u64 {
-        self.prompt + self.output.min(MAX_RESERVED_OUTPUT_TOKENS)
+        self.prompt_tokens + self.max_output_tokens.min(MAX_RESERVED_OUTPUT_TOKENS)
     }
 }
 
@@ -51,14 +51,14 @@
     /// Name of the engine.
     pub engine: Name,
     /// Tokens of the prompt that the helper holds in memory until the answer is complete; 0 if it only prefills.
-    pub holds: u64,
+    pub held_tokens: u64,
 }
 
 /// Engines that serve one prompt together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
     /// Engine that receives the request and decodes the answer.
-    pub writer: Name,
+    pub decoder: Name,
     /// Engines that prefill parts of the prompt.
     pub helpers: Vec<Helper>,
 }
@@ -66,12 +66,12 @@
 impl Team {
     /// Returns a team without helpers.
     pub(super) fn without_helpers(engine: &Name) -> Self {
-        Self { writer: engine.clone(), helpers: Vec::new() }
+        Self { decoder: engine.clone(), helpers: Vec::new() }
     }
 
     /// Returns all engines of the team, the decoding engine first.
     pub fn engines(&self) -> impl Iterator<Item = &Name> + Clone {
-        std::iter::once(&self.writer).chain(self.helpers.iter().map(|helper| &helper.engine))
+        std::iter::once(&self.decoder).chain(self.helpers.iter().map(|helper| &helper.engine))
     }
 }
 
@@ -84,5 +84,5 @@
     pub team: Team,
     /// Time after the grant from which on a missing first event will probably never come; `None` while the planner
     /// cannot predict the first event.
-    pub silent_after: Option<Duration>,
+    pub unresponsive_after: Option<Duration>,
 }
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -91,7 +91,7 @@
     }
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
-    pub fn unsettle(&mut self, now: Moment) {
+    pub fn begin_settling(&mut self, now: Moment) {
         if self.policy.settling {
             self.settled_at = now + SETTLING_PERIOD;
         }
@@ -108,7 +108,7 @@
     }
 
     /// Records a job that another planner granted. `is_prefilling` tells whether its prompt is still being prefilled.
-    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
+    pub fn add_granted(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
         self.record_grant(id, job, team, is_prefilling, now);
     }
 
@@ -116,22 +116,22 @@
     fn record_grant(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) -> f64 {
         self.waiting.remove(id);
         let parts = 1 + team.helpers.len();
-        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
+        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.held_tokens).sum();
         let prompt = self.estimate_prompt(*job);
         let expected_ms = self.expected_ms(prompt.prefill_ms, &team, now);
         if is_prefilling {
             for name in team.engines() {
                 let Some(engine) = self.fleet.get_mut(name) else { continue };
-                let ms = engine.profile().part_ms(job.prompt, parts);
+                let ms = engine.profile().prefill_share_ms(job.prompt_tokens, parts);
                 engine.add_part(id, ms, now);
             }
         }
         let suspect = self.suspected_fingerprint(job);
         let sequence =
-            |tokens, suspect| Sequence { tokens, gap_target_ms: job.gap_ms, is_short: prompt.is_short, suspect };
-        self.add_sequence(&team.writer, id, sequence(job.memory_tokens().saturating_sub(held_tokens), suspect));
-        for helper in team.helpers.iter().filter(|helper| helper.holds > 0) {
-            self.add_sequence(&helper.engine, id, sequence(helper.holds, None));
+            |tokens, suspect| Sequence { tokens, gap_target_ms: job.gap_target_ms, is_short: prompt.is_short, suspect };
+        self.add_sequence(&team.decoder, id, sequence(job.memory_tokens().saturating_sub(held_tokens), suspect));
+        for helper in team.helpers.iter().filter(|helper| helper.held_tokens > 0) {
+            self.add_sequence(&helper.engine, id, sequence(helper.held_tokens, None));
         }
         self.granted.insert(id, GrantedJob::new(team, expected_ms, now), is_prefilling);
         expected_ms
@@ -144,7 +144,7 @@
     }
 
     /// Records that a job produced its first event, which means that its prompt is prefilled.
-    pub fn first_event(&mut self, id: Id, now: Moment) {
+    pub fn record_first_event(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.first_event(id) else { return };
         let is_overdue = job.is_overdue(now) && self.policy.suspicion;
         let has_no_helpers = job.team.helpers.is_empty();
@@ -155,11 +155,11 @@
                 engine.answered_at = now;
                 self.path_failures.record_success(id.entry, name);
                 if let Some(breaker) = &mut engine.breaker {
-                    breaker.succeeded(now);
+                    breaker.record_success(now);
                 }
             } else if has_no_helpers {
                 let share = self.path_failures.record_failure(id.entry, name, now);
-                engine.breaker.get_or_insert_default().failed(share, now);
+                engine.breaker.get_or_insert_default().record_failure(share, now);
             }
         }
         if is_overdue && !has_no_helpers {
@@ -173,7 +173,7 @@
     /// Events that occurred meanwhile are handled late, which is no fault of the engines: without this, each first
     /// event that was in time but handled after the suspension would count as a failure, and a few of those eject an
     /// engine for the longest period.
-    pub fn absent(&mut self, entry: Option<u64>, delay: Duration) {
+    pub fn postpone_first_events(&mut self, entry: Option<u64>, delay: Duration) {
         self.granted.postpone(|id| entry.is_none_or(|entry| entry == id.entry), delay);
     }
 
@@ -184,11 +184,11 @@
 
     /// Returns the fingerprint of a job if it is suspected.
     fn suspected_fingerprint(&self, job: &Job) -> Option<Fingerprint> {
-        job.work.filter(|fingerprint| self.suspects.contains(fingerprint))
+        job.fingerprint.filter(|fingerprint| self.suspects.contains(fingerprint))
     }
 
     /// Removes a job that has finished or no longer waits.
-    pub fn end(&mut self, id: Id, now: Moment) {
+    pub fn finish(&mut self, id: Id, now: Moment) {
         self.waiting.remove(id);
         let Some(job) = self.granted.remove(id) else { return };
         for name in job.team.engines() {
@@ -211,33 +211,33 @@
     }
 
     /// Removes an entry with all its jobs.
-    pub fn end_entry(&mut self, entry: u64, now: Moment) {
+    pub fn remove_entry(&mut self, entry: u64, now: Moment) {
         let of_entry = |id: &&Id| id.entry == entry;
         let ids: Vec<Id> = self.waiting.ids().chain(self.granted.ids()).filter(of_entry).copied().collect();
         for id in ids {
-            self.end(id, now);
+            self.finish(id, now);
         }
         self.backoffs.remove(&entry);
     }
 
     /// Records that an engine failed a job of an entry. The engine is ejected for a period that grows with each
     /// failure.
-    pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
+    pub fn record_failure(&mut self, entry: u64, engine: &Name, now: Moment) {
         let Some(state) = self.fleet.get_mut(engine).filter(|_| self.policy.breakers) else { return };
         let share = self.path_failures.record_failure(entry, engine, now);
-        state.breaker.get_or_insert_default().failed(share, now);
+        state.breaker.get_or_insert_default().record_failure(share, now);
     }
 
     /// Records that an engine asked an entry to send it nothing for `period`. Other entries are not affected.
-    pub fn rests(&mut self, entry: u64, engine: &Name, period: Duration, now: Moment) {
-        self.backoffs.entry(entry).or_default().hear(engine, period, now);
+    pub fn set_backoff(&mut self, entry: u64, engine: &Name, period: Duration, now: Moment) {
+        self.backoffs.entry(entry).or_default().record(engine, period, now);
     }
 
     /// Resets an engine that restarted under the same name. Its memory and prefill queue are empty, and earlier
     /// failures and slowdowns belong to the previous run.
-    pub fn restarted(&mut self, engine: &Name) {
+    pub fn reset_engine(&mut self, engine: &Name) {
         self.path_failures.retain_engines(|name| name != engine);
-        self.backoffs.values_mut().for_each(|backoffs| backoffs.forget(engine));
+        self.backoffs.values_mut().for_each(|backoffs| backoffs.remove(engine));
         if let Some(state) = self.fleet.get_mut(engine) {
             *state = Engine::new(engine.clone(), state.nominal_profile().clone());
         }
@@ -257,17 +257,17 @@
 
     /// Resets the saved-up allowance of all rate limits. Needed when this planner takes over from another one whose
     /// recent grants it does not know.
-    pub fn restart_limits(&mut self, now: Moment) {
+    pub fn reset_limits(&mut self, now: Moment) {
         let salt = self.salt;
         for engine in self.fleet.engines_mut() {
             if let Some(limit) = &mut engine.limit {
-                limit.restart(initial_share(salt, &engine.name), now);
+                limit.reset(initial_share(salt, &engine.name), now);
             }
         }
     }
 
     /// Grants the prompts that can start now.
-    pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
+    pub fn grant_ready(&mut self, now: Moment) -> Vec<Grant> {
         self.suspect_overdue(now);
         let mut grants = Vec::new();
         if self.waiting.is_empty() || self.fleet.engines().is_empty() {
@@ -314,13 +314,13 @@
 
     /// Returns for how long prompts that could be in time have found no engine, the number of waiting prompts, and
     /// the engine counts of the last pump.
-    pub fn held(&self, now: Moment) -> (Duration, usize, EngineCounts) {
+    pub fn starvation(&self, now: Moment) -> (Duration, usize, EngineCounts) {
         (self.overload.duration(now), self.waiting.ids().count(), self.snapshot.count_engines(&self.policy))
     }
 
     /// Returns the first rule that excluded each engine from short prompts at the last pump, for up to
     /// `MAX_LISTED_EXCLUSIONS` engines.
-    pub fn bars(&self) -> Vec<(&Name, Exclusion)> {
+    pub fn exclusions(&self) -> Vec<(&Name, Exclusion)> {
         let engines = self.fleet.engines();
         let exclusions = self
             .snapshot
@@ -335,7 +335,7 @@
         for name in team.engines() {
             let Some(index) = self.fleet.position(name) else { continue };
             if let Some(breaker) = self.fleet.get_mut(name).and_then(|engine| engine.breaker.as_mut()) {
-                breaker.begin(now);
+                breaker.record_request(now);
             }
             if let Some(limit) = self.fleet.get_mut(name).and_then(|engine| engine.limit.as_mut()) {
                 limit.take(now);
@@ -344,8 +344,8 @@
         }
         // The expected time is unreliable until all entries have reported their running jobs.
         let can_predict = self.policy.second_sends && now >= self.settled_at;
-        let silent_after = can_predict.then(|| unresponsive::first_event_timeout(expected_ms));
-        Grant { id: candidate.id, team, silent_after }
+        let unresponsive_after = can_predict.then(|| unresponsive::first_event_timeout(expected_ms));
+        Grant { id: candidate.id, team, unresponsive_after }
     }
 }
 
--- a/coord/src/planner/place/long.rs
+++ b/coord/src/planner/place/long.rs
@@ -33,7 +33,7 @@
             return self.min_parts_late(max_parts);
         }
         // A team that is too small to be in time would block its engines for long.
-        let slack_ms = self.job().aim.since(self.now).as_secs_f64() * 1e3;
+        let slack_ms = self.job().first_event_target.since(self.now).as_secs_f64() * 1e3;
         let required = (self.prompt().prefill_ms / (slack_ms * self.policy().in_time_share).max(1.0)).ceil() as usize;
         required.clamp(1, max_parts)
     }
@@ -80,8 +80,8 @@
             *index != decoder && (helpers == HelperScope::Any || self.state(*index).sequence_count == 0)
         };
         let others = with_budget.iter().copied().filter(is_suitable).take(parts - 1);
-        let helpers: Vec<Helper> = others.map(|index| Helper { engine: self.name(index).clone(), holds: 0 }).collect();
-        (helpers.len() == parts - 1).then(|| Team { writer: self.name(decoder).clone(), helpers })
+        let helpers: Vec<Helper> = others.map(|index| Helper { engine: self.name(index).clone(), held_tokens: 0 }).collect();
+        (helpers.len() == parts - 1).then(|| Team { decoder: self.name(decoder).clone(), helpers })
     }
 
     /// Returns engines that decode only long answers and have little pending prefill, so that one more long answer
@@ -113,11 +113,11 @@
         others.sort_by_key(|index| Reverse(free_memory(*index)));
         let mut helpers = Vec::new();
         for index in others.into_iter().take(parts - 1) {
-            let holds = remaining_tokens.min(free_memory(index));
-            remaining_tokens -= holds;
-            helpers.push(Helper { engine: self.name(index).clone(), holds });
+            let held_tokens = remaining_tokens.min(free_memory(index));
+            remaining_tokens -= held_tokens;
+            helpers.push(Helper { engine: self.name(index).clone(), held_tokens });
         }
-        (remaining_tokens == 0).then(|| Team { writer: self.name(decoder).clone(), helpers })
+        (remaining_tokens == 0).then(|| Team { decoder: self.name(decoder).clone(), helpers })
     }
 
     /// Ranks engines for decoding, smallest first. Long answers decode beside other long answers and away from short
@@ -127,7 +127,7 @@
             true if state.short_sequence_count > 0 => 2,
             true if state.sequence_count == 0 => 1,
             true => 0,
-            false => u8::from(state.min_gap_target_ms < self.job().gap_ms),
+            false => u8::from(state.min_gap_target_ms < self.job().gap_target_ms),
         };
         (preference, Reverse(state.sequence_count))
     }
--- a/coord/src/planner/place/mod.rs
+++ b/coord/src/planner/place/mod.rs
@@ -127,7 +127,7 @@
         let position = |name: &Name| self.fleet.position(name);
         let unreachable = self.path_failures.unreachable_engines(entry, now).filter_map(position).collect();
         let backoffs = self.backoffs.get(&entry);
-        let in_backoff = backoffs.into_iter().flat_map(|backoffs| backoffs.resting(now));
+        let in_backoff = backoffs.into_iter().flat_map(|backoffs| backoffs.active(now));
         ExcludedEngines::new(unreachable, in_backoff.filter_map(|(name, _)| position(name)).collect())
     }
 }
--- a/coord/src/planner/place/short.rs
+++ b/coord/src/planner/place/short.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 use super::{CandidateScope, PlacementContext};
-use crate::engine::millis;
+use crate::engine::duration_from_ms;
 use crate::pick::rendezvous;
 use crate::planner::policy::TOKENS_PER_WAIT_MS;
 use crate::planner::snapshot::EngineState;
@@ -93,7 +93,7 @@
 
     /// Returns whether the engine already decodes an answer whose gap target is at least as strict.
     fn serves_similar(&self, state: &EngineState) -> bool {
-        state.min_gap_target_ms <= self.job().gap_ms
+        state.min_gap_target_ms <= self.job().gap_target_ms
     }
 
     /// Returns whether the engine can prefill the prompt without exceeding the gap target of a sequence.
@@ -104,7 +104,7 @@
     /// Returns whether the engine meets all gap targets and produces the first event in time.
     fn is_in_time(&self, state: &EngineState) -> bool {
         let first_event_ms = state.wait_ms + self.prompt().prefill_ms * state.slowdown + state.pass_ms;
-        self.has_prefill_budget(state) && self.now + millis(first_event_ms) <= self.job().aim
+        self.has_prefill_budget(state) && self.now + duration_from_ms(first_event_ms) <= self.job().first_event_target
     }
 
     /// Compares two engines by the cost of starting to serve short prompts there.
--- a/coord/src/planner/place/unplaceable.rs
+++ b/coord/src/planner/place/unplaceable.rs
@@ -26,7 +26,7 @@
         let memory_tokens = prompt.job.memory_tokens();
         let is_cheaper = |requirements: &Requirements| {
             requirements.scope == scope
-                && requirements.gap_target_ms == prompt.job.gap_ms
+                && requirements.gap_target_ms == prompt.job.gap_target_ms
                 && requirements.prefill_ms <= prompt.prefill_ms
                 && requirements.memory_tokens <= memory_tokens
         };
@@ -39,7 +39,7 @@
             let job = &prompt.job;
             self.0.push(Requirements {
                 scope,
-                gap_target_ms: job.gap_ms,
+                gap_target_ms: job.gap_target_ms,
                 prefill_ms: prompt.prefill_ms,
                 memory_tokens: job.memory_tokens(),
             });
--- a/coord/src/planner/rate_limited.rs
+++ b/coord/src/planner/rate_limited.rs
@@ -27,7 +27,7 @@
 
 impl<'a> SendSlots<'a> {
     fn new(limits: Vec<&'a TokenBucket>, now: Moment) -> Self {
-        let sends = limits.iter().enumerate().map(|(index, limit)| Reverse((limit.wait(now), index)));
+        let sends = limits.iter().enumerate().map(|(index, limit)| Reverse((limit.time_until_next(now), index)));
         let next_sends = sends.collect();
         Self { limits, next_sends }
     }
@@ -38,7 +38,7 @@
         for _ in 0..sends {
             let Some(Reverse((wait, index))) = self.next_sends.pop() else { return Duration::MAX };
             last = wait;
-            self.next_sends.push(Reverse((wait + self.limits[index].pause(), index)));
+            self.next_sends.push(Reverse((wait + self.limits[index].request_interval(), index)));
         }
         last
     }
@@ -75,7 +75,7 @@
         if candidate.prompt.is_short {
             return 1;
         }
-        let slack_ms = candidate.prompt.job.aim.since(now).as_secs_f64() * 1e3;
+        let slack_ms = candidate.prompt.job.first_event_target.since(now).as_secs_f64() * 1e3;
         let max_sends = self.policy.most_parts.min(self.fleet.engines().len()).max(1);
         ((candidate.prompt.prefill_ms / slack_ms.max(1.0)).ceil() as usize).clamp(1, max_sends)
     }
--- a/coord/src/planner/slowdown.rs
+++ b/coord/src/planner/slowdown.rs
@@ -31,7 +31,7 @@
 impl Planner {
     /// Returns the engines that should be probed for their slowdown now: those that are late and those that were
     /// slow.
-    pub fn to_ask(&mut self, now: Moment) -> Vec<Name> {
+    pub fn engines_to_probe(&mut self, now: Moment) -> Vec<Name> {
         if !self.policy.ask_pace {
             return Vec::new();
         }
@@ -47,7 +47,7 @@
     }
 
     /// Sets the slowdown factor of an engine; returns whether it changed.
-    pub fn set_pace(&mut self, engine: &Name, slowdown: f64) -> bool {
+    pub fn set_slowdown(&mut self, engine: &Name, slowdown: f64) -> bool {
         let Some(engine) = self.fleet.get_mut(engine) else { return false };
         let slowdown =
             if slowdown < NOMINAL_SLOWDOWN_LIMIT || slowdown.is_nan() { 1.0 } else { slowdown.min(MAX_SLOWDOWN) };
--- a/coord/src/planner/snapshot.rs
+++ b/coord/src/planner/snapshot.rs
@@ -64,9 +64,9 @@
             sequence_count: engine.sequence_count(),
             short_sequence_count: engine.short_sequence_count(),
             has_slot: (engine.sequence_count() as f64) < f64::from(profile.slots) * policy.slot_share,
-            breaker_admits: engine.breaker.is_none_or(|breaker| breaker.admits(now)),
-            is_half_open: engine.breaker.is_some_and(|breaker| breaker.is_on_trial(now)),
-            is_within_limit: engine.limit.is_none_or(|limit| limit.admits(now)),
+            breaker_admits: engine.breaker.is_none_or(|breaker| breaker.allows_request(now)),
+            is_half_open: engine.breaker.is_some_and(|breaker| breaker.is_half_open(now)),
+            is_within_limit: engine.limit.is_none_or(|limit| limit.allows_request(now)),
             suspect: engine.suspect(),
             slowdown: engine.slowdown(),
         }
--- a/coord/src/planner/unresponsive.rs
+++ b/coord/src/planner/unresponsive.rs
@@ -12,7 +12,7 @@
 
 use super::Planner;
 use super::job::{Id, Team};
-use crate::engine::millis;
+use crate::engine::duration_from_ms;
 use crate::name::Name;
 use crate::time::Moment;
 
@@ -24,12 +24,12 @@
 
 /// Returns the time after the grant from which on a prompt counts as unresponsive.
 pub(super) fn first_event_timeout(expected_ms: f64) -> Duration {
-    millis(expected_ms * TIMEOUT_FACTOR + TIMEOUT_MARGIN_MS)
+    duration_from_ms(expected_ms * TIMEOUT_FACTOR + TIMEOUT_MARGIN_MS)
 }
 
 impl Planner {
     /// Records that a granted prompt is unresponsive. The caller submits it again.
-    pub fn silent(&mut self, id: Id, now: Moment) {
+    pub fn mark_unresponsive(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.get(id) else { return };
         let (team, granted_at) = (job.team.clone(), job.granted_at);
         self.suspect_team(&team, granted_at, now);
@@ -48,9 +48,9 @@
             let Some(engine) = self.fleet.get_mut(name) else { continue };
             let breaker = engine.breaker.get_or_insert_default();
             if self.policy.breakers && self.policy.mute_only {
-                breaker.failed(share, now);
+                breaker.record_failure(share, now);
             }
-            breaker.suspect(now);
+            breaker.require_trial(now);
         }
     }
 }
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
     /// A replica terminated while it held a request with the fingerprint.
-    Ended {
+    Terminated {
         /// Fingerprint of the request.
         work: Fingerprint,
         /// Name of the terminated run, unique among all runs of all replicas.
@@ -132,9 +132,9 @@
 
 impl Event {
     /// Returns the fingerprint that the event concerns.
-    pub const fn work(&self) -> Fingerprint {
+    pub const fn fingerprint(&self) -> Fingerprint {
         match self {
-            Event::Ended { work, .. } => *work,
+            Event::Terminated { work, .. } => *work,
             Event::Cleared(work) | Event::Condemned(work) | Event::Lifted(work) => *work,
         }
     }
@@ -187,7 +187,7 @@
 
 impl State {
     /// Returns the status of a fingerprint.
-    pub fn standing(&self, work: Fingerprint) -> Status {
+    pub fn status(&self, work: Fingerprint) -> Status {
         if self.condemned.contains_key(&work) {
             return Status::Condemned;
         }
@@ -199,9 +199,9 @@
 
     /// Applies an event and returns the events to send to peers. The result is empty if the event was already
     /// recorded or adds too little evidence.
-    pub fn hear(&mut self, event: Event) -> Vec<Event> {
+    pub fn apply(&mut self, event: Event) -> Vec<Event> {
         match event {
-            Event::Ended { work, run, weight } => self.record_termination(work, run, weight),
+            Event::Terminated { work, run, weight } => self.record_termination(work, run, weight),
             Event::Cleared(work) => self.clear(work),
             Event::Condemned(work) => self.condemn(work),
             Event::Lifted(work) => self.lift(work),
@@ -209,7 +209,7 @@
     }
 
     /// Returns the recorded runs that terminated under a condemned fingerprint, with the strength of the evidence.
-    pub fn ends(&self, work: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
+    pub fn terminations(&self, work: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
         let terminations = self.condemned.get(&work).map(|verdict| &verdict.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
@@ -234,17 +234,17 @@
     /// Returns the fingerprints whose evidence is worth persisting. If this process is isolated, so that no peer
     /// receives its events, that includes all suspects: terminations observed by three isolated processes then
     /// condemn a fingerprint just as those observed by one.
-    pub fn lasting(&self, is_isolated: bool) -> impl Iterator<Item = Fingerprint> {
+    pub fn persistent(&self, is_isolated: bool) -> impl Iterator<Item = Fingerprint> {
         let min_points = if is_isolated { SUSPECT_POINTS } else { PERSISTENT_POINTS };
         let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(work, _)| work);
         self.condemned().chain(suspects)
     }
 
     /// Returns the events that bring a new peer up to date.
-    pub fn all(&self) -> Vec<Event> {
+    pub fn events(&self) -> Vec<Event> {
         let condemned = self.condemned().map(Event::Condemned);
         let suspects = self.suspects().flat_map(|(work, _)| {
-            self.evidence(work).map(move |(run, weight)| Event::Ended { work, run: run.clone(), weight })
+            self.evidence(work).map(move |(run, weight)| Event::Terminated { work, run: run.clone(), weight })
         });
         condemned.chain(suspects).collect()
     }
@@ -265,7 +265,7 @@
         let (points, termination_count) = (suspect.points(), suspect.terminations.len());
         let mut relayed = Vec::new();
         if points >= SUSPECT_POINTS {
-            relayed.push(Event::Ended { work, run, weight });
+            relayed.push(Event::Terminated { work, run, weight });
         }
         if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(work)) {
             relayed.extend(self.condemn(work));
@@ -309,7 +309,7 @@
     /// Clears a fingerprint after a complete successful answer. An answer that was in flight when its request was
     /// condemned proves the verdict wrong.
     fn clear(&mut self, work: Fingerprint) -> Vec<Event> {
-        let relayed = match self.standing(work) {
+        let relayed = match self.status(work) {
             Status::Clear => Vec::new(),
             Status::Suspect => vec![Event::Cleared(work)],
             Status::Condemned => vec![Event::Lifted(work)],
@@ -319,7 +319,7 @@
     }
 
     fn lift(&mut self, work: Fingerprint) -> Vec<Event> {
-        let was_recorded = self.standing(work) != Status::Clear;
+        let was_recorded = self.status(work) != Status::Clear;
         self.remove(work);
         if was_recorded { vec![Event::Lifted(work)] } else { Vec::new() }
     }
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -24,7 +24,7 @@
     /// Identity of the replica. It can survive a restart; `born` then distinguishes the runs.
     pub id: Name,
     /// Start time of the run in Unix milliseconds, if the record states it.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Service that the replica belongs to.
     pub service: Name,
     /// Listen address, `ip:port`.
@@ -36,7 +36,7 @@
     /// Whether the replica announced its end.
     pub leaving: bool,
     /// Remaining time, when the record was written, during which the replica is cold and accepts fewer requests.
-    pub cold: Duration,
+    pub cold_remaining: Duration,
 }
 
 /// State of a replica's record in the store.
@@ -66,7 +66,7 @@
     /// Store offset of the record's latest change.
     pub offset: u64,
     /// State of the record at the offset.
-    pub news: RecordState,
+    pub state: RecordState,
 }
 
 /// Run of a replica that is draining, as stated by the replica itself.
@@ -75,7 +75,7 @@
     /// Identity of the replica.
     pub id: Name,
     /// Start time of the run in Unix milliseconds, if known.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// Availability of a replica for work.
@@ -97,7 +97,7 @@
     /// Latest record of the replica.
     pub record: Record,
     /// Availability for work.
-    pub standing: Availability,
+    pub availability: Availability,
     /// Offset of the latest record change, including heartbeats.
     offset: u64,
     /// Offset of the latest effective change; heartbeats rewrite unchanged records.
@@ -111,22 +111,22 @@
 impl Replica {
     /// Returns whether the replica takes new work, regardless of evacuations.
     pub fn takes_work(&self) -> bool {
-        matches!(self.standing, Availability::Ready | Availability::Expired(_))
+        matches!(self.availability, Availability::Ready | Availability::Expired(_))
     }
 
     /// Returns whether the replica is gone because its record was removed.
     fn is_removed(&self) -> bool {
-        self.standing == Availability::Gone && !self.has_record
+        self.availability == Availability::Gone && !self.has_record
     }
 
     /// Returns the latest effective change in the form sent to peers at `now`.
     fn to_update(&self, now: Moment) -> Update {
-        let news = match (self.has_record, self.standing) {
+        let state = match (self.has_record, self.availability) {
             (true, Availability::Unusable) => RecordState::Unusable(self.record.id.clone()),
-            (true, _) => RecordState::Present(Record { cold: self.cold_until.since(now), ..self.record.clone() }),
+            (true, _) => RecordState::Present(Record { cold_remaining: self.cold_until.since(now), ..self.record.clone() }),
             (false, _) => RecordState::Removed(self.record.id.clone()),
         };
-        Update { offset: self.changed_offset, news }
+        Update { offset: self.changed_offset, state }
     }
 }
 
@@ -155,41 +155,41 @@
     /// Identity of the replica.
     pub id: Name,
     /// New availability.
-    pub standing: Availability,
+    pub availability: Availability,
     /// Whether the replica has restarted, so that its requests and its memory contents are lost.
-    pub restarted: bool,
+    pub has_restarted: bool,
     /// Whether the replica is cold and accepts fewer requests.
-    pub cold: bool,
+    pub is_cold: bool,
 }
 
 impl Change {
-    fn of(id: &Name, standing: Availability) -> Self {
-        Self { id: id.clone(), standing, restarted: false, cold: false }
+    fn of(id: &Name, availability: Availability) -> Self {
+        Self { id: id.clone(), availability, has_restarted: false, is_cold: false }
     }
 }
 
 impl Roster {
     /// Records that the store is available again after an outage; records that disappear within `grace` count as
     /// expired.
-    pub fn store_returned(&mut self, now: Moment, grace: Duration) {
+    pub fn record_store_recovery(&mut self, now: Moment, grace: Duration) {
         self.grace_until = self.grace_until.max(now + grace);
     }
 
     /// Returns the time left during which a missing record counts as expired.
-    pub fn doubt_left(&self, now: Moment) -> Duration {
+    pub fn grace_left(&self, now: Moment) -> Duration {
         self.grace_until.since(now)
     }
 
     /// Returns the latest update of each replica that changed at offset `from` or later. A peer without any data
     /// (`from` 0) does not receive removed replicas, whose number grows without bound.
-    pub fn since(&self, from: u64, now: Moment) -> Vec<Update> {
+    pub fn updates_since(&self, from: u64, now: Moment) -> Vec<Update> {
         let is_relevant = |replica: &&Replica| replica.changed_offset >= from && (from > 0 || replica.has_record);
         let changed = self.replicas.values().filter(is_relevant);
         changed.map(|replica| replica.to_update(now)).collect()
     }
 
     /// Applies the state of a record at its offset; a state older than the recorded one is ignored.
-    pub fn hear(&mut self, offset: u64, news: RecordState, now: Moment) -> Option<Change> {
+    pub fn apply(&mut self, offset: u64, news: RecordState, now: Moment) -> Option<Change> {
         match news {
             RecordState::Present(record) => self.apply_record(offset, record, now),
             RecordState::Removed(id) => self.apply_removal(offset, &id, now),
@@ -214,39 +214,39 @@
             return None;
         }
         let current = self.replicas.get(&id);
-        let (current_born, born) = (current.and_then(|current| current.record.born), record.born);
+        let (current_born, born) = (current.and_then(|current| current.record.started_ms), record.started_ms);
         if current_born.zip(born).is_some_and(|(current, new)| new < current) {
             // The record belongs to an earlier run.
             return None;
         }
-        let restarted = current_born.zip(born).is_some_and(|(current, new)| new > current);
+        let has_restarted = current_born.zip(born).is_some_and(|(current, new)| new > current);
         let is_stated =
             self.draining_runs.get(&id).is_some_and(|run| run.zip(born).is_none_or(|(run, born)| born <= run));
         // An announced end is final for its run, whereas an expired record can reappear together with its replica.
         let leaving =
-            record.leaving || is_stated || (!restarted && current.is_some_and(|current| current.record.leaving));
+            record.leaving || is_stated || (!has_restarted && current.is_some_and(|current| current.record.leaving));
         // The record now states that the replica is draining, so peers receive it with the record.
         let is_confirmed = is_stated && record.leaving;
-        let standing = if leaving { Availability::Gone } else { Availability::Ready };
-        let cold_until = now + record.cold;
-        let cold = cold_until > now;
+        let availability = if leaving { Availability::Gone } else { Availability::Ready };
+        let cold_until = now + record.cold_remaining;
+        let is_cold = cold_until > now;
         let cold_changed = current.is_some_and(|current| {
             let was_cold = current.cold_until > now;
-            cold != was_cold || (cold && cold_until > current.cold_until + MIN_COLD_EXTENSION)
+            is_cold != was_cold || (is_cold && cold_until > current.cold_until + MIN_COLD_EXTENSION)
         });
         // The end of the cold period is stored as a moment; in repeated records the remaining time shrinks, which is
         // not a change.
-        let record = Record { leaving, born: born.or(current_born), cold: Duration::ZERO, ..record };
-        let changed = restarted || cold_changed || current.is_none_or(|current| current.standing != standing);
+        let record = Record { leaving, started_ms: born.or(current_born), cold_remaining: Duration::ZERO, ..record };
+        let changed = has_restarted || cold_changed || current.is_none_or(|current| current.availability != availability);
         let unchanged =
             current.filter(|current| current.has_record && current.record == record && !changed && !is_confirmed);
         let changed_offset = unchanged.map_or(offset, |current| current.changed_offset);
         self.replicas
-            .insert(id.clone(), Replica { record, standing, offset, changed_offset, has_record: true, cold_until });
+            .insert(id.clone(), Replica { record, availability, offset, changed_offset, has_record: true, cold_until });
         if is_confirmed || !is_stated {
             self.draining_runs.remove(&id);
         }
-        changed.then_some(Change { id, standing, restarted, cold })
+        changed.then_some(Change { id, availability, has_restarted, is_cold })
     }
 
     fn apply_unusable(&mut self, offset: u64, id: &Name) -> Option<Change> {
@@ -255,13 +255,13 @@
             return None;
         }
         replica.offset = offset;
-        if replica.has_record && replica.standing == Availability::Unusable {
+        if replica.has_record && replica.availability == Availability::Unusable {
             return None;
         }
         replica.has_record = true;
         replica.changed_offset = offset;
-        let changed = replica.standing != Availability::Unusable;
-        replica.standing = Availability::Unusable;
+        let changed = replica.availability != Availability::Unusable;
+        replica.availability = Availability::Unusable;
         changed.then(|| Change::of(id, Availability::Unusable))
     }
 
@@ -276,24 +276,24 @@
             replica.has_record = false;
             replica.changed_offset = offset;
         }
-        let standing = match replica.standing {
+        let standing = match replica.availability {
             Availability::Ready if now < grace_until => Availability::Expired(grace_until),
             Availability::Expired(until) if now < until => return None,
             _ => Availability::Gone,
         };
-        let changed = replica.standing != standing;
-        replica.standing = standing;
+        let changed = replica.availability != standing;
+        replica.availability = standing;
         changed.then(|| Change::of(id, standing))
     }
 
     /// Applies a full snapshot with all offsets below `end_offset`; records missing from it were removed.
-    pub fn replace(&mut self, end_offset: u64, records: Vec<Update>, now: Moment) -> Vec<Change> {
-        let snapshot_ids: HashSet<&Name> = records.iter().map(|update| update.news.id()).collect();
+    pub fn apply_snapshot(&mut self, end_offset: u64, records: Vec<Update>, now: Moment) -> Vec<Change> {
+        let snapshot_ids: HashSet<&Name> = records.iter().map(|update| update.state.id()).collect();
         let is_missing = |replica: &&Replica| replica.offset < end_offset && !snapshot_ids.contains(&replica.record.id);
         let missing: Vec<Name> =
             self.replicas.values().filter(is_missing).map(|replica| replica.record.id.clone()).collect();
         let mut changes: Vec<Change> =
-            records.into_iter().filter_map(|update| self.hear(update.offset, update.news, now)).collect();
+            records.into_iter().filter_map(|update| self.apply(update.offset, update.state, now)).collect();
         self.snapshot_end = self.snapshot_end.max(end_offset);
         let last_offset = end_offset.saturating_sub(1);
         changes.extend(missing.iter().filter_map(|id| self.apply_removal(last_offset, id, now)));
@@ -304,8 +304,8 @@
     pub fn expire(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         for (id, replica) in &mut self.replicas {
-            if matches!(replica.standing, Availability::Expired(until) if until <= now) {
-                replica.standing = Availability::Gone;
+            if matches!(replica.availability, Availability::Expired(until) if until <= now) {
+                replica.availability = Availability::Gone;
                 changes.push(Change::of(id, Availability::Gone));
             }
         }
@@ -313,49 +313,49 @@
     }
 
     /// Marks a replica as gone because another replica was found at its address.
-    pub fn displaced(&mut self, id: &str) -> Option<Change> {
+    pub fn mark_displaced(&mut self, id: &str) -> Option<Change> {
         let replica = self.replicas.get_mut(id)?;
-        let changed = replica.standing != Availability::Gone;
-        replica.standing = Availability::Gone;
+        let changed = replica.availability != Availability::Gone;
+        replica.availability = Availability::Gone;
         changed.then(|| Change::of(&replica.record.id, Availability::Gone))
     }
 
     /// Returns whether this run is already recorded as draining, or a later run is recorded.
-    pub fn knows_leaver(&self, leaver: &DrainingRun) -> bool {
+    pub fn has_draining_run(&self, leaver: &DrainingRun) -> bool {
         let is_same_or_later =
-            |born: Option<u64>| leaver.born.zip(born).is_none_or(|(stated, current)| stated <= current);
-        let is_later = |born: Option<u64>| leaver.born.zip(born).is_some_and(|(stated, current)| stated < current);
+            |born: Option<u64>| leaver.started_ms.zip(born).is_none_or(|(stated, current)| stated <= current);
+        let is_later = |born: Option<u64>| leaver.started_ms.zip(born).is_some_and(|(stated, current)| stated < current);
         let current = self.replicas.get(&leaver.id).map(|current| &current.record);
         let is_recorded = current
-            .is_some_and(|current| is_later(current.born) || (current.leaving && is_same_or_later(current.born)));
+            .is_some_and(|current| is_later(current.started_ms) || (current.leaving && is_same_or_later(current.started_ms)));
         is_recorded || self.draining_runs.get(&leaver.id).is_some_and(|run| is_same_or_later(*run))
     }
 
     /// Records that a run stated that it is draining; a run of an unknown replica is stored for later.
-    pub fn leaves(&mut self, leaver: DrainingRun) -> Option<Change> {
-        if self.knows_leaver(&leaver) {
+    pub fn mark_draining(&mut self, leaver: DrainingRun) -> Option<Change> {
+        if self.has_draining_run(&leaver) {
             return None;
         }
-        let DrainingRun { id, born } = leaver;
-        self.draining_runs.insert(id.clone(), born);
+        let DrainingRun { id, started_ms } = leaver;
+        self.draining_runs.insert(id.clone(), started_ms);
         let replica = self.replicas.get_mut(&id)?;
         replica.record.leaving = true;
-        let changed = replica.standing != Availability::Gone;
-        replica.standing = Availability::Gone;
+        let changed = replica.availability != Availability::Gone;
+        replica.availability = Availability::Gone;
         changed.then(|| Change::of(&id, Availability::Gone))
     }
 
     /// Returns the draining runs that the store's records do not show.
-    pub fn leavers(&self) -> impl Iterator<Item = DrainingRun> {
+    pub fn draining_runs(&self) -> impl Iterator<Item = DrainingRun> {
         let is_unreported = |id: &Name| self.replicas.get(id).is_none_or(|replica| replica.has_record);
         let unreported = self.draining_runs.iter().filter(move |(id, _)| is_unreported(id));
-        unreported.map(|(id, born)| DrainingRun { id: id.clone(), born: *born })
+        unreported.map(|(id, born)| DrainingRun { id: id.clone(), started_ms: *born })
     }
 
     /// Returns whether no later run than the one in `record` is recorded.
     pub fn is_newest_run(&self, record: &Record) -> bool {
-        let current = self.replicas.get(&record.id).and_then(|current| current.record.born);
-        current.zip(record.born).is_none_or(|(current, born)| current <= born)
+        let current = self.replicas.get(&record.id).and_then(|current| current.record.started_ms);
+        current.zip(record.started_ms).is_none_or(|(current, born)| current <= born)
     }
 
     /// Returns a replica by identity.
@@ -364,36 +364,36 @@
     }
 
     /// Sets the evacuated failure domains.
-    pub fn set_emptied(&mut self, domains: BTreeSet<Name>, now: Moment) {
+    pub fn set_evacuated(&mut self, domains: BTreeSet<Name>, now: Moment) {
         let ended = self.evacuated.difference(&domains);
         self.evacuation_ended.extend(ended.map(|domain| (domain.clone(), now)));
         self.evacuated = domains;
     }
 
     /// Returns whether the replica may receive new work, considering evacuations.
-    pub fn takes(&self, replica: &Replica) -> bool {
+    pub fn accepts_work(&self, replica: &Replica) -> bool {
         replica.takes_work() && !self.evacuated.contains(&replica.record.failure_domain)
     }
 
     /// Returns the record of the replica `id` if it may receive new work.
-    pub fn usable_one(&self, id: &str) -> Option<&Record> {
-        self.replicas.get(id).filter(|replica| self.takes(replica)).map(|replica| &replica.record)
+    pub fn usable_replica(&self, id: &str) -> Option<&Record> {
+        self.replicas.get(id).filter(|replica| self.accepts_work(replica)).map(|replica| &replica.record)
     }
 
     /// Returns the replicas of `service` that are alive, including those in evacuated failure domains.
-    pub fn living<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
+    pub fn alive<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
         let is_match = move |replica: &&Replica| replica.takes_work() && *replica.record.service == *service;
         self.replicas.values().filter(is_match)
     }
 
     /// Returns the records of the replicas of `service` that may receive new work.
     pub fn usable<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Record> {
-        self.living(service).filter(|replica| self.takes(replica)).map(|replica| &replica.record)
+        self.alive(service).filter(|replica| self.accepts_work(replica)).map(|replica| &replica.record)
     }
 
     /// Returns whether `service` has replicas and all of them are in evacuated failure domains.
-    pub fn is_emptied(&self, service: &str) -> bool {
-        self.living(service).next().is_some() && self.usable(service).next().is_none()
+    pub fn is_evacuated(&self, service: &str) -> bool {
+        self.alive(service).next().is_some() && self.usable(service).next().is_none()
     }
 
     /// Returns the cold replicas of `service`, which accept fewer requests, with the end of their cold period. A
@@ -409,7 +409,7 @@
             let ended = self.evacuation_ended.get(&replica.record.failure_domain);
             replica.cold_until.max(ended.map_or(Moment::ZERO, |ended| *ended + cold_duration))
         };
-        let cold = self.living(service).map(move |replica| (&replica.record.id, cold_until(replica)));
+        let cold = self.alive(service).map(move |replica| (&replica.record.id, cold_until(replica)));
         cold.filter(move |(_, cold_until)| *cold_until > now)
     }
 }
--- a/coord/tests/breaker.rs
+++ b/coord/tests/breaker.rs
@@ -10,20 +10,20 @@
 
 /// Returns the time until the breaker admits a request again, in milliseconds after `from`.
 fn time_until_admitted(breaker: &Breaker, from: u64) -> u64 {
-    (0..20_000).step_by(10).find(|ms| breaker.admits(at(from + ms))).expect("the breaker admits a request eventually")
+    (0..20_000).step_by(10).find(|ms| breaker.allows_request(at(from + ms))).expect("the breaker admits a request eventually")
 }
 
 #[test]
 fn a_failure_opens_the_breaker_and_a_single_trial_at_a_time_may_close_it() {
     let mut breaker = Breaker::default();
-    assert!(breaker.admits(at(0)) && !breaker.is_on_trial(at(0)));
-    breaker.failed(1.0, at(0));
-    assert!(!breaker.admits(at(400)) && breaker.admits(at(600)) && breaker.is_on_trial(at(600)));
-    breaker.begin(at(600));
-    assert!(!breaker.admits(at(700)), "a trial is in flight");
-    assert!(breaker.admits(at(2_700)), "a trial without an outcome does not block requests forever");
-    breaker.succeeded(at(800));
-    assert!(breaker.admits(at(800)) && !breaker.is_on_trial(at(800)));
+    assert!(breaker.allows_request(at(0)) && !breaker.is_half_open(at(0)));
+    breaker.record_failure(1.0, at(0));
+    assert!(!breaker.allows_request(at(400)) && breaker.allows_request(at(600)) && breaker.is_half_open(at(600)));
+    breaker.record_request(at(600));
+    assert!(!breaker.allows_request(at(700)), "a trial is in flight");
+    assert!(breaker.allows_request(at(2_700)), "a trial without an outcome does not block requests forever");
+    breaker.record_success(at(800));
+    assert!(breaker.allows_request(at(800)) && !breaker.is_half_open(at(800)));
 }
 
 #[test]
@@ -32,49 +32,49 @@
     let mut now = 0;
     let mut previous = 0;
     for _ in 0..4 {
-        breaker.failed(1.0, at(now));
+        breaker.record_failure(1.0, at(now));
         let open_ms = time_until_admitted(&breaker, now);
         assert!(open_ms > previous, "{open_ms} after {previous}");
         previous = open_ms;
         now += open_ms;
-        breaker.begin(at(now));
-        breaker.succeeded(at(now + 50));
+        breaker.record_request(at(now));
+        breaker.record_success(at(now + 50));
         now += 100;
     }
     // After a long time the past failures have no weight.
-    breaker.failed(1.0, at(now + 60_000));
+    breaker.record_failure(1.0, at(now + 60_000));
     assert!(time_until_admitted(&breaker, now + 60_000) <= 510);
 }
 
 #[test]
 fn a_suspected_replica_gets_one_trial_and_is_admitted_after_the_half_open_time() {
     let mut breaker = Breaker::default();
-    breaker.suspect(at(0));
-    assert!(breaker.admits(at(0)) && breaker.is_on_trial(at(3_900)) && !breaker.is_on_trial(at(4_100)));
-    breaker.suspect(at(5_000));
-    breaker.begin(at(5_000));
-    assert!(!breaker.admits(at(5_010)));
-    breaker.succeeded(at(5_050));
-    assert!(breaker.admits(at(5_060)) && !breaker.is_on_trial(at(5_060)));
+    breaker.require_trial(at(0));
+    assert!(breaker.allows_request(at(0)) && breaker.is_half_open(at(3_900)) && !breaker.is_half_open(at(4_100)));
+    breaker.require_trial(at(5_000));
+    breaker.record_request(at(5_000));
+    assert!(!breaker.allows_request(at(5_010)));
+    breaker.record_success(at(5_050));
+    assert!(breaker.allows_request(at(5_060)) && !breaker.is_half_open(at(5_060)));
 }
 
 #[test]
 fn a_success_sent_before_the_failure_does_not_close_the_breaker() {
     let mut breaker = Breaker::default();
-    breaker.failed(1.0, at(0));
-    breaker.succeeded(at(10));
-    assert!(!breaker.admits(at(20)));
+    breaker.record_failure(1.0, at(0));
+    breaker.record_success(at(10));
+    assert!(!breaker.allows_request(at(20)));
 }
 
 #[test]
 fn a_failure_with_a_small_share_does_not_open_the_breaker_alone() {
     let mut breaker = Breaker::default();
-    breaker.failed(0.2, at(0));
-    assert!(breaker.admits(at(1)));
+    breaker.record_failure(0.2, at(0));
+    assert!(breaker.allows_request(at(1)));
     for ms in 1..4 {
-        breaker.failed(0.2, at(ms));
+        breaker.record_failure(0.2, at(ms));
     }
-    assert!(!breaker.admits(at(4)), "several together weigh enough");
+    assert!(!breaker.allows_request(at(4)), "several together weigh enough");
 }
 
 proptest! {
@@ -88,9 +88,9 @@
         for (event, pause) in events {
             now += pause;
             match event {
-                0 => breaker.failed(1.0, at(now)),
-                1 => breaker.succeeded(at(now)),
-                _ => breaker.begin(at(now)),
+                0 => breaker.record_failure(1.0, at(now)),
+                1 => breaker.record_success(at(now)),
+                _ => breaker.record_request(at(now)),
             }
             prop_assert!(time_until_admitted(&breaker, now) <= 8_010);
         }
--- a/coord/tests/common/mod.rs
+++ b/coord/tests/common/mod.rs
@@ -11,11 +11,11 @@
         memory: 450_000,
         stride,
         step_ms: 0.925,
-        per_writer_ms: 0.00483,
+        per_sequence_ms: 0.00483,
         per_context_ms: 0.00254,
-        read_per_ms: 256.0,
-        pairs_ms: 0.0917,
+        prefill_tokens_per_ms: 256.0,
+        attention_ms_per_million_pairs: 0.0917,
         chunk: 2_048,
-        hop_ms: 0.1,
+        remote_prefill_step_ms: 0.1,
     })
 }
--- a/coord/tests/common/short.rs
+++ b/coord/tests/common/short.rs
@@ -6,14 +6,14 @@
 use coord::time::Moment;
 
 /// Returns a job with a prompt of `prompt` tokens that arrives at `now`.
-pub fn job(prompt: u64, now: Moment) -> Job {
+pub fn job(prompt_tokens: u64, now: Moment) -> Job {
     Job {
-        prompt,
-        output: 2_000,
-        aim: now + Duration::from_millis(300),
-        gap_ms: 200.0,
+        prompt_tokens,
+        max_output_tokens: 2_000,
+        first_event_target: now + Duration::from_millis(300),
+        gap_target_ms: 200.0,
         deadline: now + Duration::from_millis(2_000),
         priority: 1,
-        work: None,
+        fingerprint: None,
     }
 }
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -14,22 +14,22 @@
 fn record() -> Record {
     Record {
         id: "r".into(),
-        born: None,
+        started_ms: None,
         service: "s".into(),
         address: "10.0.0.1:1".into(),
         failure_domain: "d".into(),
         slots: 4,
         leaving: false,
-        cold: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
 fn update(offset: u64) -> Update {
-    Update { offset, news: RecordState::Present(record()) }
+    Update { offset, state: RecordState::Present(record()) }
 }
 
 fn takes_work(roster: &Roster) -> bool {
-    roster.usable_one("r").is_some()
+    roster.usable_replica("r").is_some()
 }
 
 #[test]
@@ -50,32 +50,32 @@
 #[test]
 fn a_replica_whose_removal_was_lost_takes_no_work_until_it_writes_again() {
     let mut roster = Roster::default();
-    roster.hear(3, RecordState::Present(record()), NOW);
-    roster.hear(8, RecordState::Removed("r".into()), NOW);
-    roster.replace(number(1, 5), vec![update(number(1, 3))], NOW);
+    roster.apply(3, RecordState::Present(record()), NOW);
+    roster.apply(8, RecordState::Removed("r".into()), NOW);
+    roster.apply_snapshot(number(1, 5), vec![update(number(1, 3))], NOW);
     assert!(!takes_work(&roster), "the recovered log still contains the record");
-    roster.replace(number(1, 6), vec![update(number(1, 3))], NOW);
+    roster.apply_snapshot(number(1, 6), vec![update(number(1, 3))], NOW);
     assert!(!takes_work(&roster), "the same record is read again");
-    assert!(roster.since(0, NOW).is_empty(), "the replica is not reported to peers");
-    roster.hear(number(1, 7), RecordState::Present(record()), NOW);
+    assert!(roster.updates_since(0, NOW).is_empty(), "the replica is not reported to peers");
+    roster.apply(number(1, 7), RecordState::Present(record()), NOW);
     assert!(takes_work(&roster), "the replica has written its record again");
 }
 
 #[test]
 fn a_replica_whose_record_was_lost_is_used_for_the_grace_period() {
     let mut roster = Roster::default();
-    roster.hear(3, RecordState::Present(record()), NOW);
-    roster.store_returned(NOW, GRACE);
-    roster.replace(number(1, 2), Vec::new(), NOW);
+    roster.apply(3, RecordState::Present(record()), NOW);
+    roster.record_store_recovery(NOW, GRACE);
+    roster.apply_snapshot(number(1, 2), Vec::new(), NOW);
     assert!(takes_work(&roster));
     let mut rewritten = roster;
-    rewritten.hear(number(1, 4), RecordState::Present(record()), NOW);
+    rewritten.apply(number(1, 4), RecordState::Present(record()), NOW);
     assert!(takes_work(&rewritten) && rewritten.expire(NOW + GRACE).is_empty(), "the record was written again");
     let mut roster = Roster::default();
-    roster.hear(3, RecordState::Present(record()), NOW);
-    roster.store_returned(NOW, GRACE);
-    roster.replace(number(1, 2), Vec::new(), NOW);
-    assert_eq!(roster.expire(NOW + GRACE)[0].standing, Availability::Gone);
+    roster.apply(3, RecordState::Present(record()), NOW);
+    roster.record_store_recovery(NOW, GRACE);
+    roster.apply_snapshot(number(1, 2), Vec::new(), NOW);
+    assert_eq!(roster.expire(NOW + GRACE)[0].availability, Availability::Gone);
 }
 
 fn domains(names: &[&str]) -> std::collections::BTreeSet<Name> {
@@ -89,32 +89,32 @@
 #[test]
 fn a_domain_whose_evacuation_was_lost_stays_evacuated_for_the_grace_period() {
     let mut register = Evacuations::default();
-    register.hear(6, EvacuationEvent::Started("a".into()));
-    register.hear(7, EvacuationEvent::Started("b".into()));
-    assert!(!register.replace(snapshot(number(1, 2), &[]), NOW + GRACE));
-    assert_eq!(register.picture().domains, domains(&["a", "b"]));
-    register.hear(number(1, 2), EvacuationEvent::Started("a".into()));
+    register.apply(6, EvacuationEvent::Started("a".into()));
+    register.apply(7, EvacuationEvent::Started("b".into()));
+    assert!(!register.apply_snapshot(snapshot(number(1, 2), &[]), NOW + GRACE));
+    assert_eq!(register.snapshot().domains, domains(&["a", "b"]));
+    register.apply(number(1, 2), EvacuationEvent::Started("a".into()));
     assert!(!register.expire(NOW), "the grace period is not over");
     assert!(register.expire(NOW + GRACE));
-    assert_eq!(register.picture().domains, domains(&["a"]), "only the repeated evacuation stays in force");
+    assert_eq!(register.snapshot().domains, domains(&["a"]), "only the repeated evacuation stays in force");
     assert!(!register.expire(NOW + GRACE + GRACE));
 }
 
 #[test]
 fn a_domain_whose_evacuation_ends_after_the_recovery_is_used_at_once() {
     let mut register = Evacuations::default();
-    register.hear(6, EvacuationEvent::Started("a".into()));
-    register.replace(snapshot(number(1, 2), &[]), NOW + GRACE);
-    assert!(register.hear(number(1, 2), EvacuationEvent::Ended("a".into())));
-    register.replace(snapshot(number(1, 3), &[]), NOW + GRACE);
-    assert!(register.picture().domains.is_empty());
+    register.apply(6, EvacuationEvent::Started("a".into()));
+    register.apply_snapshot(snapshot(number(1, 2), &[]), NOW + GRACE);
+    assert!(register.apply(number(1, 2), EvacuationEvent::Ended("a".into())));
+    register.apply_snapshot(snapshot(number(1, 3), &[]), NOW + GRACE);
+    assert!(register.snapshot().domains.is_empty());
 }
 
 #[test]
 fn an_event_of_an_earlier_era_changes_nothing() {
     let mut register = Evacuations::default();
-    register.replace(snapshot(number(1, 2), &["a"]), NOW);
-    assert!(!register.replace(snapshot(9, &["b"]), NOW));
-    assert!(!register.hear(9, EvacuationEvent::Ended("a".into())));
-    assert_eq!(register.picture().domains, domains(&["a"]));
+    register.apply_snapshot(snapshot(number(1, 2), &["a"]), NOW);
+    assert!(!register.apply_snapshot(snapshot(9, &["b"]), NOW));
+    assert!(!register.apply(9, EvacuationEvent::Ended("a".into())));
+    assert_eq!(register.snapshot().domains, domains(&["a"]));
 }
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -66,9 +66,9 @@
 
 /// Makes a process read the log from `back` records before its current offset.
 fn read_log(register: &mut Evacuations, log: &[(u8, bool)], back: usize) {
-    let from = (register.picture().next as usize).saturating_sub(back);
+    let from = (register.snapshot().next as usize).saturating_sub(back);
     for (offset, record) in log.iter().enumerate().skip(from) {
-        register.hear(offset as u64, event(*record));
+        register.apply(offset as u64, event(*record));
     }
 }
 
@@ -79,25 +79,25 @@
         let mut registers: Vec<Evacuations> = (0..PROCESSES).map(|_| Evacuations::default()).collect();
         let mut last_sent = Snapshot::default();
         for step in steps {
-            let previous_offsets: Vec<u64> = registers.iter().map(|register| register.picture().next).collect();
+            let previous_offsets: Vec<u64> = registers.iter().map(|register| register.snapshot().next).collect();
             match step {
                 Step::Write(domain, begun) => log.push((domain, begun)),
                 Step::Read(reader) => read_log(&mut registers[reader], &log, 0),
                 Step::ReadSnapshot(reader) => {
                     let snapshot = Snapshot { next: log.len() as u64, domains: expected_domains(&log, log.len()) };
-                    registers[reader].replace(snapshot, GRACE_UNTIL);
+                    registers[reader].apply_snapshot(snapshot, GRACE_UNTIL);
                 }
                 Step::Reread(reader, back) => read_log(&mut registers[reader], &log, back),
                 Step::Send(from, to) => {
-                    last_sent = registers[from].picture().clone();
-                    registers[to].replace(last_sent.clone(), GRACE_UNTIL);
+                    last_sent = registers[from].snapshot().clone();
+                    registers[to].apply_snapshot(last_sent.clone(), GRACE_UNTIL);
                 }
                 Step::Resend(to) => {
-                    registers[to].replace(last_sent.clone(), GRACE_UNTIL);
+                    registers[to].apply_snapshot(last_sent.clone(), GRACE_UNTIL);
                 }
             }
             for (register, previous_offset) in registers.iter().zip(previous_offsets) {
-                let snapshot = register.picture();
+                let snapshot = register.snapshot();
                 prop_assert!(snapshot.next >= previous_offset);
                 prop_assert_eq!(&snapshot.domains, &expected_domains(&log, snapshot.next as usize));
             }
@@ -108,23 +108,23 @@
 const SERVICE: &str = "service";
 const COLD_TIME: Duration = Duration::from_secs(3);
 
-fn record(number: u8, domain: u8, cold: Duration) -> Record {
+fn record(number: u8, domain: u8, cold_remaining: Duration) -> Record {
     Record {
         id: format!("replica-{number}").into(),
-        born: None,
+        started_ms: None,
         service: SERVICE.into(),
         address: "10.0.0.1:1".into(),
         failure_domain: domain_name(domain),
         slots: 1,
         leaving: false,
-        cold,
+        cold_remaining,
     }
 }
 
 fn roster(now: Moment) -> Roster {
     let mut roster = Roster::default();
     for number in 0..4 {
-        roster.hear(u64::from(number), roster::RecordState::Present(record(number, number % 2, Duration::ZERO)), now);
+        roster.apply(u64::from(number), roster::RecordState::Present(record(number, number % 2, Duration::ZERO)), now);
     }
     roster
 }
@@ -137,14 +137,14 @@
 fn replicas_of_evacuated_domains_stay_alive_and_get_no_new_work() {
     let now = Moment::from_micros(1_000_000_000);
     let mut roster = roster(now);
-    roster.set_emptied(BTreeSet::from([domain_name(0)]), now);
+    roster.set_evacuated(BTreeSet::from([domain_name(0)]), now);
     let usable: Vec<&Name> = roster.usable(SERVICE).map(|record| &record.id).collect();
     assert_eq!(usable, [&Name::from("replica-1"), &Name::from("replica-3")]);
-    assert_eq!(roster.living(SERVICE).count(), 4);
-    assert!(!roster.is_emptied(SERVICE) && !roster.is_emptied("another"));
-    roster.set_emptied(BTreeSet::from([domain_name(0), domain_name(1)]), now);
-    assert!(roster.is_emptied(SERVICE));
-    roster.set_emptied(BTreeSet::new(), now);
+    assert_eq!(roster.alive(SERVICE).count(), 4);
+    assert!(!roster.is_evacuated(SERVICE) && !roster.is_evacuated("another"));
+    roster.set_evacuated(BTreeSet::from([domain_name(0), domain_name(1)]), now);
+    assert!(roster.is_evacuated(SERVICE));
+    roster.set_evacuated(BTreeSet::new(), now);
     assert_eq!(roster.usable(SERVICE).count(), 4);
 }
 
@@ -152,9 +152,9 @@
 fn a_domain_counts_as_cold_after_its_evacuation() {
     let now = Moment::from_micros(1_000_000_000);
     let mut roster = roster(now);
-    roster.set_emptied(BTreeSet::from([domain_name(0)]), now);
+    roster.set_evacuated(BTreeSet::from([domain_name(0)]), now);
     assert!(cold(&roster, now).is_empty());
-    roster.set_emptied(BTreeSet::new(), now);
+    roster.set_evacuated(BTreeSet::new(), now);
     assert_eq!(cold(&roster, now + COLD_TIME / 2), [&Name::from("replica-0"), &Name::from("replica-2")]);
     assert!(cold(&roster, now + COLD_TIME).is_empty());
 }
@@ -165,7 +165,7 @@
     let mut roster = roster(now);
     let mut apply = |offset, cold_ms, now| {
         let record = record(1, 1, Duration::from_millis(cold_ms));
-        roster.hear(offset, roster::RecordState::Present(record), now).map(|change| change.cold)
+        roster.apply(offset, roster::RecordState::Present(record), now).map(|change| change.is_cold)
     };
     assert_eq!(apply(10, 3_000, now), Some(true));
     // Heartbeats arrive somewhat early or late.
@@ -177,7 +177,7 @@
         Some(false),
         "the replica is warm earlier than reported"
     );
-    let updates = roster.since(14, now + Duration::from_millis(3_000));
+    let updates = roster.updates_since(14, now + Duration::from_millis(3_000));
     assert_eq!(updates.len(), 1, "the change is sent to peers");
     assert!(cold(&roster, now + Duration::from_millis(3_000)).is_empty());
 }
@@ -186,10 +186,10 @@
 fn a_peer_receives_the_remaining_cold_time_of_a_replica() {
     let now = Moment::from_micros(1_000_000_000);
     let (mut reader, mut receiver) = (Roster::default(), Roster::default());
-    reader.hear(1, roster::RecordState::Present(record(1, 0, COLD_TIME)), now);
+    reader.apply(1, roster::RecordState::Present(record(1, 0, COLD_TIME)), now);
     let later = now + COLD_TIME / 2;
-    for sighting in reader.since(0, later) {
-        receiver.hear(sighting.offset, sighting.news, later);
+    for sighting in reader.updates_since(0, later) {
+        receiver.apply(sighting.offset, sighting.state, later);
     }
     assert_eq!(cold(&receiver, later).len(), 1);
     assert!(cold(&receiver, now + COLD_TIME).is_empty());
--- a/coord/tests/limits.rs
+++ b/coord/tests/limits.rs
@@ -9,13 +9,13 @@
 }
 
 fn report(rate: Option<f64>, requested_ms: u64, received_ms: u64) -> TimedReport {
-    TimedReport { rate, asked: at(requested_ms), heard: at(received_ms) }
+    TimedReport { rate, requested_at: at(requested_ms), received_at: at(received_ms) }
 }
 
 fn register(reports: &[TimedReport]) -> ReplicaLimits {
     let mut register = ReplicaLimits::default();
     for report in reports {
-        register.hear(&Name::from("a"), *report);
+        register.apply(&Name::from("a"), *report);
     }
     register
 }
@@ -46,11 +46,11 @@
 #[test]
 fn a_limit_of_an_earlier_run_does_not_apply_to_the_later_one() {
     let mut register = register(&[report(Some(2.0), 0, 10)]);
-    assert!(register.restarted("a", at(100)));
+    assert!(register.reset_for_restart("a", at(100)));
     assert_eq!(register.rate("a"), None);
     // An entry relays a report of the previous run.
-    assert!(!register.hear(&Name::from("a"), report(Some(2.0), 50, 60)));
-    assert!(register.hear(&Name::from("a"), report(Some(4.0), 110, 120)));
+    assert!(!register.apply(&Name::from("a"), report(Some(2.0), 50, 60)));
+    assert!(register.apply(&Name::from("a"), report(Some(4.0), 110, 120)));
     assert_eq!(register.rate("a"), Some(4.0));
 }
 
@@ -58,14 +58,14 @@
 fn a_relayed_report_keeps_its_age() {
     let original = report(Some(2.0), 40, 50);
     let relayed = RelayedReport::of(&Name::from("a"), &original, at(80));
-    assert_eq!(relayed.word(at(1_080)), report(Some(2.0), 1_040, 1_050));
+    assert_eq!(relayed.timed_report(at(1_080)), report(Some(2.0), 1_040, 1_050));
 }
 
 /// Returns the number of requests admitted within `duration_ms` if one arrives every millisecond.
 fn admitted_count(allowance: &mut TokenBucket, from_ms: u64, duration_ms: u64) -> usize {
     let mut count = 0;
     for ms in from_ms..from_ms + duration_ms {
-        if allowance.admits(at(ms)) {
+        if allowance.allows_request(at(ms)) {
             allowance.take(at(ms));
             count += 1;
         }
@@ -93,19 +93,19 @@
     let mut allowance = TokenBucket::new(10.0, 1.0, 1.0, at(0));
     assert!(admitted_count(&mut allowance, 0, 10) > 0);
     allowance.set(1.0, 1.0, at(10));
-    assert!(!allowance.admits(at(500)));
+    assert!(!allowance.allows_request(at(500)));
 }
 
 #[test]
 fn the_shares_in_a_partition_add_up_to_one_and_lost_entries_are_forgotten() {
     let mut group = GroupSize::default();
-    group.note(5, at(100_000));
+    group.record_size(5, at(100_000));
     assert_eq!(group.share(5, 0, at(100_000)), 1.0);
     let later = at(101_000);
     assert_eq!(group.share(2, 0, later) + group.share(3, 0, later), 1.0);
     assert_eq!(group.share(1, 0, later), 0.2);
     for s in 100..200 {
-        group.note(3, at(s * 1_000));
+        group.record_size(3, at(s * 1_000));
     }
     assert_eq!(group.share(3, 0, at(200_000)), 1.0);
     // An entry that has never met another uses the number of entries in the store.
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -113,7 +113,7 @@
     fn reset_buckets(&mut self, entry: usize) {
         let now = self.now();
         for allowance in self.entries[entry].allowances.values_mut() {
-            allowance.restart(self.random.random_range(0.0..1.0), now);
+            allowance.reset(self.random.random_range(0.0..1.0), now);
         }
     }
 
@@ -127,7 +127,7 @@
         let now = self.now();
         for entry in 0..self.parameters.entries {
             let group_size = self.group_size(self.leader_of(entry));
-            self.entries[entry].group.note(group_size, now);
+            self.entries[entry].group.record_size(group_size, now);
         }
     }
 
@@ -137,7 +137,7 @@
         let group_size = self.group_size(entry);
         let start = self.random.random_range(0.0..1.0);
         let state = &mut self.entries[entry];
-        state.group.note(group_size, now);
+        state.group.record_size(group_size, now);
         let share = state.group.share(group_size, 0, now);
         for (replica, rate) in state.register.limited() {
             let allowance = state.allowances.entry(replica.clone());
@@ -152,7 +152,7 @@
         self.apply_limits(leader);
         let leader_state = &mut self.entries[leader];
         if leader_state.register.rate(&name).is_some() {
-            let Some(allowance) = leader_state.allowances.get_mut(&name).filter(|allowance| allowance.admits(now))
+            let Some(allowance) = leader_state.allowances.get_mut(&name).filter(|allowance| allowance.allows_request(now))
             else {
                 return;
             };
@@ -161,9 +161,9 @@
         let is_informed =
             self.entries[entry].first_reported.get(&name).is_some_and(|at| at + INFORM_DELAY_STEPS <= self.step);
         self.arrivals.entry(name.clone()).or_default().push((self.step, is_informed));
-        let report = TimedReport { rate: Some(self.parameters.rates[replica]), asked: now, heard: now };
+        let report = TimedReport { rate: Some(self.parameters.rates[replica]), requested_at: now, received_at: now };
         self.entries[entry].first_reported.entry(name.clone()).or_insert(self.step);
-        if self.entries[entry].register.hear(&name, report) {
+        if self.entries[entry].register.apply(&name, report) {
             self.relay(entry, &RelayedReport::of(&name, &report, now));
         }
     }
@@ -184,7 +184,7 @@
         self.in_transit = later;
         let due: Vec<(u64, usize, RelayedReport)> = due;
         for (_, entry, report) in due {
-            self.entries[entry].register.hear(&report.replica, report.word(now));
+            self.entries[entry].register.apply(&report.replica, report.timed_report(now));
         }
         if self.random.random_bool(self.parameters.fault_probability) {
             let is_partitioned = self.random.random_bool(0.5);
--- a/coord/tests/parts.rs
+++ b/coord/tests/parts.rs
@@ -52,10 +52,10 @@
 #[test]
 fn retries_are_a_bounded_share_of_first_tries() {
     let mut budget = Budget::new(0.1, 10.0);
-    let allowed = (0..100).filter(|_| budget.spend()).count();
+    let allowed = (0..100).filter(|_| budget.try_retry()).count();
     assert_eq!(allowed, 10);
-    (0..1_000).for_each(|_| budget.earn());
-    assert_eq!((0..100).filter(|_| budget.spend()).count(), 10);
+    (0..1_000).for_each(|_| budget.record_request());
+    assert_eq!((0..100).filter(|_| budget.try_retry()).count(), 10);
 }
 
 #[test]
--- a/coord/tests/plain/granted.rs
+++ b/coord/tests/plain/granted.rs
@@ -1,7 +1,7 @@
 //! Granted jobs, and the time at which their first events are overdue.
 
 use super::policy::{SLOW_FACTOR, SLOW_MARGIN_MS};
-use coord::engine::millis;
+use coord::engine::duration_from_ms;
 use coord::planner::Team;
 use coord::time::Moment;
 
@@ -18,6 +18,6 @@
 impl GrantedJob {
     /// Returns whether the first event is so late that an engine must be at fault.
     pub fn is_overdue(&self, now: Moment) -> bool {
-        now.since(self.granted_at) > millis(self.expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS)
+        now.since(self.granted_at) > duration_from_ms(self.expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS)
     }
 }
--- a/coord/tests/plain/health.rs
+++ b/coord/tests/plain/health.rs
@@ -37,26 +37,26 @@
         self.failed_at.retain(|_, at| now.since(*at) < FAILURE_WINDOW);
         self.failed_at.insert(Path { entry, engine: engine.clone() }, now);
         let failed_engines = self.failed_at.keys().filter(|path| path.entry == entry).count();
-        self.breakers.entry(engine.clone()).or_default().failed(1.0 / failed_engines as f64, now);
+        self.breakers.entry(engine.clone()).or_default().record_failure(1.0 / failed_engines as f64, now);
     }
 
     /// Records that a request of `entry` succeeded at `engine`.
     pub fn record_success(&mut self, entry: u64, engine: &Name, now: Moment) {
         self.failed_at.remove(&Path { entry, engine: engine.clone() });
         if let Some(breaker) = self.breakers.get_mut(engine) {
-            breaker.succeeded(now);
+            breaker.record_success(now);
         }
     }
 
     /// Requires a trial request of `engine`, because a prompt that it shares with other engines took far too long.
     pub fn require_trial(&mut self, engine: &Name, now: Moment) {
-        self.breakers.entry(engine.clone()).or_default().suspect(now);
+        self.breakers.entry(engine.clone()).or_default().require_trial(now);
     }
 
     /// Records that a request is sent to `engine`.
     pub fn record_request(&mut self, engine: &Name, now: Moment) {
         if let Some(breaker) = self.breakers.get_mut(engine) {
-            breaker.begin(now);
+            breaker.record_request(now);
         }
     }
 
@@ -68,7 +68,7 @@
 
     /// Returns whether the circuit breaker of `engine` admits requests.
     pub fn allows_request(&self, engine: &Name, now: Moment) -> bool {
-        self.breakers.get(engine).is_none_or(|breaker| breaker.admits(now))
+        self.breakers.get(engine).is_none_or(|breaker| breaker.allows_request(now))
     }
 
     /// Returns whether `entry` had no failure at `engine` within the last `PATH_BACKOFF`.
@@ -79,11 +79,11 @@
 
     /// Returns the number of engines whose circuit breakers are half-open.
     pub fn count_half_open(&self, now: Moment) -> usize {
-        self.breakers.values().filter(|breaker| breaker.is_on_trial(now)).count()
+        self.breakers.values().filter(|breaker| breaker.is_half_open(now)).count()
     }
 
     /// Returns whether the circuit breaker of `engine` is half-open, so that the next request is a trial.
     pub fn is_half_open(&self, engine: &Name, now: Moment) -> bool {
-        self.breakers.get(engine).is_some_and(|breaker| breaker.is_on_trial(now))
+        self.breakers.get(engine).is_some_and(|breaker| breaker.is_half_open(now))
     }
 }
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -60,7 +60,7 @@
     }
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
-    pub fn unsettle(&mut self, now: Moment) {
+    pub fn begin_settling(&mut self, now: Moment) {
         if self.policy.settling {
             self.settled_at = now + SETTLING_PERIOD;
         }
@@ -77,21 +77,21 @@
     }
 
     /// Records a job that another planner granted. `is_prefilling` tells whether its prompt is still being prefilled.
-    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
+    pub fn add_granted(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
         self.waiting.remove(&id);
         let parts = 1 + team.helpers.len();
-        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
+        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.held_tokens).sum();
         let expected_ms = self.expected_ms(job, &team, now);
         if is_prefilling {
             for name in team.engines() {
                 let Some(engine) = self.engines.get_mut(name) else { continue };
-                let ms = engine.profile.part_ms(job.prompt, parts);
+                let ms = engine.profile.prefill_share_ms(job.prompt_tokens, parts);
                 engine.add_part(id, ms, now);
             }
         }
-        self.add_sequence(&team.writer, id, memory_tokens(job).saturating_sub(held_tokens), job.gap_ms);
-        for helper in team.helpers.iter().filter(|helper| helper.holds > 0) {
-            self.add_sequence(&helper.engine, id, helper.holds, job.gap_ms);
+        self.add_sequence(&team.decoder, id, memory_tokens(job).saturating_sub(held_tokens), job.gap_target_ms);
+        for helper in team.helpers.iter().filter(|helper| helper.held_tokens > 0) {
+            self.add_sequence(&helper.engine, id, helper.held_tokens, job.gap_target_ms);
         }
         self.granted.insert(id, GrantedJob { team, granted_at: now, expected_ms, awaits_first_event: is_prefilling });
     }
@@ -111,7 +111,7 @@
     }
 
     /// Records that a job produced its first event, which means that its prompt is prefilled.
-    pub fn first_event(&mut self, id: Id, now: Moment) {
+    pub fn record_first_event(&mut self, id: Id, now: Moment) {
         let Some(granted) = self.granted.get_mut(&id) else { return };
         let is_overdue = granted.is_overdue(now);
         granted.awaits_first_event = false;
@@ -130,7 +130,7 @@
     }
 
     /// Removes a job that has finished or no longer waits.
-    pub fn end(&mut self, id: Id, now: Moment) {
+    pub fn finish(&mut self, id: Id, now: Moment) {
         self.waiting.remove(&id);
         let Some(granted) = self.granted.remove(&id) else { return };
         for name in granted.team.engines() {
@@ -154,24 +154,24 @@
     }
 
     /// Removes an entry with all its jobs.
-    pub fn end_entry(&mut self, entry: u64, now: Moment) {
+    pub fn remove_entry(&mut self, entry: u64, now: Moment) {
         let of_entry = |id: &&Id| id.entry == entry;
         let ids: Vec<Id> = self.waiting.keys().chain(self.granted.keys()).filter(of_entry).copied().collect();
         for id in ids {
-            self.end(id, now);
+            self.finish(id, now);
         }
     }
 
     /// Records that an engine failed a job of an entry. The engine is ejected for a period that grows with each
     /// failure.
-    pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
+    pub fn record_failure(&mut self, entry: u64, engine: &Name, now: Moment) {
         if self.policy.breakers && self.engines.contains_key(engine) {
             self.health.record_failure(entry, engine, now);
         }
     }
 
     /// Grants the prompts that can start now.
-    pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
+    pub fn grant_ready(&mut self, now: Moment) -> Vec<Grant> {
         self.suspect_overdue(now);
         let mut grants = Vec::new();
         let mut has_unplaced = false;
@@ -185,7 +185,7 @@
             let placed = self.place(id, &job, scope, now);
             has_unplaced |= placed.is_none();
             if let Some(grant) = placed {
-                self.adopt(id, &job, grant.team.clone(), true, now);
+                self.add_granted(id, &job, grant.team.clone(), true, now);
                 grant.team.engines().for_each(|engine| self.health.record_request(engine, now));
                 grants.push(grant);
             }
@@ -199,5 +199,5 @@
 
 /// Returns the memory that a job takes, in tokens.
 fn memory_tokens(job: &Job) -> u64 {
-    job.prompt + job.output.min(MAX_RESERVED_OUTPUT_TOKENS)
+    job.prompt_tokens + job.max_output_tokens.min(MAX_RESERVED_OUTPUT_TOKENS)
 }
--- a/coord/tests/plain/order.rs
+++ b/coord/tests/plain/order.rs
@@ -2,7 +2,7 @@
 
 use super::Planner;
 use super::policy::{MAX_SHORT_PREFILL_MS, PASSES_TO_FIRST_EVENT};
-use coord::engine::millis;
+use coord::engine::duration_from_ms;
 use coord::planner::{Id, Job};
 use coord::time::Moment;
 
@@ -32,7 +32,7 @@
             let ordering = (a.is_late, a.job.priority).cmp(&(b.is_late, b.job.priority));
             ordering.then_with(|| match cheapest_first {
                 true => a.prefill_ms.total_cmp(&b.prefill_ms),
-                false => a.job.aim.cmp(&b.job.aim),
+                false => a.job.first_event_target.cmp(&b.job.first_event_target),
             })
         });
         candidates
@@ -44,21 +44,21 @@
         let Some(engine) = self.engines.values().next() else { return false };
         let parts = if self.is_short(job) { 1 } else { self.policy.most_parts.min(self.engines.len()) };
         let pass_ms = engine.profile.pass_ms(engine.profile.slots / 2, 0);
-        now + millis(self.prefill_ms(job) / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT) > job.aim
+        now + duration_from_ms(self.prefill_ms(job) / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT) > job.first_event_target
     }
 
     /// Returns the engine time to prefill a job's prompt, in milliseconds.
     pub fn prefill_ms(&self, job: &Job) -> f64 {
-        self.engines.values().next().map_or(job.prompt as f64, |engine| engine.profile.read_ms(job.prompt))
+        self.engines.values().next().map_or(job.prompt_tokens as f64, |engine| engine.profile.prefill_ms(job.prompt_tokens))
     }
 
     /// Returns whether one engine can prefill the prompt without exceeding the gap target of an answer like its own.
     pub fn is_short(&self, job: &Job) -> bool {
         let Some(engine) = self.engines.values().next() else { return true };
-        let gap_target_ms = if job.gap_ms > 0.0 { job.gap_ms } else { f64::INFINITY };
+        let gap_target_ms = if job.gap_target_ms > 0.0 { job.gap_target_ms } else { f64::INFINITY };
         let profile = &engine.profile;
         let full_pass_ms = profile.pass_ms((f64::from(profile.slots) * self.policy.slot_share) as u32, 0);
-        profile.read_ms(job.prompt) <= gap_target_ms * self.policy.pause_share - full_pass_ms
-            && profile.read_ms(job.prompt) <= MAX_SHORT_PREFILL_MS
+        profile.prefill_ms(job.prompt_tokens) <= gap_target_ms * self.policy.pause_share - full_pass_ms
+            && profile.prefill_ms(job.prompt_tokens) <= MAX_SHORT_PREFILL_MS
     }
 }
--- a/coord/tests/plain/place/long.rs
+++ b/coord/tests/plain/place/long.rs
@@ -51,7 +51,7 @@
             return self.min_parts_late(max_parts);
         }
         // A team that is too small to be in time would block its engines for long.
-        let slack_ms = self.job.aim.since(self.now).as_secs_f64() * 1e3;
+        let slack_ms = self.job.first_event_target.since(self.now).as_secs_f64() * 1e3;
         let required = (self.prefill_ms / (slack_ms * self.policy().in_time_share).max(1.0)).ceil() as usize;
         required.clamp(1, max_parts)
     }
@@ -81,8 +81,8 @@
         let fitting = with_budget.iter().filter(|candidate| fits(candidate.engine));
         let decoder = fitting.min_by_key(|candidate| self.decoder_key(candidate.engine))?;
         let others = with_budget.iter().filter(|candidate| candidate.name != decoder.name).take(parts - 1);
-        let helpers = others.map(|candidate| Helper { engine: candidate.name.clone(), holds: 0 }).collect();
-        Some(Team { writer: decoder.name.clone(), helpers })
+        let helpers = others.map(|candidate| Helper { engine: candidate.name.clone(), held_tokens: 0 }).collect();
+        Some(Team { decoder: decoder.name.clone(), helpers })
     }
 
     /// Returns a team whose helpers hold the tokens that exceed the memory of the decoding engine.
@@ -99,16 +99,16 @@
         others.sort_by_key(|candidate| Reverse(free_memory(candidate)));
         let mut helpers = Vec::new();
         for candidate in others.into_iter().take(parts - 1) {
-            let holds = remaining_tokens.min(free_memory(candidate));
-            remaining_tokens -= holds;
-            helpers.push(Helper { engine: candidate.name.clone(), holds });
+            let held_tokens = remaining_tokens.min(free_memory(candidate));
+            remaining_tokens -= held_tokens;
+            helpers.push(Helper { engine: candidate.name.clone(), held_tokens });
         }
-        (remaining_tokens == 0).then(|| Team { writer: decoder.name.clone(), helpers })
+        (remaining_tokens == 0).then(|| Team { decoder: decoder.name.clone(), helpers })
     }
 
     /// Ranks engines for decoding, smallest first. Long answers decode beside other long answers and away from short
     /// ones, so that most engines only prefill.
     fn decoder_key(&self, engine: &Engine) -> (bool, Reverse<usize>) {
-        (engine.min_gap_target_ms() < self.job.gap_ms, Reverse(engine.sequences.len()))
+        (engine.min_gap_target_ms() < self.job.gap_target_ms, Reverse(engine.sequences.len()))
     }
 }
--- a/coord/tests/plain/place/mod.rs
+++ b/coord/tests/plain/place/mod.rs
@@ -45,12 +45,12 @@
         }
         let context = PlacementContext { planner: self, job, engines, scope, prefill_ms: self.prefill_ms(job), now };
         if self.is_short(job) {
-            return context.select_short().map(|team| Grant { id, team, silent_after: None });
+            return context.select_short().map(|team| Grant { id, team, unresponsive_after: None });
         }
         if now < self.settled_at || scope == CandidateScope::SharedOnly {
             return None;
         }
-        context.select_team().map(|team| Grant { id, team, silent_after: None })
+        context.select_team().map(|team| Grant { id, team, unresponsive_after: None })
     }
 
     /// Returns the eligible engines for a job of `entry`. Recently failed engines are excluded as long as most
--- a/coord/tests/plain/place/short.rs
+++ b/coord/tests/plain/place/short.rs
@@ -5,7 +5,7 @@
 use super::super::engine::Engine;
 use super::super::policy::TOKENS_PER_WAIT_MS;
 use super::{CandidateScope, PlacementContext};
-use coord::engine::millis;
+use coord::engine::duration_from_ms;
 use coord::name::Name;
 use coord::pick::rendezvous;
 use coord::planner::Team;
@@ -24,7 +24,7 @@
                 .or_else(|| self.select_soonest()),
             CandidateScope::SharedOnly => self.select_shared(),
         };
-        engine.map(|decoder| Team { writer: decoder.clone(), helpers: Vec::new() })
+        engine.map(|decoder| Team { decoder: decoder.clone(), helpers: Vec::new() })
     }
 
     /// Returns the engine with the shortest wait among those that serve similar answers and still meet their gap
@@ -79,7 +79,7 @@
 
     /// Returns whether the engine already decodes an answer whose gap target is at least as strict.
     fn serves_similar(&self, engine: &Engine) -> bool {
-        engine.min_gap_target_ms() <= self.job.gap_ms
+        engine.min_gap_target_ms() <= self.job.gap_target_ms
     }
 
     /// Returns whether the engine can prefill the prompt without exceeding the gap target of a sequence.
@@ -90,7 +90,7 @@
     /// Returns whether the engine meets all gap targets and produces the first event in time.
     fn is_in_time(&self, engine: &Engine) -> bool {
         let first_event_ms = engine.wait_ms(self.now) + self.prefill_ms + engine.pass_ms();
-        self.has_prefill_budget(engine) && self.now + millis(first_event_ms) <= self.job.aim
+        self.has_prefill_budget(engine) && self.now + duration_from_ms(first_event_ms) <= self.job.first_event_target
     }
 
     /// Compares two engines by the cost of starting to serve short prompts there.
--- a/coord/tests/planner_absent.rs
+++ b/coord/tests/planner_absent.rs
@@ -26,17 +26,17 @@
 /// Submits prompts of an entry, numbered from `first`, and returns the grants.
 fn submit_and_pump(planner: &mut Planner, entry: u64, first: u64, now: Moment) -> Vec<Grant> {
     (first..first + RUNNING_PROMPTS).for_each(|number| planner.submit(Id { entry, number }, short::job(500, now)));
-    planner.pump(now)
+    planner.grant_ready(now)
 }
 
 fn decoding_engines(grants: &[Grant]) -> BTreeSet<Name> {
-    grants.iter().map(|grant| grant.team.writer.clone()).collect()
+    grants.iter().map(|grant| grant.team.decoder.clone()).collect()
 }
 
 fn answer_all(planner: &mut Planner, grants: &[Grant], now: Moment) {
     for grant in grants {
-        planner.first_event(grant.id, now);
-        planner.end(grant.id, now);
+        planner.record_first_event(grant.id, now);
+        planner.finish(grant.id, now);
     }
 }
 
@@ -47,7 +47,7 @@
     let before = submit_and_pump(&mut planner, 0, 0, now);
     assert_eq!((before.len(), decoding_engines(&before).len()), (12, 1), "{before:?}");
     let later = now + SUSPENSION;
-    planner.absent(None, SUSPENSION);
+    planner.postpone_first_events(None, SUSPENSION);
     answer_all(&mut planner, &before, later);
     let after = submit_and_pump(&mut planner, 0, 100, later);
     assert_eq!(decoding_engines(&after), decoding_engines(&before));
@@ -59,7 +59,7 @@
     let now = Moment::from_millis(10_000);
     let before = submit_and_pump(&mut planner, 1, 0, now);
     let later = now + SUSPENSION;
-    planner.absent(Some(1), SUSPENSION);
+    planner.postpone_first_events(Some(1), SUSPENSION);
     answer_all(&mut planner, &before, later);
     let after = submit_and_pump(&mut planner, 2, 100, later);
     assert_eq!(decoding_engines(&after), decoding_engines(&before));
@@ -71,7 +71,7 @@
     let now = Moment::from_millis(10_000);
     let before = submit_and_pump(&mut planner, 1, 0, now);
     let later = now + SUSPENSION;
-    planner.absent(Some(2), SUSPENSION);
+    planner.postpone_first_events(Some(2), SUSPENSION);
     answer_all(&mut planner, &before, later);
     let after = submit_and_pump(&mut planner, 1, 100, later);
     assert!(decoding_engines(&after).is_disjoint(&decoding_engines(&before)), "{after:?}");
@@ -82,7 +82,7 @@
     let mut planner = planner();
     let now = Moment::from_millis(10_000);
     let before = submit_and_pump(&mut planner, 0, 0, now);
-    planner.absent(None, SUSPENSION);
+    planner.postpone_first_events(None, SUSPENSION);
     let later = now + SUSPENSION + SUSPENSION;
     let after = submit_and_pump(&mut planner, 0, 100, later);
     assert!(decoding_engines(&after).is_disjoint(&decoding_engines(&before)), "{after:?}");
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -31,19 +31,19 @@
     let mut granted = 0;
     for number in 0..40 {
         planner.submit(id(number), short::job(5_000, now));
-        granted += planner.pump(now).len();
+        granted += planner.grant_ready(now).len();
     }
     assert!(granted > 0 && granted < 40, "{granted} of 40 fit");
-    planner.failed(0, &"engine-00".into(), now);
-    planner.restarted(&"engine-00".into());
-    let granted_again = planner.pump(now + Duration::from_millis(1)).len();
+    planner.record_failure(0, &"engine-00".into(), now);
+    planner.reset_engine(&"engine-00".into());
+    let granted_again = planner.grant_ready(now + Duration::from_millis(1)).len();
     assert!(granted_again >= granted, "{granted_again} after {granted}");
 }
 
 /// Submits `number` short prompts with the same fingerprint and returns their engines.
-fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, work: Option<Fingerprint>, now: Moment) -> Vec<Name> {
-    (first..first + number).for_each(|number| planner.submit(id(number), Job { work, ..short::job(3_000, now) }));
-    planner.pump(now).into_iter().map(|grant| grant.team.writer).collect()
+fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, fingerprint: Option<Fingerprint>, now: Moment) -> Vec<Name> {
+    (first..first + number).for_each(|number| planner.submit(id(number), Job { fingerprint, ..short::job(3_000, now) }));
+    planner.grant_ready(now).into_iter().map(|grant| grant.team.decoder).collect()
 }
 
 #[test]
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -62,32 +62,32 @@
     planner.set_engines((0..states.len()).map(|index| (name(index), figures(16, 46))));
     let unreachable_at = Moment::from_millis(10_000);
     let now = unreachable_at + Duration::from_millis(1_000);
-    let team_of = |index: usize| coord::planner::Team { writer: name(index), helpers: Vec::new() };
+    let team_of = |index: usize| coord::planner::Team { decoder: name(index), helpers: Vec::new() };
     let mut number = 1_000;
     let mut adopt = |planner: &mut Planner, entry: u64, index: usize, job: &Job, at: Moment| {
         number += 1;
-        planner.adopt(Id { entry, number }, job, team_of(index), true, at);
+        planner.add_granted(Id { entry, number }, job, team_of(index), true, at);
         Id { entry, number }
     };
     for (index, _) in states.iter().enumerate().filter(|(_, state)| **state == EngineState::Unreachable) {
-        planner.failed(CHECKED_ENTRY, &name(index), unreachable_at);
+        planner.record_failure(CHECKED_ENTRY, &name(index), unreachable_at);
         // After the open period of its breaker, the engine serves a prompt of another entry.
         let later = unreachable_at + Duration::from_millis(900);
         let id = adopt(&mut planner, OTHER_ENTRY, index, &short::job(500, later), later);
-        planner.first_event(id, later);
-        planner.end(id, later);
+        planner.record_first_event(id, later);
+        planner.finish(id, later);
     }
     planner.set_suspects([SUSPECT]);
     for (index, state) in states.iter().enumerate() {
         match state {
-            EngineState::BreakerOpen => planner.failed(OTHER_ENTRY, &name(index), now),
+            EngineState::BreakerOpen => planner.record_failure(OTHER_ENTRY, &name(index), now),
             EngineState::RateLimited => planner.set_limit(&name(index), Some(0.0), 0.1, now),
             EngineState::Suspect => {
-                adopt(&mut planner, OTHER_ENTRY, index, &Job { work: Some(SUSPECT), ..short::job(500, now) }, now);
+                adopt(&mut planner, OTHER_ENTRY, index, &Job { fingerprint: Some(SUSPECT), ..short::job(500, now) }, now);
             }
             EngineState::Full => (0..16).for_each(|_| {
                 let id = adopt(&mut planner, OTHER_ENTRY, index, &short::job(500, now), now);
-                planner.first_event(id, now);
+                planner.record_first_event(id, now);
             }),
             EngineState::Idle | EngineState::Unreachable => {}
         }
@@ -98,7 +98,7 @@
 /// Submits `count` short prompts of the entry and returns the grants.
 fn submit_and_pump(planner: &mut Planner, count: u64, now: Moment) -> Vec<Grant> {
     (0..count).for_each(|number| planner.submit(Id { entry: CHECKED_ENTRY, number }, short::job(500, now)));
-    planner.pump(now)
+    planner.grant_ready(now)
 }
 
 /// Returns whether a prompt must be granted at once: an idle engine within its rate limit has no known fault, or has
@@ -115,7 +115,7 @@
     let granted = submit_and_pump(&mut planner, 5, now);
     assert!(!must_be_served(states) || granted.len() == 5, "{states:?}: {} of 5 granted", granted.len());
     for grant in &granted {
-        let index = (0..states.len()).find(|index| name(*index) == grant.team.writer).expect("one of them");
+        let index = (0..states.len()).find(|index| name(*index) == grant.team.decoder).expect("one of them");
         assert!(!matches!(states[index], EngineState::RateLimited | EngineState::Full), "{states:?}: {grant:?}");
     }
 }
@@ -170,7 +170,7 @@
     let (mut planner, now) = planner_with(&states);
     assert_eq!(submit_and_pump(&mut planner, 1, now).len(), 1);
     let exclusions: Vec<(Name, Exclusion)> =
-        planner.bars().into_iter().map(|(engine, exclusion)| (engine.clone(), exclusion)).collect();
+        planner.exclusions().into_iter().map(|(engine, exclusion)| (engine.clone(), exclusion)).collect();
     let expected =
         [(0, Exclusion::RateLimited), (1, Exclusion::Full), (2, Exclusion::Suspect), (3, Exclusion::Failing)];
     assert_eq!(exclusions, expected.map(|(index, exclusion)| (name(index), exclusion)));
--- a/coord/tests/planner_load/play.rs
+++ b/coord/tests/planner_load/play.rs
@@ -203,7 +203,7 @@
     pub fn report_slowdown(&mut self) {
         let (slow, slowdown) = self.slow.clone();
         for index in slow {
-            self.planner.set_pace(&name(index), slowdown);
+            self.planner.set_slowdown(&name(index), slowdown);
         }
     }
 
@@ -281,13 +281,13 @@
         let millis = Duration::from_millis;
         let stride = u64::from(self.figures.stride);
         let job = Job {
-            prompt: tokens,
-            output: events * stride,
-            aim: self.moment() + millis(spec.first_event_target_ms),
-            gap_ms: spec.gap_target_ms,
+            prompt_tokens: tokens,
+            max_output_tokens: events * stride,
+            first_event_target: self.moment() + millis(spec.first_event_target_ms),
+            gap_target_ms: spec.gap_target_ms,
             deadline: self.moment() + GRANT_TIMEOUT,
             priority: 1,
-            work: None,
+            fingerprint: None,
         };
         self.next_number += 1;
         let number = self.next_number;
@@ -336,11 +336,11 @@
             }
         }
         self.planner = planner(self.policy, &self.figures);
-        self.planner.unsettle(Moment::from_micros(until));
+        self.planner.begin_settling(Moment::from_micros(until));
     }
 
     fn pump(&mut self) {
-        for Grant { id, team, silent_after } in self.planner.pump(self.moment()) {
+        for Grant { id, team, unresponsive_after } in self.planner.grant_ready(self.moment()) {
             let is_lost = self.loss_rng.random_bool(self.lost_share);
             let engine_indexes: Vec<usize> = team.engines().map(engine_index).collect();
             let Some(prompt) = self.prompts.get_mut(&id.number) else { continue };
@@ -348,8 +348,8 @@
             prompt.was_granted = true;
             (prompt.granted_at, prompt.is_lost) = (self.now, is_lost);
             prompt.decoder = engine_indexes[0];
-            let part_ms = self.figures.part_ms(prompt.tokens, engine_indexes.len());
-            if let Some(timeout) = silent_after {
+            let part_ms = self.figures.prefill_share_ms(prompt.tokens, engine_indexes.len());
+            if let Some(timeout) = unresponsive_after {
                 let event = Event::Unresponsive { number: id.number, at: self.now };
                 self.schedule(self.now + timeout.as_micros() as u64, event);
             }
@@ -369,7 +369,7 @@
         if prompt.last_event_at.is_none() && prompt.refused_at.is_none() && !prompt.was_granted {
             prompt.refused_at = Some(self.now);
             let moment = self.moment();
-            self.planner.end(Id { entry: 0, number }, moment);
+            self.planner.finish(Id { entry: 0, number }, moment);
         }
     }
 
@@ -383,8 +383,8 @@
             return;
         }
         let id = Id { entry: 0, number };
-        self.planner.silent(id, moment);
-        self.planner.end(id, moment);
+        self.planner.mark_unresponsive(id, moment);
+        self.planner.finish(id, moment);
         self.planner.submit(id, prompt.job);
         (prompt.parts_remaining, prompt.last_event_at) = (0, None);
         for engine in &mut self.engines {
@@ -442,7 +442,7 @@
             _ if prompt.is_lost => {}
             None => {
                 prompt.is_in_time &= self.now - prompt.arrived_at <= kind.first_event_target_ms * 1_000;
-                self.planner.first_event(id, moment);
+                self.planner.record_first_event(id, moment);
             }
             Some(last_event_at) => prompt.is_in_time &= (self.now - last_event_at) as f64 <= kind.gap_target_ms * 1e3,
         }
@@ -450,7 +450,7 @@
         prompt.events_remaining -= 1;
         if prompt.events_remaining == 0 {
             self.engines[engine].decoding.retain(|decoder| *decoder != number);
-            self.planner.end(id, moment);
+            self.planner.finish(id, moment);
         }
     }
 }
--- a/coord/tests/planner_load/turnover.rs
+++ b/coord/tests/planner_load/turnover.rs
@@ -16,12 +16,12 @@
         memory: 344_250,
         stride: 38,
         step_ms: 1.31,
-        per_writer_ms: 0.000917,
+        per_sequence_ms: 0.000917,
         per_context_ms: 0.00213,
-        read_per_ms: 154.0,
-        pairs_ms: 0.162,
+        prefill_tokens_per_ms: 154.0,
+        attention_ms_per_million_pairs: 0.162,
         chunk: 2_048,
-        hop_ms: 0.1,
+        remote_prefill_step_ms: 0.1,
     })
 }
 
--- a/coord/tests/planner_machine.rs
+++ b/coord/tests/planner_machine.rs
@@ -24,20 +24,20 @@
     planner
 }
 
-fn job(prompt: u64, now: Moment) -> Job {
-    let (aim, gap_ms, timeout) = match prompt {
+fn job(prompt_tokens: u64, now: Moment) -> Job {
+    let (aim, gap_target_ms, timeout) = match prompt_tokens {
         0..30_000 => (300, 200.0, 2_000),
         30_000..120_000 => (1_500, 500.0, 6_000),
         _ => (3_000, 800.0, 12_000),
     };
     Job {
-        prompt,
-        output: 2_000,
-        aim: now + Duration::from_millis(aim),
-        gap_ms,
+        prompt_tokens,
+        max_output_tokens: 2_000,
+        first_event_target: now + Duration::from_millis(aim),
+        gap_target_ms,
         deadline: now + Duration::from_millis(timeout),
         priority: 1,
-        work: None,
+        fingerprint: None,
     }
 }
 
@@ -77,12 +77,12 @@
 fn count_usage(granted: &BTreeMap<Id, (Job, Grant)>) -> BTreeMap<Name, (u64, u32)> {
     let mut usage: BTreeMap<Name, (u64, u32)> = BTreeMap::new();
     for (job, grant) in granted.values() {
-        let helper_tokens: u64 = grant.team.helpers.iter().map(|helper| helper.holds).sum();
-        let decoder = usage.entry(grant.team.writer.clone()).or_default();
-        decoder.0 += (job.prompt + job.output).saturating_sub(helper_tokens);
+        let helper_tokens: u64 = grant.team.helpers.iter().map(|helper| helper.held_tokens).sum();
+        let decoder = usage.entry(grant.team.decoder.clone()).or_default();
+        decoder.0 += (job.prompt_tokens + job.max_output_tokens).saturating_sub(helper_tokens);
         decoder.1 += 1;
         for helper in &grant.team.helpers {
-            usage.entry(helper.engine.clone()).or_default().0 += helper.holds;
+            usage.entry(helper.engine.clone()).or_default().0 += helper.held_tokens;
         }
     }
     usage
@@ -117,14 +117,14 @@
                 }
                 Step::FirstEvent(index) if !granted.is_empty() => {
                     let id = *index.get(&granted.keys().copied().collect::<Vec<_>>());
-                    planner.first_event(id, now);
+                    planner.record_first_event(id, now);
                 }
                 Step::End(index) if !granted.is_empty() => {
                     let id = *index.get(&granted.keys().copied().collect::<Vec<_>>());
                     granted.remove(&id);
-                    planner.end(id, now);
+                    planner.finish(id, now);
                 }
-                Step::Fail(engine) => planner.failed(0, &format!("engine-{engine:02}").into(), now),
+                Step::Fail(engine) => planner.record_failure(0, &format!("engine-{engine:02}").into(), now),
                 Step::RemoveEngine(engine) if present.len() > 4 => {
                     let name = Name::from(format!("engine-{engine:02}"));
                     present.remove(&name);
@@ -133,22 +133,22 @@
                     let finished: Vec<Id> = granted.iter().filter(|(_, (_, grant))| grant.team.engines().any(|member| *member == name)).map(|(id, _)| *id).collect();
                     for id in finished {
                         granted.remove(&id);
-                        planner.end(id, now);
+                        planner.finish(id, now);
                     }
                 }
                 Step::RemoveEntry(entry) => {
                     let entry = u64::from(entry);
                     waiting.retain(|id, _| id.entry != entry);
                     granted.retain(|id, _| id.entry != entry);
-                    planner.end_entry(entry, now);
+                    planner.remove_entry(entry, now);
                 }
                 Step::SetSlowdown(engine, slowdown) => {
-                    planner.set_pace(&format!("engine-{engine:02}").into(), slowdown);
+                    planner.set_slowdown(&format!("engine-{engine:02}").into(), slowdown);
                 }
                 Step::Wait(millis) => now = now + Duration::from_millis(millis.into()),
                 Step::FirstEvent(_) | Step::End(_) | Step::RemoveEngine(_) => {}
             }
-            for grant in planner.pump(now) {
+            for grant in planner.grant_ready(now) {
                 check_grant(&grant, &present)?;
                 let job = waiting.remove(&grant.id);
                 prop_assert!(job.is_some(), "granted a job that was not waiting: {grant:?}");
@@ -166,10 +166,10 @@
             }
             now = now + Duration::from_millis(20);
             for id in std::mem::take(&mut granted).into_keys() {
-                planner.first_event(id, now);
-                planner.end(id, now);
+                planner.record_first_event(id, now);
+                planner.finish(id, now);
             }
-            for grant in planner.pump(now) {
+            for grant in planner.grant_ready(now) {
                 let job = waiting.remove(&grant.id).unwrap_or_else(|| unreachable!());
                 granted.insert(grant.id, (job, grant));
             }
@@ -180,7 +180,7 @@
 
 /// Pumps the planner once; returns the grants by job number.
 fn pump(planner: &mut Planner, now: Moment) -> BTreeMap<u64, Grant> {
-    planner.pump(now).into_iter().map(|grant| (grant.id.number, grant)).collect()
+    planner.grant_ready(now).into_iter().map(|grant| (grant.id.number, grant)).collect()
 }
 
 #[test]
@@ -191,7 +191,7 @@
         planner.submit(id(number), job(4_000, now));
     }
     let short = pump(&mut planner, now);
-    let decoders: BTreeSet<&Name> = short.values().map(|grant| &grant.team.writer).collect();
+    let decoders: BTreeSet<&Name> = short.values().map(|grant| &grant.team.decoder).collect();
     assert_eq!((short.len(), decoders.len()), (3, 1));
     planner.submit(id(9), job(210_000, now));
     let long = pump(&mut planner, now);
@@ -216,7 +216,7 @@
     assert!(!next.contains_key(&2), "a single engine would take 5.3 s: {next:?}");
     assert!(pump(&mut planner, now).is_empty(), "all engines are prefilling");
     let later = now + Duration::from_millis(250);
-    planner.first_event(id(1), later);
+    planner.record_first_event(id(1), later);
     let last = pump(&mut planner, later);
     assert!(last[&2].team.engines().count() >= 2, "{last:?}");
 }
@@ -230,9 +230,9 @@
     let mut planner = planner(18);
     planner.submit(id(1), job(1_000_000, now));
     let grant = pump(&mut planner, now).remove(&1).expect("the prompt is granted");
-    let held_tokens: u64 = grant.team.helpers.iter().map(|helper| helper.holds).sum();
+    let held_tokens: u64 = grant.team.helpers.iter().map(|helper| helper.held_tokens).sum();
     assert!(held_tokens >= 1_000_000 - 450_000, "{grant:?}");
-    assert!(grant.team.helpers.iter().all(|helper| helper.holds <= 450_000), "{grant:?}");
+    assert!(grant.team.helpers.iter().all(|helper| helper.held_tokens <= 450_000), "{grant:?}");
 }
 
 #[test]
@@ -244,7 +244,7 @@
     let later = now + Duration::from_millis(2_950);
     planner.submit(id(2), job(300_000, now));
     planner.submit(id(3), job(200_000, later));
-    planner.end(id(1), later);
+    planner.finish(id(1), later);
     let next = pump(&mut planner, later);
     assert!(next.contains_key(&3) && !next.contains_key(&2), "{next:?}");
 }
@@ -291,16 +291,16 @@
         let now = Moment::from_millis(10_000 + number * 100);
         planner.submit(id(number), job(4_000, now));
         for (number, grant) in pump(&mut planner, now) {
-            if grant.team.writer == failing {
+            if grant.team.decoder == failing {
                 failing_grants += 1;
-                planner.failed(grant.id.entry, &failing, now + Duration::from_millis(1));
-                planner.end(grant.id, now + Duration::from_millis(1));
+                planner.record_failure(grant.id.entry, &failing, now + Duration::from_millis(1));
+                planner.finish(grant.id, now + Duration::from_millis(1));
             } else {
                 other_grants += 1;
-                planner.first_event(grant.id, now + Duration::from_millis(60));
+                planner.record_first_event(grant.id, now + Duration::from_millis(60));
             }
             if let Some(finished) = number.checked_sub(10) {
-                planner.end(id(finished), now);
+                planner.finish(id(finished), now);
             }
         }
     }
@@ -313,7 +313,7 @@
     let mut planner = planner(6);
     let now = Moment::from_millis(10_000);
     for engine in 0..6 {
-        planner.failed(1, &format!("engine-{engine:02}").into(), now);
+        planner.record_failure(1, &format!("engine-{engine:02}").into(), now);
     }
     // If each report counted in full, half of the engines would be ejected; only the first two reports weigh that
     // much.
@@ -321,7 +321,7 @@
     let mut used = BTreeSet::new();
     for number in 0..60 {
         planner.submit(entry(2, number), job(4_000, now));
-        used.extend(pump(&mut planner, now).into_values().map(|grant| grant.team.writer));
+        used.extend(pump(&mut planner, now).into_values().map(|grant| grant.team.decoder));
     }
     assert!(used.len() >= 4, "{used:?}");
 }
@@ -332,18 +332,18 @@
     let now = Moment::from_millis(10_000);
     planner.submit(Id { entry: 1, number: 0 }, job(4_000, now));
     let first = pump(&mut planner, now).remove(&0).expect("the prompt is granted");
-    planner.failed(1, &first.team.writer, now);
-    planner.end(first.id, now);
+    planner.record_failure(1, &first.team.decoder, now);
+    planner.finish(first.id, now);
     let later = now + Duration::from_millis(800);
     planner.submit(Id { entry: 1, number: 1 }, job(4_000, later));
-    assert_ne!(pump(&mut planner, later)[&1].team.writer, first.team.writer);
+    assert_ne!(pump(&mut planner, later)[&1].team.decoder, first.team.decoder);
 }
 
 #[test]
 fn a_new_planner_starts_no_long_prompt_in_the_settling_period() {
     let now = Moment::from_millis(10_000);
     let mut planner = planner(18);
-    planner.unsettle(now);
+    planner.begin_settling(now);
     planner.submit(id(1), job(250_000, now));
     planner.submit(id(2), job(4_000, now));
     let first = pump(&mut planner, now + Duration::from_millis(100));
@@ -361,16 +361,16 @@
     for ms in 0..10_000u64 {
         let now = Moment::from_millis(10_000 + ms);
         while let Some(entry) = first_events.first_entry().filter(|entry| entry.key().0 <= ms) {
-            planner.first_event(entry.remove(), now);
+            planner.record_first_event(entry.remove(), now);
         }
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= ms) {
-            planner.end(entry.remove(), now);
+            planner.finish(entry.remove(), now);
         }
         if ms % 20 == 0 {
             planner.submit(id(ms), job(4_000, now));
         }
         for (number, grant) in pump(&mut planner, now) {
-            let is_slow = grant.team.writer == *slow;
+            let is_slow = grant.team.decoder == *slow;
             grants_per_second[ms as usize / 1_000] += usize::from(is_slow);
             let slowdown = if is_slow { factor } else { 1.0 };
             first_events.insert((ms + (80.0 * slowdown) as u64, number), grant.id);
@@ -396,13 +396,13 @@
     planner.submit(id(1), job(210_000, now));
     let team = pump(&mut planner, now).remove(&1).expect("the prompt is granted").team;
     let late = now + Duration::from_secs(3);
-    planner.first_event(id(1), late);
-    planner.end(id(1), late);
+    planner.record_first_event(id(1), late);
+    planner.finish(id(1), late);
     planner.submit(id(2), job(210_000, late));
     planner.submit(id(3), job(4_000, late));
     let next = pump(&mut planner, late);
     let is_suspected = |engine: &Name| team.engines().any(|member| member == engine);
-    assert!(is_suspected(&next[&3].team.writer), "a short prompt tries a suspected engine");
+    assert!(is_suspected(&next[&3].team.decoder), "a short prompt tries a suspected engine");
     assert!(!next[&2].team.engines().any(is_suspected), "{next:?}");
 }
 
@@ -414,7 +414,7 @@
         let mut planner = Planner::new(Policy::default(), salt);
         planner.set_engines(engines(18));
         planner.submit(id(1), job(4_000, now));
-        decoders.extend(pump(&mut planner, now).into_values().map(|grant| grant.team.writer));
+        decoders.extend(pump(&mut planner, now).into_values().map(|grant| grant.team.decoder));
     }
     assert!(decoders.len() >= 6, "{decoders:?}");
 }
@@ -425,21 +425,21 @@
     let mut now = Moment::ZERO + Duration::from_secs(1);
     // Two prompts that all engines prefill one after the other, and whose answers are lost.
     let team = |number: usize| coord::planner::Team {
-        writer: format!("engine-{number:02}").into(),
+        decoder: format!("engine-{number:02}").into(),
         helpers: (0..4usize)
             .filter(|index| *index != number)
-            .map(|index| coord::planner::Helper { engine: format!("engine-{index:02}").into(), holds: 0 })
+            .map(|index| coord::planner::Helper { engine: format!("engine-{index:02}").into(), held_tokens: 0 })
             .collect(),
     };
     for number in 0..2u64 {
-        planner.adopt(id(number), &job(200_000, now), team(number as usize), true, now);
+        planner.add_granted(id(number), &job(200_000, now), team(number as usize), true, now);
     }
     now = now + Duration::from_secs(6);
     let short = job(20_000, now);
     for number in 10..14 {
         planner.submit(id(number), short);
     }
-    assert_eq!(planner.pump(now).len(), 4, "both prompts must count as prefilled by now");
+    assert_eq!(planner.grant_ready(now).len(), 4, "both prompts must count as prefilled by now");
 }
 
 #[test]
@@ -448,26 +448,26 @@
     let start = Moment::from_millis(10_000);
     let at = |ms| start + Duration::from_millis(ms);
     planner.submit(id(0), job(5_000, start));
-    let decoder = planner.pump(start)[0].team.writer.clone();
-    assert!(planner.to_ask(at(30)).is_empty(), "prefill takes longer than 30 ms");
-    assert_eq!(planner.to_ask(at(300)), std::slice::from_ref(&decoder));
-    assert!(planner.to_ask(at(700)).is_empty(), "it was probed 400 ms ago");
-    assert!(planner.set_pace(&decoder, 3.0));
-    planner.first_event(id(0), at(710));
-    assert_eq!(planner.to_ask(at(800)), std::slice::from_ref(&decoder), "it may be back at nominal speed");
-    planner.set_pace(&decoder, 1.0);
-    assert!(planner.to_ask(at(1_400)).is_empty());
+    let decoder = planner.grant_ready(start)[0].team.decoder.clone();
+    assert!(planner.engines_to_probe(at(30)).is_empty(), "prefill takes longer than 30 ms");
+    assert_eq!(planner.engines_to_probe(at(300)), std::slice::from_ref(&decoder));
+    assert!(planner.engines_to_probe(at(700)).is_empty(), "it was probed 400 ms ago");
+    assert!(planner.set_slowdown(&decoder, 3.0));
+    planner.record_first_event(id(0), at(710));
+    assert_eq!(planner.engines_to_probe(at(800)), std::slice::from_ref(&decoder), "it may be back at nominal speed");
+    planner.set_slowdown(&decoder, 1.0);
+    assert!(planner.engines_to_probe(at(1_400)).is_empty());
 }
 
 #[test]
 fn a_slow_engine_gets_nothing_while_others_are_free() {
     let mut planner = planner(8);
     let now = Moment::from_millis(10_000);
-    planner.set_pace(&"engine-00".into(), 3.0);
+    planner.set_slowdown(&"engine-00".into(), 3.0);
     for (number, prompt) in [5_000, 5_000, 60_000, 300_000].into_iter().enumerate() {
         planner.submit(id(number as u64), job(prompt, now));
     }
-    let grants = planner.pump(now);
+    let grants = planner.grant_ready(now);
     assert!(!grants.is_empty());
     assert!(grants.iter().all(|grant| grant.team.engines().all(|engine| &**engine != "engine-00")), "{grants:?}");
 }
--- a/coord/tests/planner_plain.rs
+++ b/coord/tests/planner_plain.rs
@@ -34,13 +34,13 @@
 
     fn end(&mut self, id: Id, now: Moment) {
         self.running.retain(|running| *running != id);
-        self.planner.end(id, now);
-        self.reference.end(id, now);
+        self.planner.finish(id, now);
+        self.reference.finish(id, now);
     }
 
     fn pump(&mut self, now: Moment) -> Result<Vec<Grant>, TestCaseError> {
-        let planner = self.planner.pump(now);
-        let reference = self.reference.pump(now);
+        let planner = self.planner.grant_ready(now);
+        let reference = self.reference.grant_ready(now);
         prop_assert_eq!(&planner, &reference);
         prop_assert_eq!(self.planner.has_waiting(), self.reference.has_waiting());
         self.running.extend(planner.iter().map(|grant| grant.id));
@@ -48,8 +48,8 @@
     }
 }
 
-fn job(prompt: u64, urgency: u64, now: Moment) -> Job {
-    let (aim, gap_ms, timeout) = match prompt {
+fn job(prompt_tokens: u64, urgency: u64, now: Moment) -> Job {
+    let (aim, gap_target_ms, timeout) = match prompt_tokens {
         0..30_000 => (300, if urgency.is_multiple_of(7) { 0.0 } else { 200.0 }, 2_000),
         30_000..120_000 => (1_500, 500.0, 6_000),
         _ => (3_000, 800.0, 12_000),
@@ -57,13 +57,13 @@
     let millis = Duration::from_millis;
     let elapsed = millis(urgency * 40);
     Job {
-        prompt,
-        output: 500 + urgency * 100,
-        aim: now + millis(aim) - elapsed,
-        gap_ms,
+        prompt_tokens,
+        max_output_tokens: 500 + urgency * 100,
+        first_event_target: now + millis(aim) - elapsed,
+        gap_target_ms,
         deadline: now + millis(timeout) - elapsed,
         priority: 1 + (urgency % 5 / 4) as u32,
-        work: None,
+        fingerprint: None,
     }
 }
 
@@ -121,30 +121,30 @@
                 pair.reference.submit(id, job);
             }
             Step::Adopt { prompt, writer, helpers, is_prefilling } => {
-                let helper = |index| coord::planner::Helper { engine: name((writer + index) % 24), holds: 0 };
-                let team = Team { writer: name(writer), helpers: (1..=helpers).map(helper).collect() };
+                let helper = |index| coord::planner::Helper { engine: name((writer + index) % 24), held_tokens: 0 };
+                let team = Team { decoder: name(writer), helpers: (1..=helpers).map(helper).collect() };
                 // The reference implementation also counts removed engines among the half-open ones.
                 if !team.engines().all(|engine| engines.contains(engine)) {
                     continue;
                 }
                 let id = Id { entry: 9, number };
                 let job = job(prompt, 0, now);
-                pair.planner.adopt(id, &job, team.clone(), is_prefilling, now);
-                pair.reference.adopt(id, &job, team, is_prefilling, now);
+                pair.planner.add_granted(id, &job, team.clone(), is_prefilling, now);
+                pair.reference.add_granted(id, &job, team, is_prefilling, now);
                 pair.running.push(id);
             }
             Step::FirstEvent(index) if !pair.running.is_empty() => {
                 let id = *index.get(&pair.running);
-                pair.planner.first_event(id, now);
-                pair.reference.first_event(id, now);
+                pair.planner.record_first_event(id, now);
+                pair.reference.record_first_event(id, now);
             }
             Step::End(index) if !pair.running.is_empty() => {
                 let id = *index.get(&pair.running);
                 pair.end(id, now);
             }
             Step::Fail { entry, engine } => {
-                pair.planner.failed(entry, &name(engine), now);
-                pair.reference.failed(entry, &name(engine), now);
+                pair.planner.record_failure(entry, &name(engine), now);
+                pair.reference.record_failure(entry, &name(engine), now);
             }
             Step::RemoveEngine(engine) if engines.len() > 1 => {
                 engines.remove(&name(engine));
@@ -160,12 +160,12 @@
             }
             Step::RemoveEntry(entry) => {
                 pair.running.retain(|id| id.entry != entry);
-                pair.planner.end_entry(entry, now);
-                pair.reference.end_entry(entry, now);
+                pair.planner.remove_entry(entry, now);
+                pair.reference.remove_entry(entry, now);
             }
             Step::BeginSettling => {
-                pair.planner.unsettle(now);
-                pair.reference.unsettle(now);
+                pair.planner.begin_settling(now);
+                pair.reference.begin_settling(now);
             }
             Step::Wait(millis) => now = now + Duration::from_millis(millis),
             _ => {}
--- a/coord/tests/planner_rests.rs
+++ b/coord/tests/planner_rests.rs
@@ -23,13 +23,13 @@
 fn planner(in_backoff: usize) -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
     planner.set_engines((0..ENGINES).map(|index| (name(index), figures(16, 46))));
-    (0..in_backoff).for_each(|index| planner.rests(1, &name(index), BACKOFF, NOW));
+    (0..in_backoff).for_each(|index| planner.set_backoff(1, &name(index), BACKOFF, NOW));
     planner
 }
 
 fn submit_and_pump(planner: &mut Planner, entry: u64, job: Job, now: Moment) -> Vec<Grant> {
     (0..8).for_each(|number| planner.submit(Id { entry, number }, job));
-    planner.pump(now)
+    planner.grant_ready(now)
 }
 
 fn is_used(grants: &[Grant], engine: &Name) -> bool {
@@ -39,8 +39,8 @@
 /// Returns a prompt that needs several engines to be in time.
 fn long_job(now: Moment) -> Job {
     Job {
-        prompt: 200_000,
-        aim: now + Duration::from_secs(3),
+        prompt_tokens: 200_000,
+        first_event_target: now + Duration::from_secs(3),
         deadline: now + Duration::from_secs(9),
         ..short::job(500, now)
     }
@@ -71,15 +71,15 @@
     );
     assert!(planner.refuse(NOW).is_empty(), "backoffs are not an overload");
     let later = NOW + BACKOFF;
-    assert_eq!(planner.pump(later).len(), 8);
+    assert_eq!(planner.grant_ready(later).len(), 8);
 }
 
 #[test]
 fn a_restarted_engine_and_a_reconnected_entry_have_no_backoffs() {
     let mut planner = planner(ENGINES);
-    planner.restarted(&name(2));
+    planner.reset_engine(&name(2));
     let grants = submit_and_pump(&mut planner, 1, short::job(500, NOW), NOW);
-    assert!(!grants.is_empty() && grants.iter().all(|grant| grant.team.writer == name(2)), "{grants:?}");
-    planner.end_entry(1, NOW);
+    assert!(!grants.is_empty() && grants.iter().all(|grant| grant.team.decoder == name(2)), "{grants:?}");
+    planner.remove_entry(1, NOW);
     assert_eq!(submit_and_pump(&mut planner, 1, short::job(500, NOW), NOW).len(), 8);
 }
--- a/coord/tests/quarantine.rs
+++ b/coord/tests/quarantine.rs
@@ -8,39 +8,39 @@
 }
 
 fn termination(number: u32, run: &str, weight: Weight) -> Event {
-    Event::Ended { work: fingerprint(number), run: Name::from(run), weight }
+    Event::Terminated { work: fingerprint(number), run: Name::from(run), weight }
 }
 
 fn register(events: impl IntoIterator<Item = Event>) -> State {
     let mut register = State::default();
-    events.into_iter().for_each(|event| drop(register.hear(event)));
+    events.into_iter().for_each(|event| drop(register.apply(event)));
     register
 }
 
 #[test]
 fn the_third_termination_at_the_start_of_a_request_condemns_it() {
     let mut register = register([termination(1, "a", Weight::Strong), termination(1, "b", Weight::Strong)]);
-    assert_eq!(register.standing(fingerprint(1)), Status::Suspect);
-    let relayed = register.hear(termination(1, "c", Weight::Strong));
+    assert_eq!(register.status(fingerprint(1)), Status::Suspect);
+    let relayed = register.apply(termination(1, "c", Weight::Strong));
     assert_eq!(relayed, [termination(1, "c", Weight::Strong), Event::Condemned(fingerprint(1))]);
-    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
-    assert!(register.hear(termination(1, "d", Weight::Strong)).is_empty());
+    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
+    assert!(register.apply(termination(1, "d", Weight::Strong)).is_empty());
 }
 
 #[test]
 fn one_termination_counts_once_however_many_processes_report_it() {
     let reports = (0..9).map(|_| termination(1, "a", Weight::Strong));
     let register = register(reports.chain([termination(1, "a", Weight::Faint)]));
-    assert_eq!(register.standing(fingerprint(1)), Status::Suspect);
+    assert_eq!(register.status(fingerprint(1)), Status::Suspect);
     assert_eq!(register.suspects().collect::<Vec<_>>(), [(fingerprint(1), 2)]);
 }
 
 #[test]
 fn faint_evidence_condemns_only_after_five_terminations() {
     let mut register = register(["a", "b", "c", "d"].map(|run| termination(1, run, Weight::Faint)));
-    assert_ne!(register.standing(fingerprint(1)), Status::Condemned);
-    register.hear(termination(1, "e", Weight::Faint));
-    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
+    assert_ne!(register.status(fingerprint(1)), Status::Condemned);
+    register.apply(termination(1, "e", Weight::Faint));
+    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
 }
 
 #[test]
@@ -53,13 +53,13 @@
         termination(1, "c", Weight::Strong),
     ]);
     // A report that the other fingerprint was on the third replica too may still be in transit.
-    assert_eq!(register.standing(fingerprint(1)), Status::Suspect);
-    register.hear(termination(1, "d", Weight::Strong));
-    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
-    assert_eq!(register.standing(fingerprint(2)), Status::Clear);
+    assert_eq!(register.status(fingerprint(1)), Status::Suspect);
+    register.apply(termination(1, "d", Weight::Strong));
+    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
+    assert_eq!(register.status(fingerprint(2)), Status::Clear);
     // Reports of the same terminations that arrive later do not count either.
-    assert!(register.hear(termination(2, "c", Weight::Strong)).is_empty());
-    assert_eq!(register.standing(fingerprint(2)), Status::Clear);
+    assert!(register.apply(termination(2, "c", Weight::Strong)).is_empty());
+    assert_eq!(register.status(fingerprint(2)), Status::Clear);
 }
 
 #[test]
@@ -67,13 +67,13 @@
     let both = ["a", "b"].into_iter().flat_map(|run| [1, 2].map(|number| termination(number, run, Weight::Strong)));
     let mut register = register(both);
     // The innocent fingerprint is reported first at the third termination.
-    register.hear(termination(2, "c", Weight::Faint));
-    register.hear(termination(1, "c", Weight::Strong));
-    assert_eq!(register.standing(fingerprint(2)), Status::Suspect);
-    register.hear(termination(1, "d", Weight::Strong));
-    register.hear(termination(1, "e", Weight::Strong));
-    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
-    assert_eq!(register.standing(fingerprint(2)), Status::Clear);
+    register.apply(termination(2, "c", Weight::Faint));
+    register.apply(termination(1, "c", Weight::Strong));
+    assert_eq!(register.status(fingerprint(2)), Status::Suspect);
+    register.apply(termination(1, "d", Weight::Strong));
+    register.apply(termination(1, "e", Weight::Strong));
+    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
+    assert_eq!(register.status(fingerprint(2)), Status::Clear);
 }
 
 #[test]
@@ -86,21 +86,21 @@
 #[test]
 fn a_successful_answer_clears_a_suspect_and_lifts_a_verdict() {
     let mut with_suspect = register([termination(1, "a", Weight::Strong)]);
-    assert_eq!(with_suspect.hear(Event::Cleared(fingerprint(1))), [Event::Cleared(fingerprint(1))]);
-    assert_eq!(with_suspect.standing(fingerprint(1)), Status::Clear);
+    assert_eq!(with_suspect.apply(Event::Cleared(fingerprint(1))), [Event::Cleared(fingerprint(1))]);
+    assert_eq!(with_suspect.status(fingerprint(1)), Status::Clear);
     let mut with_verdict = register([Event::Condemned(fingerprint(1))]);
-    assert_eq!(with_verdict.hear(Event::Cleared(fingerprint(1))), [Event::Lifted(fingerprint(1))]);
-    assert_eq!(with_verdict.standing(fingerprint(1)), Status::Clear);
+    assert_eq!(with_verdict.apply(Event::Cleared(fingerprint(1))), [Event::Lifted(fingerprint(1))]);
+    assert_eq!(with_verdict.status(fingerprint(1)), Status::Clear);
 }
 
 #[test]
 fn an_operator_lifts_a_verdict_and_new_evidence_brings_it_back() {
     let mut register = register([Event::Condemned(fingerprint(1)), Event::Lifted(fingerprint(1))]);
-    assert_eq!(register.standing(fingerprint(1)), Status::Clear);
+    assert_eq!(register.status(fingerprint(1)), Status::Clear);
     for run in ["a", "b", "c"] {
-        register.hear(termination(1, run, Weight::Strong));
+        register.apply(termination(1, run, Weight::Strong));
     }
-    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
+    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
 }
 
 #[test]
@@ -111,9 +111,9 @@
         termination(2, "b", Weight::Strong),
     ]);
     for number in 10..20_000 {
-        register.hear(termination(number, &format!("run-{}", number / 16), Weight::Faint));
+        register.apply(termination(number, &format!("run-{}", number / 16), Weight::Faint));
     }
-    assert_eq!(register.standing(fingerprint(1)), Status::Condemned);
+    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
     assert_eq!(register.suspects().collect::<Vec<_>>(), [(fingerprint(2), 4)]);
     assert!((10..20_000).filter(|number| register.evidence(fingerprint(*number)).next().is_some()).count() < 4_096);
 }
@@ -127,9 +127,9 @@
         termination(3, "a", Weight::Strong),
     ]);
     let mut other = State::default();
-    original.all().into_iter().for_each(|event| drop(other.hear(event)));
-    (1..=3).for_each(|number| assert_eq!(other.standing(fingerprint(number)), original.standing(fingerprint(number))));
-    assert_eq!(other.all(), original.all());
+    original.events().into_iter().for_each(|event| drop(other.apply(event)));
+    (1..=3).for_each(|number| assert_eq!(other.status(fingerprint(number)), original.status(fingerprint(number))));
+    assert_eq!(other.events(), original.events());
 }
 
 #[test]
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -76,7 +76,7 @@
     }
 
     fn publish(&mut self, entry: usize, news: Event) {
-        let relayed = self.registers[entry].hear(news);
+        let relayed = self.registers[entry].apply(news);
         for other in (0..ENTRIES).filter(|other| *other != entry) {
             for news in &relayed {
                 let at = self.step + self.random.random_range(0..=self.parameters.max_transit_steps);
@@ -89,7 +89,7 @@
         let step = self.step;
         let due: Vec<_> = self.in_transit.extract_if(.., |(at, ..)| *at <= step).collect();
         for (_, entry, news) in due {
-            self.registers[entry].hear(news);
+            self.registers[entry].apply(news);
         }
     }
 
@@ -97,7 +97,7 @@
     /// replica without suspects.
     fn select_replica(&mut self, entry: usize, work: Fingerprint) -> usize {
         let register = &self.registers[entry];
-        let is_suspect = |work: Fingerprint| register.standing(work) == Status::Suspect;
+        let is_suspect = |work: Fingerprint| register.status(work) == Status::Suspect;
         let free: Vec<usize> = (0..REPLICAS)
             .filter(|replica| !self.running[*replica].iter().any(|request| is_suspect(request.work)))
             .collect();
@@ -116,7 +116,7 @@
         let victims = std::mem::take(&mut self.running[replica]);
         for request in &victims {
             let weight = if request.has_output { Weight::Faint } else { Weight::Strong };
-            self.publish(request.entry, Event::Ended { work: request.work, run: run.clone(), weight });
+            self.publish(request.entry, Event::Terminated { work: request.work, run: run.clone(), weight });
         }
         for request in victims.into_iter().filter(|request| request.sends < MAX_SENDS) {
             let sent_again = Request { has_output: false, sends: request.sends + 1, ..request };
@@ -127,14 +127,14 @@
 
     fn send_fatal(&mut self) {
         let entry = self.random.random_range(0..ENTRIES);
-        if self.registers[entry].standing(FATAL_FINGERPRINT) == Status::Condemned {
+        if self.registers[entry].status(FATAL_FINGERPRINT) == Status::Condemned {
             return;
         }
         let replica = self.select_replica(entry, FATAL_FINGERPRINT);
         self.fatal_terminations += 1;
         let run: Name = format!("{replica}/{}", self.terminations[replica] + 1).into();
         self.terminate_replica(replica);
-        self.publish(entry, Event::Ended { work: FATAL_FINGERPRINT, run, weight: Weight::Strong });
+        self.publish(entry, Event::Terminated { work: FATAL_FINGERPRINT, run, weight: Weight::Strong });
     }
 
     fn run(&mut self, steps: usize) {
@@ -191,7 +191,7 @@
         simulation.run(3_000);
         assert_eq!(simulation.wrongly_condemned(), BTreeSet::new(), "seed {seed}");
         assert!(
-            simulation.registers.iter().all(|register| register.standing(FATAL_FINGERPRINT) == Status::Condemned),
+            simulation.registers.iter().all(|register| register.status(FATAL_FINGERPRINT) == Status::Condemned),
             "seed {seed}"
         );
         *terminations.entry(simulation.fatal_terminations).or_default() += 1;
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -7,51 +7,51 @@
 
 const NOW: Moment = Moment::from_millis(1_000);
 
-fn record(born: Option<u64>, leaving: bool) -> Record {
+fn record(started_ms: Option<u64>, leaving: bool) -> Record {
     Record {
         id: "r".into(),
-        born,
+        started_ms,
         service: "s".into(),
         address: "10.0.0.1:1".into(),
         failure_domain: "d".into(),
         slots: 4,
         leaving,
-        cold: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
-fn draining_run(born: Option<u64>) -> DrainingRun {
-    DrainingRun { id: "r".into(), born }
+fn draining_run(started_ms: Option<u64>) -> DrainingRun {
+    DrainingRun { id: "r".into(), started_ms }
 }
 
 fn takes_work(roster: &Roster) -> bool {
-    roster.usable_one("r").is_some()
+    roster.usable_replica("r").is_some()
 }
 
 fn apply_record(roster: &mut Roster, offset: u64, born: Option<u64>, leaving: bool) {
-    roster.hear(offset, RecordState::Present(record(born, leaving)), NOW);
+    roster.apply(offset, RecordState::Present(record(born, leaving)), NOW);
 }
 
 #[test]
 fn a_replica_that_reported_draining_takes_no_work_whatever_its_record_states() {
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, None, false);
-    let change = roster.leaves(draining_run(None)).expect("a change");
-    assert_eq!(change.standing, Availability::Gone);
-    assert_eq!(roster.leaves(draining_run(None)), None, "the same statement again changes nothing");
+    let change = roster.mark_draining(draining_run(None)).expect("a change");
+    assert_eq!(change.availability, Availability::Gone);
+    assert_eq!(roster.mark_draining(draining_run(None)), None, "the same statement again changes nothing");
     apply_record(&mut roster, 2, None, false);
     assert!(!takes_work(&roster), "after a heartbeat");
-    roster.hear(3, RecordState::Removed("r".into()), NOW);
+    roster.apply(3, RecordState::Removed("r".into()), NOW);
     apply_record(&mut roster, 4, None, false);
     assert!(!takes_work(&roster), "after its record expired and reappeared");
-    roster.replace(9, vec![Update { offset: 8, news: RecordState::Present(record(None, false)) }], NOW);
+    roster.apply_snapshot(9, vec![Update { offset: 8, state: RecordState::Present(record(None, false)) }], NOW);
     assert!(!takes_work(&roster), "after a full snapshot");
 }
 
 #[test]
 fn a_draining_run_of_an_unknown_replica_is_remembered() {
     let mut roster = Roster::default();
-    assert_eq!(roster.leaves(draining_run(Some(5))), None);
+    assert_eq!(roster.mark_draining(draining_run(Some(5))), None);
     apply_record(&mut roster, 1, Some(5), false);
     assert!(!takes_work(&roster));
 }
@@ -60,13 +60,13 @@
 fn a_later_run_takes_work_and_late_messages_of_an_earlier_one_change_nothing() {
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, Some(5), false);
-    roster.leaves(draining_run(Some(5)));
+    roster.mark_draining(draining_run(Some(5)));
     apply_record(&mut roster, 2, Some(6), false);
     assert!(takes_work(&roster), "the replica has restarted");
-    assert!(roster.knows_leaver(&draining_run(Some(5))));
-    assert_eq!(roster.leaves(draining_run(Some(5))), None);
+    assert!(roster.has_draining_run(&draining_run(Some(5))));
+    assert_eq!(roster.mark_draining(draining_run(Some(5))), None);
     assert!(takes_work(&roster));
-    roster.leaves(draining_run(Some(6)));
+    roster.mark_draining(draining_run(Some(6)));
     assert!(!takes_work(&roster));
 }
 
@@ -74,7 +74,7 @@
 fn a_report_of_an_unrecorded_run_applies_once_it_is_recorded() {
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, Some(5), false);
-    roster.leaves(draining_run(Some(6)));
+    roster.mark_draining(draining_run(Some(6)));
     assert!(!takes_work(&roster), "the recorded run is over");
     apply_record(&mut roster, 2, Some(6), false);
     assert!(!takes_work(&roster));
@@ -84,18 +84,18 @@
 fn peers_are_notified_until_the_record_states_the_drain() {
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, None, false);
-    roster.leaves(draining_run(None));
-    assert_eq!(roster.leavers().collect::<Vec<_>>(), [draining_run(None)]);
-    let updates = roster.since(0, NOW);
+    roster.mark_draining(draining_run(None));
+    assert_eq!(roster.draining_runs().collect::<Vec<_>>(), [draining_run(None)]);
+    let updates = roster.updates_since(0, NOW);
     assert!(
-        matches!(&updates[..], [Update { news: RecordState::Present(record), .. }] if record.leaving),
+        matches!(&updates[..], [Update { state: RecordState::Present(record), .. }] if record.leaving),
         "a full snapshot shows the drain"
     );
     apply_record(&mut roster, 7, None, true);
-    assert_eq!(roster.leavers().count(), 0);
-    let updates = roster.since(7, NOW);
+    assert_eq!(roster.draining_runs().count(), 0);
+    let updates = roster.updates_since(7, NOW);
     assert!(
-        matches!(&updates[..], [Update { offset: 7, news: RecordState::Present(record) }] if record.leaving),
+        matches!(&updates[..], [Update { offset: 7, state: RecordState::Present(record) }] if record.leaving),
         "{updates:?}"
     );
 }
@@ -104,9 +104,9 @@
 fn a_removed_replica_is_not_reported_to_peers() {
     let mut roster = Roster::default();
     apply_record(&mut roster, 1, None, false);
-    roster.leaves(draining_run(None));
-    roster.hear(2, RecordState::Removed("r".into()), NOW);
-    assert_eq!(roster.leavers().count(), 0);
+    roster.mark_draining(draining_run(None));
+    roster.apply(2, RecordState::Removed("r".into()), NOW);
+    assert_eq!(roster.draining_runs().count(), 0);
     apply_record(&mut roster, 3, None, false);
-    assert_eq!(roster.leavers().count(), 1, "the record expired and reappeared");
+    assert_eq!(roster.draining_runs().count(), 1, "the record expired and reappeared");
 }
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -40,13 +40,13 @@
 fn record(number: u8, leaving: bool) -> Record {
     Record {
         id: name(number),
-        born: None,
+        started_ms: None,
         service: "service".into(),
         address: "10.0.0.1:1".into(),
         failure_domain: "here".into(),
         slots: 1,
         leaving,
-        cold: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
@@ -77,26 +77,26 @@
                     if leaving {
                         expected.ended.insert(number);
                     }
-                    roster.hear(expected.offset, RecordState::Present(record(number, leaving)), now);
+                    roster.apply(expected.offset, RecordState::Present(record(number, leaving)), now);
                 }
                 Step::Remove(number) => {
                     expected.offset += 1;
                     expected.newest.remove(&number);
-                    roster.hear(expected.offset, RecordState::Removed(name(number)), now);
+                    roster.apply(expected.offset, RecordState::Removed(name(number)), now);
                 }
-                Step::StoreRecovered => roster.store_returned(now, GRACE),
+                Step::StoreRecovered => roster.record_store_recovery(now, GRACE),
                 Step::Redeliver(number) => {
                     // An outdated update that arrives again has no effect.
                     if let Some((offset, _)) = expected.newest.get(&number).filter(|(offset, _)| *offset > 1) {
-                        let before = roster.get(&name(number)).map(|replica| replica.standing);
-                        roster.hear(offset - 1, RecordState::Removed(name(number)), now);
-                        prop_assert_eq!(before, roster.get(&name(number)).map(|replica| replica.standing));
+                        let before = roster.get(&name(number)).map(|replica| replica.availability);
+                        roster.apply(offset - 1, RecordState::Removed(name(number)), now);
+                        prop_assert_eq!(before, roster.get(&name(number)).map(|replica| replica.availability));
                     }
                 }
                 Step::ApplySnapshot => {
-                    let update = |(offset, record): &(u64, Record)| Update { offset: *offset, news: RecordState::Present(record.clone()) };
+                    let update = |(offset, record): &(u64, Record)| Update { offset: *offset, state: RecordState::Present(record.clone()) };
                     let newest = expected.newest.values().map(update).collect();
-                    roster.replace(expected.offset + 1, newest, now);
+                    roster.apply_snapshot(expected.offset + 1, newest, now);
                 }
                 Step::Wait(millis) => {
                     now = now + Duration::from_millis(millis.into());
@@ -106,17 +106,17 @@
             for number in &expected.known {
                 let Some(replica) = roster.get(&name(*number)) else { continue };
                 if expected.ended.contains(number) {
-                    prop_assert_eq!(replica.standing, Availability::Gone);
+                    prop_assert_eq!(replica.availability, Availability::Gone);
                 } else if expected.newest.contains_key(number) {
-                    prop_assert_eq!(replica.standing, Availability::Ready);
+                    prop_assert_eq!(replica.availability, Availability::Ready);
                 } else {
-                    prop_assert_ne!(replica.standing, Availability::Ready);
+                    prop_assert_ne!(replica.availability, Availability::Ready);
                 }
             }
         }
         roster.expire(now + GRACE + GRACE);
         for number in &expected.known {
-            let gone = roster.get(&name(*number)).is_none_or(|replica| replica.standing == Availability::Gone);
+            let gone = roster.get(&name(*number)).is_none_or(|replica| replica.availability == Availability::Gone);
             prop_assert_eq!(gone, expected.ended.contains(number) || !expected.newest.contains_key(number));
         }
     }
@@ -126,9 +126,9 @@
 fn without_an_outage_a_missing_record_is_gone_at_once() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, RecordState::Present(record(1, false)), now);
-    roster.hear(2, RecordState::Removed(name(1)), now);
-    assert_eq!(roster.get("replica-1").map(|replica| replica.standing), Some(Availability::Gone));
+    roster.apply(1, RecordState::Present(record(1, false)), now);
+    roster.apply(2, RecordState::Removed(name(1)), now);
+    assert_eq!(roster.get("replica-1").map(|replica| replica.availability), Some(Availability::Gone));
     assert_eq!(roster.usable("service").count(), 0);
 }
 
@@ -136,8 +136,8 @@
 fn an_outdated_snapshot_removes_nothing() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(7, RecordState::Present(record(1, false)), now);
-    let changes = roster.replace(5, vec![], now);
+    roster.apply(7, RecordState::Present(record(1, false)), now);
+    let changes = roster.apply_snapshot(5, vec![], now);
     assert!(changes.is_empty(), "{changes:?}");
     assert_eq!(roster.usable("service").count(), 1);
 }
@@ -146,10 +146,10 @@
 fn a_replica_whose_address_belongs_to_another_is_gone() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, RecordState::Present(record(1, false)), now);
-    assert!(roster.displaced("replica-1").is_some());
+    roster.apply(1, RecordState::Present(record(1, false)), now);
+    assert!(roster.mark_displaced("replica-1").is_some());
     assert_eq!(roster.usable("service").count(), 0);
-    assert!(roster.displaced("replica-1").is_none(), "reported once");
+    assert!(roster.mark_displaced("replica-1").is_none(), "reported once");
 }
 
 proptest! {
@@ -169,22 +169,22 @@
                     if leaving {
                         ended.insert(number);
                     }
-                    reader.hear(offset, RecordState::Present(record(number, leaving)), now);
+                    reader.apply(offset, RecordState::Present(record(number, leaving)), now);
                     offset += 1;
                 }
                 Step::Remove(number) => {
-                    reader.hear(offset, RecordState::Removed(name(number)), now);
+                    reader.apply(offset, RecordState::Removed(name(number)), now);
                     offset += 1;
                 }
                 Step::StoreRecovered | Step::ApplySnapshot | Step::Wait(_) => {}
             }
             if sends_updates {
-                for update in reader.since(sent_offset, now) {
-                    receiver.hear(update.offset, update.news, now);
+                for update in reader.updates_since(sent_offset, now) {
+                    receiver.apply(update.offset, update.state, now);
                 }
                 sent_offset = offset;
                 for number in 0..5 {
-                    let standing = |roster: &Roster| roster.get(&name(number)).map(|known| known.standing);
+                    let standing = |roster: &Roster| roster.get(&name(number)).map(|known| known.availability);
                     // A replica that appeared and disappeared unreported counts as gone.
                     let receiver = standing(&receiver).unwrap_or(Availability::Gone);
                     prop_assert_eq!(standing(&reader).unwrap_or(Availability::Gone), receiver);
@@ -199,64 +199,64 @@
         let mut roster = Roster::default();
         let now = Moment::from_millis(10_000);
         for offset in 0..heartbeats {
-            roster.hear(offset, RecordState::Present(record(1, false)), now);
+            roster.apply(offset, RecordState::Present(record(1, false)), now);
         }
-        prop_assert_eq!(roster.since(1, now), vec![]);
-        prop_assert_eq!(roster.since(0, now).len(), 1);
+        prop_assert_eq!(roster.updates_since(1, now), vec![]);
+        prop_assert_eq!(roster.updates_since(0, now).len(), 1);
     }
 }
 
 #[test]
 fn a_replica_missing_from_a_full_snapshot_does_not_return_with_an_older_record() {
     let now = Moment::from_millis(1_000);
-    let update = |offset, number| Update { offset, news: RecordState::Present(record(number, false)) };
+    let update = |offset, number| Update { offset, state: RecordState::Present(record(number, false)) };
     // The replica disappears at offset 50 without announcing its end, unnoticed by the outdated process.
     let mut outdated = Roster::default();
-    outdated.hear(10, update(10, 1).news, now);
-    outdated.hear(11, update(11, 2).news, now);
+    outdated.apply(10, update(10, 1).state, now);
+    outdated.apply(11, update(11, 2).state, now);
     // A new process reads the full snapshot up to offset 60, and then receives the state of the outdated process.
     let mut fresh = Roster::default();
-    fresh.replace(60, vec![update(11, 2)], now);
-    for receiver in outdated.since(0, now) {
-        fresh.hear(receiver.offset, receiver.news, now);
+    fresh.apply_snapshot(60, vec![update(11, 2)], now);
+    for receiver in outdated.updates_since(0, now) {
+        fresh.apply(receiver.offset, receiver.state, now);
     }
     assert!(!fresh.get("replica-1").is_some_and(|known| known.takes_work()), "{fresh:?}");
     // The outdated process receives the full snapshot and learns of the removal.
-    outdated.replace(60, fresh.since(0, now), now);
+    outdated.apply_snapshot(60, fresh.updates_since(0, now), now);
     assert!(!outdated.get("replica-1").expect("the replica was recorded").takes_work());
     // A record of the returned replica is newer than the removal.
-    fresh.hear(61, update(61, 1).news, now);
+    fresh.apply(61, update(61, 1).state, now);
     assert!(fresh.get("replica-1").expect("the replica has returned").takes_work());
 }
 
 /// Returns a record change for the run of replica 1 with start time `born`.
 fn run_record(born: u64, leaving: bool) -> RecordState {
-    RecordState::Present(Record { born: Some(born), ..record(1, leaving) })
+    RecordState::Present(Record { started_ms: Some(born), ..record(1, leaving) })
 }
 
 #[test]
 fn a_later_run_replaces_the_earlier_one_and_is_reported_once() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, run_record(1_000, false), now);
-    let change = roster.hear(2, run_record(2_000, false), now).expect("a change");
-    assert!(change.restarted && change.standing == Availability::Ready);
-    assert!(roster.hear(3, run_record(2_000, false), now).is_none(), "a heartbeat");
+    roster.apply(1, run_record(1_000, false), now);
+    let change = roster.apply(2, run_record(2_000, false), now).expect("a change");
+    assert!(change.has_restarted && change.availability == Availability::Ready);
+    assert!(roster.apply(3, run_record(2_000, false), now).is_none(), "a heartbeat");
 }
 
 #[test]
 fn a_record_of_another_writer_is_unusable_until_the_replica_writes_its_own() {
     let mut roster = Roster::default();
     let now = Moment::from_millis(10_000);
-    roster.hear(1, RecordState::Present(record(1, false)), now);
-    let change = roster.hear(2, RecordState::Unusable(name(1)), now).expect("a change");
-    assert_eq!(change.standing, Availability::Unusable);
-    assert!(roster.hear(3, RecordState::Unusable(name(1)), now).is_none(), "reported once");
+    roster.apply(1, RecordState::Present(record(1, false)), now);
+    let change = roster.apply(2, RecordState::Unusable(name(1)), now).expect("a change");
+    assert_eq!(change.availability, Availability::Unusable);
+    assert!(roster.apply(3, RecordState::Unusable(name(1)), now).is_none(), "reported once");
     assert_eq!(roster.usable("service").count(), 0);
-    assert!(roster.hear(1, RecordState::Present(record(1, false)), now).is_none(), "an outdated update");
-    roster.hear(4, RecordState::Present(record(1, false)), now);
+    assert!(roster.apply(1, RecordState::Present(record(1, false)), now).is_none(), "an outdated update");
+    roster.apply(4, RecordState::Present(record(1, false)), now);
     assert_eq!(roster.usable("service").count(), 1);
-    assert!(roster.hear(5, RecordState::Unusable(name(7)), now).is_none(), "an unknown replica");
+    assert!(roster.apply(5, RecordState::Unusable(name(7)), now).is_none(), "an unknown replica");
 }
 
 proptest! {
@@ -286,29 +286,29 @@
                     log.push(run_record(born, true));
                 }
                 _ => {
-                    let updates = reader.since(sent_offset, now);
+                    let updates = reader.updates_since(sent_offset, now);
                     for update in updates.iter().chain(&updates) {
-                        receiver.hear(update.offset, update.news.clone(), now);
+                        receiver.apply(update.offset, update.state.clone(), now);
                     }
                     sent_offset = log.len() as u64;
                 }
             }
             for (offset, news) in log.iter().enumerate() {
-                reader.hear(offset as u64, news.clone(), now);
+                reader.apply(offset as u64, news.clone(), now);
             }
             if !log.is_empty() {
                 // A random record is applied again.
                 let offset = index.index(log.len());
-                reader.hear(offset as u64, log[offset].clone(), now);
+                reader.apply(offset as u64, log[offset].clone(), now);
             }
             let Some(known) = reader.get("replica-1") else { continue };
-            let newest = known.record.born.unwrap_or(0);
+            let newest = known.record.started_ms.unwrap_or(0);
             prop_assert!(newest <= born);
             if ended.contains(&newest) {
                 prop_assert!(!known.takes_work(), "run {newest} announced its end");
             }
             if step == 5 {
-                let other = receiver.get("replica-1").map(|known| (known.standing, known.record.born));
+                let other = receiver.get("replica-1").map(|known| (known.availability, known.record.started_ms));
                 // A replica that appeared and disappeared unreported counts as gone.
                 let takes_work = other.is_some_and(|(standing, _)| standing == Availability::Ready);
                 prop_assert_eq!(takes_work, known.takes_work());
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -75,7 +75,7 @@
             Command::SidecarUnreachable(endpoint) => self.members.failed(&endpoint, util::now()),
             Command::AttemptStarted(endpoint, tokens) => self.members.begin(&endpoint, tokens),
             Command::AttemptEnded(endpoint, tokens) => self.members.end(&endpoint, tokens),
-            Command::TakeRetry(reply) => drop(reply.send(self.retry_budget.spend())),
+            Command::TakeRetry(reply) => drop(reply.send(self.retry_budget.try_retry())),
             Command::UpdateConfig(config) => self.update_config(config),
             Command::UpdateVms(vms) => self.update_vms(vms),
             Command::ListModels(key, reply) => drop(reply.send(self.list_models(&key))),
@@ -124,7 +124,7 @@
             RequestKind::Service { service } => self.admit_call(workspace, service)?,
         };
         self.apply_rate_limits(&admitted)?;
-        self.retry_budget.earn();
+        self.retry_budget.record_request();
         Ok(admitted)
     }
 
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -61,9 +61,9 @@
     let has_changed = if is_snapshot {
         let evacuated =
             records.filter_map(|(_, news)| if let Event::Started(domain) = news { Some(domain) } else { None });
-        register.replace(Snapshot { next: page.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
+        register.apply_snapshot(Snapshot { next: page.next, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
     } else {
-        records.fold(false, |has_changed, (offset, news)| register.hear(offset, news) || has_changed)
+        records.fold(false, |has_changed, (offset, news)| register.apply(offset, news) || has_changed)
     };
     drop(register);
     if has_changed {
@@ -73,7 +73,7 @@
 
 /// Applies the set of evacuated failure domains that another entry sent.
 pub fn apply_evacuation_snapshot(gateway: &Gateway, snapshot: Snapshot) {
-    if gateway.evacuations.borrow_mut().replace(snapshot, now() + STORE_RECOVERY_GRACE) {
+    if gateway.evacuations.borrow_mut().apply_snapshot(snapshot, now() + STORE_RECOVERY_GRACE) {
         enforce_evacuations(gateway);
     }
 }
@@ -81,13 +81,13 @@
 /// Excludes the replicas in evacuated failure domains from new work. Refuses the prompts that wait for a service all of
 /// whose replicas are excluded.
 fn enforce_evacuations(gateway: &Gateway) {
-    let domains = gateway.evacuations.borrow().picture().domains.clone();
+    let domains = gateway.evacuations.borrow().snapshot().domains.clone();
     event!("evacuations", emptied = domains.iter().map(|domain| &**domain).collect::<Vec<_>>().join(","));
     metric::emptied(&domains);
-    gateway.roster.borrow_mut().set_emptied(domains, now());
+    gateway.roster.borrow_mut().set_evacuated(domains, now());
     gateway.refresh_engines();
     for service in gateway.table().services() {
-        if gateway.roster.borrow().is_emptied(&service.name) {
+        if gateway.roster.borrow().is_evacuated(&service.name) {
             gateway.desk.refuse_all(&service.name, EMPTIED_RETRY);
         }
     }
@@ -114,7 +114,7 @@
     let now = now();
     let mut roster = gateway.roster.borrow_mut();
     let changes: Vec<Change> =
-        updates.into_iter().filter_map(|Update { offset, news }| roster.hear(offset, news, now)).collect();
+        updates.into_iter().filter_map(|Update { offset, state }| roster.apply(offset, state, now)).collect();
     drop(roster);
     // One call for all changes: each call rebuilds the lists of engines, which takes longer the more engines there are.
     publish_changes(gateway, &changes, source);
@@ -122,7 +122,7 @@
 
 /// Applies a snapshot of all replica records below the offset `end`. A replica that is not in the snapshot was removed.
 pub fn apply_snapshot(gateway: &Gateway, end: u64, newest: Vec<Update>, source: Source) {
-    let changes = gateway.roster.borrow_mut().replace(end, newest, now());
+    let changes = gateway.roster.borrow_mut().apply_snapshot(end, newest, now());
     publish_changes(gateway, &changes, source);
 }
 
@@ -139,8 +139,8 @@
 /// Marks runs of replicas that reported that they are draining. Returns those that were not marked before.
 pub fn apply_draining_runs(gateway: &Gateway, runs: Vec<DrainingRun>, source: Source) -> Vec<DrainingRun> {
     let mut roster = gateway.roster.borrow_mut();
-    let new_runs: Vec<DrainingRun> = runs.into_iter().filter(|run| !roster.knows_leaver(run)).collect();
-    let changes: Vec<Change> = new_runs.iter().cloned().filter_map(|run| roster.leaves(run)).collect();
+    let new_runs: Vec<DrainingRun> = runs.into_iter().filter(|run| !roster.has_draining_run(run)).collect();
+    let changes: Vec<Change> = new_runs.iter().cloned().filter_map(|run| roster.mark_draining(run)).collect();
     drop(roster);
     publish_changes(gateway, &changes, source);
     new_runs
@@ -151,11 +151,11 @@
 /// store.
 fn publish_changes(gateway: &Gateway, changes: &[Change], source: Source) {
     if source == Source::Peer && !changes.is_empty() {
-        let ready = changes.iter().filter(|change| change.standing == Availability::Ready).count();
+        let ready = changes.iter().filter(|change| change.availability == Availability::Ready).count();
         event!("replicas", changed = changes.len(), ready);
     }
     for change in changes {
-        let standing = match change.standing {
+        let standing = match change.availability {
             Availability::Ready => "ready",
             Availability::Unusable => "unusable",
             Availability::Expired(_) => "lapsed",
@@ -165,14 +165,14 @@
             Source::Store | Source::Response => event!("replica", peer = %change.id, standing),
             Source::Peer => debug_event!("replica", peer = %change.id, standing),
         }
-        if change.cold {
+        if change.is_cold {
             event!("replica-cold", peer = %change.id);
         }
-        if change.standing == Availability::Gone {
+        if change.availability == Availability::Gone {
             gateway.limits.forget(&change.id);
             gateway.rests.forget(&change.id);
         }
-        if change.restarted {
+        if change.has_restarted {
             event!("replica-restarted", peer = %change.id);
             gateway.restarted(&change.id);
         }
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -189,7 +189,7 @@
         let roster = self.gateway.roster.borrow();
         let named_replica = answer.responsible_address.as_ref().and_then(|address| {
             let has_address = |record: &&Record| record.address == *address || record.id == *address;
-            roster.living(&self.service).map(|replica| &replica.record).find(has_address)
+            roster.alive(&self.service).map(|replica| &replica.record).find(has_address)
         });
         named_replica.unwrap_or(record).id.clone()
     }
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -259,7 +259,7 @@
 
     /// Returns the error of a request that no replica of the service accepts now.
     fn no_replica_error(&self) -> PlacementError {
-        if self.gateway.roster.borrow().is_emptied(&self.service) {
+        if self.gateway.roster.borrow().is_evacuated(&self.service) {
             return PlacementError::Refused(EMPTIED_RETRY);
         }
         match rests::soonest(&self.gateway, &self.service) {
@@ -291,13 +291,13 @@
     fn planner_job(&self, tokens: u64) -> planner::Job {
         let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         planner::Job {
-            prompt: tokens,
-            output: self.call.output_tokens,
-            aim: self.started + self.route.aim,
-            gap_ms: self.route.gap_aim.as_secs_f64() * 1e3,
+            prompt_tokens: tokens,
+            max_output_tokens: self.call.output_tokens,
+            first_event_target: self.started + self.route.aim,
+            gap_target_ms: self.route.gap_aim.as_secs_f64() * 1e3,
             deadline: self.deadline.min(self.started + self.route.patience()),
             priority: workspace_priority.unwrap_or(self.route.priority),
-            work: Some(self.work),
+            fingerprint: Some(self.work),
         }
     }
 
@@ -311,15 +311,15 @@
                 Some(record) => {
                     let helper = LocatedHelper {
                         helper: dialect::Helper { address: record.address, reservation: None },
-                        reserved_tokens: helper.holds,
+                        reserved_tokens: helper.held_tokens,
                     };
                     located.push(helper);
                 }
-                None if helper.holds > 0 => return None,
+                None if helper.held_tokens > 0 => return None,
                 None => {}
             }
         }
-        Some((find_open(&team.writer)?, located))
+        Some((find_open(&team.decoder)?, located))
     }
 
     /// Reserves the memory of a prompt at its helpers, either all of it or none. The reservation is absent if no helper
--- a/sorrelpass/src/gateway/desk/follower.rs
+++ b/sorrelpass/src/gateway/desk/follower.rs
@@ -49,7 +49,7 @@
             });
         }
         for (number, waiter) in &*self.waiting.borrow() {
-            self.with_planner(&waiter.service, |planner| planner.end(own_id(*number), now));
+            self.with_planner(&waiter.service, |planner| planner.finish(own_id(*number), now));
             let ask = Ask::of(&waiter.job, now);
             self.report(Report::Submit { number: *number, service: waiter.service.clone(), ask });
         }
--- a/sorrelpass/src/gateway/desk/leader.rs
+++ b/sorrelpass/src/gateway/desk/leader.rs
@@ -30,14 +30,14 @@
 
     /// Notifies the planners that this entry starts to plan for other entries, whose prompts it does not know yet.
     pub(super) fn expect_reports(&self) {
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.unsettle(now()));
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.begin_settling(now()));
     }
 
     /// Removes a follower and its prompts.
     pub fn leave(&self, entry: u64) {
         self.followers.borrow_mut().remove(&entry);
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.end_entry(entry, now());
+            planner.remove_entry(entry, now());
         }
         self.request_planning();
     }
@@ -51,23 +51,23 @@
                 self.with_planner(&service, |planner| planner.submit(id(number), ask.job(now)));
             }
             Report::Adopt { number, service, ask, team, reading } => {
-                self.with_planner(&service, |planner| planner.adopt(id(number), &ask.job(now), team, reading, now));
+                self.with_planner(&service, |planner| planner.add_granted(id(number), &ask.job(now), team, reading, now));
             }
             Report::FirstEvent { number, service } => {
-                self.with_planner(&service, |planner| planner.first_event(id(number), now));
+                self.with_planner(&service, |planner| planner.record_first_event(id(number), now));
             }
             Report::Silent { number, service } => {
-                self.with_planner(&service, |planner| planner.silent(id(number), now))
+                self.with_planner(&service, |planner| planner.mark_unresponsive(id(number), now))
             }
-            Report::End { number, service } => self.with_planner(&service, |planner| planner.end(id(number), now)),
+            Report::End { number, service } => self.with_planner(&service, |planner| planner.finish(id(number), now)),
             Report::Absent(duration) => {
-                self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(Some(entry), duration));
+                self.planners.borrow_mut().values_mut().for_each(|planner| planner.postpone_first_events(Some(entry), duration));
             }
             Report::Failed { service, engine } => {
-                self.with_planner(&service, |planner| planner.failed(entry, &engine, now))
+                self.with_planner(&service, |planner| planner.record_failure(entry, &engine, now))
             }
             Report::Rests { service, engine, rest } => {
-                self.with_planner(&service, |planner| planner.rests(entry, &engine, rest, now));
+                self.with_planner(&service, |planner| planner.set_backoff(entry, &engine, rest, now));
             }
             // Reports about the store, quarantine and plain replicas do not affect planning.
             Report::Sync(_) | Report::Update { .. } | Report::Quarantine(_) | Report::Leaving(_) => return,
@@ -147,8 +147,8 @@
 
     /// Sends a grant to the entry that owns the prompt.
     pub(super) fn deliver_grant(self: &Rc<Self>, grant: Grant) {
-        let Grant { id, team, silent_after } = grant;
-        let placement = Placement { team, silent_after };
+        let Grant { id, team, unresponsive_after } = grant;
+        let placement = Placement { team, silent_after: unresponsive_after };
         if id.entry == OWN_ENTRY {
             self.start_prompt(id.number, placement, false);
             return;
--- a/sorrelpass/src/gateway/desk/mod.rs
+++ b/sorrelpass/src/gateway/desk/mod.rs
@@ -189,7 +189,7 @@
 
     /// Records that an engine restarted under the same name.
     pub fn restarted(&self, service: &Name, engine: &Name) {
-        self.with_planner(service, |planner| planner.restarted(engine));
+        self.with_planner(service, |planner| planner.reset_engine(engine));
         self.request_planning();
     }
 
@@ -204,7 +204,7 @@
     /// does not know.
     pub fn reset_limit_accounting(&self) {
         let now = now();
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.restart_limits(now));
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.reset_limits(now));
     }
 
     /// Sets the fingerprints of requests that are suspected of crashing engines.
@@ -252,14 +252,14 @@
             return Vec::new();
         }
         let mut planners = self.planners.borrow_mut();
-        let by_service = planners.iter_mut().map(|(service, planner)| (service, planner.to_ask(now())));
+        let by_service = planners.iter_mut().map(|(service, planner)| (service, planner.engines_to_probe(now())));
         by_service.flat_map(|(service, engines)| engines.into_iter().map(|engine| (service.clone(), engine))).collect()
     }
 
     /// Sets the slowdown factor that an engine reports.
     pub fn note_pace(&self, service: &Name, engine: &Name, pace: f64) {
         self.with_planner(service, |planner| {
-            if planner.set_pace(engine, pace) {
+            if planner.set_slowdown(engine, pace) {
                 crate::event!("pace", peer = &**engine, pace);
             }
         });
@@ -272,7 +272,7 @@
             return;
         }
         let engine = Name::from(engine);
-        self.with_planner(service, |planner| planner.failed(OWN_ENTRY, &engine, now()));
+        self.with_planner(service, |planner| planner.record_failure(OWN_ENTRY, &engine, now()));
         self.report(Report::Failed { service: service.clone(), engine });
     }
 
@@ -282,7 +282,7 @@
         if !self.planners.borrow().contains_key(service) {
             return;
         }
-        self.with_planner(service, |planner| planner.rests(OWN_ENTRY, engine, rest, now()));
+        self.with_planner(service, |planner| planner.set_backoff(OWN_ENTRY, engine, rest, now()));
         self.report(Report::Rests { service: service.clone(), engine: engine.clone(), rest });
     }
 
@@ -333,7 +333,7 @@
             return;
         }
         crate::event!("suspended", for_ms = suspension.as_millis());
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(None, suspension));
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.postpone_first_events(None, suspension));
         self.report(Report::Absent(suspension));
     }
 
@@ -351,7 +351,7 @@
             }
             None => return,
         };
-        self.with_planner(&service, |planner| planner.first_event(own_id(number), now()));
+        self.with_planner(&service, |planner| planner.record_first_event(own_id(number), now()));
         self.report(Report::FirstEvent { number, service });
         self.request_planning();
     }
@@ -359,7 +359,7 @@
     /// Records that the engines of a granted prompt are unresponsive.
     fn record_unresponsive(&self, number: u64) {
         let Some(service) = self.running.borrow().get(&number).map(|running| running.service.clone()) else { return };
-        self.with_planner(&service, |planner| planner.silent(own_id(number), now()));
+        self.with_planner(&service, |planner| planner.mark_unresponsive(own_id(number), now()));
         self.report(Report::Silent { number, service });
     }
 
@@ -371,7 +371,7 @@
 
     /// Records that a prompt of this entry is complete or withdrawn.
     fn end_prompt(&self, service: &Name, number: u64) {
-        self.with_planner(service, |planner| planner.end(own_id(number), now()));
+        self.with_planner(service, |planner| planner.finish(own_id(number), now()));
         self.report(Report::End { number, service: service.clone() });
         self.request_planning();
     }
@@ -391,7 +391,7 @@
         let WaitingPrompt { service, job, sender } = waiter;
         let team = placement.team.clone();
         if by_leader {
-            self.with_planner(&service, |planner| planner.adopt(own_id(number), &job, team.clone(), true, now()));
+            self.with_planner(&service, |planner| planner.add_granted(own_id(number), &job, team.clone(), true, now()));
         }
         self.running.borrow_mut().insert(number, GrantedPrompt { service, job, team, is_prefilling: true });
         self.prefill_started.notify_one();
@@ -409,7 +409,7 @@
         let mut has_waiting = false;
         for planner in self.planners.borrow_mut().values_mut() {
             if planner.has_waiting() {
-                grants.extend(planner.pump(now()));
+                grants.extend(planner.grant_ready(now()));
                 refusals.extend(planner.refuse(now()));
                 has_waiting |= planner.has_waiting();
             }
@@ -431,11 +431,11 @@
             return;
         }
         for (service, planner) in &*self.planners.borrow() {
-            let (held_time, waiting, counts) = planner.held(now);
+            let (held_time, waiting, counts) = planner.starvation(now);
             if held_time >= EXPLAIN_AFTER {
                 self.last_explained.set(now);
                 let exclusions: Vec<String> =
-                    planner.bars().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
+                    planner.exclusions().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
                 crate::event!("prompts-waiting", service = %service, for_ms = held_time.as_millis(), waiting, counts = ?counts, exclusions = exclusions.join(" "));
             }
         }
--- a/sorrelpass/src/gateway/leaving.rs
+++ b/sorrelpass/src/gateway/leaving.rs
@@ -26,7 +26,7 @@
     event!("replica-draining", peer = %record.id, for_itself);
     metric::leaving_told();
     if for_itself {
-        apply_updates(gateway, vec![DrainingRun { id: record.id.clone(), born: record.born }], Source::Own);
+        apply_updates(gateway, vec![DrainingRun { id: record.id.clone(), started_ms: record.started_ms }], Source::Own);
     }
 }
 
@@ -45,6 +45,6 @@
 
 /// Returns all known draining runs of replicas in messages for an entry that has just connected.
 pub fn sync_messages(gateway: &Gateway) -> Vec<Vec<DrainingRun>> {
-    let runs: Vec<DrainingRun> = gateway.roster.borrow().leavers().collect();
+    let runs: Vec<DrainingRun> = gateway.roster.borrow().draining_runs().collect();
     runs.chunks(MAX_RUNS_PER_MESSAGE).map(<[DrainingRun]>::to_vec).collect()
 }
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -72,7 +72,7 @@
     /// Records the size of the group of entries with the same leader.
     pub fn note_group(&self, entries: usize) {
         let mut group = self.group.get();
-        group.note(entries, now());
+        group.record_size(entries, now());
         self.group.set(group);
     }
 
@@ -83,7 +83,7 @@
 
     /// Removes the limit that a replica set before it restarted.
     pub fn restarted(&self, replica: &Name) {
-        if self.register.borrow_mut().restarted(replica, now()) {
+        if self.register.borrow_mut().reset_for_restart(replica, now()) {
             event!("limit", peer = %replica, rate = ?None::<f64>, reason = "restarted");
         }
     }
@@ -93,12 +93,12 @@
     pub fn forget(&self, replica: &Name) {
         self.unparsable.borrow_mut().remove(replica);
         self.no_permit_until.borrow_mut().remove(replica);
-        self.register.borrow_mut().forget(replica);
+        self.register.borrow_mut().remove(replica);
     }
 
     /// Returns the full register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<RelayedReport>> {
-        self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[RelayedReport]>::to_vec).collect()
+        self.register.borrow().relayed_reports(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[RelayedReport]>::to_vec).collect()
     }
 
     /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
@@ -106,7 +106,7 @@
     pub fn turn(&self, replicas: &[Name], max_wait: Duration) -> Result<Turn, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
-        let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.wait(now));
+        let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.time_until_next(now));
         let earliest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
         let Some((delay, replica)) = earliest else { return Err(Duration::ZERO) };
         if delay > max_wait {
@@ -133,7 +133,7 @@
     match answer.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
-            let report = TimedReport { rate, asked: sent_at, heard: now() };
+            let report = TimedReport { rate, requested_at: sent_at, received_at: now() };
             hear(gateway, vec![RelayedReport::of(replica, &report, now())], Source::Own);
         }
         // The previous limit stays in force. The error is logged once, not for each response.
@@ -152,8 +152,8 @@
     for report in reports {
         let mut register = limits.register.borrow_mut();
         let previous_rate = register.rate(&report.replica);
-        if register.hear(&report.replica, report.word(now)) {
-            let age_ms = report.heard_ago.as_millis();
+        if register.apply(&report.replica, report.timed_report(now)) {
+            let age_ms = report.received_ago.as_millis();
             event!("limit", peer = %report.replica, rate = ?report.rate, before = ?previous_rate, source = ?source, age_ms);
             changed.push(report);
         }
@@ -217,7 +217,7 @@
     gateway.desk.reset_limit_accounting();
     let now = now();
     let mut allowances = limits.allowances.borrow_mut();
-    allowances.values_mut().for_each(|allowance| allowance.restart(rand::random_range(0.0..1.0), now));
+    allowances.values_mut().for_each(|allowance| allowance.reset(rand::random_range(0.0..1.0), now));
     drop(allowances);
     apply(gateway);
 }
