--- a/sorrelpass/src/gateway/link.rs
+++ b/sorrelpass/src/gateway/link.rs
@@ -57,26 +57,26 @@
     /// Converts `job` for a message that is sent at `now`.
     pub fn of(job: &planner::Job, now: Moment) -> Self {
         Self {
-            prompt_tokens: job.prompt,
-            output_tokens: job.output,
-            first_event_target_in: job.aim.since(now),
-            gap_ms: job.gap_ms,
+            prompt_tokens: job.prompt_tokens,
+            output_tokens: job.max_output_tokens,
+            first_event_target_in: job.first_event_target.since(now),
+            gap_ms: job.gap_target_ms,
             deadline_in: job.deadline.since(now),
             priority: job.priority,
-            work: job.work,
+            work: job.fingerprint,
         }
     }
 
     /// Converts the message, received at `now`, back to a job.
     pub fn job(&self, now: Moment) -> planner::Job {
         planner::Job {
-            prompt: self.prompt_tokens,
-            output: self.output_tokens,
-            aim: now + self.first_event_target_in,
-            gap_ms: self.gap_ms,
+            prompt_tokens: self.prompt_tokens,
+            max_output_tokens: self.output_tokens,
+            first_event_target: now + self.first_event_target_in,
+            gap_target_ms: self.gap_ms,
             deadline: now + self.deadline_in,
             priority: self.priority,
-            work: self.work,
+            fingerprint: self.work,
         }
     }
 }
--- a/sorrelpass/src/gateway/place.rs
+++ b/sorrelpass/src/gateway/place.rs
@@ -86,7 +86,7 @@
     fn breaker_rank(&self, replica: &Name, repeat: Idempotency) -> u8 {
         let Some(breaker) = self.breakers.get(replica) else { return 1 };
         let now = now();
-        match (breaker.admits(now), breaker.is_on_trial(now), repeat) {
+        match (breaker.allows_request(now), breaker.is_half_open(now), repeat) {
             (false, _, _) => 3,
             (true, true, Idempotency::Safe) => 0,
             (true, true, Idempotency::Once) => 2,
@@ -100,14 +100,14 @@
             return;
         }
         let breaker = self.breakers.entry(replica.clone()).or_default();
-        breaker.failed(share, now());
-        crate::event!("doubt", peer = %replica, share, admitted = breaker.admits(now()));
+        breaker.record_failure(share, now());
+        crate::event!("doubt", peer = %replica, share, admitted = breaker.allows_request(now()));
     }
 
     /// Records a successful request at a replica.
     pub fn succeeded(&mut self, replica: &Name) {
         if let Some(breaker) = self.breakers.get_mut(replica) {
-            breaker.succeeded(now());
+            breaker.record_success(now());
         }
     }
 
@@ -122,7 +122,7 @@
     /// Records the start of a request at a replica.
     pub fn begin(&mut self, replica: &Name) {
         if let Some(breaker) = self.breakers.get_mut(replica) {
-            breaker.begin(now());
+            breaker.record_request(now());
         }
         self.loads.entry(replica.clone()).or_default().own_requests += 1;
     }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -80,12 +80,12 @@
             return;
         }
         let span = Interval { after: self.sent_at, by: now() };
-        let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.born, span);
+        let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.started_ms, span);
         if is_new {
             metric::replica_ended();
         }
         forget_removed_replicas(gateway);
-        apply_events(gateway, vec![Event::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
+        apply_events(gateway, vec![Event::Terminated { work: self.fingerprint, run, weight: self.weight }], Source::Own);
     }
 }
 
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -68,7 +68,7 @@
 
     /// Returns whether requests with the fingerprint are no longer sent.
     pub fn is_condemned(&self, fingerprint: Fingerprint) -> bool {
-        self.register.borrow().standing(fingerprint) == Status::Condemned
+        self.register.borrow().status(fingerprint) == Status::Condemned
     }
 
     /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
@@ -83,7 +83,7 @@
     /// Returns whether any evidence or verdict exists against a fingerprint.
     fn has_evidence(&self, fingerprint: Fingerprint) -> bool {
         let register = self.register.borrow();
-        register.standing(fingerprint) != Status::Clear || register.evidence(fingerprint).next().is_some()
+        register.status(fingerprint) != Status::Clear || register.evidence(fingerprint).next().is_some()
     }
 
     /// Waits until a fingerprint is condemned.
@@ -99,7 +99,7 @@
 
     /// Returns the full register for another entry, split into messages.
     pub fn messages(&self) -> Vec<Vec<Told>> {
-        self.register.borrow().all().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
+        self.register.borrow().events().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
     }
 
     /// Returns the wire form of events, with ages relative to the current time.
@@ -126,7 +126,7 @@
     }
     let mut changes = Vec::new();
     for event in events {
-        changes.extend(quarantine.register.borrow_mut().hear(event));
+        changes.extend(quarantine.register.borrow_mut().apply(event));
     }
     if changes.is_empty() {
         return;
@@ -148,10 +148,10 @@
 
 /// Logs a change of the register, and announces a verdict to the tasks that wait for one.
 fn log_change(gateway: &Gateway, event: &Event) {
-    let fingerprint = event.work();
+    let fingerprint = event.fingerprint();
     let quarantine = &gateway.quarantine;
     match event {
-        Event::Ended { run, weight, .. } => {
+        Event::Terminated { run, weight, .. } => {
             let ends = quarantine.register.borrow().evidence(fingerprint).count();
             event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends);
         }
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -34,9 +34,9 @@
     pub fn of(register: &State, fingerprint: Fingerprint) -> Self {
         let ends = register
             .evidence(fingerprint)
-            .chain(register.ends(fingerprint))
+            .chain(register.terminations(fingerprint))
             .map(|(run, weight)| End { run: run.clone(), weight });
-        Self { condemned: register.standing(fingerprint) == Status::Condemned, ends: ends.collect() }
+        Self { condemned: register.status(fingerprint) == Status::Condemned, ends: ends.collect() }
     }
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
@@ -56,7 +56,7 @@
         if self.condemned {
             return vec![Event::Condemned(work)];
         }
-        let to_event = |end: &End| Event::Ended { work, run: end.run.clone(), weight: end.weight };
+        let to_event = |end: &End| Event::Terminated { work, run: end.run.clone(), weight: end.weight };
         self.ends.iter().map(to_event).collect()
     }
 }
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -133,12 +133,12 @@
     let is_new = |fingerprint: &Fingerprint| {
         stored.get(fingerprint).is_none_or(|stored_entry| has_new_evidence(&register, *fingerprint, stored_entry))
     };
-    let unwritten = register.lasting(gateway.desk.is_alone()).find(is_new);
+    let unwritten = register.persistent(gateway.desk.is_alone()).find(is_new);
     if let Some(fingerprint) = unwritten {
         return Some(PendingWrite { fingerprint, entry: Some(Entry::of(&register, fingerprint)) });
     }
     let is_clear = |fingerprint: &&Fingerprint| {
-        register.standing(**fingerprint) == Status::Clear && register.evidence(**fingerprint).next().is_none()
+        register.status(**fingerprint) == Status::Clear && register.evidence(**fingerprint).next().is_none()
     };
     stored.keys().find(is_clear).map(|fingerprint| PendingWrite { fingerprint: *fingerprint, entry: None })
 }
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -18,7 +18,7 @@
     /// Returns the wire form of an event that is sent now.
     pub(super) fn from_event(event: Event, ends: &Terminations) -> Self {
         let span = match &event {
-            Event::Ended { run, .. } => ends.span(run),
+            Event::Terminated { run, .. } => ends.span(run),
             Event::Cleared(_) | Event::Condemned(_) | Event::Lifted(_) => None,
         };
         Self { event, termination_age: span.map(|span| IntervalAge::of(&span, now())) }
@@ -29,7 +29,7 @@
         let now = now();
         let span = self.termination_age.map_or(Interval::before(now), |age| age.span(now));
         match self.event {
-            Event::Ended { work, run, weight } => Event::Ended { work, run: ends.heard(&run, span), weight },
+            Event::Terminated { work, run, weight } => Event::Terminated { work, run: ends.heard(&run, span), weight },
             other => other,
         }
     }
--- a/sorrelpass/src/gateway/rests.rs
+++ b/sorrelpass/src/gateway/rests.rs
@@ -29,12 +29,12 @@
 impl Rests {
     /// Returns whether this entry must not send requests to a replica now, because the replica asked for backoff.
     pub fn is_resting(&self, replica: &str) -> bool {
-        !self.register.borrow().left(replica, now()).is_zero()
+        !self.register.borrow().time_left(replica, now()).is_zero()
     }
 
     /// Discards the backoff of a replica that ended or was restarted.
     pub fn forget(&self, replica: &str) {
-        self.register.borrow_mut().forget(replica);
+        self.register.borrow_mut().remove(replica);
     }
 
     /// Waits until a replica asks for backoff after this call.
@@ -50,7 +50,7 @@
         return;
     }
     metric::rest_asked();
-    gateway.rests.register.borrow_mut().hear(&record.id, backoff, now());
+    gateway.rests.register.borrow_mut().record(&record.id, backoff, now());
     gateway.desk.rests(&record.service, &record.id, backoff);
     gateway.rests.asked.notify_waiters();
 }
@@ -65,7 +65,7 @@
 pub fn soonest_of(gateway: &Gateway, service: &str, is_eligible: impl Fn(&Name) -> bool) -> Option<Duration> {
     let roster = gateway.roster.borrow();
     let candidates = roster.usable(service).map(|record| &record.id).filter(|replica| is_eligible(replica));
-    gateway.rests.register.borrow().soonest(candidates, now())
+    gateway.rests.register.borrow().earliest_end(candidates, now())
 }
 
 /// Returns the current backoffs of engines as reports to a leader that this entry starts to follow.
@@ -76,5 +76,5 @@
         let service = roster.get(engine)?.record.service.clone();
         Some(Report::Rests { service, engine: engine.clone(), rest: backoff })
     };
-    register.resting(now()).filter_map(report).collect()
+    register.active(now()).filter_map(report).collect()
 }
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -176,7 +176,7 @@
 
     /// Removes the replica `id` after a response showed that another replica now has its address.
     pub fn displaced(&self, id: &str) {
-        if self.roster.borrow_mut().displaced(id).is_some() {
+        if self.roster.borrow_mut().mark_displaced(id).is_some() {
             crate::event!("replica", peer = id, standing = "displaced");
             self.refresh_engines();
         }
@@ -198,7 +198,7 @@
     /// failure domain is not evacuated, and it has not asked this entry to back off.
     pub fn open_replica(&self, id: &str) -> Option<Record> {
         let roster = self.roster.borrow();
-        roster.usable_one(id).filter(|_| !self.rests.is_resting(id)).cloned()
+        roster.usable_replica(id).filter(|_| !self.rests.is_resting(id)).cloned()
     }
 
     /// Updates the engines of each service in the admission queue, and the rate limits.
@@ -276,7 +276,7 @@
         self.era.set(Some(era));
         let Some(before) = current else { return };
         crate::event!("era", era, before);
-        self.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
+        self.roster.borrow_mut().record_store_recovery(now(), STORE_RECOVERY_GRACE);
         self.membership.doubt_announcements();
     }
 
@@ -331,17 +331,17 @@
 
     /// Records the first send of a request to a service, which adds to the service's retry budget.
     pub fn note_first(&self, service: &Name) {
-        self.with_retry_budget(service, |budget| budget.earn(now()));
+        self.with_retry_budget(service, |budget| budget.record_request(now()));
     }
 
     /// Takes a retry out of the service's retry budget. Returns whether the budget allows it.
     pub fn take_retry(&self, service: &Name) -> bool {
-        self.with_retry_budget(service, |budget| budget.spend(now()))
+        self.with_retry_budget(service, |budget| budget.try_retry(now()))
     }
 
     fn with_retry_budget<T>(&self, service: &Name, action: impl FnOnce(&mut WindowedBudget) -> T) -> T {
         let bounds = self.bounds();
-        let allowance = budget::part(bounds.retry_allowance, self.entry_count.get());
+        let allowance = budget::allowance_per_process(bounds.retry_allowance, self.entry_count.get());
         let new_budget = || WindowedBudget::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
         let mut budgets = self.retry_budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(new_budget);
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -216,10 +216,10 @@
         is_too_large,
         // After a failed compression the response must not claim that there are no changes.
         replicas: view.replicas.copy_state().filter(|_| replica_updates.is_some()),
-        evacuations: gateway.evacuations.borrow().picture().clone(),
+        evacuations: gateway.evacuations.borrow().snapshot().clone(),
         replica_updates: replica_updates.unwrap_or_default(),
         is_snapshot,
-        grace_time_left: gateway.roster.borrow().doubt_left(now()),
+        grace_time_left: gateway.roster.borrow().grace_left(now()),
         entry_count: gateway.entry_count(),
         successors: gateway.membership.successors_if_changed(request.successors_revision),
     }
@@ -230,7 +230,7 @@
 fn pack_replica_updates(gateway: &Gateway, from: Option<u64>) -> Option<Packed> {
     let roster = gateway.roster.borrow();
     let view = &gateway.facts;
-    let compress = || Packed::new(&roster.since(from.unwrap_or(0), now()));
+    let compress = || Packed::new(&roster.updates_since(from.unwrap_or(0), now()));
     let snapshot_offset = view.replicas.next().filter(|_| from.is_none());
     let cached = view
         .replica_snapshot
@@ -286,7 +286,7 @@
         // An entry with a fresh copy sees a missing record as removed, even if the other entry was cut off from the
         // store for long. Only an entry with a stale copy takes over the other one's grace period.
         if !watch::are_replicas_fresh(gateway) {
-            gateway.roster.borrow_mut().store_returned(now(), update.grace_time_left);
+            gateway.roster.borrow_mut().record_store_recovery(now(), update.grace_time_left);
         }
         if update.is_snapshot {
             belief::apply_snapshot(gateway, copy_state.next_offset, replica_updates, Source::Peer);
--- a/sorrelpass/src/gateway/watch.rs
+++ b/sorrelpass/src/gateway/watch.rs
@@ -207,7 +207,7 @@
 /// store then still answered another entry.
 fn start_recovery_grace(gateway: &Gateway, reader: &Reader) {
     if reader.is_failing() && !are_replicas_fresh(gateway) {
-        gateway.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
+        gateway.roster.borrow_mut().record_store_recovery(now(), STORE_RECOVERY_GRACE);
     }
 }
 
@@ -221,7 +221,7 @@
             let fault: String = fault.chars().take(MAX_LOGGED_ERROR_CHARS).collect();
             warn_event!("replica-record", peer = %record.key, offset = record.offset, fault = %fault);
         }
-        updates.push(Update { offset: record.offset, news });
+        updates.push(Update { offset: record.offset, state: news });
     }
     updates
 }
