--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -37,7 +37,7 @@
 fn version_cache(routes: u64, versions: u64) -> VersionCache {
     let mut cache = VersionCache::default();
     for offset in 0..versions {
-        cache.keep(Version { offset, value: configuration(routes, offset).into() });
+        cache.insert(Version { offset, value: configuration(routes, offset).into() });
     }
     cache
 }
@@ -46,10 +46,10 @@
     for routes in ROUTE_COUNTS {
         let bytes = |next| {
             version_cache(*routes, 2)
-                .parcel(next)
+                .encode_newest(next)
                 .expect("encoding succeeds")
                 .expect("a newer version exists")
-                .packed
+                .compressed
                 .len()
         };
         let (full, change) = (bytes(None), bytes(Some(1)));
@@ -60,22 +60,22 @@
 
 #[divan::bench(args = ROUTE_COUNTS)]
 fn encode_full(bencher: Bencher, routes: u64) {
-    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.parcel(None)));
+    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.encode_newest(None)));
 }
 
 #[divan::bench(args = ROUTE_COUNTS)]
 fn encode_change(bencher: Bencher, routes: u64) {
-    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.parcel(Some(1))));
+    bencher.with_inputs(|| version_cache(routes, 2)).bench_refs(|cache| black_box(cache.encode_newest(Some(1))));
 }
 
 #[divan::bench(args = ROUTE_COUNTS)]
 fn decode_full(bencher: Bencher, routes: u64) {
-    let delta = version_cache(routes, 2).parcel(None).expect("encoding succeeds").expect("a newer version exists");
-    bencher.with_inputs(VersionCache::default).bench_refs(|cache| black_box(cache.open(&delta)));
+    let delta = version_cache(routes, 2).encode_newest(None).expect("encoding succeeds").expect("a newer version exists");
+    bencher.with_inputs(VersionCache::default).bench_refs(|cache| black_box(cache.decode(&delta)));
 }
 
 #[divan::bench(args = ROUTE_COUNTS)]
 fn decode_change(bencher: Bencher, routes: u64) {
-    let delta = version_cache(routes, 2).parcel(Some(1)).expect("encoding succeeds").expect("a newer version exists");
-    bencher.with_inputs(|| version_cache(routes, 1)).bench_refs(|cache| black_box(cache.open(&delta)));
+    let delta = version_cache(routes, 2).encode_newest(Some(1)).expect("encoding succeeds").expect("a newer version exists");
+    bencher.with_inputs(|| version_cache(routes, 1)).bench_refs(|cache| black_box(cache.decode(&delta)));
 }
--- a/coord/examples/answer.rs
+++ b/coord/examples/answer.rs
@@ -9,10 +9,10 @@
     let mut tally = FrameDigest::new();
     let mut receiver = Receiver::new(live);
     for text in ["Your ", "stall ", "permit"] {
-        let number = tally.add(text.as_bytes());
+        let number = tally.push(text.as_bytes());
         println!("{text:?} of a stale attempt: {:?}", receiver.accept(stale, number, text.as_bytes()));
         println!("{text:?}: {:?}", receiver.accept(live, number, text.as_bytes()));
         println!("{text:?} again: {:?}", receiver.accept(live, number, text.as_bytes()));
     }
-    println!("complete: {}", receiver.is_whole(live, tally.seal()));
+    println!("complete: {}", receiver.is_complete(live, tally.seal()));
 }
--- a/coord/examples/claim.rs
+++ b/coord/examples/claim.rs
@@ -12,7 +12,7 @@
     for (offset, endpoint) in ["ledger-1", "ledger-2"].into_iter().enumerate() {
         let proposed = Binding { endpoint: endpoint.into(), incarnation: Incarnation(7) };
         let at = Moment::from_millis(1_000 + offset as u64);
-        let held = board.replay(offset as u64, at, key.clone(), proposed);
+        let held = board.apply(offset as u64, at, key.clone(), proposed);
         board.skip_to(offset as u64 + 1);
         println!("claim for {endpoint}: bound to {}", held.endpoint);
     }
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -27,8 +27,8 @@
         (5_200, place(0, "v1"), "entry-1 resumes and places v1 again"),
     ];
     for (offset, (millis, record, description)) in log.into_iter().enumerate() {
-        let counts = board.replay(offset as u64, Moment::from_millis(millis), record);
+        let counts = board.apply(offset as u64, Moment::from_millis(millis), record);
         println!("{description}: {}", if counts { "valid" } else { "ignored" });
     }
-    println!("order: {:?}", board.order_to("pluma-1"));
+    println!("order: {:?}", board.order_for("pluma-1"));
 }
--- a/coord/examples/scheduler.rs
+++ b/coord/examples/scheduler.rs
@@ -12,11 +12,11 @@
     let limits = Limits {
         slots: 2,
         memory_tokens: 100_000,
-        queue: 16,
+        max_queued: 16,
         short_tokens: 4_000,
         short_share: 0.5,
-        grade_long: true,
-        window: Duration::from_secs(600),
+        split_long_by_length: true,
+        retention: Duration::from_secs(600),
     };
     let order = Box::new(Slack { slowdown_weight: 1.0, ttft_weight: 1.0 });
     let mut scheduler = Scheduler::new(limits, Estimate::new(30_000.0, Duration::from_millis(20)), order);
@@ -36,7 +36,7 @@
         };
         println!("offer {attempt} of {tokens} tokens: {:?}", scheduler.offer(job, now));
     }
-    println!("cancel 4: {:?}", scheduler.void(Attempt(4), None, now));
+    println!("cancel 4: {:?}", scheduler.cancel_unstarted(Attempt(4), None, now));
     println!("starts: {:?}", scheduler.advance(now));
     println!("waiting {}, reserved {} tokens", scheduler.waiting(), scheduler.memory_held());
 }
--- a/coord/src/answer.rs
+++ b/coord/src/answer.rs
@@ -34,7 +34,7 @@
     }
 
     /// Adds a frame and returns its number.
-    pub fn add(&mut self, bytes: &[u8]) -> u64 {
+    pub fn push(&mut self, bytes: &[u8]) -> u64 {
         let number = self.count;
         self.digest.update(bytes);
         self.count += 1;
@@ -78,7 +78,7 @@
         if number > self.tally.count {
             return Verdict::Gap;
         }
-        self.tally.add(bytes);
+        self.tally.push(bytes);
         Verdict::Pass
     }
 
@@ -89,7 +89,7 @@
 
     /// Returns whether `seal` comes from the live attempt and matches the frames accepted, so that the answer is
     /// complete.
-    pub fn is_whole(&self, attempt: Attempt, seal: Seal) -> bool {
+    pub fn is_complete(&self, attempt: Attempt, seal: Seal) -> bool {
         attempt == self.live && self.tally.seal() == seal
     }
 }
--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -49,7 +49,7 @@
     }
 
     /// Replays the claim at `offset` with log timestamp `at`, and returns the binding in force.
-    pub fn replay(&mut self, offset: u64, at: Moment, key: Key, binding: Binding) -> Binding {
+    pub fn apply(&mut self, offset: u64, at: Moment, key: Key, binding: Binding) -> Binding {
         if offset < self.next {
             return self.binding(&key).cloned().unwrap_or(binding);
         }
@@ -69,7 +69,7 @@
     }
 
     /// Returns the offset of the next record to read.
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         self.next
     }
 
--- a/coord/src/delta.rs
+++ b/coord/src/delta.rs
@@ -42,7 +42,7 @@
     /// Offset of the base version needed to decompress; `None` if the delta holds the full version.
     pub base: Option<u64>,
     /// Compressed content.
-    pub packed: Bytes,
+    pub compressed: Bytes,
 }
 
 /// Error of encoding or decoding a delta.
@@ -85,7 +85,7 @@
 
 impl VersionCache {
     /// Adds a version, unless it is not newer than the versions held.
-    pub fn keep(&mut self, version: Version) {
+    pub fn insert(&mut self, version: Version) {
         if self.versions.back().is_some_and(|newest| newest.offset >= version.offset) {
             return;
         }
@@ -98,7 +98,7 @@
 
     /// Returns a delta of the newest version for a receiver that has all records below the offset `next`. Returns
     /// `None` if the receiver has the newest version or the cache is empty.
-    pub fn parcel(&mut self, next: Option<u64>) -> Result<Option<Delta>, Error> {
+    pub fn encode_newest(&mut self, next: Option<u64>) -> Result<Option<Delta>, Error> {
         let Some(newest) = self.versions.back() else { return Ok(None) };
         if next.is_some_and(|next| newest.offset < next) {
             return Ok(None);
@@ -114,12 +114,12 @@
     }
 
     /// Decompresses a delta and returns the version it holds.
-    pub fn open(&self, delta: &Delta) -> Result<Version, Error> {
+    pub fn decode(&self, delta: &Delta) -> Result<Version, Error> {
         let base = match delta.base {
             None => &[][..],
             Some(base) => self.value_at(base).ok_or(Error::Unknown { base })?,
         };
-        let value = Decompressor::with_dictionary(base)?.decompress(&delta.packed, MAX_VERSION_BYTES)?;
+        let value = Decompressor::with_dictionary(base)?.decompress(&delta.compressed, MAX_VERSION_BYTES)?;
         Ok(Version { offset: delta.offset, value: value.into() })
     }
 
@@ -133,6 +133,6 @@
     let dictionary = base.map_or(&[][..], |base| &base.value);
     let mut compressor = Compressor::with_dictionary(COMPRESSION_LEVEL, dictionary)?;
     compressor.include_checksum(true)?;
-    let packed = compressor.compress(&version.value)?.into();
-    Ok(Delta { offset: version.offset, base: base.map(|base| base.offset), packed })
+    let compressed = compressor.compress(&version.value)?.into();
+    Ok(Delta { offset: version.offset, base: base.map(|base| base.offset), compressed })
 }
--- a/coord/src/estimate.rs
+++ b/coord/src/estimate.rs
@@ -10,7 +10,7 @@
 pub const CLASS_COUNT: usize = CLASS_BOUNDS.len() + 1;
 
 /// Returns the index of the length class of a prompt of `tokens` tokens.
-pub fn class(tokens: u64) -> usize {
+pub fn length_class(tokens: u64) -> usize {
     CLASS_BOUNDS.iter().position(|bound| tokens <= *bound).unwrap_or(CLASS_BOUNDS.len())
 }
 
@@ -36,7 +36,7 @@
     }
 
     /// Updates the estimate with one sample.
-    pub fn learn(&mut self, sample: f64) {
+    pub fn observe(&mut self, sample: f64) {
         self.sample_count += 1;
         let error = (sample - self.value).abs();
         self.scale += SCALE_WEIGHT * (error - self.scale);
@@ -79,7 +79,7 @@
 
     /// Returns the estimated prefill time of `tokens` tokens on an idle engine.
     pub fn prefill(&self, tokens: u64) -> Duration {
-        Duration::from_micros((self.prefill[class(tokens)].value() * tokens as f64) as u64)
+        Duration::from_micros((self.prefill[length_class(tokens)].value() * tokens as f64) as u64)
     }
 
     /// Returns the estimated time to generate `tokens` output tokens.
@@ -88,24 +88,24 @@
     }
 
     /// Returns the estimated time to the first token in excess of queueing and prefill.
-    pub fn overhead(&self) -> Duration {
+    pub fn first_token_overhead(&self) -> Duration {
         Duration::from_micros(self.overhead.value() as u64)
     }
 
     /// Updates the estimates with a prefill that did not wait for another request.
-    pub fn learn_prefill(&mut self, tokens: u64, elapsed: Duration) {
+    pub fn observe_prefill(&mut self, tokens: u64, elapsed: Duration) {
         if tokens < CLASS_BOUNDS[0] / 2 {
-            self.overhead.learn(micros(elapsed) as f64);
+            self.overhead.observe(micros(elapsed) as f64);
             return;
         }
         let prefill_micros = micros(elapsed) as f64 - self.overhead.value();
-        self.prefill[class(tokens)].learn(prefill_micros.max(0.0) / tokens as f64);
+        self.prefill[length_class(tokens)].observe(prefill_micros.max(0.0) / tokens as f64);
     }
 
     /// Updates the estimates with a finished answer of `tokens` tokens that ended `elapsed` after its first token.
-    pub fn learn_decode(&mut self, tokens: u64, elapsed: Duration) {
+    pub fn observe_decode(&mut self, tokens: u64, elapsed: Duration) {
         if tokens > 0 {
-            self.token_gap.learn(micros(elapsed) as f64 / tokens as f64);
+            self.token_gap.observe(micros(elapsed) as f64 / tokens as f64);
         }
     }
 }
--- a/coord/src/expiring_set.rs
+++ b/coord/src/expiring_set.rs
@@ -37,7 +37,7 @@
     }
 
     /// Evicts the items inserted earlier than `before`.
-    pub fn forget(&mut self, before: Moment) {
+    pub fn evict_before(&mut self, before: Moment) {
         while self.insertion_order.front().is_some_and(|(at, _)| *at < before) {
             if let Some((_, item)) = self.insertion_order.pop_front() {
                 self.inserted_at.remove(&item);
--- a/coord/src/fence.rs
+++ b/coord/src/fence.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether a record written under `fence` is valid: only records of the newest successful claim are.
-    pub fn counts(&self, fence: Fence) -> bool {
+    pub fn is_current_fence(&self, fence: Fence) -> bool {
         fence == self.guard.newest()
     }
 
--- a/coord/src/intent.rs
+++ b/coord/src/intent.rs
@@ -162,7 +162,7 @@
     }
 
     /// Returns all validation errors of the change, which has position `index` in its plan.
-    pub fn faults(&self, index: usize) -> Vec<ValidationError> {
+    pub fn validate(&self, index: usize) -> Vec<ValidationError> {
         let mut faults = Vec::new();
         let mut check = |is_invalid: bool, field: &str, reason: &str| {
             if is_invalid {
@@ -222,7 +222,7 @@
     }
 
     /// Describes the change relative to `config` in one line for operators.
-    pub fn in_words(&self, config: &Config) -> String {
+    pub fn describe(&self, config: &Config) -> String {
         let verb = |exists: bool| if exists { "replace" } else { "create" };
         match self {
             Change::PutIntent(intent) => {
--- a/coord/src/invariant.rs
+++ b/coord/src/invariant.rs
@@ -10,7 +10,7 @@
 }
 
 /// Counts and logs a breach; panics in builds with debug assertions. [`invariant!`](crate::invariant!) calls this.
-pub fn breach(description: &str) {
+pub fn record_breach(description: &str) {
     BREACHES.fetch_add(1, Ordering::Relaxed);
     debug_assert!(false, "invariant breached: {description}");
     eprintln!("level=error step=invariant breach={description:?}");
@@ -21,7 +21,7 @@
 macro_rules! invariant {
     ($condition:expr, $description:expr) => {
         if !$condition {
-            $crate::invariant::breach($description);
+            $crate::invariant::record_breach($description);
         }
     };
 }
--- a/coord/src/membership.rs
+++ b/coord/src/membership.rs
@@ -77,11 +77,11 @@
 
     /// Returns whether the endpoint may receive new work.
     pub fn takes_work(&self, now: Moment) -> bool {
-        !self.is_leaving() && self.excluded_until <= now
+        !self.is_draining() && self.excluded_until <= now
     }
 
     /// Returns whether the platform, the sidecar or an operator drains the endpoint.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.vm.leaving || self.reported_draining || self.drained
     }
 
@@ -105,7 +105,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     /// Maximum number of endpoints per service.
-    pub most: usize,
+    pub max_endpoints: usize,
     /// Hash of the process's name.
     pub hash: u64,
 }
@@ -118,7 +118,7 @@
     }
 
     /// Applies the platform's list: adds new VMs and removes missing ones.
-    pub fn list(&mut self, vms: impl IntoIterator<Item = Vm>) {
+    pub fn apply_listing(&mut self, vms: impl IntoIterator<Item = Vm>) {
         let mut previous = std::mem::take(&mut self.members);
         for vm in vms.into_iter().filter(|vm| vm.role == Role::Endpoint) {
             let member = match previous.remove(&vm.name) {
@@ -133,14 +133,14 @@
     }
 
     /// Updates the drain state of every endpoint; `drained` returns whether operators drain it.
-    pub fn drain(&mut self, drained: impl Fn(&Name) -> bool) {
+    pub fn set_drained(&mut self, drained: impl Fn(&Name) -> bool) {
         for (name, member) in &mut self.members {
             member.drained = drained(name);
         }
     }
 
     /// Records a response of the sidecar, which ends the exclusion after failures.
-    pub fn heard(&mut self, endpoint: &Name, incarnation: Incarnation, leaving: bool) {
+    pub fn record_response(&mut self, endpoint: &Name, incarnation: Incarnation, leaving: bool) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.incarnation = Some(incarnation);
         member.reported_draining = leaving;
@@ -149,7 +149,7 @@
     }
 
     /// Records that the endpoint was unreachable, and excludes it for an exponentially growing time.
-    pub fn failed(&mut self, endpoint: &Name, now: Moment) {
+    pub fn record_failure(&mut self, endpoint: &Name, now: Moment) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.consecutive_failures = (member.consecutive_failures + 1).min(16);
         let retry_delay = INITIAL_RETRY_DELAY * 2u32.pow(member.consecutive_failures - 1);
@@ -157,14 +157,14 @@
     }
 
     /// Records the start of an attempt at the endpoint.
-    pub fn begin(&mut self, endpoint: &Name, tokens: u64) {
+    pub fn record_start(&mut self, endpoint: &Name, tokens: u64) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.outstanding += 1;
         member.active_tokens += tokens;
     }
 
     /// Records the end of an attempt at the endpoint.
-    pub fn end(&mut self, endpoint: &Name, tokens: u64) {
+    pub fn record_end(&mut self, endpoint: &Name, tokens: u64) {
         let Some(member) = self.members.get_mut(endpoint) else { return };
         member.outstanding = member.outstanding.saturating_sub(1);
         member.active_tokens = member.active_tokens.saturating_sub(tokens);
@@ -187,7 +187,7 @@
     pub fn candidates(&self, service: &str, domains: &[Name], now: Moment) -> Vec<Candidate> {
         let is_eligible = |member: &&Member| {
             *member.vm.service == *service
-                && !member.is_leaving()
+                && !member.is_draining()
                 && (domains.is_empty() || domains.contains(&member.vm.failure_domain))
         };
         let eligible: Vec<&Member> = self.members.values().filter(is_eligible).collect();
@@ -198,9 +198,9 @@
 
     /// Reduces the list to the sample size by rendezvous hashing.
     fn select_sample<'a>(&self, mut pool: Vec<&'a Member>) -> Vec<&'a Member> {
-        if pool.len() > self.sample.most {
+        if pool.len() > self.sample.max_endpoints {
             pool.sort_by_cached_key(|member| Reverse(rendezvous(self.sample.hash, &member.vm.name)));
-            pool.truncate(self.sample.most);
+            pool.truncate(self.sample.max_endpoints);
         }
         pool
     }
--- a/coord/src/memory.rs
+++ b/coord/src/memory.rs
@@ -30,8 +30,8 @@
 
     /// Reserves `tokens` for `owner` until `until`. Returns `false` and reserves nothing if they do not fit or the
     /// owner already has a reservation.
-    pub fn hold(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
-        if self.holds.contains_key(&owner) || tokens > self.free() {
+    pub fn reserve(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
+        if self.holds.contains_key(&owner) || tokens > self.available() {
             return false;
         }
         self.held += tokens;
@@ -41,7 +41,7 @@
     }
 
     /// Frees the memory of `owner` and returns its number of tokens.
-    pub fn free_owner(&mut self, owner: K) -> u64 {
+    pub fn release(&mut self, owner: K) -> u64 {
         let Some(hold) = self.holds.remove(&owner) else { return 0 };
         self.held -= hold.tokens;
         self.check_invariants();
@@ -49,12 +49,12 @@
     }
 
     /// Returns the owners whose reservations have expired at `now`. Expired memory stays reserved until freed.
-    pub fn lapsed(&self, now: Moment) -> Vec<K> {
+    pub fn expired(&self, now: Moment) -> Vec<K> {
         self.holds.iter().filter(|(_, hold)| hold.until < now).map(|(owner, _)| *owner).collect()
     }
 
     /// Returns the number of tokens that are not reserved.
-    pub fn free(&self) -> u64 {
+    pub fn available(&self) -> u64 {
         self.capacity - self.held
     }
 
--- a/coord/src/offset.rs
+++ b/coord/src/offset.rs
@@ -13,7 +13,7 @@
 const MAX_ERA: u64 = u64::MAX >> PLAIN_BITS;
 
 /// Combines an era and a plain offset into one number.
-pub fn number(era: u64, plain: u64) -> u64 {
+pub fn encode(era: u64, plain: u64) -> u64 {
     (era.min(MAX_ERA) << PLAIN_BITS) | plain.min(PLAIN_MASK)
 }
 
@@ -23,7 +23,7 @@
 }
 
 /// Returns the plain offset of a number, as used by the log within its era.
-pub const fn plain(number: u64) -> u64 {
+pub const fn plain_offset(number: u64) -> u64 {
     number & PLAIN_MASK
 }
 
@@ -33,8 +33,8 @@
 impl fmt::Display for Text {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match era(self.0) {
-            0 => write!(f, "{}", plain(self.0)),
-            era => write!(f, "{era}:{}", plain(self.0)),
+            0 => write!(f, "{}", plain_offset(self.0)),
+            era => write!(f, "{era}:{}", plain_offset(self.0)),
         }
     }
 }
--- a/coord/src/pick.rs
+++ b/coord/src/pick.rs
@@ -12,7 +12,7 @@
 }
 
 /// Returns the `count` names with the highest rendezvous scores for `hash`, best first.
-pub fn chosen<'a>(hash: u64, names: impl Iterator<Item = &'a Name>, count: usize) -> Vec<Name> {
+pub fn highest_ranked<'a>(hash: u64, names: impl Iterator<Item = &'a Name>, count: usize) -> Vec<Name> {
     let mut scored: Vec<(u64, &Name)> = names.map(|name| (rendezvous(hash, name), name)).collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored.into_iter().take(count).map(|(_, name)| name.clone()).collect()
@@ -43,7 +43,7 @@
     ) -> Vec<Name>;
 
     /// Returns whether the candidates are asked for a quote before one is chosen.
-    fn asks(&self) -> bool {
+    fn needs_quotes(&self) -> bool {
         false
     }
 }
@@ -115,7 +115,7 @@
     ) -> Vec<Name> {
         let mut picked = match hash {
             Some(hash) => {
-                chosen(hash, endpoints.iter().map(|candidate| &candidate.endpoint), self.by_prefix.min(count))
+                highest_ranked(hash, endpoints.iter().map(|candidate| &candidate.endpoint), self.by_prefix.min(count))
             }
             None => Vec::new(),
         };
@@ -131,7 +131,7 @@
         picked
     }
 
-    fn asks(&self) -> bool {
+    fn needs_quotes(&self) -> bool {
         true
     }
 }
@@ -154,8 +154,8 @@
 /// Sorts the offers by preference: endpoints that accept work first, then by expected time to first token.
 pub fn rank_offers(mut offers: Vec<Offer>) -> Vec<Offer> {
     offers.sort_by_key(|offer| {
-        let ttft = crate::time::micros(offer.quote.ttft + offer.quote.harm) + offer.distance;
-        (!offer.quote.open, ttft, offer.quote.outstanding)
+        let ttft = crate::time::micros(offer.quote.ttft + offer.quote.interference) + offer.distance;
+        (!offer.quote.is_accepting, ttft, offer.quote.outstanding)
     });
     offers
 }
--- a/coord/src/placement.rs
+++ b/coord/src/placement.rs
@@ -75,7 +75,7 @@
     }
 
     /// Replays the record at `offset` with log timestamp `at`, and returns whether it took effect.
-    pub fn replay(&mut self, offset: u64, at: Moment, record: Record) -> bool {
+    pub fn apply(&mut self, offset: u64, at: Moment, record: Record) -> bool {
         if offset < self.next {
             return false;
         }
@@ -86,7 +86,7 @@
                 lease.replay(&process, incarnation, offset, at, Duration::from_millis(term_ms))
             }
             Record::Place { domain, fence, loads } => {
-                let is_valid = self.leases.get(&domain).is_some_and(|lease| lease.counts(fence));
+                let is_valid = self.leases.get(&domain).is_some_and(|lease| lease.is_current_fence(fence));
                 if is_valid {
                     loads
                         .into_iter()
@@ -110,7 +110,7 @@
     }
 
     /// Returns the offset of the next record to read.
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         self.next
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Returns the valid order to an endpoint.
-    pub fn order_to(&self, endpoint: &str) -> Option<&Order> {
+    pub fn order_for(&self, endpoint: &str) -> Option<&Order> {
         self.orders.get(endpoint)
     }
 
@@ -132,7 +132,7 @@
 
 /// Returns what the intents require the endpoints of `service` to load, or `None` if no intent uses the service. The
 /// adapters of several intents are merged; the first version stated is used.
-pub fn wanted(config: &Config, service: &str) -> Option<Load> {
+pub fn desired_load(config: &Config, service: &str) -> Option<Load> {
     let mut intents = config.intents.values().filter(|intent| *intent.service == *service).peekable();
     intents.peek()?;
     let mut load = Load::default();
@@ -155,7 +155,7 @@
     /// Service that the endpoint belongs to.
     pub service: Name,
     /// Load that the endpoint reported; `None` before its first report.
-    pub holds: Option<Load>,
+    pub loaded: Option<Load>,
 }
 
 /// Returns the next orders of a rolling update. At most `share` of each service's endpoints, but at least one, change
@@ -172,10 +172,10 @@
     }
     let mut next_orders = BTreeMap::new();
     for (service, endpoints) in by_service {
-        let Some(load) = wanted(config, service) else { continue };
+        let Some(load) = desired_load(config, service) else { continue };
         let is_ordered = |endpoint: &&&Endpoint| orders.get(&endpoint.name).is_some_and(|order| order.load == load);
         let pending_count =
-            endpoints.iter().filter(|endpoint| is_ordered(endpoint) && endpoint.holds.as_ref() != Some(&load)).count();
+            endpoints.iter().filter(|endpoint| is_ordered(endpoint) && endpoint.loaded.as_ref() != Some(&load)).count();
         let max_pending = ((endpoints.len() as f64 * share) as usize).max(1);
         let unordered =
             endpoints.iter().filter(|endpoint| !is_ordered(endpoint)).take(max_pending.saturating_sub(pending_count));
--- a/coord/src/planner/estimate.rs
+++ b/coord/src/planner/estimate.rs
@@ -19,7 +19,7 @@
     };
     let prefill_ms = profile.prefill_ms(job.prompt_tokens);
     let is_short = is_short(&job, profile, policy);
-    let parts = if is_short { 1 } else { policy.most_parts.min(engines) };
+    let parts = if is_short { 1 } else { policy.max_parts.min(engines) };
     // On average half a pass is under way when the prompt arrives, and a whole pass produces the first event.
     let pass_ms = profile.pass_ms(profile.slots / 2, 0);
     let first_event_ms = prefill_ms / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT;
@@ -31,7 +31,7 @@
     let gap_target_ms = if job.gap_target_ms > 0.0 { job.gap_target_ms } else { f64::INFINITY };
     let full_pass_ms = profile.pass_ms((f64::from(profile.slots) * policy.slot_share) as u32, 0);
     let prefill_ms = profile.prefill_ms(job.prompt_tokens);
-    prefill_ms <= gap_target_ms * policy.pause_share - full_pass_ms && prefill_ms <= MAX_SHORT_PREFILL_MS
+    prefill_ms <= gap_target_ms * policy.gap_share - full_pass_ms && prefill_ms <= MAX_SHORT_PREFILL_MS
 }
 
 impl Planner {
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -92,7 +92,7 @@
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
     pub fn begin_settling(&mut self, now: Moment) {
-        if self.policy.settling {
+        if self.policy.settle_before_long {
             self.settled_at = now + SETTLING_PERIOD;
         }
     }
@@ -146,7 +146,7 @@
     /// Records that a job produced its first event, which means that its prompt is prefilled.
     pub fn record_first_event(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.first_event(id) else { return };
-        let is_overdue = job.is_overdue(now) && self.policy.suspicion;
+        let is_overdue = job.is_overdue(now) && self.policy.suspect_slow;
         let has_no_helpers = job.team.helpers.is_empty();
         for name in job.team.engines() {
             let Some(engine) = self.fleet.get_mut(name) else { continue };
@@ -201,7 +201,7 @@
 
     /// Requires trial requests of the engines of prompts with overdue first events.
     fn suspect_overdue(&mut self, now: Moment) {
-        if !self.policy.suspicion {
+        if !self.policy.suspect_slow {
             return;
         }
         while let Some(job) = self.granted.next_overdue(now) {
@@ -343,7 +343,7 @@
             self.snapshot.update(index, &self.fleet.engines()[index], &self.policy, now);
         }
         // The expected time is unreliable until all entries have reported their running jobs.
-        let can_predict = self.policy.second_sends && now >= self.settled_at;
+        let can_predict = self.policy.resend_unresponsive && now >= self.settled_at;
         let unresponsive_after = can_predict.then(|| unresponsive::first_event_timeout(expected_ms));
         Grant { id: candidate.id, team, unresponsive_after }
     }
--- a/coord/src/planner/place/long.rs
+++ b/coord/src/planner/place/long.rs
@@ -19,11 +19,11 @@
     /// Returns the largest team whose members can each prefill a part without exceeding a gap target.
     pub(super) fn select_team(&self) -> Option<Team> {
         let max_parts =
-            ((self.prompt().prefill_ms / self.policy().least_part_ms) as usize).clamp(1, self.policy().most_parts);
+            ((self.prompt().prefill_ms / self.policy().min_part_ms) as usize).clamp(1, self.policy().max_parts);
         let available = self.prefill_engines();
         let sizes = self.min_parts(max_parts)..=max_parts.min(available.by_wait.len() + 1);
         let largest = |helpers| sizes.clone().rev().find_map(|parts| self.build_team(&available, parts, helpers));
-        let with_idle_helpers = if self.policy().spare_writers { largest(HelperScope::Idle) } else { None };
+        let with_idle_helpers = if self.policy().prefer_idle_helpers { largest(HelperScope::Idle) } else { None };
         with_idle_helpers.or_else(|| largest(HelperScope::Any))
     }
 
@@ -89,11 +89,11 @@
     fn joinable_engines(&self, part_ms: f64) -> impl Iterator<Item = usize> {
         let policy = self.policy();
         let is_suitable = move |state: &EngineState| {
-            policy.gather
+            policy.colocate_long
                 && state.sequence_count > 0
                 && state.short_sequence_count == 0
-                && state.pending_ms > policy.start_pending_ms
-                && state.pending_ms <= policy.join_pending_ms
+                && state.pending_ms > policy.max_pending_ms
+                && state.pending_ms <= policy.max_join_pending_ms
                 && state.prefill_budget_ms >= part_ms
                 && !state.is_half_open
         };
@@ -123,7 +123,7 @@
     /// Ranks engines for decoding, smallest first. Long answers decode beside other long answers and away from short
     /// ones, so that most engines only prefill.
     fn decoder_key(&self, state: &EngineState) -> (u8, Reverse<usize>) {
-        let preference = match self.policy().gather {
+        let preference = match self.policy().colocate_long {
             true if state.short_sequence_count > 0 => 2,
             true if state.sequence_count == 0 => 1,
             true => 0,
--- a/coord/src/planner/place/short.rs
+++ b/coord/src/planner/place/short.rs
@@ -28,7 +28,7 @@
     /// recently failed, one unreachable for the entry and two with exhausted rate limits exclude all, and prompts
     /// were refused although an engine was idle.
     pub(super) fn select_ejected(&self) -> Option<usize> {
-        if !self.policy().few_left || !self.snapshot.leaves_few_usable(self.excluded, self.policy()) {
+        if !self.policy().relax_exclusions || !self.snapshot.leaves_few_usable(self.excluded, self.policy()) {
             return None;
         }
         let eligibility = self.eligibility.allow_failing();
--- a/coord/src/planner/policy.rs
+++ b/coord/src/planner/policy.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// Share of a gap target that a pass may take, prefill included.
-    pub pause_share: f64,
+    pub gap_share: f64,
     /// Shortest worthwhile prefill part, in milliseconds; a smaller part costs more in passes than it saves.
-    pub least_part_ms: f64,
+    pub min_part_ms: f64,
     /// Largest number of engines that prefill one prompt together.
-    pub most_parts: usize,
+    pub max_parts: usize,
     /// Most pending prefill that an engine may have when it joins a team, in milliseconds.
-    pub start_pending_ms: f64,
+    pub max_pending_ms: f64,
     /// Share of an engine's slots that is granted; the rest absorbs load that this planner does not see.
     pub slot_share: f64,
     /// Share of an engine's memory that is granted.
@@ -22,17 +22,17 @@
     /// Share of the time until the caller gives up within which a late prompt must be prefilled.
     pub late_share: f64,
     /// Share of the engines that must remain when recently failed engines are excluded; otherwise none is excluded.
-    pub least_usable: f64,
+    pub min_usable_share: f64,
     /// Share of the time until the target of the first event within which a team must have prefilled the prompt.
     pub in_time_share: f64,
     /// Whether parts of long prompts go to engines without sequences as long as there are enough. On other engines
     /// they slow down decoding, which then occupies its slots for longer: in a burst of long prompts at 150 engines,
     /// 150 long answers were decoding on 75 engines, and no prompt over 550,000 tokens found a dozen usable engines.
-    pub spare_writers: bool,
+    pub prefer_idle_helpers: bool,
     /// Whether long answers decode beside each other, so that more engines have no sequences.
-    pub gather: bool,
+    pub colocate_long: bool,
     /// Most pending prefill of an engine at which a long answer may join others, in milliseconds.
-    pub join_pending_ms: f64,
+    pub max_join_pending_ms: f64,
     /// Whether the cheapest prompt goes first within a priority; otherwise the one with the earliest first-event
     /// target.
     pub cheapest_first: bool,
@@ -49,19 +49,19 @@
     /// Whether engines that fail are ejected for a while.
     pub breakers: bool,
     /// Whether engines with a mild exclusion, such as a recent failure, are used where all rules together leave few.
-    pub few_left: bool,
+    pub relax_exclusions: bool,
     /// Whether engines of overdue prompts become half-open.
-    pub suspicion: bool,
+    pub suspect_slow: bool,
     /// Whether an overdue team makes only those members half-open that have produced no first event since the grant;
     /// otherwise all. With 5 of 60 engines hanging, suspecting all members excluded 19 to 43 engines from teams at
     /// once.
-    pub mute_only: bool,
+    pub suspect_unresponsive_only: bool,
     /// Whether engines are probed for their slowdown factors.
-    pub ask_pace: bool,
+    pub probe_slowdown: bool,
     /// Whether prompts that stay unresponsive beyond any plausible delay are sent to other engines.
-    pub second_sends: bool,
+    pub resend_unresponsive: bool,
     /// Whether a new planner holds long prompts until the entries have reported their running jobs.
-    pub settling: bool,
+    pub settle_before_long: bool,
     /// Whether planners that do not know of each other prefer different engines.
     pub salt: bool,
 }
@@ -69,19 +69,19 @@
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            pause_share: 0.85,
-            least_part_ms: 40.0,
-            most_parts: 17,
-            start_pending_ms: 20.0,
+            gap_share: 0.85,
+            min_part_ms: 40.0,
+            max_parts: 17,
+            max_pending_ms: 20.0,
             slot_share: 0.88,
             memory_share: 0.97,
             long_share: 0.06,
             late_share: 0.5,
-            least_usable: 0.6,
+            min_usable_share: 0.6,
             in_time_share: 0.9,
-            spare_writers: true,
-            gather: true,
-            join_pending_ms: 300.0,
+            prefer_idle_helpers: true,
+            colocate_long: true,
+            max_join_pending_ms: 300.0,
             cheapest_first: true,
             late_last: true,
             late_shared: true,
@@ -89,12 +89,12 @@
             packing: true,
             shared_memory: true,
             breakers: true,
-            few_left: true,
-            suspicion: true,
-            mute_only: true,
-            ask_pace: true,
-            second_sends: true,
-            settling: true,
+            relax_exclusions: true,
+            suspect_slow: true,
+            suspect_unresponsive_only: true,
+            probe_slowdown: true,
+            resend_unresponsive: true,
+            settle_before_long: true,
             salt: true,
         }
     }
--- a/coord/src/planner/rate_limited.rs
+++ b/coord/src/planner/rate_limited.rs
@@ -76,7 +76,7 @@
             return 1;
         }
         let slack_ms = candidate.prompt.job.first_event_target.since(now).as_secs_f64() * 1e3;
-        let max_sends = self.policy.most_parts.min(self.fleet.engines().len()).max(1);
+        let max_sends = self.policy.max_parts.min(self.fleet.engines().len()).max(1);
         ((candidate.prompt.prefill_ms / slack_ms.max(1.0)).ceil() as usize).clamp(1, max_sends)
     }
 
--- a/coord/src/planner/slowdown.rs
+++ b/coord/src/planner/slowdown.rs
@@ -32,7 +32,7 @@
     /// Returns the engines that should be probed for their slowdown now: those that are late and those that were
     /// slow.
     pub fn engines_to_probe(&mut self, now: Moment) -> Vec<Name> {
-        if !self.policy.ask_pace {
+        if !self.policy.probe_slowdown {
             return Vec::new();
         }
         let mut engines = Vec::new();
--- a/coord/src/planner/snapshot.rs
+++ b/coord/src/planner/snapshot.rs
@@ -56,7 +56,7 @@
         Self {
             pending_ms,
             wait_ms: pending_ms + pass_ms,
-            prefill_budget_ms: min_gap_target_ms * policy.pause_share - pass_ms - pending_ms,
+            prefill_budget_ms: min_gap_target_ms * policy.gap_share - pass_ms - pending_ms,
             pass_ms,
             min_gap_target_ms,
             context_tokens,
@@ -265,7 +265,7 @@
     /// Returns whether recently failed engines are excluded, which requires that most engines remain: a failure that
     /// hits many engines at once has another cause.
     fn excludes_failing(&self, policy: &Policy) -> bool {
-        self.admitting as f64 > self.states.len() as f64 * policy.least_usable
+        self.admitting as f64 > self.states.len() as f64 * policy.min_usable_share
     }
 
     /// Returns whether engines that run a suspected request are excluded, which requires that most engines remain.
@@ -296,7 +296,7 @@
 
     /// Returns whether too few engines remain without `engines` of them.
     fn leaves_too_few(&self, engines: usize, policy: &Policy) -> bool {
-        engines as f64 >= self.states.len() as f64 * (1.0 - policy.least_usable)
+        engines as f64 >= self.states.len() as f64 * (1.0 - policy.min_usable_share)
     }
 
     /// Returns those of `engines` that have almost no pending prefill.
@@ -304,7 +304,7 @@
         let allow_half_open = self.needs_half_open(policy);
         // A failing engine would hold up the whole team, so trial requests are left to short prompts.
         let is_suitable = |state: &EngineState| {
-            let is_almost_idle = state.pending_ms <= policy.start_pending_ms;
+            let is_almost_idle = state.pending_ms <= policy.max_pending_ms;
             is_almost_idle && (allow_half_open || !state.is_half_open) && self.is_fast_enough(state, policy)
         };
         let mut by_wait: Vec<usize> = engines.filter(|index| is_suitable(&self.states[*index])).collect();
--- a/coord/src/planner/unresponsive.rs
+++ b/coord/src/planner/unresponsive.rs
@@ -39,7 +39,7 @@
     /// `granted_at`. The other members have answered prompts meanwhile and do not hold up the team. The blame is
     /// shared equally, so that an engine which belongs to several overdue teams is ejected.
     pub(super) fn suspect_team(&mut self, team: &Team, granted_at: Moment, now: Moment) {
-        let suspects_all = !self.policy.mute_only;
+        let suspects_all = !self.policy.suspect_unresponsive_only;
         let is_unresponsive =
             |name: &&Name| self.fleet.get(name).is_some_and(|engine| suspects_all || engine.answered_at < granted_at);
         let unresponsive: Vec<Name> = team.engines().filter(is_unresponsive).cloned().collect();
@@ -47,7 +47,7 @@
         for name in &unresponsive {
             let Some(engine) = self.fleet.get_mut(name) else { continue };
             let breaker = engine.breaker.get_or_insert_default();
-            if self.policy.breakers && self.policy.mute_only {
+            if self.policy.breakers && self.policy.suspect_unresponsive_only {
                 breaker.record_failure(share, now);
             }
             breaker.require_trial(now);
--- a/coord/src/poll.rs
+++ b/coord/src/poll.rs
@@ -26,19 +26,19 @@
 
 impl Poll {
     /// Returns whether another request may be sent at `now`.
-    pub fn may_ask(&self, now: Moment) -> bool {
+    pub fn may_send(&self, now: Moment) -> bool {
         self.outstanding_since.is_none_or(|sent_at| now.since(sent_at) >= RESPONSE_TIMEOUT)
     }
 
     /// Records a request and returns its number.
-    pub fn ask(&mut self, now: Moment) -> u64 {
+    pub fn record_request(&mut self, now: Moment) -> u64 {
         self.number += 1;
         self.outstanding_since = Some(now);
         self.number
     }
 
     /// Records the response to request `number`. Returns the send time of the request if it is the latest one.
-    pub fn answer(&mut self, number: u64) -> Option<Moment> {
+    pub fn record_response(&mut self, number: u64) -> Option<Moment> {
         if number == self.number { self.outstanding_since.take() } else { None }
     }
 
@@ -48,16 +48,16 @@
     /// A requester that lacks any part of the data repeats its request early because its peer may receive that part
     /// soon. The first delay is randomised so that requesters that start together spread out: without it, the
     /// responses to 100 requesters, with a configuration of 20 KB, delayed grants on a link of 200 Mbit/s by 110 ms.
-    pub fn pause(&self, period: Duration, is_complete: bool, random: f64) -> Duration {
+    pub fn next_delay(&self, period: Duration, is_complete: bool, random: f64) -> Duration {
         match is_complete {
             false => period.mul_f64(INCOMPLETE_PERIOD_FRACTION),
-            true if self.is_new() => period.mul_f64(random),
+            true if self.is_unused() => period.mul_f64(random),
             true => period,
         }
     }
 
     /// Returns whether no request has been sent yet.
-    pub fn is_new(&self) -> bool {
+    pub fn is_unused(&self) -> bool {
         self.number == 0
     }
 }
--- a/coord/src/prefix.rs
+++ b/coord/src/prefix.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns the number of leading blocks of `chain` that the cache holds.
-    pub fn shared(&self, chain: &Chain) -> usize {
+    pub fn matching_blocks(&self, chain: &Chain) -> usize {
         chain.0.iter().take_while(|hash| self.last_used.contains_key(hash)).count()
     }
 
--- a/coord/src/queue.rs
+++ b/coord/src/queue.rs
@@ -37,7 +37,7 @@
     fn rank(&self, job: &Job, now: Moment) -> f64;
 
     /// Returns whether slots and memory are reserved for short jobs.
-    fn keeps_headroom(&self) -> bool {
+    fn reserves_headroom(&self) -> bool {
         true
     }
 }
@@ -50,7 +50,7 @@
         now.since(job.arrived).as_secs_f64()
     }
 
-    fn keeps_headroom(&self) -> bool {
+    fn reserves_headroom(&self) -> bool {
         false
     }
 }
@@ -104,8 +104,8 @@
     }
 
     /// Returns whether the policy reserves slots and memory for short jobs.
-    pub fn keeps_headroom(&self) -> bool {
-        self.order.keeps_headroom()
+    pub fn reserves_headroom(&self) -> bool {
+        self.order.reserves_headroom()
     }
 
     /// Adds a job; its position is decided when jobs are removed.
@@ -157,7 +157,7 @@
 
     fn fair_rank(&self, job: &Job, now: Moment) -> f64 {
         let rank = self.order.rank(job, now);
-        if !self.order.keeps_headroom() || self.recent_use.len() < 2 {
+        if !self.order.reserves_headroom() || self.recent_use.len() < 2 {
             return rank;
         }
         let total: f64 = self.recent_use.values().sum();
--- a/coord/src/quota.rs
+++ b/coord/src/quota.rs
@@ -28,7 +28,7 @@
     /// Takes `amount` from the bucket, or returns the time to wait before trying again.
     ///
     /// An amount above the capacity is taken from a full bucket and leaves the level negative.
-    pub fn take(&mut self, amount: f64, now: Moment) -> Result<(), Duration> {
+    pub fn try_take(&mut self, amount: f64, now: Moment) -> Result<(), Duration> {
         self.fill(now);
         let needed = amount.min(self.rate.max(1.0));
         if self.level + 1e-9 >= needed {
@@ -55,7 +55,7 @@
 /// the rate, plus an equal part of any surplus.
 ///
 /// `demands` are the request rates that the entries observed; the result has the same order.
-pub fn shares(rate: f64, demands: &[f64]) -> Vec<f64> {
+pub fn split_rate(rate: f64, demands: &[f64]) -> Vec<f64> {
     let total: f64 = demands.iter().sum();
     if demands.is_empty() {
         return Vec::new();
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns the offset of the next record to replay.
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         self.next
     }
 
--- a/coord/src/route.rs
+++ b/coord/src/route.rs
@@ -37,7 +37,7 @@
     /// Path prefix, with a trailing slash.
     pub prefix: Name,
     /// Whether requests may be executed more than once.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// Whether responses are event streams.
     pub streaming: bool,
     /// Whether another replica may continue a stream after the last event delivered.
@@ -45,9 +45,9 @@
     /// Maximum time that the system holds a request.
     pub timeout: Duration,
     /// Target latency of the response, or of the first event of a stream.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Target for the longest gap between two events; zero if not configured.
-    pub gap_aim: Duration,
+    pub gap_target: Duration,
     /// Maximum number of replicas that may execute one request.
     pub max_attempts: u32,
     /// Priority among routes; 0 is the most urgent.
@@ -68,13 +68,13 @@
 
 impl Route {
     /// Returns how long callers wait for the first event of a stream before they give up.
-    pub fn patience(&self) -> Duration {
-        MIN_CLIENT_TIMEOUT.max(self.aim * CLIENT_TIMEOUT_LATENCY_FACTOR).max(self.gap_aim * CLIENT_TIMEOUT_GAP_FACTOR)
+    pub fn client_timeout(&self) -> Duration {
+        MIN_CLIENT_TIMEOUT.max(self.latency_target * CLIENT_TIMEOUT_LATENCY_FACTOR).max(self.gap_target * CLIENT_TIMEOUT_GAP_FACTOR)
     }
 
     /// Returns the service for a request with the random number `point`, uniform in 0..1; `None` if all weights are
     /// zero.
-    pub fn pick(&self, point: f64) -> Option<&Name> {
+    pub fn choose_service(&self, point: f64) -> Option<&Name> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
         if total <= 0.0 {
             return None;
@@ -90,8 +90,8 @@
     }
 
     /// Returns whether a request may be sent again after it may have been executed.
-    pub fn repeatable(&self) -> bool {
-        self.repeat == Idempotency::Safe || self.resumable
+    pub fn is_retryable(&self) -> bool {
+        self.idempotency == Idempotency::Safe || self.resumable
     }
 }
 
@@ -114,7 +114,7 @@
     /// Requests per second from all entries together.
     pub rate: f64,
     /// Duration of the cold period after a start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Workspace that an API key belongs to.
@@ -218,7 +218,7 @@
     }
 
     /// Returns the numbers of routes, services and keys, for log lines.
-    pub fn sizes(&self) -> (usize, usize, usize) {
+    pub fn counts(&self) -> (usize, usize, usize) {
         (self.hosts.values().map(Vec::len).sum(), self.services.len(), self.keys.len())
     }
 }
--- a/coord/src/scheduler/message.rs
+++ b/coord/src/scheduler/message.rs
@@ -14,15 +14,15 @@
     /// KV memory of the engine, in tokens.
     pub memory_tokens: u64,
     /// Largest number of waiting jobs.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Longest prompt that counts as short, in tokens.
     pub short_tokens: u64,
     /// Share of slots and memory that is reserved for short prompts.
     pub short_share: f64,
     /// Whether long prompts get different priorities by length, so that the engine prefills shorter ones first.
-    pub grade_long: bool,
+    pub split_long_by_length: bool,
     /// Time for which key outcomes and cancelled attempts are remembered.
-    pub window: Duration,
+    pub retention: Duration,
 }
 
 /// Reason for refusing a job. A refused job did not run and will not.
@@ -119,11 +119,11 @@
     /// Expected time to the first token.
     pub ttft: Duration,
     /// Expected time to the complete answer.
-    pub whole: Duration,
+    pub total: Duration,
     /// Total delay that the prompt would add to the first tokens of other jobs here.
-    pub harm: Duration,
+    pub interference: Duration,
     /// Whether the endpoint would accept the prompt now.
-    pub open: bool,
+    pub is_accepting: bool,
     /// Time after which to retry if the endpoint would not accept the prompt.
     pub retry_after: Duration,
     /// Number of waiting and running jobs.
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -80,7 +80,7 @@
 
     /// Returns the expected prefill time of a prompt on an idle engine.
     pub fn cost(&self, prefill_tokens: u64) -> Duration {
-        self.estimate.prefill(prefill_tokens) + self.estimate.overhead()
+        self.estimate.prefill(prefill_tokens) + self.estimate.first_token_overhead()
     }
 
     /// Returns the estimates, to be updated with observed times.
@@ -89,7 +89,7 @@
     }
 
     /// Returns the state of `key`, and binds it to `attempt` if it is new.
-    pub fn once(&mut self, key: &Key, attempt: Attempt, now: Moment) -> KeyState {
+    pub fn claim_key(&mut self, key: &Key, attempt: Attempt, now: Moment) -> KeyState {
         if let Some((bound_attempt, is_done)) = self.keys.get(key) {
             return if *is_done { KeyState::Done(*bound_attempt) } else { KeyState::Running(*bound_attempt) };
         }
@@ -99,7 +99,7 @@
     }
 
     /// Records that the attempt of a key has finished.
-    pub fn once_done(&mut self, key: &Key, attempt: Attempt) {
+    pub fn complete_key(&mut self, key: &Key, attempt: Attempt) {
         if let Some(binding) = self.keys.get_mut(key) {
             crate::invariant!(binding.0 == attempt, "only the attempt that is bound to a key may finish it");
             binding.1 = true;
@@ -107,12 +107,12 @@
     }
 
     /// Returns whether the key was bound here within the retention period.
-    pub fn knows(&self, key: &Key) -> bool {
+    pub fn has_key(&self, key: &Key) -> bool {
         self.keys.contains_key(key)
     }
 
     /// Releases a key whose attempt is proven not to have run.
-    pub fn once_not_run(&mut self, key: &Key, attempt: Attempt) {
+    pub fn release_key(&mut self, key: &Key, attempt: Attempt) {
         if self.keys.get(key).is_some_and(|binding| binding.0 == attempt && !binding.1) {
             self.keys.remove(key);
             self.keys_by_age.retain(|(_, other_key)| other_key != key);
@@ -146,7 +146,7 @@
         if job.memory_tokens > self.limits.memory_tokens {
             return refuse(RefusalReason::TooLarge, Duration::ZERO);
         }
-        if self.queue.len() >= self.limits.queue {
+        if self.queue.len() >= self.limits.max_queued {
             return refuse(RefusalReason::QueueFull, self.queue_wait(job, now));
         }
         let needed = self.estimate_times(job, now).1.mul_f64(ESTIMATE_MARGIN);
@@ -167,7 +167,7 @@
     /// Returns the remaining time of prefill on the engine that goes before that of `job`.
     fn prefill_ahead(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
-        let spans = if level == PrefillPriority::Huge { self.spans.prefill_left(now) } else { Duration::ZERO };
+        let spans = if level == PrefillPriority::Huge { self.spans.prefill_time_left(now) } else { Duration::ZERO };
         let running: Duration = self
             .running
             .values()
@@ -190,8 +190,8 @@
     /// Returns the expected time until the spans release their memory. Spans that are not filled yet count with their
     /// whole prefill time.
     fn spans_wait(&self, now: Moment) -> Duration {
-        let unfilled = self.spans.unfilled_tokens() + self.spans.wanted_tokens(now);
-        self.cost(unfilled) + self.spans.prefill_left(now)
+        let unfilled = self.spans.idle_tokens() + self.spans.requested_tokens(now);
+        self.cost(unfilled) + self.spans.prefill_time_left(now)
     }
 
     fn expected_time_left(&self, run: &RunningJob, now: Moment) -> Duration {
@@ -205,24 +205,24 @@
 
     fn level(&self, job: &Job) -> PrefillPriority {
         // FIFO order, the baseline, ignores prompt lengths.
-        if !self.queue.keeps_headroom() {
+        if !self.queue.reserves_headroom() {
             return PrefillPriority::Huge;
         }
         let level = level(job, self.limits.short_tokens);
-        if level == PrefillPriority::Short || self.limits.grade_long { level } else { PrefillPriority::Huge }
+        if level == PrefillPriority::Short || self.limits.split_long_by_length { level } else { PrefillPriority::Huge }
     }
 
     /// Returns the free slots and memory.
     fn capacity(&self, now: Moment) -> Capacity {
-        let share = if self.queue.keeps_headroom() { self.limits.short_share } else { 0.0 };
+        let share = if self.queue.reserves_headroom() { self.limits.short_share } else { 0.0 };
         let free_slots = self.limits.slots.saturating_sub(self.running.len());
         Capacity {
             free_slots,
             reserved_slots: (self.limits.slots as f64 * share) as usize,
             total_memory: self.limits.memory_tokens,
-            free_memory: self.memory.free(),
+            free_memory: self.memory.available(),
             reserved_memory: (self.limits.memory_tokens as f64 * share) as u64,
-            span_memory: self.spans.wanted_tokens(now),
+            span_memory: self.spans.requested_tokens(now),
             short_tokens: self.limits.short_tokens,
         }
     }
@@ -231,26 +231,26 @@
     fn interference(&self, job: &Job, now: Moment) -> Duration {
         let level = self.level(job);
         let paused = self.running.values().filter(|run| run.first_token_at.is_none() && run.level < level).count();
-        let spans = usize::from(level > PrefillPriority::Huge && !self.spans.prefill_left(now).is_zero());
+        let spans = usize::from(level > PrefillPriority::Huge && !self.spans.prefill_time_left(now).is_zero());
         job.cost * (paused + spans) as u32
     }
 
     /// Returns the estimates for a job like `job`.
     pub fn quote(&self, job: &Job, now: Moment) -> Quote {
-        let (ttft, whole) = self.estimate_times(job, now);
+        let (ttft, total) = self.estimate_times(job, now);
         let waiting: u64 = self.queue.iter().map(|job| job.prefill_tokens + job.output_tokens).sum();
         let running: u64 = self.running.values().map(active_tokens).sum();
         let refused = self.check_offer(job, now).err();
         Quote {
             ttft,
-            whole,
-            harm: self.interference(job, now),
-            open: refused.is_none(),
+            total,
+            interference: self.interference(job, now),
+            is_accepting: refused.is_none(),
             retry_after: refused.map_or(Duration::ZERO, |refused| refused.retry_after),
             outstanding: (self.queue.len() + self.running.len()) as u32,
             active_tokens: waiting + running,
             capacity_tokens: self.limits.memory_tokens,
-            free_tokens: self.memory.free(),
+            free_tokens: self.memory.available(),
         }
     }
 
@@ -259,15 +259,15 @@
         let mut actions = Vec::new();
         self.prune(now);
         self.expire(now, &mut actions);
-        for span in self.spans.lapsed(now) {
-            self.spans.give_up(span);
+        for span in self.spans.expired(now) {
+            self.spans.release(span);
             actions.push(Action::FreeSpan(span));
         }
         self.evict(now, &mut actions);
         while let Some(job) = self.take_next(now) {
             let level = self.level(&job);
             let attempt = job.attempt;
-            let held = self.memory.hold(attempt, job.memory_tokens, job.deadline);
+            let held = self.memory.reserve(attempt, job.memory_tokens, job.deadline);
             crate::invariant!(held, "a job starts only with its memory held");
             crate::invariant!(!self.cancelled.contains(attempt), "a cancelled attempt never starts");
             self.running.insert(attempt, RunningJob { job, level, started_at: now, first_token_at: None });
@@ -312,9 +312,9 @@
     }
 
     fn prune(&mut self, now: Moment) {
-        let before = now - self.limits.window;
-        self.cancelled.forget(before);
-        self.finished.forget(before);
+        let before = now - self.limits.retention;
+        self.cancelled.evict_before(before);
+        self.finished.evict_before(before);
         while self.keys_by_age.front().is_some_and(|(at, _)| *at < before) {
             if let Some((_, key)) = self.keys_by_age.pop_front() {
                 self.keys.remove(&key);
@@ -327,17 +327,17 @@
         let is_sole_prefill = self.running.values().filter(|run| run.first_token_at.is_none()).count() == 1;
         let Some(run) = self.running.get_mut(&attempt) else { return };
         if run.first_token_at.replace(now).is_none() && is_sole_prefill {
-            self.estimate.learn_prefill(run.job.prefill_tokens, now.since(run.started_at));
+            self.estimate.observe_prefill(run.job.prefill_tokens, now.since(run.started_at));
         }
     }
 
     /// Finishes a running attempt that generated `output_tokens` and frees its memory.
     pub fn finish(&mut self, attempt: Attempt, output_tokens: u64, now: Moment) {
         let Some(run) = self.running.remove(&attempt) else { return };
-        self.memory.free_owner(attempt);
+        self.memory.release(attempt);
         self.finished.insert(attempt, now);
         if let Some(first_token_at) = run.first_token_at {
-            self.estimate.learn_decode(output_tokens.saturating_sub(1), now.since(first_token_at));
+            self.estimate.observe_decode(output_tokens.saturating_sub(1), now.since(first_token_at));
         }
         self.check_memory_accounting();
     }
@@ -351,7 +351,7 @@
 
     /// Reserves memory for a span under a lease until `until`. If too little memory is free, starts collecting it and
     /// refuses with the time after which to retry.
-    pub fn reserve(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> Result<(), Refusal> {
+    pub fn reserve_span(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> Result<(), Refusal> {
         let refuse = |reason, retry_after| Err(Refusal { reason, retry_after });
         if let Some(held) = self.spans.get_mut(span) {
             held.until = until;
@@ -364,8 +364,8 @@
         if tokens > self.limits.memory_tokens {
             return refuse(RefusalReason::TooLarge, Duration::ZERO);
         }
-        self.has_new_span |= !self.spans.is_wanted(span);
-        if !self.spans.want(span, tokens, until, now) || !self.memory.hold(span, tokens, until) {
+        self.has_new_span |= !self.spans.is_requested(span);
+        if !self.spans.request(span, tokens, until, now) || !self.memory.reserve(span, tokens, until) {
             return refuse(RefusalReason::QueueFull, SPAN_RETRY_AFTER);
         }
         self.spans.hold(span, tokens, until);
@@ -374,29 +374,29 @@
     }
 
     /// Records whether a held span is being prefilled; returns false if the span is not held.
-    pub fn fill(&mut self, span: Attempt, filling: bool, now: Moment) -> bool {
+    pub fn set_span_prefill(&mut self, span: Attempt, filling: bool, now: Moment) -> bool {
         let Some(tokens) = self.spans.get_mut(span).map(|held| held.tokens) else { return false };
         let cost = self.cost(tokens);
         if let Some(held) = self.spans.get_mut(span) {
-            held.filling = filling.then_some((now, cost));
+            held.prefill = filling.then_some((now, cost));
         }
         true
     }
 
     /// Renews the lease of a span; returns false if the span is not held.
-    pub fn renew(&mut self, span: Attempt, until: Moment) -> bool {
+    pub fn renew_span(&mut self, span: Attempt, until: Moment) -> bool {
         self.spans.get_mut(span).map(|held| held.until = until).is_some()
     }
 
     /// Releases a span; returns whether the engine must free it.
-    pub fn give_up(&mut self, span: Attempt) -> bool {
-        self.spans.give_up(span)
+    pub fn release_span(&mut self, span: Attempt) -> bool {
+        self.spans.release(span)
     }
 
     /// Records that the engine has freed a span.
-    pub fn freed(&mut self, span: Attempt) {
-        if self.spans.freed(span) {
-            self.memory.free_owner(span);
+    pub fn confirm_span_freed(&mut self, span: Attempt) {
+        if self.spans.confirm_freed(span) {
+            self.memory.release(span);
         }
         self.check_memory_accounting();
     }
@@ -405,7 +405,7 @@
     ///
     /// If another attempt is bound to the key `once`, that attempt may run, so that the result is
     /// [`CancelOutcome::Started`].
-    pub fn void(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> CancelOutcome {
+    pub fn cancel_unstarted(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> CancelOutcome {
         let binding = once.and_then(|key| self.keys.get(key));
         if binding.is_some_and(|(bound_attempt, _)| *bound_attempt != attempt) {
             return CancelOutcome::Started;
@@ -419,12 +419,12 @@
     }
 
     /// Starts draining: refuses all new work.
-    pub fn leave(&mut self) {
+    pub fn start_drain(&mut self) {
         self.is_draining = true;
     }
 
     /// Stops draining: accepts new work again.
-    pub fn stay(&mut self) {
+    pub fn cancel_drain(&mut self) {
         self.is_draining = false;
     }
 
@@ -434,7 +434,7 @@
     }
 
     /// Returns whether the endpoint is draining.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.is_draining
     }
 
--- a/coord/src/search.rs
+++ b/coord/src/search.rs
@@ -15,7 +15,7 @@
 pub const MAX_CANDIDATES_PER_ROUND: usize = 3;
 /// Retry delay of a failed candidate. It starts at two heartbeat intervals of a leader, within which the candidate
 /// may come up; its maximum bounds how long the two sides of a healed partition take to find each other.
-const RETRY_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(300), longest: Duration::from_secs(4) };
+const RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(300), max: Duration::from_secs(4) };
 
 /// Failed attempts to reach a candidate.
 #[derive(Clone, Copy, Debug)]
@@ -40,31 +40,31 @@
 
 impl<K: Clone + Eq + Hash> LeaderSearch<K> {
     /// Selects the candidates for a round at `now`. `candidates` must be in order of rank.
-    pub fn round(&self, candidates: impl IntoIterator<Item = K>, now: Moment) -> Vec<K> {
+    pub fn next_candidates(&self, candidates: impl IntoIterator<Item = K>, now: Moment) -> Vec<K> {
         let is_eligible = |candidate: &K| self.failures.get(candidate).is_none_or(|failure| failure.retry_at <= now);
         candidates.into_iter().filter(is_eligible).take(MAX_CANDIDATES_PER_ROUND).collect()
     }
 
     /// Records that a candidate was unreachable or is not a leader. `jitter` scales the retry delay, so that
     /// processes that failed together do not retry together.
-    pub fn failed(&mut self, candidate: K, jitter: f64, now: Moment) {
+    pub fn record_failure(&mut self, candidate: K, jitter: f64, now: Moment) {
         let failure = self.failures.entry(candidate).or_insert(Failure { consecutive_failures: 0, retry_at: now });
         failure.consecutive_failures += 1;
-        failure.retry_at = now + RETRY_DELAY.after(failure.consecutive_failures).mul_f64(jitter);
+        failure.retry_at = now + RETRY_DELAY.delay(failure.consecutive_failures).mul_f64(jitter);
     }
 
     /// Records a response of a candidate, which resets its retry delay.
-    pub fn reached(&mut self, candidate: &K) {
+    pub fn record_success(&mut self, candidate: &K) {
         self.failures.remove(candidate);
     }
 
     /// Clears all failures once their common cause is over.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         self.failures.clear();
     }
 
     /// Drops the failures of candidates for which `is_known` returns `false`.
-    pub fn keep(&mut self, is_known: impl Fn(&K) -> bool) {
+    pub fn retain(&mut self, is_known: impl Fn(&K) -> bool) {
         self.failures.retain(|candidate, _| is_known(candidate));
     }
 }
--- a/coord/src/span.rs
+++ b/coord/src/span.rs
@@ -18,7 +18,7 @@
     /// Expiry time of the lease unless renewed.
     pub until: Moment,
     /// Start time and expected duration of the prefill in progress.
-    pub filling: Option<(Moment, Duration)>,
+    pub prefill: Option<(Moment, Duration)>,
 }
 
 /// Spans held and requested at one endpoint.
@@ -34,24 +34,24 @@
 impl Spans {
     /// Requests memory for `span`, or extends its request until `until`. Returns `false` if memory is being set aside
     /// for another span.
-    pub fn want(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> bool {
+    pub fn request(&mut self, span: Attempt, tokens: u64, until: Moment, now: Moment) -> bool {
         if self.requested.is_some_and(|(_, requested)| requested.until <= now) {
             self.requested = None;
         }
         match &mut self.requested {
             Some((owner, requested)) if *owner == span => requested.until = until,
             Some(_) => return false,
-            None => self.requested = Some((span, Span { tokens, until, filling: None })),
+            None => self.requested = Some((span, Span { tokens, until, prefill: None })),
         }
         true
     }
 
     /// Records that the memory of `span` is allocated.
     pub fn hold(&mut self, span: Attempt, tokens: u64, until: Moment) {
-        if self.is_wanted(span) {
+        if self.is_requested(span) {
             self.requested = None;
         }
-        self.held.insert(span, Span { tokens, until, filling: None });
+        self.held.insert(span, Span { tokens, until, prefill: None });
     }
 
     /// Returns the span if it is held.
@@ -65,30 +65,30 @@
     }
 
     /// Returns the number of tokens being set aside for the requested span.
-    pub fn wanted_tokens(&self, now: Moment) -> u64 {
+    pub fn requested_tokens(&self, now: Moment) -> u64 {
         self.requested.filter(|(_, requested)| requested.until > now).map_or(0, |(_, requested)| requested.tokens)
     }
 
     /// Returns whether memory is being set aside for this span.
-    pub fn is_wanted(&self, span: Attempt) -> bool {
+    pub fn is_requested(&self, span: Attempt) -> bool {
         self.requested.is_some_and(|(owner, _)| owner == span)
     }
 
     /// Returns the tokens of held spans that are not being prefilled.
-    pub fn unfilled_tokens(&self) -> u64 {
-        self.held.values().filter(|span| span.filling.is_none()).map(|span| span.tokens).sum()
+    pub fn idle_tokens(&self) -> u64 {
+        self.held.values().filter(|span| span.prefill.is_none()).map(|span| span.tokens).sum()
     }
 
     /// Returns the remaining time of the prefills in progress.
-    pub fn prefill_left(&self, now: Moment) -> Duration {
-        let filling = self.held.values().filter_map(|span| span.filling);
+    pub fn prefill_time_left(&self, now: Moment) -> Duration {
+        let filling = self.held.values().filter_map(|span| span.prefill);
         filling.map(|(started, cost)| cost.saturating_sub(now.since(started))).sum()
     }
 
     /// Releases a span: cancels its request, and if it was held, marks its memory for freeing. Returns whether the
     /// engine now has to free it.
-    pub fn give_up(&mut self, span: Attempt) -> bool {
-        if self.is_wanted(span) {
+    pub fn release(&mut self, span: Attempt) -> bool {
+        if self.is_requested(span) {
             self.requested = None;
         }
         match self.held.remove(&span) {
@@ -98,12 +98,12 @@
     }
 
     /// Returns the spans with expired leases.
-    pub fn lapsed(&self, now: Moment) -> Vec<Attempt> {
+    pub fn expired(&self, now: Moment) -> Vec<Attempt> {
         self.held.iter().filter(|(_, span)| span.until <= now).map(|(id, _)| *id).collect()
     }
 
     /// Records that the engine has freed a span, and returns whether that was outstanding.
-    pub fn freed(&mut self, span: Attempt) -> bool {
+    pub fn confirm_freed(&mut self, span: Attempt) -> bool {
         self.freeing.remove(&span).is_some()
     }
 
--- a/coord/src/succession.rs
+++ b/coord/src/succession.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the capacity of the process.
-    pub fn power(&self) -> Capacity {
+    pub fn capacity(&self) -> Capacity {
         self.capacity.0
     }
 }
--- a/coord/src/termination.rs
+++ b/coord/src/termination.rs
@@ -29,24 +29,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
     /// Time at which the process was still running or had not started.
-    pub after: Moment,
+    pub not_before: Moment,
     /// Time by which the process had terminated.
-    pub by: Moment,
+    pub not_after: Moment,
 }
 
 impl Interval {
     /// Returns the interval of a termination that is known only to have happened before `now`.
     pub const fn before(now: Moment) -> Self {
-        Self { after: Moment::ZERO, by: now }
+        Self { not_before: Moment::ZERO, not_after: now }
     }
 
     fn overlaps(&self, other: &Interval) -> bool {
-        self.after <= other.by && other.after <= self.by
+        self.not_before <= other.not_after && other.not_before <= self.not_after
     }
 
     /// Returns the intersection of both intervals.
     fn intersection(&self, other: &Interval) -> Interval {
-        Interval { after: self.after.max(other.after), by: self.by.min(other.by) }
+        Interval { not_before: self.not_before.max(other.not_before), not_after: self.not_after.min(other.not_after) }
     }
 }
 
@@ -60,13 +60,13 @@
 impl IntervalAge {
     /// Converts `span` for sending at `now`.
     pub fn of(span: &Interval, now: Moment) -> Self {
-        Self { start_age: now.since(span.after), end_age: now.since(span.by) }
+        Self { start_age: now.since(span.not_before), end_age: now.since(span.not_after) }
     }
 
     /// Converts back to an interval at the receive time `now`. The interval is widened by the longest transit time
     /// because the actual one is unknown.
-    pub fn span(&self, now: Moment) -> Interval {
-        Interval { after: now - self.start_age - MAX_TRANSIT_TIME, by: now - self.end_age }
+    pub fn interval(&self, now: Moment) -> Interval {
+        Interval { not_before: now - self.start_age - MAX_TRANSIT_TIME, not_after: now - self.end_age }
     }
 }
 
@@ -133,11 +133,11 @@
 
     /// Records a termination observed by this process. `start_ms` is the start time in the replica's record. Returns the
     /// name of the terminated run and whether the termination is new.
-    pub fn saw(&mut self, replica: &Name, start_ms: Option<u64>, span: Interval) -> (Name, bool) {
+    pub fn record_observed(&mut self, replica: &Name, start_ms: Option<u64>, span: Interval) -> (Name, bool) {
         let terminations = self.replicas.entry(replica.clone()).or_default();
         let overlapping = terminations.iter_mut().filter(|termination| termination.span.overlaps(&span));
         // The request was running on the first run that terminated after it was sent.
-        if let Some(termination) = overlapping.min_by_key(|termination| termination.span.by) {
+        if let Some(termination) = overlapping.min_by_key(|termination| termination.span.not_after) {
             termination.span = termination.span.intersection(&span);
             return (termination.names[0].clone(), false);
         }
@@ -153,14 +153,14 @@
     }
 
     /// Records a termination reported by another process, and returns its name in this process.
-    pub fn heard(&mut self, name: &Name, span: Interval) -> Name {
+    pub fn record_reported(&mut self, name: &Name, span: Interval) -> Name {
         let run = RunName::parse(name);
         let terminations = self.replicas.entry(run.replica.into()).or_default();
         if let Some(termination) = terminations.iter().find(|termination| termination.names.contains(name)) {
             return termination.names[0].clone();
         }
         let candidates = terminations.iter_mut().filter(|termination| termination.may_match(&run, &span));
-        if let Some(termination) = candidates.min_by_key(|termination| termination.span.by) {
+        if let Some(termination) = candidates.min_by_key(|termination| termination.span.not_after) {
             termination.span = termination.span.intersection(&span);
             termination.names.push(name.clone());
             return termination.names[0].clone();
@@ -170,18 +170,18 @@
     }
 
     /// Returns the interval in which a run terminated, or `None` if no such termination is recorded.
-    pub fn span(&self, run: &Name) -> Option<Interval> {
+    pub fn interval(&self, run: &Name) -> Option<Interval> {
         let terminations = self.replicas.get(RunName::parse(run).replica)?;
         terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.span)
     }
 
     /// Returns the number of replicas with a recorded termination.
-    pub fn replicas(&self) -> usize {
+    pub fn replica_count(&self) -> usize {
         self.replicas.len()
     }
 
     /// Drops the terminations of replicas for which `is_known` returns `false`.
-    pub fn keep(&mut self, is_known: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.replicas.retain(|replica, _| is_known(replica));
     }
 }
--- a/coord/src/ticket.rs
+++ b/coord/src/ticket.rs
@@ -24,7 +24,7 @@
 
 impl Ticket {
     /// Returns whether the ticket has not expired at `now`.
-    pub fn is_live(&self, now: Moment) -> bool {
+    pub fn is_valid(&self, now: Moment) -> bool {
         now < self.expires
     }
 }
--- a/coord/tests/ends.rs
+++ b/coord/tests/ends.rs
@@ -20,17 +20,17 @@
 }
 
 fn span(after: u64, by: u64) -> Interval {
-    Interval { after: at(after), by: at(by) }
+    Interval { not_before: at(after), not_after: at(by) }
 }
 
 fn observe(ends: &mut Terminations, replica: &str, after: u64, by: u64) -> Name {
-    ends.saw(&replica.into(), None, span(after, by)).0
+    ends.record_observed(&replica.into(), None, span(after, by)).0
 }
 
 /// Reports `run` from `from` to `ends`, which share a clock, with a transit time of `transit_ms`.
 fn report_to(ends: &mut Terminations, from: &Terminations, run: &Name, sent: u64, transit_ms: u64) -> Name {
-    let age = IntervalAge::of(&from.span(run).expect("the termination is recorded"), at(sent));
-    ends.heard(run, age.span(at(sent + transit_ms)))
+    let age = IntervalAge::of(&from.interval(run).expect("the termination is recorded"), at(sent));
+    ends.record_reported(run, age.interval(at(sent + transit_ms)))
 }
 
 #[test]
@@ -80,11 +80,11 @@
 #[test]
 fn start_times_in_records_distinguish_runs() {
     let (mut a, mut b) = (Terminations::new("a"), Terminations::new("b"));
-    let (first, _) = a.saw(&"r".into(), Some(7), span(0, 20));
-    let (second, _) = b.saw(&"r".into(), Some(8), span(0, 30));
+    let (first, _) = a.record_observed(&"r".into(), Some(7), span(0, 20));
+    let (second, _) = b.record_observed(&"r".into(), Some(8), span(0, 30));
     assert_ne!(report_to(&mut a, &b, &second, 30, 10), first);
     // A start time in a record that lags behind the restart distinguishes nothing.
-    let (third, is_new) = a.saw(&"r".into(), Some(7), span(900, 920));
+    let (third, is_new) = a.record_observed(&"r".into(), Some(7), span(900, 920));
     assert!(is_new && third != first, "{third}");
 }
 
@@ -92,21 +92,21 @@
 fn a_stored_termination_differs_from_one_observed_after_the_store_was_read() {
     let mut ends = Terminations::new("b");
     let stored: Name = "r~a-0".into();
-    assert_eq!(ends.heard(&stored, Interval::before(at(50))), stored);
+    assert_eq!(ends.record_reported(&stored, Interval::before(at(50))), stored);
     assert_ne!(observe(&mut ends, "r", 60, 80), stored);
     // A termination observed before the store was read may be the stored one.
     let own = observe(&mut ends, "q", 10, 40);
-    assert_eq!(ends.heard(&"q~a-1".into(), Interval::before(at(50))), own);
+    assert_eq!(ends.record_reported(&"q~a-1".into(), Interval::before(at(50))), own);
 }
 
 #[test]
 fn names_in_another_format_are_replica_names() {
     let mut ends = Terminations::new("b");
     let old: Name = "engine-3/2".into();
-    assert_eq!(ends.heard(&old, span(0, 20)), old);
-    assert_eq!(ends.heard(&old, span(500, 520)), old);
+    assert_eq!(ends.record_reported(&old, span(0, 20)), old);
+    assert_eq!(ends.record_reported(&old, span(500, 520)), old);
     for name in ["", "~", "@", "-", "r~", "r~-", "r@~x-", "r@x~y-1"] {
-        ends.heard(&name.into(), span(0, 20));
+        ends.record_reported(&name.into(), span(0, 20));
     }
 }
 
@@ -114,10 +114,10 @@
 fn the_number_of_recorded_terminations_is_bounded() {
     let mut ends = Terminations::new("a");
     let runs: Vec<Name> = (0..1_000).map(|number| observe(&mut ends, "r", number * 100, number * 100 + 10)).collect();
-    let known = runs.iter().filter(|run| ends.span(run).is_some()).count();
+    let known = runs.iter().filter(|run| ends.interval(run).is_some()).count();
     assert!((16..=64).contains(&known), "{known}");
-    ends.keep(|replica| replica != "r");
-    assert_eq!(ends.replicas(), 0);
+    ends.retain(|replica| replica != "r");
+    assert_eq!(ends.replica_count(), 0);
 }
 
 /// Report of a termination in transit to another process.
@@ -142,7 +142,7 @@
     let mut termination_count = 0;
     for now in (0..120_000).step_by(10) {
         for report in reports.extract_if(.., |report| report.arrives_at <= now) {
-            let name = registries[report.receiver].heard(&report.run, report.age.span(clock(report.receiver, now)));
+            let name = registries[report.receiver].record_reported(&report.run, report.age.interval(clock(report.receiver, now)));
             names[report.receiver][report.termination].insert(name);
         }
         for (replica, next) in next_end.iter_mut().enumerate() {
@@ -155,8 +155,8 @@
             let id: Name = format!("r{replica}").into();
             for entry in (0..ENTRIES).filter(|_| random.random_bool(0.6)).collect::<Vec<_>>() {
                 let sent = now.saturating_sub(random.random_range(0..200));
-                let span = Interval { after: clock(entry, sent), by: clock(entry, now) };
-                let (run, _) = registries[entry].saw(&id, None, span);
+                let span = Interval { not_before: clock(entry, sent), not_after: clock(entry, now) };
+                let (run, _) = registries[entry].record_observed(&id, None, span);
                 names[entry][termination_count].insert(run.clone());
                 for receiver in (0..ENTRIES).filter(|receiver| *receiver != entry) {
                     let arrives_at = now + random.random_range(0..MAX_TRANSIT_MS);
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -4,7 +4,7 @@
 
 use coord::evacuation::{Event as EvacuationEvent, Snapshot, Evacuations};
 use coord::name::Name;
-use coord::offset::{Text, era, number, plain};
+use coord::offset::{Text, era, encode, plain_offset};
 use coord::roster::{RecordState, Record, Roster, Update, Availability};
 use coord::time::Moment;
 
@@ -34,17 +34,17 @@
 
 #[test]
 fn a_record_of_a_later_era_is_newer_at_any_offset() {
-    assert!(number(1, 0) > number(0, 1 << 40));
-    assert!(number(2, 3) > number(1, 9) && number(2, 3) < number(2, 4));
-    assert_eq!((era(number(7, 5)), plain(number(7, 5))), (7, 5));
-    assert_eq!(number(0, 12), 12, "a log that was never recovered has plain offsets");
-    assert_eq!((Text(12).to_string(), Text(number(3, 12)).to_string()), ("12".to_owned(), "3:12".to_owned()));
+    assert!(encode(1, 0) > encode(0, 1 << 40));
+    assert!(encode(2, 3) > encode(1, 9) && encode(2, 3) < encode(2, 4));
+    assert_eq!((era(encode(7, 5)), plain_offset(encode(7, 5))), (7, 5));
+    assert_eq!(encode(0, 12), 12, "a log that was never recovered has plain offsets");
+    assert_eq!((Text(12).to_string(), Text(encode(3, 12)).to_string()), ("12".to_owned(), "3:12".to_owned()));
 }
 
 #[test]
 fn numbers_beyond_the_maximum_saturate() {
-    assert_eq!(number(u64::MAX, u64::MAX), u64::MAX);
-    assert_eq!(era(number(u64::MAX, 1)), 65_535);
+    assert_eq!(encode(u64::MAX, u64::MAX), u64::MAX);
+    assert_eq!(era(encode(u64::MAX, 1)), 65_535);
 }
 
 #[test]
@@ -52,12 +52,12 @@
     let mut roster = Roster::default();
     roster.apply(3, RecordState::Present(record()), NOW);
     roster.apply(8, RecordState::Removed("r".into()), NOW);
-    roster.apply_snapshot(number(1, 5), vec![update(number(1, 3))], NOW);
+    roster.apply_snapshot(encode(1, 5), vec![update(encode(1, 3))], NOW);
     assert!(!takes_work(&roster), "the recovered log still contains the record");
-    roster.apply_snapshot(number(1, 6), vec![update(number(1, 3))], NOW);
+    roster.apply_snapshot(encode(1, 6), vec![update(encode(1, 3))], NOW);
     assert!(!takes_work(&roster), "the same record is read again");
     assert!(roster.updates_since(0, NOW).is_empty(), "the replica is not reported to peers");
-    roster.apply(number(1, 7), RecordState::Present(record()), NOW);
+    roster.apply(encode(1, 7), RecordState::Present(record()), NOW);
     assert!(takes_work(&roster), "the replica has written its record again");
 }
 
@@ -66,15 +66,15 @@
     let mut roster = Roster::default();
     roster.apply(3, RecordState::Present(record()), NOW);
     roster.record_store_recovery(NOW, GRACE);
-    roster.apply_snapshot(number(1, 2), Vec::new(), NOW);
+    roster.apply_snapshot(encode(1, 2), Vec::new(), NOW);
     assert!(takes_work(&roster));
     let mut rewritten = roster;
-    rewritten.apply(number(1, 4), RecordState::Present(record()), NOW);
+    rewritten.apply(encode(1, 4), RecordState::Present(record()), NOW);
     assert!(takes_work(&rewritten) && rewritten.expire(NOW + GRACE).is_empty(), "the record was written again");
     let mut roster = Roster::default();
     roster.apply(3, RecordState::Present(record()), NOW);
     roster.record_store_recovery(NOW, GRACE);
-    roster.apply_snapshot(number(1, 2), Vec::new(), NOW);
+    roster.apply_snapshot(encode(1, 2), Vec::new(), NOW);
     assert_eq!(roster.expire(NOW + GRACE)[0].availability, Availability::Gone);
 }
 
@@ -91,9 +91,9 @@
     let mut register = Evacuations::default();
     register.apply(6, EvacuationEvent::Started("a".into()));
     register.apply(7, EvacuationEvent::Started("b".into()));
-    assert!(!register.apply_snapshot(snapshot(number(1, 2), &[]), NOW + GRACE));
+    assert!(!register.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE));
     assert_eq!(register.snapshot().domains, domains(&["a", "b"]));
-    register.apply(number(1, 2), EvacuationEvent::Started("a".into()));
+    register.apply(encode(1, 2), EvacuationEvent::Started("a".into()));
     assert!(!register.expire(NOW), "the grace period is not over");
     assert!(register.expire(NOW + GRACE));
     assert_eq!(register.snapshot().domains, domains(&["a"]), "only the repeated evacuation stays in force");
@@ -104,16 +104,16 @@
 fn a_domain_whose_evacuation_ends_after_the_recovery_is_used_at_once() {
     let mut register = Evacuations::default();
     register.apply(6, EvacuationEvent::Started("a".into()));
-    register.apply_snapshot(snapshot(number(1, 2), &[]), NOW + GRACE);
-    assert!(register.apply(number(1, 2), EvacuationEvent::Ended("a".into())));
-    register.apply_snapshot(snapshot(number(1, 3), &[]), NOW + GRACE);
+    register.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE);
+    assert!(register.apply(encode(1, 2), EvacuationEvent::Ended("a".into())));
+    register.apply_snapshot(snapshot(encode(1, 3), &[]), NOW + GRACE);
     assert!(register.snapshot().domains.is_empty());
 }
 
 #[test]
 fn an_event_of_an_earlier_era_changes_nothing() {
     let mut register = Evacuations::default();
-    register.apply_snapshot(snapshot(number(1, 2), &["a"]), NOW);
+    register.apply_snapshot(snapshot(encode(1, 2), &["a"]), NOW);
     assert!(!register.apply_snapshot(snapshot(9, &["b"]), NOW));
     assert!(!register.apply(9, EvacuationEvent::Ended("a".into())));
     assert_eq!(register.snapshot().domains, domains(&["a"]));
--- a/coord/tests/inquiry.rs
+++ b/coord/tests/inquiry.rs
@@ -22,11 +22,11 @@
     for ms in 0..10_000 {
         let now = start + Duration::from_millis(ms);
         while let Some((_, number)) = in_transit.pop_front_if(|(at, _)| *at <= now) {
-            counts.accepted += usize::from(inquiry.answer(number).is_some());
+            counts.accepted += usize::from(inquiry.record_response(number).is_some());
         }
-        if ms % period_ms == 0 && inquiry.may_ask(now) {
+        if ms % period_ms == 0 && inquiry.may_send(now) {
             let free_at = in_transit.back().map_or(now, |(at, _)| *at);
-            in_transit.push_back((free_at + Duration::from_millis(answer_ms), inquiry.ask(now)));
+            in_transit.push_back((free_at + Duration::from_millis(answer_ms), inquiry.record_request(now)));
             counts.sent += 1;
         }
     }
@@ -46,22 +46,22 @@
 fn a_lost_response_is_requested_again_and_no_longer_counts() {
     let now = Moment::from_micros(1_000_000_000);
     let mut inquiry = Poll::default();
-    assert!(inquiry.is_new() && inquiry.may_ask(now));
-    let lost = inquiry.ask(now);
-    assert!(!inquiry.may_ask(now + Duration::from_millis(900)));
+    assert!(inquiry.is_unused() && inquiry.may_send(now));
+    let lost = inquiry.record_request(now);
+    assert!(!inquiry.may_send(now + Duration::from_millis(900)));
     let later = now + Duration::from_millis(1_100);
-    assert!(inquiry.may_ask(later));
-    let next = inquiry.ask(later);
-    assert_eq!(inquiry.answer(lost), None);
-    assert_eq!(inquiry.answer(next), Some(later));
-    assert_eq!(inquiry.answer(next), None, "a response counts once");
+    assert!(inquiry.may_send(later));
+    let next = inquiry.record_request(later);
+    assert_eq!(inquiry.record_response(lost), None);
+    assert_eq!(inquiry.record_response(next), Some(later));
+    assert_eq!(inquiry.record_response(next), None, "a response counts once");
 }
 
 /// Returns the delay of a requester that has already sent its first request.
 fn next_delay(is_complete: bool) -> Duration {
     let mut inquiry = Poll::default();
-    inquiry.ask(Moment::ZERO);
-    inquiry.pause(Duration::from_millis(250), is_complete, 0.5)
+    inquiry.record_request(Moment::ZERO);
+    inquiry.next_delay(Duration::from_millis(250), is_complete, 0.5)
 }
 
 #[test]
@@ -72,6 +72,6 @@
 
 #[test]
 fn requesters_that_start_together_spread_out() {
-    let first = |random| Poll::default().pause(Duration::from_millis(250), true, random);
+    let first = |random| Poll::default().next_delay(Duration::from_millis(250), true, random);
     assert!(first(0.1) < first(0.9) && first(0.9) < Duration::from_millis(250));
 }
--- a/coord/tests/parcel.rs
+++ b/coord/tests/parcel.rs
@@ -24,24 +24,24 @@
 }
 
 fn delta(cache: &mut VersionCache, next: Option<u64>) -> Delta {
-    cache.parcel(next).expect("encoding succeeds").expect("a newer version exists")
+    cache.encode_newest(next).expect("encoding succeeds").expect("a newer version exists")
 }
 
 #[test]
 fn a_change_of_one_route_makes_a_small_delta_at_any_size() {
     for routes in [240, 1_500] {
         let (mut sender, mut receiver) = (VersionCache::default(), VersionCache::default());
-        sender.keep(version(3, configuration(routes, &[])));
+        sender.insert(version(3, configuration(routes, &[])));
         let full = delta(&mut sender, None);
-        let first = receiver.open(&full).expect("a full delta needs no base");
-        receiver.keep(first);
-        sender.keep(version(7, configuration(routes, &[routes / 2])));
+        let first = receiver.decode(&full).expect("a full delta needs no base");
+        receiver.insert(first);
+        sender.insert(version(7, configuration(routes, &[routes / 2])));
         let change = delta(&mut sender, Some(4));
         assert_eq!(change.base, Some(3));
-        assert!(change.packed.len() < 400, "{} bytes for one route of {routes}", change.packed.len());
-        assert!(full.packed.len() < configuration(routes, &[]).len() / 3, "{} bytes", full.packed.len());
+        assert!(change.compressed.len() < 400, "{} bytes for one route of {routes}", change.compressed.len());
+        assert!(full.compressed.len() < configuration(routes, &[]).len() / 3, "{} bytes", full.compressed.len());
         assert_eq!(
-            receiver.open(&change).expect("the base is present"),
+            receiver.decode(&change).expect("the base is present"),
             version(7, configuration(routes, &[routes / 2]))
         );
     }
@@ -50,30 +50,30 @@
 #[test]
 fn a_receiver_with_the_newest_version_or_an_empty_cache_yields_no_delta() {
     let mut cache = VersionCache::default();
-    assert_matches!(cache.parcel(None), Ok(None));
-    cache.keep(version(5, "five"));
-    assert_matches!(cache.parcel(Some(6)), Ok(None));
-    cache.keep(version(5, "other"));
+    assert_matches!(cache.encode_newest(None), Ok(None));
+    cache.insert(version(5, "five"));
+    assert_matches!(cache.encode_newest(Some(6)), Ok(None));
+    cache.insert(version(5, "other"));
     assert_eq!(delta(&mut cache, Some(5)).base, None, "the receiver has no version below offset 5");
 }
 
 #[test]
 fn a_delta_decodes_only_with_its_own_base() {
     let mut sender = VersionCache::default();
-    sender.keep(version(1, configuration(240, &[])));
-    sender.keep(version(2, configuration(240, &[7])));
+    sender.insert(version(1, configuration(240, &[])));
+    sender.insert(version(2, configuration(240, &[7])));
     let change = delta(&mut sender, Some(2));
-    assert_matches!(VersionCache::default().open(&change), Err(Error::Unknown { base: 1 }));
+    assert_matches!(VersionCache::default().decode(&change), Err(Error::Unknown { base: 1 }));
     let mut other = VersionCache::default();
-    other.keep(version(1, configuration(240, &[100, 101])));
-    assert_matches!(other.open(&change), Err(Error::Codec(_)));
+    other.insert(version(1, configuration(240, &[100, 101])));
+    assert_matches!(other.decode(&change), Err(Error::Codec(_)));
 }
 
 #[test]
 fn a_receiver_far_behind_gets_the_full_version() {
     let mut cache = VersionCache::default();
     for offset in 0..20 {
-        cache.keep(version(offset, configuration(10, &[offset])));
+        cache.insert(version(offset, configuration(10, &[offset])));
     }
     assert_eq!(delta(&mut cache, Some(1)).base, None);
     assert_eq!(delta(&mut cache, Some(19)).base, Some(18));
@@ -82,8 +82,8 @@
 #[test]
 fn a_delta_that_decompresses_beyond_the_limit_fails() {
     let mut cache = VersionCache::default();
-    cache.keep(version(1, vec![0; 2 << 20]));
-    assert_matches!(VersionCache::default().open(&delta(&mut cache, None)), Err(Error::Codec(_)));
+    cache.insert(version(1, vec![0; 2 << 20]));
+    assert_matches!(VersionCache::default().decode(&delta(&mut cache, None)), Err(Error::Codec(_)));
 }
 
 proptest! {
@@ -97,22 +97,22 @@
         let mut next = None;
         for (offset, (value, lost, damage)) in steps.into_iter().enumerate() {
             let offset = offset as u64;
-            sender.keep(version(offset, value.clone()));
+            sender.insert(version(offset, value.clone()));
             sent.insert(offset, value);
             if lost == 0 {
                 continue;
             }
             let mut delta = delta(&mut sender, next);
             if let Some((index, mask)) = damage {
-                let mut bytes = delta.packed.to_vec();
+                let mut bytes = delta.compressed.to_vec();
                 let index = index % bytes.len();
                 bytes[index] ^= mask;
-                delta.packed = bytes.into();
+                delta.compressed = bytes.into();
             }
-            match receiver.open(&delta) {
+            match receiver.decode(&delta) {
                 Ok(opened) => {
                     prop_assert_eq!(&opened.value[..], &sent[&offset][..]);
-                    receiver.keep(opened);
+                    receiver.insert(opened);
                     next = Some(offset + 1);
                 }
                 Err(_) => prop_assert!(damage.is_some()),
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -51,7 +51,7 @@
                 let record = Record::Claim {
                     domain: "d".into(), process: name.clone(), incarnation: Incarnation(1), term_ms: 4_000,
                 };
-                let won = board.replay(offset, at, record);
+                let won = board.apply(offset, at, record);
                 if won {
                     let fence = board.lease("d").and_then(|lease| lease.holder()).map(|holder| holder.fence);
                     prop_assert!(fence >= newest, "a fence never decreases");
@@ -62,10 +62,10 @@
             }
             let Some(fence) = fences[process] else { continue };
             let loads = BTreeMap::from([(Name::from("e"), load(&format!("v{offset}")))]);
-            let took_effect = board.replay(offset, at, Record::Place { domain: "d".into(), fence, loads });
+            let took_effect = board.apply(offset, at, Record::Place { domain: "d".into(), fence, loads });
             prop_assert_eq!(took_effect, Some(fence) == newest);
             if took_effect {
-                let order = board.order_to("e").expect("an order");
+                let order = board.order_for("e").expect("an order");
                 prop_assert_eq!((order.offset, order.fence), (offset, fence));
             }
         }
@@ -80,7 +80,7 @@
     ) {
         let config = config("v2");
         let mut endpoints: Vec<Endpoint> = (0..count)
-            .map(|number| Endpoint { name: format!("e{number}").into(), service: "s".into(), holds: Some(load("v1")) })
+            .map(|number| Endpoint { name: format!("e{number}").into(), service: "s".into(), loaded: Some(load("v1")) })
             .collect();
         let mut orders: BTreeMap<Name, Order> = BTreeMap::new();
         let max_changing = ((count as f64 * share) as usize).max(1);
@@ -92,13 +92,13 @@
             }
             let changing = endpoints
                 .iter()
-                .filter(|endpoint| orders.contains_key(&endpoint.name) && endpoint.holds != Some(load("v2")))
+                .filter(|endpoint| orders.contains_key(&endpoint.name) && endpoint.loaded != Some(load("v2")))
                 .count();
             prop_assert!(changing <= max_changing, "{} of {} change at once", changing, count);
             if orders.contains_key(&endpoints[arrived].name) {
-                endpoints[arrived].holds = Some(load("v2"));
+                endpoints[arrived].loaded = Some(load("v2"));
             }
         }
-        prop_assert!(endpoints.iter().all(|endpoint| endpoint.holds == Some(load("v2"))));
+        prop_assert!(endpoints.iter().all(|endpoint| endpoint.loaded == Some(load("v2"))));
     }
 }
--- a/coord/tests/plain/engine.rs
+++ b/coord/tests/plain/engine.rs
@@ -100,7 +100,7 @@
     /// Returns the prefill that fits in before the gap between two events of a sequence exceeds its target, in
     /// milliseconds.
     pub fn prefill_budget_ms(&self, now: Moment, policy: &Policy) -> f64 {
-        self.min_gap_target_ms() * policy.pause_share - self.pass_ms() - self.pending_ms(now)
+        self.min_gap_target_ms() * policy.gap_share - self.pass_ms() - self.pending_ms(now)
     }
 
     /// Returns the KV memory that can still be granted, in tokens.
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -61,7 +61,7 @@
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
     pub fn begin_settling(&mut self, now: Moment) {
-        if self.policy.settling {
+        if self.policy.settle_before_long {
             self.settled_at = now + SETTLING_PERIOD;
         }
     }
@@ -120,7 +120,7 @@
             if let Some(engine) = self.engines.get_mut(name) {
                 engine.remove_part(id, now);
             }
-            match is_overdue && self.policy.suspicion {
+            match is_overdue && self.policy.suspect_slow {
                 false => self.health.record_success(id.entry, name, now),
                 true if team.helpers.is_empty() => self.health.record_failure(id.entry, name, now),
                 // Any engine of the team may be the slow one.
@@ -143,7 +143,7 @@
 
     /// Requires trial requests of the engines of prompts with overdue first events.
     fn suspect_overdue(&mut self, now: Moment) {
-        if !self.policy.suspicion {
+        if !self.policy.suspect_slow {
             return;
         }
         for granted in self.granted.values_mut().filter(|granted| granted.awaits_first_event && granted.is_overdue(now))
--- a/coord/tests/plain/order.rs
+++ b/coord/tests/plain/order.rs
@@ -42,7 +42,7 @@
     /// engines, after half a pass that is under way and a pass that produces the first event.
     pub fn is_late(&self, job: &Job, now: Moment) -> bool {
         let Some(engine) = self.engines.values().next() else { return false };
-        let parts = if self.is_short(job) { 1 } else { self.policy.most_parts.min(self.engines.len()) };
+        let parts = if self.is_short(job) { 1 } else { self.policy.max_parts.min(self.engines.len()) };
         let pass_ms = engine.profile.pass_ms(engine.profile.slots / 2, 0);
         now + duration_from_ms(self.prefill_ms(job) / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT) > job.first_event_target
     }
@@ -58,7 +58,7 @@
         let gap_target_ms = if job.gap_target_ms > 0.0 { job.gap_target_ms } else { f64::INFINITY };
         let profile = &engine.profile;
         let full_pass_ms = profile.pass_ms((f64::from(profile.slots) * self.policy.slot_share) as u32, 0);
-        profile.prefill_ms(job.prompt_tokens) <= gap_target_ms * self.policy.pause_share - full_pass_ms
+        profile.prefill_ms(job.prompt_tokens) <= gap_target_ms * self.policy.gap_share - full_pass_ms
             && profile.prefill_ms(job.prompt_tokens) <= MAX_SHORT_PREFILL_MS
     }
 }
--- a/coord/tests/plain/place/long.rs
+++ b/coord/tests/plain/place/long.rs
@@ -18,7 +18,7 @@
 impl PlacementContext<'_> {
     /// Returns the largest team whose members can each prefill a part without exceeding a gap target.
     pub fn select_team(&self) -> Option<Team> {
-        let max_parts = ((self.prefill_ms / self.policy().least_part_ms) as usize).clamp(1, self.policy().most_parts);
+        let max_parts = ((self.prefill_ms / self.policy().min_part_ms) as usize).clamp(1, self.policy().max_parts);
         let available = self.prefill_engines();
         let sizes = self.min_parts(max_parts)..=max_parts.min(available.len());
         sizes.rev().find_map(|parts| self.build_team(&available, parts))
@@ -31,7 +31,7 @@
             .engines
             .iter()
             .map(|(name, engine)| PrefillEngine { name, engine, wait_ms: engine.wait_ms(self.now) })
-            .filter(|candidate| candidate.engine.pending_ms(self.now) <= self.policy().start_pending_ms)
+            .filter(|candidate| candidate.engine.pending_ms(self.now) <= self.policy().max_pending_ms)
             // A failing engine would hold up the whole team, so trial requests are left to short prompts.
             .filter(|candidate| allow_half_open || !self.planner.health.is_half_open(candidate.name, self.now))
             .collect();
@@ -42,7 +42,7 @@
     /// Returns whether so many engines are half-open that long prompts must use them too.
     fn needs_half_open(&self) -> bool {
         let half_open = self.planner.health.count_half_open(self.now) as f64;
-        half_open >= self.planner.engines.len() as f64 * (1.0 - self.policy().least_usable)
+        half_open >= self.planner.engines.len() as f64 * (1.0 - self.policy().min_usable_share)
     }
 
     /// Returns the smallest number of engines that may prefill the prompt now.
--- a/coord/tests/plain/place/mod.rs
+++ b/coord/tests/plain/place/mod.rs
@@ -57,7 +57,7 @@
     /// engines remain: a failure that hits many engines at once has another cause.
     fn candidates(&self, entry: u64, now: Moment) -> Vec<(&Name, &Engine)> {
         let allowed: Vec<_> = self.engines.iter().filter(|(name, _)| self.health.allows_request(name, now)).collect();
-        let leaves_most = allowed.len() as f64 > self.engines.len() as f64 * self.policy.least_usable;
+        let leaves_most = allowed.len() as f64 > self.engines.len() as f64 * self.policy.min_usable_share;
         let eligible = if leaves_most { allowed } else { self.engines.iter().collect() };
         let reachable = |(name, _): &(&Name, &Engine)| self.health.can_reach(entry, name, now);
         let reachable: Vec<_> = eligible.iter().copied().filter(reachable).collect();
--- a/coord/tests/planner_plain.rs
+++ b/coord/tests/planner_plain.rs
@@ -22,8 +22,8 @@
 impl PlannerPair {
     fn new(policy: Policy) -> Self {
         // The reference implementation does not support these settings.
-        let supported = Policy { spare_writers: false, gather: false, mute_only: false, ..policy };
-        let policy = Policy { second_sends: false, few_left: false, ..supported };
+        let supported = Policy { prefer_idle_helpers: false, colocate_long: false, suspect_unresponsive_only: false, ..policy };
+        let policy = Policy { resend_unresponsive: false, relax_exclusions: false, ..supported };
         Self { planner: Planner::new(policy, 7), reference: plain::Planner::new(policy, 7), running: Vec::new() }
     }
 
@@ -203,7 +203,7 @@
             late_shared: flags[2],
             packing: flags[3],
             shared_memory: flags[4],
-            suspicion: flags[5],
+            suspect_slow: flags[5],
             ..Policy::default()
         };
         check_same_grants(policy, count, 10, steps)?;
--- a/coord/tests/scheduler_machine.rs
+++ b/coord/tests/scheduler_machine.rs
@@ -108,11 +108,11 @@
         let limits = Limits {
             slots: SLOTS,
             memory_tokens: MEMORY_TOKENS,
-            queue: 8,
+            max_queued: 8,
             short_tokens: 500,
             short_share: 0.2,
-            grade_long: true,
-            window: Duration::from_secs(600),
+            split_long_by_length: true,
+            retention: Duration::from_secs(600),
         };
         let estimate = Estimate::new(10_000.0, Duration::from_millis(5));
         Self {
@@ -160,12 +160,12 @@
             Step::Cancel(attempt) => self.cancel(attempt),
             Step::ReserveSpan { span, tokens, lease_ms } => {
                 let until = self.now + Duration::from_millis(lease_ms);
-                if self.scheduler.reserve(Attempt(span), tokens, until, self.now).is_ok() {
+                if self.scheduler.reserve_span(Attempt(span), tokens, until, self.now).is_ok() {
                     self.spans.insert(span, tokens);
                 }
             }
             Step::ReleaseSpan(span) => {
-                if self.scheduler.give_up(Attempt(span)) {
+                if self.scheduler.release_span(Attempt(span)) {
                     self.confirm_freed(span);
                 }
             }
@@ -187,14 +187,14 @@
 
     fn claim(&mut self, attempt: u128, key: u8) {
         let key_name = Key { workspace: "w".into(), key: format!("k{key}").into() };
-        match self.scheduler.once(&key_name, Attempt(attempt), self.now) {
+        match self.scheduler.claim_key(&key_name, Attempt(attempt), self.now) {
             KeyState::First => assert_eq!(self.key_owners.insert(key, attempt), None, "a key is bound once"),
             KeyState::Running(owner) | KeyState::Done(owner) => assert_eq!(self.key_owners.get(&key), Some(&owner.0)),
         }
     }
 
     fn cancel(&mut self, attempt: u128) {
-        match self.scheduler.void(Attempt(attempt), None, self.now) {
+        match self.scheduler.cancel_unstarted(Attempt(attempt), None, self.now) {
             CancelOutcome::NotRun => {
                 assert!(!self.started.contains(&attempt), "a started attempt is never reported as not run");
                 self.cancelled.insert(attempt);
@@ -205,7 +205,7 @@
 
     fn confirm_freed(&mut self, span: u128) {
         self.spans.remove(&span);
-        self.scheduler.freed(Attempt(span));
+        self.scheduler.confirm_span_freed(Attempt(span));
     }
 
     fn apply_action(&mut self, action: Action) {
--- a/coord/tests/search.rs
+++ b/coord/tests/search.rs
@@ -22,7 +22,7 @@
     let mut last = None;
     while now < until && !searching.is_empty() {
         for process in searching.clone() {
-            for candidate in searches[process].round(0..process, now) {
+            for candidate in searches[process].next_candidates(0..process, now) {
                 if Some(candidate) == leader {
                     searching.remove(&process);
                     last = Some(now);
@@ -31,7 +31,7 @@
                 // A process without a leader is not a leader itself, and a dead process does not respond.
                 failed_attempts += 1;
                 let jitter = 0.75 + (process % 11) as f64 / 20.0;
-                searches[process].failed(candidate, jitter, now);
+                searches[process].record_failure(candidate, jitter, now);
             }
         }
         now = now + ROUND_INTERVAL;
@@ -48,9 +48,9 @@
     let mut now = Moment::from_millis(1_000);
     while now < Moment::from_millis(9_000) {
         for (process, search) in searches.iter_mut().enumerate() {
-            for candidate in search.round(0..process.min(MAX_CANDIDATES_PER_ROUND), now) {
+            for candidate in search.next_candidates(0..process.min(MAX_CANDIDATES_PER_ROUND), now) {
                 attempts += 1;
-                search.failed(candidate, 1.0, now);
+                search.record_failure(candidate, 1.0, now);
             }
         }
         now = now + ROUND_INTERVAL;
@@ -78,13 +78,13 @@
         let mut search = LeaderSearch::default();
         let mut now = Moment::from_millis(1_000);
         for (candidate, wait) in failures {
-            search.failed(candidate, 1.0, now);
-            prop_assert!(!search.round([candidate], now).contains(&candidate), "a failed candidate is skipped at first");
+            search.record_failure(candidate, 1.0, now);
+            prop_assert!(!search.next_candidates([candidate], now).contains(&candidate), "a failed candidate is skipped at first");
             now = now + Duration::from_millis(wait);
-            let round = search.round(0..20u8, now);
+            let round = search.next_candidates(0..20u8, now);
             prop_assert!(round.len() <= MAX_CANDIDATES_PER_ROUND && round.is_sorted());
         }
-        search.restart();
-        prop_assert_eq!(search.round(0..20u8, now), vec![0, 1, 2]);
+        search.reset();
+        prop_assert_eq!(search.next_candidates(0..20u8, now), vec![0, 1, 2]);
     }
 }
--- a/sorrelpass/src/config/mod.rs
+++ b/sorrelpass/src/config/mod.rs
@@ -243,11 +243,11 @@
     Limits {
         slots: reader.number("sidecar", "slots", 1..=65_536, 64),
         memory_tokens: reader.number("sidecar", "memory_tokens", 1..=1 << 40, 400_000),
-        queue: reader.number("sidecar", "queue", 1..=65_536, 256),
+        max_queued: reader.number("sidecar", "queue", 1..=65_536, 256),
         short_tokens: reader.number("sidecar", "short_tokens", 1..=1 << 40, 4_000),
         short_share: reader.number("sidecar", "short_share", 0.0..=0.9, 0.2),
-        grade_long: reader.choice("sidecar", "grade_long", &["yes", "no"], "yes") == "yes",
-        window: reader.millis("sidecar", "once_window_ms", 1_000..=MAX_DURATION_MS, 3_600_000),
+        split_long_by_length: reader.choice("sidecar", "grade_long", &["yes", "no"], "yes") == "yes",
+        retention: reader.millis("sidecar", "once_window_ms", 1_000..=MAX_DURATION_MS, 3_600_000),
     }
 }
 
--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -358,6 +358,6 @@
         chain: Chain::default(),
     };
     let quoted = upstream::request_quotes(app, candidates.targets, &ask).await;
-    let best = quoted.into_iter().find(|quoted| quoted.offer.quote.open).ok_or_else(no_endpoint)?;
+    let best = quoted.into_iter().find(|quoted| quoted.offer.quote.is_accepting).ok_or_else(no_endpoint)?;
     Ok(Binding { endpoint: best.target.endpoint, incarnation: best.incarnation })
 }
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -99,7 +99,7 @@
 fn assigned_entries(shared: &Shared, index: u64) -> Vec<Name> {
     let mut entries = shared.peers();
     entries.push(own_address(shared));
-    coord::pick::chosen(index, entries.iter(), FOLLOWERS_PER_PARTITION)
+    coord::pick::highest_ranked(index, entries.iter(), FOLLOWERS_PER_PARTITION)
 }
 
 fn own_address(shared: &Shared) -> Name {
@@ -208,7 +208,7 @@
 
     async fn follow_stream(self: Rc<Self>) {
         loop {
-            let next = self.bindings.borrow().next();
+            let next = self.bindings.borrow().next_offset();
             let is_caught_up = *self.replay_state.borrow() == ReplayState::CaughtUp;
             let wait_ms = if is_caught_up { READ_WAIT_MS } else { 0 };
             match self.log.read(&self.stream, next, wait_ms).await {
@@ -221,7 +221,7 @@
                     for entry in &batch.entries {
                         self.apply(entry.offset, entry.at, &entry.payload);
                     }
-                    if self.bindings.borrow().next() >= batch.end {
+                    if self.bindings.borrow().next_offset() >= batch.end {
                         self.replay_state.send_replace(ReplayState::CaughtUp);
                     }
                 }
@@ -246,7 +246,7 @@
         let mut bindings = self.bindings.borrow_mut();
         let mut waiting_replies = self.waiting_replies.borrow_mut();
         for claim in claims {
-            let bound = bindings.replay(offset, at, claim.key.clone(), claim.binding);
+            let bound = bindings.apply(offset, at, claim.key.clone(), claim.binding);
             for reply in waiting_replies.remove(&claim.key).unwrap_or_default() {
                 let _ = reply.send(bound.clone());
             }
--- a/sorrelpass/src/entry/config_log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -95,7 +95,7 @@
             Command::ConfirmPlan(plan, reply) => drop(reply.send(self.append_confirm(&plan).await)),
             Command::GetSnapshot(next, reply) => {
                 let replay = self.replay.borrow();
-                let is_newer = replay.next() > next;
+                let is_newer = replay.next_offset() > next;
                 let _ = reply.send(is_newer.then(|| replay.snapshot()));
             }
         }
@@ -106,7 +106,7 @@
         let mut is_reachable = true;
         self.restore_from_peers().await;
         loop {
-            let next = self.replay.borrow().next();
+            let next = self.replay.borrow().next_offset();
             match self.log.read(CONFIG_STREAM, next, READ_WAIT_MS).await {
                 Ok(batch) => {
                     if !is_reachable {
@@ -129,7 +129,7 @@
     }
 
     async fn apply_batch(&self, batch: &Batch) {
-        let next = self.replay.borrow().next();
+        let next = self.replay.borrow().next_offset();
         if batch.oldest > next {
             // Records before `oldest` have been trimmed, so the state must be restored from a snapshot.
             event!("log-gap", stream = CONFIG_STREAM, next, oldest = batch.oldest);
@@ -152,7 +152,7 @@
     async fn publish(&self, is_changed: bool) {
         let (config, next) = {
             let replay = self.replay.borrow();
-            (replay.config().clone(), replay.next())
+            (replay.config().clone(), replay.next_offset())
         };
         if is_changed {
             let _ = self.shared.event_loop.send(event_loop::Command::UpdateConfig(config.clone())).await;
@@ -173,7 +173,7 @@
     /// Restores the newest state that any peer has.
     async fn restore_from_peers(&self) {
         for entry in self.shared.peers() {
-            let next = self.replay.borrow().next();
+            let next = self.replay.borrow().next_offset();
             if let Ok(Some(snapshot)) = peer::fetch_snapshot(&entry, next).await {
                 self.restore(&snapshot, &entry).await;
             }
@@ -184,7 +184,7 @@
     /// snapshot.
     async fn restore_across_gap(&self, oldest: u64) {
         self.restore_from_peers().await;
-        if self.replay.borrow().next() >= oldest {
+        if self.replay.borrow().next_offset() >= oldest {
             return;
         }
         match self.read_snapshot().await {
@@ -225,7 +225,7 @@
     /// newest.
     async fn publish_snapshot(&self) {
         let (at, records) = *self.last_snapshot.borrow();
-        let next = self.replay.borrow().next();
+        let next = self.replay.borrow().next_offset();
         let is_due = next.saturating_sub(records) >= SNAPSHOT_INTERVAL_RECORDS
             || util::now().since(at) >= self.shared.settings.snapshot_every;
         if !is_due || next == 0 || !self.is_snapshot_writer(next) {
@@ -245,7 +245,7 @@
         let mut entries = self.shared.peers();
         entries.push(own_address.clone());
         let snapshot_index = next / SNAPSHOT_INTERVAL_RECORDS;
-        coord::pick::chosen(snapshot_index, entries.iter(), 1).contains(&own_address)
+        coord::pick::highest_ranked(snapshot_index, entries.iter(), 1).contains(&own_address)
     }
 
     async fn write_snapshot(&self, snapshot: &Snapshot) -> Result<()> {
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -82,13 +82,13 @@
     }
 
     async fn read_stream(&mut self) -> eyre::Result<()> {
-        let batch = self.log.read(CONTROL_STREAM, self.placements.next(), READ_WAIT_MS).await?;
+        let batch = self.log.read(CONTROL_STREAM, self.placements.next_offset(), READ_WAIT_MS).await?;
         self.placements.skip_to(batch.oldest);
         let mut has_changed = false;
         for entry in batch.entries {
             self.log_clock = Some((entry.at, util::now()));
             match serde_json::from_slice(&entry.payload) {
-                Ok(record) => has_changed |= self.placements.replay(entry.offset, entry.at, record),
+                Ok(record) => has_changed |= self.placements.apply(entry.offset, entry.at, record),
                 Err(error) => {
                     warn_event!("record-unreadable", stream = CONTROL_STREAM, offset = entry.offset, reason = %error);
                     self.placements.skip_to(entry.offset + 1);
@@ -161,13 +161,13 @@
         let vms = self.shared.vms.borrow().clone();
         let is_ours = |vm: &&Vm| vm.role == Role::Endpoint && vm.failure_domain == *self.failure_domain();
         let listed: Vec<Vm> = vms.iter().filter(is_ours).cloned().collect();
-        let order = |vm: &Vm| self.placements.order_to(&vm.name);
+        let order = |vm: &Vm| self.placements.order_for(&vm.name);
         let is_pending =
             |vm: &&Vm| order(vm).is_some_and(|order| self.observed_loads.get(&vm.name) != Some(&order.load));
         let pending: Vec<Vm> = listed.iter().filter(is_pending).cloned().collect();
         self.query_loads(&pending).await;
         let with_load =
-            |vm: Vm| Endpoint { holds: self.observed_loads.get(&vm.name).cloned(), name: vm.name, service: vm.service };
+            |vm: Vm| Endpoint { loaded: self.observed_loads.get(&vm.name).cloned(), name: vm.name, service: vm.service };
         listed.into_iter().map(with_load).collect()
     }
 
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -51,7 +51,7 @@
         let picker = plugin::find::<PickerPlugin>(settings.picker, |plugin| plugin.name);
         let picker = picker.map_or_else(|| Box::new(coord::pick::LeastOutstanding) as Box<_>, |plugin| (plugin.make)());
         let hash = xxhash_rust::xxh3::xxh3_64(settings.process.name.as_bytes());
-        let sample = Sample { most: settings.sample, hash };
+        let sample = Sample { max_endpoints: settings.sample, hash };
         Self {
             config: Arc::default(),
             workspace_by_key: HashMap::new(),
@@ -70,11 +70,11 @@
             Command::TargetsByDomain(query, reply) => drop(reply.send(self.targets_by_domain(&query))),
             Command::Locate(endpoint, reply) => drop(reply.send(self.locate(&endpoint))),
             Command::SidecarReachable { endpoint, incarnation, leaving } => {
-                self.members.heard(&endpoint, incarnation, leaving)
+                self.members.record_response(&endpoint, incarnation, leaving)
             }
-            Command::SidecarUnreachable(endpoint) => self.members.failed(&endpoint, util::now()),
-            Command::AttemptStarted(endpoint, tokens) => self.members.begin(&endpoint, tokens),
-            Command::AttemptEnded(endpoint, tokens) => self.members.end(&endpoint, tokens),
+            Command::SidecarUnreachable(endpoint) => self.members.record_failure(&endpoint, util::now()),
+            Command::AttemptStarted(endpoint, tokens) => self.members.record_start(&endpoint, tokens),
+            Command::AttemptEnded(endpoint, tokens) => self.members.record_end(&endpoint, tokens),
             Command::TakeRetry(reply) => drop(reply.send(self.retry_budget.try_retry())),
             Command::UpdateConfig(config) => self.update_config(config),
             Command::UpdateVms(vms) => self.update_vms(vms),
@@ -98,13 +98,13 @@
     }
 
     fn update_vms(&mut self, vms: Vec<Vm>) {
-        self.members.list(vms);
+        self.members.apply_listing(vms);
         self.update_drained();
     }
 
     fn update_drained(&mut self) {
         let drained = &self.config.drained;
-        self.members.drain(|endpoint| drained.contains(endpoint));
+        self.members.set_drained(|endpoint| drained.contains(endpoint));
     }
 
     fn workspace_of_key(&self, key_digest: &str) -> Result<&Arc<Workspace>, Failure> {
@@ -204,7 +204,7 @@
         let names = self.picker.candidates(&candidates, query.prefix_hash, max_candidates, &mut rand::rng());
         Candidates {
             targets: names.iter().filter_map(|name| self.locate(name)).collect(),
-            needs_quotes: self.picker.asks(),
+            needs_quotes: self.picker.needs_quotes(),
         }
     }
 
@@ -242,7 +242,7 @@
             incarnation: util::incarnation().to_string(),
             revision: self.config.revision,
             endpoints: self.members.iter().count(),
-            leaving: self.members.iter().filter(|member| member.is_leaving()).count(),
+            leaving: self.members.iter().filter(|member| member.is_draining()).count(),
             breaches: coord::invariant::breaches(),
         }
     }
@@ -256,7 +256,7 @@
                 failure_domain: member.vm.failure_domain.clone(),
                 address: member.vm.address.clone(),
                 incarnation: member.incarnation.map(|incarnation| incarnation.to_string()),
-                leaving: member.is_leaving(),
+                leaving: member.is_draining(),
                 outstanding: member.outstanding(),
             })
             .collect()
--- a/sorrelpass/src/entry/event_loop/rate_limiter.rs
+++ b/sorrelpass/src/entry/event_loop/rate_limiter.rs
@@ -56,10 +56,10 @@
         limiter.demanded_requests += 1.0;
         limiter.demanded_tokens += tokens;
         if let Some(bucket) = &mut limiter.requests {
-            bucket.take(1.0, now).map_err(|wait| (Limit::Requests, wait))?;
+            bucket.try_take(1.0, now).map_err(|wait| (Limit::Requests, wait))?;
         }
         if let Some(bucket) = &mut limiter.tokens {
-            bucket.take(tokens, now).map_err(|wait| (Limit::Tokens, wait))?;
+            bucket.try_take(tokens, now).map_err(|wait| (Limit::Tokens, wait))?;
         }
         Ok(())
     }
--- a/sorrelpass/src/entry/limit_sharing.rs
+++ b/sorrelpass/src/entry/limit_sharing.rs
@@ -49,7 +49,7 @@
     let entry_index = reporters.iter().position(|name| *name == entry).unwrap_or(0);
     let share_of = |rate: f64, demand: fn(&WorkspaceDemand) -> f64| {
         let demands: Vec<f64> = reporters.iter().map(|name| demand(&reports[*name].1)).collect();
-        quota::shares(rate, &demands)[entry_index]
+        quota::split_rate(rate, &demands)[entry_index]
     };
     LimitShare {
         workspace: workspace.name.clone(),
@@ -89,7 +89,7 @@
     let mut grouped: HashMap<Name, Vec<WorkspaceDemand>> = HashMap::new();
     for demand in demands {
         let hash = xxhash_rust::xxh3::xxh3_64(demand.workspace.as_bytes());
-        if let Some(owner) = coord::pick::chosen(hash, entries.iter(), 1).pop() {
+        if let Some(owner) = coord::pick::highest_ranked(hash, entries.iter(), 1).pop() {
             grouped.entry(owner).or_default().push(demand);
         }
     }
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -76,7 +76,7 @@
     let plan = PlanResponse {
         plan: id,
         base,
-        changes: request.changes.iter().map(|change| change.in_words(&config)).collect(),
+        changes: request.changes.iter().map(|change| change.describe(&config)).collect(),
         placement: describe_placement(&app.shared, &request.changes),
         warnings: collect_warnings(&app.shared, &request.changes, &config),
     };
@@ -92,7 +92,7 @@
         return Err(Failure::bad_request("invalid_plan", message));
     }
     let faults: Vec<ValidationError> =
-        request.changes.iter().enumerate().flat_map(|(index, change)| change.faults(index)).collect();
+        request.changes.iter().enumerate().flat_map(|(index, change)| change.validate(index)).collect();
     if faults.is_empty() {
         return Ok(());
     }
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -227,7 +227,7 @@
         let mut candidates = Vec::new();
         for quoted in quoted {
             self.max_capacity_tokens = self.max_capacity_tokens.max(quoted.offer.quote.capacity_tokens);
-            if quoted.offer.quote.open {
+            if quoted.offer.quote.is_accepting {
                 candidates.push((quoted.target, Some(quoted.incarnation)));
                 continue;
             }
@@ -416,7 +416,7 @@
                 AnswerPart::Head { .. } => self.is_answer_started = true,
                 AnswerPart::Piece { tokens, .. } => {
                     if *tokens > 0 && self.sent_tokens == 0 {
-                        let class = coord::estimate::class(self.request.admitted.prompt_tokens);
+                        let class = coord::estimate::length_class(self.request.admitted.prompt_tokens);
                         metric::ttft(class, util::now().since(self.started_at));
                         event!("first-token", request = %self.request.id, attempt = %work.attempt, peer = %target.endpoint);
                     }
--- a/sorrelpass/src/entry/ticket.rs
+++ b/sorrelpass/src/entry/ticket.rs
@@ -61,7 +61,7 @@
     if ticket.workspace != *workspace {
         return Err(TicketError::OtherWorkspace);
     }
-    if !ticket.is_live(util::wall()) {
+    if !ticket.is_valid(util::wall()) {
         return Err(TicketError::Expired);
     }
     Ok(ticket)
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -211,7 +211,7 @@
                 Verdict::Gap => Some(Err(AttemptError::lost("assemble", "a frame is missing"))),
             },
             Frame::End { attempt, count, digest, usage, finish } => {
-                if self.receiver.is_whole(attempt, Seal { count, digest }) {
+                if self.receiver.is_complete(attempt, Seal { count, digest }) {
                     return Some(Ok(AnswerPart::End { usage, finish }));
                 }
                 Some(Err(AttemptError::lost("assemble", "the answer's count or digest does not match")))
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -37,7 +37,7 @@
     let offset = Text(document.offset);
     match table::decode(&document.value) {
         Ok(table) => {
-            let (version, (routes, services, keys)) = (table.version(), table.sizes());
+            let (version, (routes, services, keys)) = (table.version(), table.counts());
             let taken = gateway.replace_table(table);
             gateway.refresh_engines();
             event!("configuration", version, routes, services, keys, offset = %offset, taken);
--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -94,7 +94,7 @@
     if workspace.is_some() && !gateway.has_recent_proof() {
         metric::old_proof();
     }
-    let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
+    let service = route.choose_service(rand::random()).cloned().ok_or_else(no_service)?;
     let deadline = started + timeout.min(route.timeout);
     let outgoing = Outgoing { method: head.method, uri: head.uri, headers: head.headers, body };
     let work = work::fingerprint(&call.host, &outgoing, workspace.as_ref().map(|workspace| &workspace.name));
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -105,7 +105,7 @@
 
     /// Returns whether the request may be sent again although a replica may have executed it.
     fn can_retry(&self) -> bool {
-        self.route.repeatable() && self.has_attempts_left()
+        self.route.is_retryable() && self.has_attempts_left()
     }
 
     fn has_attempts_left(&self) -> bool {
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -59,7 +59,7 @@
         let head = self.upstream_head(&record, helpers, after_event);
         event!("send", request = %self.call.id, peer = %record.id, helpers = head.helpers.len(), number = self.attempts + 1, left_ms = head.time_left.as_millis(),
             after_event = after_event.map_or(-1, |event| event as i64));
-        let can_run = self.possible_executions == 0 || self.route.repeatable();
+        let can_run = self.possible_executions == 0 || self.route.is_retryable();
         invariant!(can_run, "a request that may run once is not sent again after it may have run");
         let is_first = self.attempts == 0;
         // Counted before the send, since the replica may have executed the request if the deadline passes during the
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -158,7 +158,7 @@
         let is_excluded = |id: &Name| {
             self.tried_replicas.contains(id) || without_permit.contains(id) || self.gateway.rests.is_resting(id)
         };
-        self.gateway.placer.borrow().pick(&roster, &self.service, self.route.repeat, |id| !is_excluded(id))
+        self.gateway.placer.borrow().pick(&roster, &self.service, self.route.idempotency, |id| !is_excluded(id))
     }
 
     /// Opens a slot at a plain replica.
@@ -169,7 +169,7 @@
 
     /// Returns how much longer a request may wait for a plain replica.
     fn max_plain_wait(&self) -> Duration {
-        (self.started + self.route.aim.mul_f64(MAX_PERMIT_WAIT_SHARE)).since(now())
+        (self.started + self.route.latency_target.mul_f64(MAX_PERMIT_WAIT_SHARE)).since(now())
     }
 
     /// Waits for the end of the first backoff of an untried replica. Returns an error if it ends too late.
@@ -212,7 +212,7 @@
     /// Waits until engines are granted, for at most the time that the caller's deadline and the policy allow.
     async fn choose_engine_target(&self, tokens: u64) -> Result<Target, PlacementError> {
         let job = self.planner_job(tokens);
-        let max_wait = self.route.patience().min(self.timeout).mul_f64(self.gateway.settings.policy.patience_share);
+        let max_wait = self.route.client_timeout().min(self.timeout).mul_f64(self.gateway.settings.policy.patience_share);
         let until = (self.started + max_wait).max(now() + MIN_GRANT_WAIT);
         loop {
             if self.gateway.roster.borrow().usable(&self.service).next().is_none() {
@@ -293,9 +293,9 @@
         planner::Job {
             prompt_tokens: tokens,
             max_output_tokens: self.call.output_tokens,
-            first_event_target: self.started + self.route.aim,
-            gap_target_ms: self.route.gap_aim.as_secs_f64() * 1e3,
-            deadline: self.deadline.min(self.started + self.route.patience()),
+            first_event_target: self.started + self.route.latency_target,
+            gap_target_ms: self.route.gap_target.as_secs_f64() * 1e3,
+            deadline: self.deadline.min(self.started + self.route.client_timeout()),
             priority: workspace_priority.unwrap_or(self.route.priority),
             fingerprint: Some(self.work),
         }
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -133,7 +133,7 @@
         gateway.limits.note_known(ranked.len());
         // The share of each rate limit that this entry may use depends on time and on the number of entries.
         limits::apply(gateway);
-        self.search.keep(|address| ranked.iter().any(|peer| peer.address == *address));
+        self.search.retain(|address| ranked.iter().any(|peer| peer.address == *address));
         self.ranked = ranked;
     }
 
@@ -242,7 +242,7 @@
     // After an outage of the store, all entries search at the same time, so earlier failures say nothing.
     let is_recovered = gateway.has_recent_proof() && !was_verified;
     if is_recovered {
-        search.restart();
+        search.reset();
     }
     if is_recovered { MIN_SEARCH_DELAY } else { (delay * 2).min(MAX_SEARCH_DELAY) }
 }
@@ -340,7 +340,7 @@
                     Order::Grant { number, placement } => gateway.desk.granted(number, placement),
                     Order::Refuse { number, retry_after } => gateway.desk.refused(number, retry_after),
                     Order::Update { number, mut update } => {
-                        let Some(requested_at) = inquiry.answer(number) else { continue };
+                        let Some(requested_at) = inquiry.record_response(number) else { continue };
                         let successors = update.successors.take();
                         store_view::apply_sync_response(gateway, update, requested_at);
                         if let Some(successors) = successors {
@@ -372,10 +372,10 @@
                 link.send(report, &mut queue).await?;
             }
             () = tokio::time::sleep_until(next_sync), if gateway.settings.policy.passing_on => {
-                let delay = inquiry.pause(sync_interval, gateway.facts.is_complete(), rand::random_range(0.0..1.0));
+                let delay = inquiry.next_delay(sync_interval, gateway.facts.is_complete(), rand::random_range(0.0..1.0));
                 next_sync = Instant::now() + delay;
-                if inquiry.may_ask(now()) {
-                    let request = store_view::sync_request(gateway, inquiry.ask(now()));
+                if inquiry.may_send(now()) {
+                    let request = store_view::sync_request(gateway, inquiry.record_request(now()));
                     link.send(Report::Sync(request), &mut queue).await?;
                 }
             }
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -110,13 +110,13 @@
                     link.send(Order::Update { number: request.number, update }, queue).await?;
                     // A follower reads the store itself once the data from here are too old, and may then have newer
                     // ones.
-                    if watch::is_store_view_stale(gateway) && gateway.settings.policy.passing_on && inquiry.may_ask(now()) {
-                        let request = store_view::sync_request(gateway, inquiry.ask(now()));
+                    if watch::is_store_view_stale(gateway) && gateway.settings.policy.passing_on && inquiry.may_send(now()) {
+                        let request = store_view::sync_request(gateway, inquiry.record_request(now()));
                         link.send(Order::Sync(request), queue).await?;
                     }
                 }
                 Report::Update { number, update } => {
-                    if let Some(requested_at) = inquiry.answer(number) {
+                    if let Some(requested_at) = inquiry.record_response(number) {
                         store_view::apply_sync_response(gateway, update, requested_at);
                     }
                 }
--- a/sorrelpass/src/gateway/limits/cold.rs
+++ b/sorrelpass/src/gateway/limits/cold.rs
@@ -17,7 +17,7 @@
     let roster = gateway.roster.borrow();
     for service in gateway.table().services() {
         let Some(limit) = service.cold else { continue };
-        let replicas = roster.cold(&service.name, limit.lasts, now());
+        let replicas = roster.cold(&service.name, limit.duration, now());
         cold.extend(replicas.map(|(id, _)| (id.clone(), limit.rate)));
     }
     drop(roster);
@@ -45,6 +45,6 @@
     let roster = gateway.roster.borrow();
     let table = gateway.table();
     let services = table.services().filter_map(|service| Some((service, service.cold?)));
-    let cold = services.flat_map(|(service, limit)| roster.cold(&service.name, limit.lasts, now()));
+    let cold = services.flat_map(|(service, limit)| roster.cold(&service.name, limit.duration, now()));
     cold.map(|(_, until)| until).min()
 }
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -115,17 +115,17 @@
 /// that these follow.
 pub async fn find_leader(search: &mut LeaderSearch<SocketAddr>, peers: &[Peer], own_address: SocketAddr) -> SearchOutcome {
     let others = peers.iter().filter(|peer| peer.address != own_address);
-    for address in search.round(others.map(|peer| peer.address), now()) {
+    for address in search.next_candidates(others.map(|peer| peer.address), now()) {
         let Some(peer) = peers.iter().find(|peer| peer.address == address) else { continue };
         match try_candidate(peer, own_address).await {
             SearchOutcome::Found(connection) => {
-                search.reached(&address);
+                search.record_success(&address);
                 return SearchOutcome::Found(connection);
             }
             SearchOutcome::FollowsThisEntry(follower) => return SearchOutcome::FollowsThisEntry(follower),
             SearchOutcome::NotFound => {}
         }
-        search.failed(address, rand::random_range(0.75..1.25), now());
+        search.record_failure(address, rand::random_range(0.75..1.25), now());
     }
     SearchOutcome::NotFound
 }
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -79,8 +79,8 @@
         if known_draining.unwrap_or(self.record.leaving) {
             return;
         }
-        let span = Interval { after: self.sent_at, by: now() };
-        let (run, is_new) = gateway.quarantine.ends.borrow_mut().saw(&self.record.id, self.record.started_ms, span);
+        let span = Interval { not_before: self.sent_at, not_after: now() };
+        let (run, is_new) = gateway.quarantine.ends.borrow_mut().record_observed(&self.record.id, self.record.started_ms, span);
         if is_new {
             metric::replica_ended();
         }
@@ -92,8 +92,8 @@
 /// Bounds the number of remembered terminations.
 pub(super) fn forget_removed_replicas(gateway: &Gateway) {
     let mut ends = gateway.quarantine.ends.borrow_mut();
-    if ends.replicas() > MAX_REPLICAS_WITH_TERMINATIONS {
+    if ends.replica_count() > MAX_REPLICAS_WITH_TERMINATIONS {
         let roster = gateway.roster.borrow();
-        ends.keep(|replica| roster.get(replica).is_some());
+        ends.retain(|replica| roster.get(replica).is_some());
     }
 }
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -42,7 +42,7 @@
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
     /// does not contain the times of the terminations.
     pub fn with_local_run_names(self, ends: &mut Terminations, now: Moment) -> Self {
-        let rename = |end: End| End { run: ends.heard(&end.run, Interval::before(now)), ..end };
+        let rename = |end: End| End { run: ends.record_reported(&end.run, Interval::before(now)), ..end };
         Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
     }
 
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -18,7 +18,7 @@
     /// Returns the wire form of an event that is sent now.
     pub(super) fn from_event(event: Event, ends: &Terminations) -> Self {
         let span = match &event {
-            Event::Terminated { run, .. } => ends.span(run),
+            Event::Terminated { run, .. } => ends.interval(run),
             Event::Cleared(_) | Event::Condemned(_) | Event::Lifted(_) => None,
         };
         Self { event, termination_age: span.map(|span| IntervalAge::of(&span, now())) }
@@ -27,9 +27,9 @@
     /// Returns the event as received now, with the name that the run has in this process.
     pub(super) fn into_event(self, ends: &mut Terminations) -> Event {
         let now = now();
-        let span = self.termination_age.map_or(Interval::before(now), |age| age.span(now));
+        let span = self.termination_age.map_or(Interval::before(now), |age| age.interval(now));
         match self.event {
-            Event::Terminated { work, run, weight } => Event::Terminated { work, run: ends.heard(&run, span), weight },
+            Event::Terminated { work, run, weight } => Event::Terminated { work, run: ends.record_reported(&run, span), weight },
             other => other,
         }
     }
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -21,12 +21,12 @@
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Retry delay after failed calls. A failed call costs as much as a successful one, and one second is short
 /// compared with an outage.
-const RETRY_DELAY: RetryDelay = RetryDelay { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
+const RETRY_DELAY: RetryDelay = RetryDelay { initial: MIN_RETRY_DELAY, max: Duration::from_millis(1_000) };
 /// Retry delay before the first snapshot, without which the entry cannot serve requests: some response times of the
 /// store.
-const INITIAL_RETRY_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
+const INITIAL_RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(50), max: Duration::from_millis(200) };
 /// Retry delay of a follower, which gets the data from its leader once the store has recovered.
-const FOLLOWER_RETRY_DELAY: RetryDelay = RetryDelay { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
+const FOLLOWER_RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(400), max: Duration::from_millis(2_000) };
 /// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one
 /// follower may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an
 /// outage of 8 s as with independent retry delays.
@@ -92,18 +92,18 @@
     pub async fn back_off(&self, gateway: &Gateway, topic: &Topic) {
         let retry_delay = match topic.age() {
             _ if gateway.desk.has_leader() => {
-                FOLLOWER_RETRY_DELAY.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S)
+                FOLLOWER_RETRY_DELAY.shared_among(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S)
             }
             None => INITIAL_RETRY_DELAY,
             // Each failed call of a leader delegates a read to followers, at least as often as the leader itself
             // would read.
             Some(_) if !gateway.desk.is_alone() => RetryDelay {
-                longest: RETRY_DELAY.longest.min(watch::replicas_read_interval(&gateway.bounds())),
+                max: RETRY_DELAY.max.min(watch::replicas_read_interval(&gateway.bounds())),
                 ..RETRY_DELAY
             },
             Some(_) => RETRY_DELAY,
         };
-        let delay = retry_delay.after(self.failures);
+        let delay = retry_delay.delay(self.failures);
         // The jitter keeps entries that restart together after a power loss from calling the store at the same time.
         gateway.facts.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     }
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -90,15 +90,15 @@
 
     /// Stores an encoded configuration for sending it to other entries.
     pub fn cache_configuration(&self, document: Version) {
-        self.configurations.borrow_mut().keep(document);
+        self.configurations.borrow_mut().insert(document);
     }
 
     /// Decides how an entry that has all records below the offset `next` gets the newest configuration.
     fn delivery(&self, next: Option<u64>) -> Delivery {
-        match self.configurations.borrow_mut().parcel(next) {
+        match self.configurations.borrow_mut().encode_newest(next) {
             Ok(None) => Delivery::UpToDate,
-            Ok(Some(delta)) if delta.packed.len() > MAX_DELTA_BYTES => Delivery::TooLarge,
-            Ok(Some(delta)) if !self.take_link_budget(delta.packed.len()) => Delivery::Deferred,
+            Ok(Some(delta)) if delta.compressed.len() > MAX_DELTA_BYTES => Delivery::TooLarge,
+            Ok(Some(delta)) if !self.take_link_budget(delta.compressed.len()) => Delivery::Deferred,
             Ok(Some(delta)) => Delivery::Delta(delta),
             Err(error) => {
                 warn_event!("configuration", error = %error);
@@ -109,12 +109,12 @@
 
     /// Takes `bytes` out of the link budget. Returns whether they may be sent now.
     fn take_link_budget(&self, bytes: usize) -> bool {
-        self.link_budget.as_ref().is_none_or(|budget| budget.borrow_mut().take(bytes as f64, now()).is_ok())
+        self.link_budget.as_ref().is_none_or(|budget| budget.borrow_mut().try_take(bytes as f64, now()).is_ok())
     }
 
     /// Decodes the configuration in a delta from another entry. Returns `None` and logs the error if that fails.
     fn open_delta(&self, delta: &Delta) -> Option<Version> {
-        match self.configurations.borrow().open(delta) {
+        match self.configurations.borrow().decode(delta) {
             Ok(document) => Some(document),
             Err(error) => {
                 warn_event!("configuration", offset = %Text(delta.offset), error = %error);
--- a/sorrelpass/src/sidecar/control.rs
+++ b/sorrelpass/src/sidecar/control.rs
@@ -58,7 +58,7 @@
     let mut known_config = KnownConfig { endpoint, revision: 0, drained: false, order: None, entries: 0 };
     let mut failures = 0;
     loop {
-        let assigned = coord::pick::chosen(hash, entries.iter(), ASSIGNED_ENTRIES);
+        let assigned = coord::pick::highest_ranked(hash, entries.iter(), ASSIGNED_ENTRIES);
         let Some(entry) = assigned.get(failures % assigned.len().max(1)) else {
             tokio::time::sleep(util::jitter(CONFIG_RETRY_DELAY)).await;
             continue;
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -197,7 +197,7 @@
             }
             Command::CancelAttempt { attempt, once, reply } => self.cancel_attempt(attempt, once.as_ref(), reply),
             Command::ReserveSpan(hold, reply) => drop(reply.send(self.reserve_span(hold))),
-            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.fill(span, active, util::now()))),
+            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.set_span_prefill(span, active, util::now()))),
             Command::ReleaseSpan(span) => self.release_span(span),
             Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
             Command::SpanFreed(span) => self.record_span_freed(span),
@@ -209,7 +209,7 @@
     }
 
     fn make_job(&self, attempt: Attempt, ask: &Ask, now: Moment) -> Job {
-        let cached = Chain::bytes(self.cache.shared(&ask.chain)) as f64 / ask.bytes_per_token;
+        let cached = Chain::bytes(self.cache.matching_blocks(&ask.chain)) as f64 / ask.bytes_per_token;
         let prefill_tokens = ask.prompt_tokens.saturating_sub(cached as u64);
         let cost = match self.settings.kind {
             Kind::Engine => self.scheduler.cost(prefill_tokens),
@@ -235,7 +235,7 @@
         let job = self.make_job(Attempt(0), ask, now);
         Quoted {
             incarnation: util::incarnation(),
-            leaving: self.scheduler.is_leaving(),
+            leaving: self.scheduler.is_draining(),
             quote: self.scheduler.quote(&job, now),
         }
     }
@@ -244,7 +244,7 @@
         let now = util::now();
         let attempt = work.attempt;
         if let (Some(key), Some(transcript)) = (&work.once, transcript) {
-            match self.scheduler.once(key, attempt, now) {
+            match self.scheduler.claim_key(key, attempt, now) {
                 KeyState::First => {
                     self.transcripts.insert(key.clone(), transcript);
                     self.key_by_attempt.insert(attempt, key.clone());
@@ -273,7 +273,7 @@
     /// Makes a key available again, as its attempt is proven not to have run.
     fn unbind_key(&mut self, attempt: Attempt) {
         if let Some(key) = self.key_by_attempt.remove(&attempt) {
-            self.scheduler.once_not_run(&key, attempt);
+            self.scheduler.release_key(&key, attempt);
             self.transcripts.remove(&key);
         }
     }
@@ -292,7 +292,7 @@
             self.unbind_key(attempt);
         }
         if let Some(key) = self.key_by_attempt.remove(&attempt) {
-            self.scheduler.once_done(&key, attempt);
+            self.scheduler.complete_key(&key, attempt);
         }
     }
 
@@ -302,7 +302,7 @@
     }
 
     fn cancel_attempt(&mut self, attempt: Attempt, once: Option<&Key>, reply: Option<oneshot::Sender<CancelOutcome>>) {
-        let outcome = self.scheduler.void(attempt, once, util::now());
+        let outcome = self.scheduler.cancel_unstarted(attempt, once, util::now());
         match outcome {
             CancelOutcome::NotRun => {
                 self.send_signal(attempt, Signal::CancelledBeforeStart);
@@ -329,9 +329,9 @@
         let now = util::now();
         let lease_end = now + Duration::from_micros(hold.lease_micros);
         if hold.renew {
-            return if self.scheduler.renew(hold.span, lease_end) { Held::Yes } else { Held::No };
+            return if self.scheduler.renew_span(hold.span, lease_end) { Held::Yes } else { Held::No };
         }
-        match self.scheduler.reserve(hold.span, hold.tokens, lease_end, now) {
+        match self.scheduler.reserve_span(hold.span, hold.tokens, lease_end, now) {
             Ok(()) => {
                 event!("reserve-span", span = %hold.span, tokens = hold.tokens);
                 Held::Yes
@@ -344,29 +344,29 @@
     /// Releases a span. The `control` thread frees it on the engine, since the entry that requested the
     /// release may be gone by then.
     fn release_span(&mut self, span: Attempt) {
-        if self.scheduler.give_up(span) {
+        if self.scheduler.release_span(span) {
             let _ = self.expired_spans.send(span);
         }
     }
 
     fn record_span_freed(&mut self, span: Attempt) {
         event!("free-span", span = %span);
-        self.scheduler.freed(span);
+        self.scheduler.confirm_span_freed(span);
     }
 
     fn start_shutdown(&mut self, idle: oneshot::Sender<()>) {
         event!("shutdown", waiting = self.scheduler.waiting(), running = self.scheduler.running());
         self.is_stopping = true;
-        self.scheduler.leave();
+        self.scheduler.start_drain();
         self.idle_waiters.push(idle);
     }
 
     fn set_drained(&mut self, drained: bool) {
-        if self.is_stopping || drained == self.scheduler.is_leaving() {
+        if self.is_stopping || drained == self.scheduler.is_draining() {
             return;
         }
         event!("drain", drained, running = self.scheduler.running());
-        if drained { self.scheduler.leave() } else { self.scheduler.stay() }
+        if drained { self.scheduler.start_drain() } else { self.scheduler.cancel_drain() }
     }
 
     fn set_healthy(&mut self, healthy: bool) {
@@ -389,7 +389,7 @@
     /// Drops the transcripts of keys that are past the idempotency window.
     fn prune_transcripts(&mut self) {
         let scheduler = &self.scheduler;
-        self.transcripts.retain(|key, _| scheduler.knows(key));
+        self.transcripts.retain(|key, _| scheduler.has_key(key));
     }
 
     fn advance(&mut self) {
@@ -438,7 +438,7 @@
             endpoint: self.settings.endpoint.clone(),
             service: self.settings.service.clone(),
             incarnation: util::incarnation().to_string(),
-            leaving: self.scheduler.is_leaving(),
+            leaving: self.scheduler.is_draining(),
             waiting: self.scheduler.waiting(),
             running: self.scheduler.running(),
             memory_held_tokens: self.scheduler.memory_held(),
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -102,7 +102,7 @@
 impl AnswerWriter<'_> {
     /// Sends a piece of the answer.
     pub async fn send_piece(&mut self, bytes: Bytes, tokens: u32) -> Result<(), OutputClosed> {
-        let number = self.frame_digest.add(&bytes);
+        let number = self.frame_digest.push(&bytes);
         self.tokens += u64::from(tokens);
         self.has_pieces = true;
         self.output.send(&Frame::Piece { attempt: self.attempt, number, tokens, bytes }).await
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -212,7 +212,7 @@
             let (key, prompt) = (*key, prompt.clone());
             self.waiting.remove(&key);
             self.held += memory;
-            let cached = Chain::bytes(self.cache.shared(&prompt.chain)) / crate::text::BYTES_PER_TOKEN as u64;
+            let cached = Chain::bytes(self.cache.matching_blocks(&prompt.chain)) / crate::text::BYTES_PER_TOKEN as u64;
             let local = prompt.tokens - prompt.remote;
             // The last token is always prefilled, so that there is something to go on from.
             let prefill_left = local.saturating_sub(cached).max(1);
