--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -21,30 +21,30 @@
 /// Looks up the status of a fingerprint beside `suspect_count` suspects and as many verdicts.
 #[divan::bench(args = [0, 100, 4_000])]
 fn status(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
-    let register = register(suspect_count);
-    let work = Fingerprint::of([b"another".as_slice()]);
-    bencher.bench(|| register.status(divan::black_box(work)));
+    let state = state(suspect_count);
+    let fingerprint = Fingerprint::of([b"another".as_slice()]);
+    bencher.bench(|| state.status(divan::black_box(fingerprint)));
 }
 
 /// Records a replica termination under a fingerprint beside `suspect_count` suspects and as many verdicts.
 #[divan::bench(args = [100, 4_000])]
 fn record_termination(bencher: divan::Bencher<'_, '_>, suspect_count: u32) {
-    let register = register(suspect_count);
-    let work = Fingerprint::of([b"another".as_slice()]);
-    let news = Event::Terminated { work, run: Name::from("run"), weight: Weight::Strong };
-    bencher.with_inputs(|| (register.clone(), news.clone())).bench_values(|(mut register, news)| {
-        register.apply(news);
-        register
+    let state = state(suspect_count);
+    let fingerprint = Fingerprint::of([b"another".as_slice()]);
+    let event = Event::Terminated { fingerprint, run: Name::from("run"), weight: Weight::Strong };
+    bencher.with_inputs(|| (state.clone(), event.clone())).bench_values(|(mut state, event)| {
+        state.apply(event);
+        state
     });
 }
 
-fn register(count: u32) -> State {
-    let mut register = State::default();
+fn state(count: u32) -> State {
+    let mut state = State::default();
     for number in 0..count {
-        let work = |kind: &[u8]| Fingerprint::of([kind, &number.to_le_bytes()]);
-        register.apply(Event::Condemned(work(b"condemned")));
+        let fingerprint = |kind: &[u8]| Fingerprint::of([kind, &number.to_le_bytes()]);
+        state.apply(Event::Condemned(fingerprint(b"condemned")));
         let run = Name::from(format!("run-{}", number / 16));
-        register.apply(Event::Terminated { work: work(b"suspect"), run, weight: Weight::Strong });
+        state.apply(Event::Terminated { fingerprint: fingerprint(b"suspect"), run, weight: Weight::Strong });
     }
-    register
+    state
 }
--- a/coord/examples/answer.rs
+++ b/coord/examples/answer.rs
@@ -6,13 +6,13 @@
 
 fn main() {
     let (live, stale) = (Attempt(2), Attempt(1));
-    let mut tally = FrameDigest::new();
+    let mut digest = FrameDigest::new();
     let mut receiver = Receiver::new(live);
     for text in ["Your ", "stall ", "permit"] {
-        let number = tally.push(text.as_bytes());
+        let number = digest.push(text.as_bytes());
         println!("{text:?} of a stale attempt: {:?}", receiver.accept(stale, number, text.as_bytes()));
         println!("{text:?}: {:?}", receiver.accept(live, number, text.as_bytes()));
         println!("{text:?} again: {:?}", receiver.accept(live, number, text.as_bytes()));
     }
-    println!("complete: {}", receiver.is_complete(live, tally.seal()));
+    println!("complete: {}", receiver.is_complete(live, digest.seal()));
 }
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -4,7 +4,7 @@
 
 use coord::fence::Fence;
 use coord::name::{Incarnation, Name};
-use coord::placement::{Placements, Load, Record};
+use coord::placement::{Placements, Artifacts, Record};
 use coord::time::Moment;
 
 fn claim(process: &str) -> Record {
@@ -12,13 +12,13 @@
 }
 
 fn place(fence: u64, version: &str) -> Record {
-    let load = Load { version: version.into(), adapters: Vec::new() };
+    let load = Artifacts { version: version.into(), adapters: Vec::new() };
     let loads = BTreeMap::from([(Name::from("pluma-1"), load)]);
     Record::Place { domain: "leon".into(), fence: Fence(fence), loads }
 }
 
 fn main() {
-    let mut board = Placements::new();
+    let mut placements = Placements::new();
     let log = [
         (0, claim("entry-1"), "entry-1 claims"),
         (100, place(0, "v1"), "entry-1 places v1"),
@@ -27,8 +27,8 @@
         (5_200, place(0, "v1"), "entry-1 resumes and places v1 again"),
     ];
     for (offset, (millis, record, description)) in log.into_iter().enumerate() {
-        let counts = board.apply(offset as u64, Moment::from_millis(millis), record);
+        let counts = placements.apply(offset as u64, Moment::from_millis(millis), record);
         println!("{description}: {}", if counts { "valid" } else { "ignored" });
     }
-    println!("order: {:?}", board.order_for("pluma-1"));
+    println!("order: {:?}", placements.order_for("pluma-1"));
 }
--- a/coord/src/answer.rs
+++ b/coord/src/answer.rs
@@ -61,35 +61,35 @@
 /// Accepts the frames of the live attempt, in order, and rejects all others.
 pub struct Receiver {
     live: Attempt,
-    tally: FrameDigest,
+    digest: FrameDigest,
 }
 
 impl Receiver {
     /// Creates a receiver for the frames of attempt `live`.
     pub fn new(live: Attempt) -> Self {
-        Self { live, tally: FrameDigest::new() }
+        Self { live, digest: FrameDigest::new() }
     }
 
     /// Checks a frame, and adds it to the count and digest if the verdict is [`Verdict::Pass`].
     pub fn accept(&mut self, attempt: Attempt, number: u64, bytes: &[u8]) -> Verdict {
-        if attempt != self.live || number < self.tally.count {
+        if attempt != self.live || number < self.digest.count {
             return Verdict::Drop;
         }
-        if number > self.tally.count {
+        if number > self.digest.count {
             return Verdict::Gap;
         }
-        self.tally.push(bytes);
+        self.digest.push(bytes);
         Verdict::Pass
     }
 
     /// Returns the number of frames accepted.
     pub fn count(&self) -> u64 {
-        self.tally.count
+        self.digest.count
     }
 
     /// Returns whether `seal` comes from the live attempt and matches the frames accepted, so that the answer is
     /// complete.
     pub fn is_complete(&self, attempt: Attempt, seal: Seal) -> bool {
-        attempt == self.live && self.tally.seal() == seal
+        attempt == self.live && self.digest.seal() == seal
     }
 }
--- a/coord/src/backoff.rs
+++ b/coord/src/backoff.rs
@@ -14,11 +14,11 @@
 pub struct Backoffs(BTreeMap<Name, Moment>);
 
 impl Backoffs {
-    /// Records at `now` that a replica asks for a backoff of `rest`.
-    pub fn record(&mut self, replica: &Name, rest: Duration, now: Moment) {
+    /// Records at `now` that a replica asks for a backoff of `period`.
+    pub fn record(&mut self, replica: &Name, period: Duration, now: Moment) {
         self.0.retain(|_, until| *until > now);
         let until = self.0.entry(replica.clone()).or_default();
-        *until = (*until).max(now + rest);
+        *until = (*until).max(now + period);
     }
 
     /// Returns the time left in the backoff of a replica; zero if it may receive requests.
--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -36,12 +36,12 @@
 }
 
 impl Claims {
-    /// Creates an empty board that keeps a binding for `window` after its claim.
+    /// Creates an empty set of claims that keeps a binding for `window` after its claim.
     pub fn new(window: Duration) -> Self {
         Self { window, bound: HashMap::new(), claims_by_age: VecDeque::new(), next: 0 }
     }
 
-    /// Marks all records before `offset` as read. A record can hold several claims: replay all of them before
+    /// Marks all records before `offset` as read. A record can hold several claims: apply all of them before
     /// skipping to the next offset.
     pub fn skip_to(&mut self, offset: u64) {
         crate::invariant!(offset >= self.next, "the log is read forward");
--- a/coord/src/evacuation.rs
+++ b/coord/src/evacuation.rs
@@ -46,12 +46,12 @@
 impl Evacuations {
     /// Applies the record at `offset` and returns whether the set of evacuated domains changed. Records that are
     /// already applied are ignored.
-    pub fn apply(&mut self, offset: u64, news: Event) -> bool {
+    pub fn apply(&mut self, offset: u64, event: Event) -> bool {
         if offset < self.snapshot.next {
             return false;
         }
         self.snapshot.next = offset + 1;
-        match news {
+        match event {
             Event::Started(domain) => {
                 self.missing.remove(&domain);
                 self.snapshot.domains.insert(domain)
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -9,14 +9,14 @@
 //! [`TokenBucket`] counts the requests that may still be sent to a limited replica. [`GroupSize`] yields the share of a
 //! limit that the entries of one leader may use.
 
-mod allowance;
-mod group;
+mod token_bucket;
+mod group_size;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use self::allowance::TokenBucket;
-pub use self::group::GroupSize;
+pub use self::token_bucket::TokenBucket;
+pub use self::group_size::GroupSize;
 
 use crate::name::Name;
 use crate::time::Moment;
--- a/coord/src/memory.rs
+++ b/coord/src/memory.rs
@@ -19,38 +19,38 @@
 pub struct Ledger<K> {
     capacity: u64,
     held: u64,
-    holds: HashMap<K, Reservation>,
+    reservations: HashMap<K, Reservation>,
 }
 
 impl<K: Eq + Hash + Copy> Ledger<K> {
     /// Creates an empty ledger over `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
-        Self { capacity, held: 0, holds: HashMap::new() }
+        Self { capacity, held: 0, reservations: HashMap::new() }
     }
 
     /// Reserves `tokens` for `owner` until `until`. Returns `false` and reserves nothing if they do not fit or the
     /// owner already has a reservation.
     pub fn reserve(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
-        if self.holds.contains_key(&owner) || tokens > self.available() {
+        if self.reservations.contains_key(&owner) || tokens > self.available() {
             return false;
         }
         self.held += tokens;
-        self.holds.insert(owner, Reservation { tokens, until });
+        self.reservations.insert(owner, Reservation { tokens, until });
         self.check_invariants();
         true
     }
 
     /// Frees the memory of `owner` and returns its number of tokens.
     pub fn release(&mut self, owner: K) -> u64 {
-        let Some(hold) = self.holds.remove(&owner) else { return 0 };
-        self.held -= hold.tokens;
+        let Some(reservation) = self.reservations.remove(&owner) else { return 0 };
+        self.held -= reservation.tokens;
         self.check_invariants();
-        hold.tokens
+        reservation.tokens
     }
 
     /// Returns the owners whose reservations have expired at `now`. Expired memory stays reserved until freed.
     pub fn expired(&self, now: Moment) -> Vec<K> {
-        self.holds.iter().filter(|(_, hold)| hold.until < now).map(|(owner, _)| *owner).collect()
+        self.reservations.iter().filter(|(_, reservation)| reservation.until < now).map(|(owner, _)| *owner).collect()
     }
 
     /// Returns the number of tokens that are not reserved.
@@ -70,6 +70,6 @@
 
     fn check_invariants(&self) {
         crate::invariant!(self.held <= self.capacity, "memory held stays within the engine's");
-        crate::invariant!(!self.holds.is_empty() || self.held == 0, "memory without an owner is free");
+        crate::invariant!(!self.reservations.is_empty() || self.held == 0, "memory without an owner is free");
     }
 }
--- a/coord/src/offset.rs
+++ b/coord/src/offset.rs
@@ -28,9 +28,9 @@
 }
 
 /// Formats a number for log lines: the plain offset, prefixed with the era unless the era is 0.
-pub struct Text(pub u64);
+pub struct Formatted(pub u64);
 
-impl fmt::Display for Text {
+impl fmt::Display for Formatted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match era(self.0) {
             0 => write!(f, "{}", plain_offset(self.0)),
--- a/coord/src/placement.rs
+++ b/coord/src/placement.rs
@@ -16,7 +16,7 @@
 
 /// Model version and adapters that an endpoint has to load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct Artifacts {
     /// Version of the model; if empty, the engine chooses.
     pub version: Name,
     /// Adapters to load together with the model.
@@ -31,7 +31,7 @@
     /// Log offset of the order; of two orders with the same fence, the later one is valid.
     pub offset: u64,
     /// Version and adapters to load.
-    pub load: Load,
+    pub load: Artifacts,
 }
 
 /// Record on the control stream.
@@ -56,7 +56,7 @@
         /// Fence of the controller's lease.
         fence: Fence,
         /// Loads by endpoint name.
-        loads: BTreeMap<Name, Load>,
+        loads: BTreeMap<Name, Artifacts>,
     },
 }
 
@@ -132,10 +132,10 @@
 
 /// Returns what the intents require the endpoints of `service` to load, or `None` if no intent uses the service. The
 /// adapters of several intents are merged; the first version stated is used.
-pub fn desired_load(config: &Config, service: &str) -> Option<Load> {
+pub fn desired_load(config: &Config, service: &str) -> Option<Artifacts> {
     let mut intents = config.intents.values().filter(|intent| *intent.service == *service).peekable();
     intents.peek()?;
-    let mut load = Load::default();
+    let mut load = Artifacts::default();
     for intent in intents {
         if load.version.is_empty() {
             load.version = intent.version.clone();
@@ -155,7 +155,7 @@
     /// Service that the endpoint belongs to.
     pub service: Name,
     /// Load that the endpoint reported; `None` before its first report.
-    pub loaded: Option<Load>,
+    pub loaded: Option<Artifacts>,
 }
 
 /// Returns the next orders of a rolling update. At most `share` of each service's endpoints, but at least one, change
@@ -165,7 +165,7 @@
     endpoints: &[Endpoint],
     orders: &BTreeMap<Name, Order>,
     share: f64,
-) -> BTreeMap<Name, Load> {
+) -> BTreeMap<Name, Artifacts> {
     let mut by_service: BTreeMap<&Name, Vec<&Endpoint>> = BTreeMap::new();
     for endpoint in endpoints {
         by_service.entry(&endpoint.service).or_default().push(endpoint);
--- a/coord/src/planner/engine.rs
+++ b/coord/src/planner/engine.rs
@@ -54,7 +54,7 @@
     pub name: Name,
     /// Circuit breaker; `None` until the first failure.
     pub breaker: Option<Breaker>,
-    /// Allowance under the engine's announced rate limit; `None` if it announces no limit.
+    /// Token bucket for the engine's announced rate limit; `None` if it announces no limit.
     pub limit: Option<TokenBucket>,
     /// Time of the last first event that was not overdue.
     pub answered_at: Moment,
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -102,7 +102,7 @@
         !self.waiting.is_empty()
     }
 
-    /// Adds a job to the queue; [`Planner::pump`] grants it.
+    /// Adds a job to the queue; [`Planner::grant_ready`] grants it.
     pub fn submit(&mut self, id: Id, job: Job) {
         self.waiting.insert(id, self.estimate_prompt(job));
     }
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Resets the saved-up allowance of all rate limits. Needed when this planner takes over from another one whose
-    /// recent grants it does not know.
+    /// Resets the credit of the token buckets of all rate limits. Needed when this planner takes over from another one
+    /// whose recent grants it does not know.
     pub fn reset_limits(&mut self, now: Moment) {
         let salt = self.salt;
         for engine in self.fleet.engines_mut() {
@@ -349,7 +349,7 @@
     }
 }
 
-/// Returns the part of the first request, from 0 to 1, that an engine's allowance starts with. It differs between
+/// Returns the part of the first request, from 0 to 1, that an engine's token bucket starts with. It differs between
 /// planners, so that together they do not exceed the limit at the start.
 fn initial_share(salt: u64, engine: &Name) -> f64 {
     rendezvous(salt, engine) as f64 / u64::MAX as f64
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that repeatedly coincide with replica terminations.
 //!
 //! A faulty request can terminate every replica that starts to run it. All repetitions of a request share a
-//! fingerprint, [`Fingerprint`]. Each termination is evidence against the fingerprints of all requests on the replica, most
+//! [`Fingerprint`]. Each termination is evidence against the fingerprints of all requests on the replica, most
 //! of them innocent; a fingerprint that is present again at the next termination accumulates evidence. A fingerprint
 //! with enough evidence is *condemned*: no replica receives its requests until an operator lifts the verdict. A
 //! complete successful answer clears it.
@@ -50,9 +50,9 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut work = Self([0; 16]);
-        work.0.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        work
+        let mut fingerprint = Self([0; 16]);
+        fingerprint.0.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        fingerprint
     }
 }
 
@@ -116,7 +116,7 @@
     /// A replica terminated while it held a request with the fingerprint.
     Terminated {
         /// Fingerprint of the request.
-        work: Fingerprint,
+        fingerprint: Fingerprint,
         /// Name of the terminated run, unique among all runs of all replicas.
         run: Name,
         /// Strength of the evidence.
@@ -134,8 +134,8 @@
     /// Returns the fingerprint that the event concerns.
     pub const fn fingerprint(&self) -> Fingerprint {
         match self {
-            Event::Terminated { work, .. } => *work,
-            Event::Cleared(work) | Event::Condemned(work) | Event::Lifted(work) => *work,
+            Event::Terminated { fingerprint, .. } => *fingerprint,
+            Event::Cleared(fingerprint) | Event::Condemned(fingerprint) | Event::Lifted(fingerprint) => *fingerprint,
         }
     }
 }
@@ -187,11 +187,11 @@
 
 impl State {
     /// Returns the status of a fingerprint.
-    pub fn status(&self, work: Fingerprint) -> Status {
-        if self.condemned.contains_key(&work) {
+    pub fn status(&self, fingerprint: Fingerprint) -> Status {
+        if self.condemned.contains_key(&fingerprint) {
             return Status::Condemned;
         }
-        match self.suspects.get(&work) {
+        match self.suspects.get(&fingerprint) {
             Some(suspect) if suspect.points() >= SUSPECT_POINTS => Status::Suspect,
             _ => Status::Clear,
         }
@@ -201,22 +201,22 @@
     /// recorded or adds too little evidence.
     pub fn apply(&mut self, event: Event) -> Vec<Event> {
         match event {
-            Event::Terminated { work, run, weight } => self.record_termination(work, run, weight),
-            Event::Cleared(work) => self.clear(work),
-            Event::Condemned(work) => self.condemn(work),
-            Event::Lifted(work) => self.lift(work),
+            Event::Terminated { fingerprint, run, weight } => self.record_termination(fingerprint, run, weight),
+            Event::Cleared(fingerprint) => self.clear(fingerprint),
+            Event::Condemned(fingerprint) => self.condemn(fingerprint),
+            Event::Lifted(fingerprint) => self.lift(fingerprint),
         }
     }
 
     /// Returns the recorded runs that terminated under a condemned fingerprint, with the strength of the evidence.
-    pub fn terminations(&self, work: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
-        let terminations = self.condemned.get(&work).map(|verdict| &verdict.terminations);
+    pub fn terminations(&self, fingerprint: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
+        let terminations = self.condemned.get(&fingerprint).map(|verdict| &verdict.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns the evidence against a fingerprint that is not condemned, by terminated run.
-    pub fn evidence(&self, work: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
-        let terminations = self.suspects.get(&work).map(|suspect| &suspect.terminations);
+    pub fn evidence(&self, fingerprint: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
+        let terminations = self.suspects.get(&fingerprint).map(|suspect| &suspect.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
@@ -227,7 +227,7 @@
 
     /// Returns the suspects with their points.
     pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, u32)> {
-        let counted = self.suspects.iter().map(|(work, suspect)| (*work, suspect.points()));
+        let counted = self.suspects.iter().map(|(fingerprint, suspect)| (*fingerprint, suspect.points()));
         counted.filter(|(_, points)| *points >= SUSPECT_POINTS)
     }
 
@@ -236,26 +236,26 @@
     /// condemn a fingerprint just as those observed by one.
     pub fn persistent(&self, is_isolated: bool) -> impl Iterator<Item = Fingerprint> {
         let min_points = if is_isolated { SUSPECT_POINTS } else { PERSISTENT_POINTS };
-        let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(work, _)| work);
+        let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(fingerprint, _)| fingerprint);
         self.condemned().chain(suspects)
     }
 
     /// Returns the events that bring a new peer up to date.
     pub fn events(&self) -> Vec<Event> {
         let condemned = self.condemned().map(Event::Condemned);
-        let suspects = self.suspects().flat_map(|(work, _)| {
-            self.evidence(work).map(move |(run, weight)| Event::Terminated { work, run: run.clone(), weight })
+        let suspects = self.suspects().flat_map(|(fingerprint, _)| {
+            self.evidence(fingerprint).map(move |(run, weight)| Event::Terminated { fingerprint, run: run.clone(), weight })
         });
         condemned.chain(suspects).collect()
     }
 
-    fn record_termination(&mut self, work: Fingerprint, run: Name, weight: Weight) -> Vec<Event> {
-        if self.condemned.contains_key(&work) || self.is_attributed(&run) {
+    fn record_termination(&mut self, fingerprint: Fingerprint, run: Name, weight: Weight) -> Vec<Event> {
+        if self.condemned.contains_key(&fingerprint) || self.is_attributed(&run) {
             return Vec::new();
         }
         self.next_sequence += 1;
         let sequence = self.next_sequence;
-        let suspect = self.suspects.entry(work).or_insert_with(|| Suspect { sequence, ..Suspect::default() });
+        let suspect = self.suspects.entry(fingerprint).or_insert_with(|| Suspect { sequence, ..Suspect::default() });
         let previous = suspect.terminations.insert(run.clone(), weight);
         suspect.newest_run = run.clone();
         if let Some(previous) = previous.filter(|previous| *previous >= weight) {
@@ -265,10 +265,10 @@
         let (points, termination_count) = (suspect.points(), suspect.terminations.len());
         let mut relayed = Vec::new();
         if points >= SUSPECT_POINTS {
-            relayed.push(Event::Terminated { work, run, weight });
+            relayed.push(Event::Terminated { fingerprint, run, weight });
         }
-        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(work)) {
-            relayed.extend(self.condemn(work));
+        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(fingerprint)) {
+            relayed.extend(self.condemn(fingerprint));
         }
         self.evict();
         relayed
@@ -284,49 +284,49 @@
     /// Returns whether another fingerprint was on all replicas that terminated under this one, so that either may be
     /// the cause. The newest termination is left out because its report for the other fingerprint may still be in
     /// transit.
-    fn is_ambiguous(&self, work: Fingerprint) -> bool {
-        let Some(suspect) = self.suspects.get(&work) else { return false };
+    fn is_ambiguous(&self, fingerprint: Fingerprint) -> bool {
+        let Some(suspect) = self.suspects.get(&fingerprint) else { return false };
         let earlier: Vec<&Name> = suspect.terminations.keys().filter(|run| **run != suspect.newest_run).collect();
-        let mut others = self.suspects.iter().filter(|(other, _)| **other != work);
+        let mut others = self.suspects.iter().filter(|(other, _)| **other != fingerprint);
         others.any(|(_, other)| earlier.iter().all(|run| other.terminations.contains_key(*run)))
     }
 
-    fn condemn(&mut self, work: Fingerprint) -> Vec<Event> {
-        if self.condemned.contains_key(&work) {
+    fn condemn(&mut self, fingerprint: Fingerprint) -> Vec<Event> {
+        if self.condemned.contains_key(&fingerprint) {
             return Vec::new();
         }
-        let terminations = self.suspects.remove(&work).map(|suspect| suspect.terminations).unwrap_or_default();
+        let terminations = self.suspects.remove(&fingerprint).map(|suspect| suspect.terminations).unwrap_or_default();
         for suspect in self.suspects.values_mut() {
             suspect.terminations.retain(|run, _| !terminations.contains_key(run));
         }
         self.suspects.retain(|_, suspect| !suspect.terminations.is_empty());
         self.next_sequence += 1;
-        self.condemned.insert(work, Verdict { terminations, sequence: self.next_sequence });
+        self.condemned.insert(fingerprint, Verdict { terminations, sequence: self.next_sequence });
         self.evict();
-        vec![Event::Condemned(work)]
+        vec![Event::Condemned(fingerprint)]
     }
 
     /// Clears a fingerprint after a complete successful answer. An answer that was in flight when its request was
     /// condemned proves the verdict wrong.
-    fn clear(&mut self, work: Fingerprint) -> Vec<Event> {
-        let relayed = match self.status(work) {
+    fn clear(&mut self, fingerprint: Fingerprint) -> Vec<Event> {
+        let relayed = match self.status(fingerprint) {
             Status::Clear => Vec::new(),
-            Status::Suspect => vec![Event::Cleared(work)],
-            Status::Condemned => vec![Event::Lifted(work)],
+            Status::Suspect => vec![Event::Cleared(fingerprint)],
+            Status::Condemned => vec![Event::Lifted(fingerprint)],
         };
-        self.remove(work);
+        self.remove(fingerprint);
         relayed
     }
 
-    fn lift(&mut self, work: Fingerprint) -> Vec<Event> {
-        let was_recorded = self.status(work) != Status::Clear;
-        self.remove(work);
-        if was_recorded { vec![Event::Lifted(work)] } else { Vec::new() }
+    fn lift(&mut self, fingerprint: Fingerprint) -> Vec<Event> {
+        let was_recorded = self.status(fingerprint) != Status::Clear;
+        self.remove(fingerprint);
+        if was_recorded { vec![Event::Lifted(fingerprint)] } else { Vec::new() }
     }
 
-    fn remove(&mut self, work: Fingerprint) {
-        self.suspects.remove(&work);
-        self.condemned.remove(&work);
+    fn remove(&mut self, fingerprint: Fingerprint) {
+        self.suspects.remove(&fingerprint);
+        self.condemned.remove(&fingerprint);
     }
 
     /// Bounds the state by evicting the suspect with the fewest points, the oldest first among equals, and the oldest
@@ -334,16 +334,16 @@
     fn evict(&mut self) {
         while self.suspects.len() > MAX_SUSPECTS {
             let weakest = self.suspects.iter().min_by_key(|(_, suspect)| (suspect.points(), suspect.sequence));
-            let Some(work) = weakest.map(|(work, _)| *work) else { break };
-            self.suspects.remove(&work);
+            let Some(fingerprint) = weakest.map(|(fingerprint, _)| *fingerprint) else { break };
+            self.suspects.remove(&fingerprint);
         }
         while self.condemned.len() > MAX_VERDICTS {
             let oldest = self.condemned.iter().min_by_key(|(_, verdict)| verdict.sequence);
-            let Some(work) = oldest.map(|(work, _)| *work) else { break };
-            self.condemned.remove(&work);
+            let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) else { break };
+            self.condemned.remove(&fingerprint);
         }
         invariant!(
-            self.suspects.keys().all(|work| !self.condemned.contains_key(work)),
+            self.suspects.keys().all(|fingerprint| !self.condemned.contains_key(fingerprint)),
             "condemned work is no suspect any more"
         );
     }
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -21,7 +21,7 @@
 /// Replica as described by its record in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Identity of the replica. It can survive a restart; `born` then distinguishes the runs.
+    /// Identity of the replica. It can survive a restart; `started_ms` then distinguishes the runs.
     pub id: Name,
     /// Start time of the run in Unix milliseconds, if the record states it.
     pub started_ms: Option<u64>,
@@ -189,8 +189,8 @@
     }
 
     /// Applies the state of a record at its offset; a state older than the recorded one is ignored.
-    pub fn apply(&mut self, offset: u64, news: RecordState, now: Moment) -> Option<Change> {
-        match news {
+    pub fn apply(&mut self, offset: u64, state: RecordState, now: Moment) -> Option<Change> {
+        match state {
             RecordState::Present(record) => self.apply_record(offset, record, now),
             RecordState::Removed(id) => self.apply_removal(offset, &id, now),
             RecordState::Unusable(id) => self.apply_unusable(offset, &id),
@@ -214,14 +214,14 @@
             return None;
         }
         let current = self.replicas.get(&id);
-        let (current_born, born) = (current.and_then(|current| current.record.started_ms), record.started_ms);
-        if current_born.zip(born).is_some_and(|(current, new)| new < current) {
+        let (current_started_ms, started_ms) = (current.and_then(|current| current.record.started_ms), record.started_ms);
+        if current_started_ms.zip(started_ms).is_some_and(|(current, new)| new < current) {
             // The record belongs to an earlier run.
             return None;
         }
-        let has_restarted = current_born.zip(born).is_some_and(|(current, new)| new > current);
+        let has_restarted = current_started_ms.zip(started_ms).is_some_and(|(current, new)| new > current);
         let is_stated =
-            self.draining_runs.get(&id).is_some_and(|run| run.zip(born).is_none_or(|(run, born)| born <= run));
+            self.draining_runs.get(&id).is_some_and(|run| run.zip(started_ms).is_none_or(|(run, started_ms)| started_ms <= run));
         // An announced end is final for its run, whereas an expired record can reappear together with its replica.
         let leaving =
             record.leaving || is_stated || (!has_restarted && current.is_some_and(|current| current.record.leaving));
@@ -236,7 +236,7 @@
         });
         // The end of the cold period is stored as a moment; in repeated records the remaining time shrinks, which is
         // not a change.
-        let record = Record { leaving, started_ms: born.or(current_born), cold_remaining: Duration::ZERO, ..record };
+        let record = Record { leaving, started_ms: started_ms.or(current_started_ms), cold_remaining: Duration::ZERO, ..record };
         let changed = has_restarted || cold_changed || current.is_none_or(|current| current.availability != availability);
         let unchanged =
             current.filter(|current| current.has_record && current.record == record && !changed && !is_confirmed);
@@ -276,14 +276,14 @@
             replica.has_record = false;
             replica.changed_offset = offset;
         }
-        let standing = match replica.availability {
+        let availability = match replica.availability {
             Availability::Ready if now < grace_until => Availability::Expired(grace_until),
             Availability::Expired(until) if now < until => return None,
             _ => Availability::Gone,
         };
-        let changed = replica.availability != standing;
-        replica.availability = standing;
-        changed.then(|| Change::of(id, standing))
+        let changed = replica.availability != availability;
+        replica.availability = availability;
+        changed.then(|| Change::of(id, availability))
     }
 
     /// Applies a full snapshot with all offsets below `end_offset`; records missing from it were removed.
@@ -321,22 +321,22 @@
     }
 
     /// Returns whether this run is already recorded as draining, or a later run is recorded.
-    pub fn has_draining_run(&self, leaver: &DrainingRun) -> bool {
+    pub fn has_draining_run(&self, draining_run: &DrainingRun) -> bool {
         let is_same_or_later =
-            |born: Option<u64>| leaver.started_ms.zip(born).is_none_or(|(stated, current)| stated <= current);
-        let is_later = |born: Option<u64>| leaver.started_ms.zip(born).is_some_and(|(stated, current)| stated < current);
-        let current = self.replicas.get(&leaver.id).map(|current| &current.record);
+            |started_ms: Option<u64>| draining_run.started_ms.zip(started_ms).is_none_or(|(stated, current)| stated <= current);
+        let is_later = |started_ms: Option<u64>| draining_run.started_ms.zip(started_ms).is_some_and(|(stated, current)| stated < current);
+        let current = self.replicas.get(&draining_run.id).map(|current| &current.record);
         let is_recorded = current
             .is_some_and(|current| is_later(current.started_ms) || (current.leaving && is_same_or_later(current.started_ms)));
-        is_recorded || self.draining_runs.get(&leaver.id).is_some_and(|run| is_same_or_later(*run))
+        is_recorded || self.draining_runs.get(&draining_run.id).is_some_and(|run| is_same_or_later(*run))
     }
 
     /// Records that a run stated that it is draining; a run of an unknown replica is stored for later.
-    pub fn mark_draining(&mut self, leaver: DrainingRun) -> Option<Change> {
-        if self.has_draining_run(&leaver) {
+    pub fn mark_draining(&mut self, draining_run: DrainingRun) -> Option<Change> {
+        if self.has_draining_run(&draining_run) {
             return None;
         }
-        let DrainingRun { id, started_ms } = leaver;
+        let DrainingRun { id, started_ms } = draining_run;
         self.draining_runs.insert(id.clone(), started_ms);
         let replica = self.replicas.get_mut(&id)?;
         replica.record.leaving = true;
@@ -349,13 +349,13 @@
     pub fn draining_runs(&self) -> impl Iterator<Item = DrainingRun> {
         let is_unreported = |id: &Name| self.replicas.get(id).is_none_or(|replica| replica.has_record);
         let unreported = self.draining_runs.iter().filter(move |(id, _)| is_unreported(id));
-        unreported.map(|(id, born)| DrainingRun { id: id.clone(), started_ms: *born })
+        unreported.map(|(id, started_ms)| DrainingRun { id: id.clone(), started_ms: *started_ms })
     }
 
     /// Returns whether no later run than the one in `record` is recorded.
     pub fn is_newest_run(&self, record: &Record) -> bool {
         let current = self.replicas.get(&record.id).and_then(|current| current.record.started_ms);
-        current.zip(record.started_ms).is_none_or(|(current, born)| current <= born)
+        current.zip(record.started_ms).is_none_or(|(current, started_ms)| current <= started_ms)
     }
 
     /// Returns a replica by identity.
--- a/coord/src/scheduler/capacity.rs
+++ b/coord/src/scheduler/capacity.rs
@@ -9,7 +9,7 @@
 const MAX_LONG_TOKENS: u64 = 100_000;
 
 /// Returns the prefill priority of a job.
-pub fn level(job: &Job, short_tokens: u64) -> PrefillPriority {
+pub fn prefill_priority(job: &Job, short_tokens: u64) -> PrefillPriority {
     match job.prefill_tokens {
         tokens if tokens <= short_tokens => PrefillPriority::Short,
         tokens if tokens <= MAX_MIDDLE_TOKENS => PrefillPriority::Middle,
@@ -40,7 +40,7 @@
 impl Capacity {
     /// Returns whether the job can start now.
     pub fn fits(&self, job: &Job) -> bool {
-        if level(job, self.short_tokens) == PrefillPriority::Short {
+        if prefill_priority(job, self.short_tokens) == PrefillPriority::Short {
             return self.free_slots > 0 && job.memory_tokens <= self.free_memory;
         }
         // A prompt that never fits beside the reserved memory may use all of it on an otherwise empty engine.
--- a/coord/src/scheduler/message.rs
+++ b/coord/src/scheduler/message.rs
@@ -70,7 +70,7 @@
     FreeSpan(Attempt),
 }
 
-/// Prefill priority of a job on the engine. Prefill of a higher level goes first and pauses that of lower levels.
+/// Prefill priority of a job on the engine. Prefill at a higher priority goes first and pauses prefill at lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PrefillPriority {
     /// Prompts longer than long ones, and spans.
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use self::capacity::{Capacity, level};
+use self::capacity::{Capacity, prefill_priority};
 pub use self::message::*;
 use crate::claim::Key;
 use crate::estimate::Estimate;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 struct RunningJob {
     job: Job,
-    level: PrefillPriority,
+    prefill_priority: PrefillPriority,
     started_at: Moment,
     first_token_at: Option<Moment>,
 }
@@ -166,13 +166,13 @@
 
     /// Returns the remaining time of prefill on the engine that goes before that of `job`.
     fn prefill_ahead(&self, job: &Job, now: Moment) -> Duration {
-        let level = self.level(job);
-        let spans = if level == PrefillPriority::Huge { self.spans.prefill_time_left(now) } else { Duration::ZERO };
+        let prefill_priority = self.prefill_priority(job);
+        let spans = if prefill_priority == PrefillPriority::Huge { self.spans.prefill_time_left(now) } else { Duration::ZERO };
         let running: Duration = self
             .running
             .values()
             .filter(|run| run.first_token_at.is_none())
-            .filter(|run| run.level >= level)
+            .filter(|run| run.prefill_priority >= prefill_priority)
             .map(|run| run.job.cost.saturating_sub(now.since(run.started_at)))
             .sum();
         running + spans
@@ -203,13 +203,13 @@
         self.estimate_times(job, now).0.max(Duration::from_millis(10))
     }
 
-    fn level(&self, job: &Job) -> PrefillPriority {
+    fn prefill_priority(&self, job: &Job) -> PrefillPriority {
         // FIFO order, the baseline, ignores prompt lengths.
         if !self.queue.reserves_headroom() {
             return PrefillPriority::Huge;
         }
-        let level = level(job, self.limits.short_tokens);
-        if level == PrefillPriority::Short || self.limits.split_long_by_length { level } else { PrefillPriority::Huge }
+        let prefill_priority = prefill_priority(job, self.limits.short_tokens);
+        if prefill_priority == PrefillPriority::Short || self.limits.split_long_by_length { prefill_priority } else { PrefillPriority::Huge }
     }
 
     /// Returns the free slots and memory.
@@ -229,9 +229,9 @@
 
     /// Returns the total delay that `job` would add to other jobs, whose prefill it pauses or precedes.
     fn interference(&self, job: &Job, now: Moment) -> Duration {
-        let level = self.level(job);
-        let paused = self.running.values().filter(|run| run.first_token_at.is_none() && run.level < level).count();
-        let spans = usize::from(level > PrefillPriority::Huge && !self.spans.prefill_time_left(now).is_zero());
+        let prefill_priority = self.prefill_priority(job);
+        let paused = self.running.values().filter(|run| run.first_token_at.is_none() && run.prefill_priority < prefill_priority).count();
+        let spans = usize::from(prefill_priority > PrefillPriority::Huge && !self.spans.prefill_time_left(now).is_zero());
         job.cost * (paused + spans) as u32
     }
 
@@ -265,13 +265,13 @@
         }
         self.evict(now, &mut actions);
         while let Some(job) = self.take_next(now) {
-            let level = self.level(&job);
+            let prefill_priority = self.prefill_priority(&job);
             let attempt = job.attempt;
             let held = self.memory.reserve(attempt, job.memory_tokens, job.deadline);
             crate::invariant!(held, "a job starts only with its memory held");
             crate::invariant!(!self.cancelled.contains(attempt), "a cancelled attempt never starts");
-            self.running.insert(attempt, RunningJob { job, level, started_at: now, first_token_at: None });
-            actions.push(Action::Start(attempt, level));
+            self.running.insert(attempt, RunningJob { job, prefill_priority, started_at: now, first_token_at: None });
+            actions.push(Action::Start(attempt, prefill_priority));
         }
         crate::invariant!(self.running.len() <= self.limits.slots, "no more jobs run than there are slots");
         actions
@@ -302,7 +302,7 @@
             return;
         }
         let capacity = self.capacity(now);
-        let is_stuck = |job: &&Job| self.is_unhealthy || (!capacity.fits(job) && self.level(job) != PrefillPriority::Short);
+        let is_stuck = |job: &&Job| self.is_unhealthy || (!capacity.fits(job) && self.prefill_priority(job) != PrefillPriority::Short);
         let evicted: Vec<Attempt> = self.queue.iter().filter(is_stuck).map(|job| job.attempt).collect();
         for attempt in evicted {
             self.queue.remove(attempt);
@@ -403,10 +403,10 @@
 
     /// Cancels an attempt if it has not started.
     ///
-    /// If another attempt is bound to the key `once`, that attempt may run, so that the result is
+    /// If another attempt is bound to `key`, that attempt may run, so that the result is
     /// [`CancelOutcome::Started`].
-    pub fn cancel_unstarted(&mut self, attempt: Attempt, once: Option<&Key>, now: Moment) -> CancelOutcome {
-        let binding = once.and_then(|key| self.keys.get(key));
+    pub fn cancel_unstarted(&mut self, attempt: Attempt, key: Option<&Key>, now: Moment) -> CancelOutcome {
+        let binding = key.and_then(|key| self.keys.get(key));
         if binding.is_some_and(|(bound_attempt, _)| *bound_attempt != attempt) {
             return CancelOutcome::Started;
         }
--- a/coord/src/termination.rs
+++ b/coord/src/termination.rs
@@ -58,9 +58,9 @@
 }
 
 impl IntervalAge {
-    /// Converts `span` for sending at `now`.
-    pub fn of(span: &Interval, now: Moment) -> Self {
-        Self { start_age: now.since(span.not_before), end_age: now.since(span.not_after) }
+    /// Converts `interval` for sending at `now`.
+    pub fn of(interval: &Interval, now: Moment) -> Self {
+        Self { start_age: now.since(interval.not_before), end_age: now.since(interval.not_after) }
     }
 
     /// Converts back to an interval at the receive time `now`. The interval is widened by the longest transit time
@@ -99,7 +99,7 @@
 struct Termination {
     /// The first name is the one used in this process.
     names: Vec<Name>,
-    span: Interval,
+    interval: Interval,
 }
 
 impl Termination {
@@ -108,10 +108,10 @@
     }
 
     /// Returns whether a reported termination may be this one. One process never gives two names to one termination.
-    fn may_match(&self, run: &RunName, span: &Interval) -> bool {
+    fn may_match(&self, run: &RunName, interval: &Interval) -> bool {
         let has_same_author = |name: &Name| run.author.is_some() && RunName::parse(name).author == run.author;
         let has_other_start = self.start_ms().zip(run.start_ms).is_some_and(|(own, other)| own != other);
-        self.span.overlaps(span) && !has_other_start && !self.names.iter().any(has_same_author)
+        self.interval.overlaps(interval) && !has_other_start && !self.names.iter().any(has_same_author)
     }
 }
 
@@ -133,12 +133,12 @@
 
     /// Records a termination observed by this process. `start_ms` is the start time in the replica's record. Returns the
     /// name of the terminated run and whether the termination is new.
-    pub fn record_observed(&mut self, replica: &Name, start_ms: Option<u64>, span: Interval) -> (Name, bool) {
+    pub fn record_observed(&mut self, replica: &Name, start_ms: Option<u64>, interval: Interval) -> (Name, bool) {
         let terminations = self.replicas.entry(replica.clone()).or_default();
-        let overlapping = terminations.iter_mut().filter(|termination| termination.span.overlaps(&span));
+        let overlapping = terminations.iter_mut().filter(|termination| termination.interval.overlaps(&interval));
         // The request was running on the first run that terminated after it was sent.
-        if let Some(termination) = overlapping.min_by_key(|termination| termination.span.not_after) {
-            termination.span = termination.span.intersection(&span);
+        if let Some(termination) = overlapping.min_by_key(|termination| termination.interval.not_after) {
+            termination.interval = termination.interval.intersection(&interval);
             return (termination.names[0].clone(), false);
         }
         // A record shows a restart late: if a termination with this start time is already recorded, the start time
@@ -148,31 +148,31 @@
         let start_suffix = start_ms.map_or_else(String::new, |start_ms| format!("@{start_ms}"));
         let run: Name = format!("{replica}{start_suffix}~{}-{}", self.author, self.next_number).into();
         self.next_number += 1;
-        push_bounded(terminations, Termination { names: vec![run.clone()], span });
+        push_bounded(terminations, Termination { names: vec![run.clone()], interval });
         (run, true)
     }
 
     /// Records a termination reported by another process, and returns its name in this process.
-    pub fn record_reported(&mut self, name: &Name, span: Interval) -> Name {
+    pub fn record_reported(&mut self, name: &Name, interval: Interval) -> Name {
         let run = RunName::parse(name);
         let terminations = self.replicas.entry(run.replica.into()).or_default();
         if let Some(termination) = terminations.iter().find(|termination| termination.names.contains(name)) {
             return termination.names[0].clone();
         }
-        let candidates = terminations.iter_mut().filter(|termination| termination.may_match(&run, &span));
-        if let Some(termination) = candidates.min_by_key(|termination| termination.span.not_after) {
-            termination.span = termination.span.intersection(&span);
+        let candidates = terminations.iter_mut().filter(|termination| termination.may_match(&run, &interval));
+        if let Some(termination) = candidates.min_by_key(|termination| termination.interval.not_after) {
+            termination.interval = termination.interval.intersection(&interval);
             termination.names.push(name.clone());
             return termination.names[0].clone();
         }
-        push_bounded(terminations, Termination { names: vec![name.clone()], span });
+        push_bounded(terminations, Termination { names: vec![name.clone()], interval });
         name.clone()
     }
 
     /// Returns the interval in which a run terminated, or `None` if no such termination is recorded.
     pub fn interval(&self, run: &Name) -> Option<Interval> {
         let terminations = self.replicas.get(RunName::parse(run).replica)?;
-        terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.span)
+        terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.interval)
     }
 
     /// Returns the number of replicas with a recorded termination.
--- a/coord/tests/ends.rs
+++ b/coord/tests/ends.rs
@@ -23,14 +23,14 @@
     Interval { not_before: at(after), not_after: at(by) }
 }
 
-fn observe(ends: &mut Terminations, replica: &str, after: u64, by: u64) -> Name {
-    ends.record_observed(&replica.into(), None, span(after, by)).0
+fn observe(terminations: &mut Terminations, replica: &str, after: u64, by: u64) -> Name {
+    terminations.record_observed(&replica.into(), None, span(after, by)).0
 }
 
-/// Reports `run` from `from` to `ends`, which share a clock, with a transit time of `transit_ms`.
-fn report_to(ends: &mut Terminations, from: &Terminations, run: &Name, sent: u64, transit_ms: u64) -> Name {
+/// Reports `run` from `from` to `terminations`, which share a clock, with a transit time of `transit_ms`.
+fn report_to(terminations: &mut Terminations, from: &Terminations, run: &Name, sent: u64, transit_ms: u64) -> Name {
     let age = IntervalAge::of(&from.interval(run).expect("the termination is recorded"), at(sent));
-    ends.record_reported(run, age.interval(at(sent + transit_ms)))
+    terminations.record_reported(run, age.interval(at(sent + transit_ms)))
 }
 
 #[test]
@@ -71,10 +71,10 @@
 
 #[test]
 fn a_connection_loss_found_late_belongs_to_the_run_that_received_the_request() {
-    let mut ends = Terminations::new("a");
-    let (first, second) = (observe(&mut ends, "r", 0, 20), observe(&mut ends, "r", 1_000, 1_020));
-    assert_eq!(observe(&mut ends, "r", 10, 5_000), first);
-    assert_eq!(observe(&mut ends, "r", 900, 5_000), second);
+    let mut terminations = Terminations::new("a");
+    let (first, second) = (observe(&mut terminations, "r", 0, 20), observe(&mut terminations, "r", 1_000, 1_020));
+    assert_eq!(observe(&mut terminations, "r", 10, 5_000), first);
+    assert_eq!(observe(&mut terminations, "r", 900, 5_000), second);
 }
 
 #[test]
@@ -90,34 +90,34 @@
 
 #[test]
 fn a_stored_termination_differs_from_one_observed_after_the_store_was_read() {
-    let mut ends = Terminations::new("b");
+    let mut terminations = Terminations::new("b");
     let stored: Name = "r~a-0".into();
-    assert_eq!(ends.record_reported(&stored, Interval::before(at(50))), stored);
-    assert_ne!(observe(&mut ends, "r", 60, 80), stored);
+    assert_eq!(terminations.record_reported(&stored, Interval::before(at(50))), stored);
+    assert_ne!(observe(&mut terminations, "r", 60, 80), stored);
     // A termination observed before the store was read may be the stored one.
-    let own = observe(&mut ends, "q", 10, 40);
-    assert_eq!(ends.record_reported(&"q~a-1".into(), Interval::before(at(50))), own);
+    let own = observe(&mut terminations, "q", 10, 40);
+    assert_eq!(terminations.record_reported(&"q~a-1".into(), Interval::before(at(50))), own);
 }
 
 #[test]
 fn names_in_another_format_are_replica_names() {
-    let mut ends = Terminations::new("b");
+    let mut terminations = Terminations::new("b");
     let old: Name = "engine-3/2".into();
-    assert_eq!(ends.record_reported(&old, span(0, 20)), old);
-    assert_eq!(ends.record_reported(&old, span(500, 520)), old);
+    assert_eq!(terminations.record_reported(&old, span(0, 20)), old);
+    assert_eq!(terminations.record_reported(&old, span(500, 520)), old);
     for name in ["", "~", "@", "-", "r~", "r~-", "r@~x-", "r@x~y-1"] {
-        ends.record_reported(&name.into(), span(0, 20));
+        terminations.record_reported(&name.into(), span(0, 20));
     }
 }
 
 #[test]
 fn the_number_of_recorded_terminations_is_bounded() {
-    let mut ends = Terminations::new("a");
-    let runs: Vec<Name> = (0..1_000).map(|number| observe(&mut ends, "r", number * 100, number * 100 + 10)).collect();
-    let known = runs.iter().filter(|run| ends.interval(run).is_some()).count();
+    let mut terminations = Terminations::new("a");
+    let runs: Vec<Name> = (0..1_000).map(|number| observe(&mut terminations, "r", number * 100, number * 100 + 10)).collect();
+    let known = runs.iter().filter(|run| terminations.interval(run).is_some()).count();
     assert!((16..=64).contains(&known), "{known}");
-    ends.retain(|replica| replica != "r");
-    assert_eq!(ends.replica_count(), 0);
+    terminations.retain(|replica| replica != "r");
+    assert_eq!(terminations.replica_count(), 0);
 }
 
 /// Report of a termination in transit to another process.
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -4,7 +4,7 @@
 
 use coord::evacuation::{Event as EvacuationEvent, Snapshot, Evacuations};
 use coord::name::Name;
-use coord::offset::{Text, era, encode, plain_offset};
+use coord::offset::{Formatted, era, encode, plain_offset};
 use coord::roster::{RecordState, Record, Roster, Update, Availability};
 use coord::time::Moment;
 
@@ -38,7 +38,7 @@
     assert!(encode(2, 3) > encode(1, 9) && encode(2, 3) < encode(2, 4));
     assert_eq!((era(encode(7, 5)), plain_offset(encode(7, 5))), (7, 5));
     assert_eq!(encode(0, 12), 12, "a log that was never recovered has plain offsets");
-    assert_eq!((Text(12).to_string(), Text(encode(3, 12)).to_string()), ("12".to_owned(), "3:12".to_owned()));
+    assert_eq!((Formatted(12).to_string(), Formatted(encode(3, 12)).to_string()), ("12".to_owned(), "3:12".to_owned()));
 }
 
 #[test]
@@ -88,33 +88,33 @@
 
 #[test]
 fn a_domain_whose_evacuation_was_lost_stays_evacuated_for_the_grace_period() {
-    let mut register = Evacuations::default();
-    register.apply(6, EvacuationEvent::Started("a".into()));
-    register.apply(7, EvacuationEvent::Started("b".into()));
-    assert!(!register.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE));
-    assert_eq!(register.snapshot().domains, domains(&["a", "b"]));
-    register.apply(encode(1, 2), EvacuationEvent::Started("a".into()));
-    assert!(!register.expire(NOW), "the grace period is not over");
-    assert!(register.expire(NOW + GRACE));
-    assert_eq!(register.snapshot().domains, domains(&["a"]), "only the repeated evacuation stays in force");
-    assert!(!register.expire(NOW + GRACE + GRACE));
+    let mut evacuations = Evacuations::default();
+    evacuations.apply(6, EvacuationEvent::Started("a".into()));
+    evacuations.apply(7, EvacuationEvent::Started("b".into()));
+    assert!(!evacuations.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE));
+    assert_eq!(evacuations.snapshot().domains, domains(&["a", "b"]));
+    evacuations.apply(encode(1, 2), EvacuationEvent::Started("a".into()));
+    assert!(!evacuations.expire(NOW), "the grace period is not over");
+    assert!(evacuations.expire(NOW + GRACE));
+    assert_eq!(evacuations.snapshot().domains, domains(&["a"]), "only the repeated evacuation stays in force");
+    assert!(!evacuations.expire(NOW + GRACE + GRACE));
 }
 
 #[test]
 fn a_domain_whose_evacuation_ends_after_the_recovery_is_used_at_once() {
-    let mut register = Evacuations::default();
-    register.apply(6, EvacuationEvent::Started("a".into()));
-    register.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE);
-    assert!(register.apply(encode(1, 2), EvacuationEvent::Ended("a".into())));
-    register.apply_snapshot(snapshot(encode(1, 3), &[]), NOW + GRACE);
-    assert!(register.snapshot().domains.is_empty());
+    let mut evacuations = Evacuations::default();
+    evacuations.apply(6, EvacuationEvent::Started("a".into()));
+    evacuations.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE);
+    assert!(evacuations.apply(encode(1, 2), EvacuationEvent::Ended("a".into())));
+    evacuations.apply_snapshot(snapshot(encode(1, 3), &[]), NOW + GRACE);
+    assert!(evacuations.snapshot().domains.is_empty());
 }
 
 #[test]
 fn an_event_of_an_earlier_era_changes_nothing() {
-    let mut register = Evacuations::default();
-    register.apply_snapshot(snapshot(encode(1, 2), &["a"]), NOW);
-    assert!(!register.apply_snapshot(snapshot(9, &["b"]), NOW));
-    assert!(!register.apply(9, EvacuationEvent::Ended("a".into())));
-    assert_eq!(register.snapshot().domains, domains(&["a"]));
+    let mut evacuations = Evacuations::default();
+    evacuations.apply_snapshot(snapshot(encode(1, 2), &["a"]), NOW);
+    assert!(!evacuations.apply_snapshot(snapshot(9, &["b"]), NOW));
+    assert!(!evacuations.apply(9, EvacuationEvent::Ended("a".into())));
+    assert_eq!(evacuations.snapshot().domains, domains(&["a"]));
 }
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -65,10 +65,10 @@
 }
 
 /// Makes a process read the log from `back` records before its current offset.
-fn read_log(register: &mut Evacuations, log: &[(u8, bool)], back: usize) {
-    let from = (register.snapshot().next as usize).saturating_sub(back);
+fn read_log(evacuations: &mut Evacuations, log: &[(u8, bool)], back: usize) {
+    let from = (evacuations.snapshot().next as usize).saturating_sub(back);
     for (offset, record) in log.iter().enumerate().skip(from) {
-        register.apply(offset as u64, event(*record));
+        evacuations.apply(offset as u64, event(*record));
     }
 }
 
@@ -79,7 +79,7 @@
         let mut registers: Vec<Evacuations> = (0..PROCESSES).map(|_| Evacuations::default()).collect();
         let mut last_sent = Snapshot::default();
         for step in steps {
-            let previous_offsets: Vec<u64> = registers.iter().map(|register| register.snapshot().next).collect();
+            let previous_offsets: Vec<u64> = registers.iter().map(|evacuations| evacuations.snapshot().next).collect();
             match step {
                 Step::Write(domain, begun) => log.push((domain, begun)),
                 Step::Read(reader) => read_log(&mut registers[reader], &log, 0),
@@ -96,8 +96,8 @@
                     registers[to].apply_snapshot(last_sent.clone(), GRACE_UNTIL);
                 }
             }
-            for (register, previous_offset) in registers.iter().zip(previous_offsets) {
-                let snapshot = register.snapshot();
+            for (evacuations, previous_offset) in registers.iter().zip(previous_offsets) {
+                let snapshot = evacuations.snapshot();
                 prop_assert!(snapshot.next >= previous_offset);
                 prop_assert_eq!(&snapshot.domains, &expected_domains(&log, snapshot.next as usize));
             }
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -26,7 +26,7 @@
 const TRANSIT_STEPS: u64 = 2;
 
 struct Entry {
-    register: ReplicaLimits,
+    limits: ReplicaLimits,
     allowances: BTreeMap<Name, TokenBucket>,
     group: GroupSize,
     /// Leader of the entry; the entry itself if it has no other.
@@ -62,7 +62,7 @@
 impl Simulation {
     fn new(parameters: Parameters, seed: u64) -> Self {
         let entry = |_| Entry {
-            register: ReplicaLimits::default(),
+            limits: ReplicaLimits::default(),
             allowances: BTreeMap::new(),
             group: GroupSize::default(),
             leader: 0,
@@ -139,7 +139,7 @@
         let state = &mut self.entries[entry];
         state.group.record_size(group_size, now);
         let share = state.group.share(group_size, 0, now);
-        for (replica, rate) in state.register.limited() {
+        for (replica, rate) in state.limits.limited() {
             let allowance = state.allowances.entry(replica.clone());
             allowance.or_insert_with(|| TokenBucket::new(rate, share, start, now)).set(rate, share, now);
         }
@@ -151,7 +151,7 @@
         let leader = self.leader_of(entry);
         self.apply_limits(leader);
         let leader_state = &mut self.entries[leader];
-        if leader_state.register.rate(&name).is_some() {
+        if leader_state.limits.rate(&name).is_some() {
             let Some(allowance) = leader_state.allowances.get_mut(&name).filter(|allowance| allowance.allows_request(now))
             else {
                 return;
@@ -163,7 +163,7 @@
         self.arrivals.entry(name.clone()).or_default().push((self.step, is_informed));
         let report = TimedReport { rate: Some(self.parameters.rates[replica]), requested_at: now, received_at: now };
         self.entries[entry].first_reported.entry(name.clone()).or_insert(self.step);
-        if self.entries[entry].register.apply(&name, report) {
+        if self.entries[entry].limits.apply(&name, report) {
             self.relay(entry, &RelayedReport::of(&name, &report, now));
         }
     }
@@ -184,7 +184,7 @@
         self.in_transit = later;
         let due: Vec<(u64, usize, RelayedReport)> = due;
         for (_, entry, report) in due {
-            self.entries[entry].register.apply(&report.replica, report.timed_report(now));
+            self.entries[entry].limits.apply(&report.replica, report.timed_report(now));
         }
         if self.random.random_bool(self.parameters.fault_probability) {
             let is_partitioned = self.random.random_bool(0.5);
--- a/coord/tests/parts.rs
+++ b/coord/tests/parts.rs
@@ -40,13 +40,13 @@
     assert_eq!(receiver.accept(live, 0, b"a"), Verdict::Drop);
     assert_eq!(receiver.accept(live, 2, b"c"), Verdict::Gap);
     assert_eq!(receiver.accept(live, 1, b"b"), Verdict::Pass);
-    let mut tally = FrameDigest::new();
-    tally.push(b"a");
-    tally.push(b"b");
-    assert!(receiver.is_complete(live, tally.seal()));
-    assert!(!receiver.is_complete(stale, tally.seal()));
-    tally.push(b"c");
-    assert!(!receiver.is_complete(live, tally.seal()));
+    let mut digest = FrameDigest::new();
+    digest.push(b"a");
+    digest.push(b"b");
+    assert!(receiver.is_complete(live, digest.seal()));
+    assert!(!receiver.is_complete(stale, digest.seal()));
+    digest.push(b"c");
+    assert!(!receiver.is_complete(live, digest.seal()));
 }
 
 #[test]
@@ -60,12 +60,12 @@
 
 #[test]
 fn the_first_claim_on_the_log_holds_for_its_window() {
-    let mut board = Claims::new(Duration::from_secs(10));
-    assert_eq!(board.apply(0, at(0), key("k"), binding("a", 1)), binding("a", 1));
-    board.skip_to(1);
-    assert_eq!(board.apply(1, at(5_000), key("k"), binding("b", 2)), binding("a", 1));
-    board.skip_to(2);
-    assert_eq!(board.apply(2, at(10_001), key("k"), binding("b", 2)), binding("b", 2));
+    let mut claims = Claims::new(Duration::from_secs(10));
+    assert_eq!(claims.apply(0, at(0), key("k"), binding("a", 1)), binding("a", 1));
+    claims.skip_to(1);
+    assert_eq!(claims.apply(1, at(5_000), key("k"), binding("b", 2)), binding("a", 1));
+    claims.skip_to(2);
+    assert_eq!(claims.apply(2, at(10_001), key("k"), binding("b", 2)), binding("b", 2));
 }
 
 #[test]
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -7,7 +7,7 @@
 use coord::fence::Fence;
 use coord::intent::{Change, Config, Intent};
 use coord::name::{Incarnation, Name};
-use coord::placement::{Placements, Endpoint, Load, Order, Record, roll_out};
+use coord::placement::{Placements, Endpoint, Artifacts, Order, Record, roll_out};
 use coord::time::Moment;
 use proptest::prelude::*;
 
@@ -21,8 +21,8 @@
     config
 }
 
-fn load(version: &str) -> Load {
-    Load { version: version.into(), adapters: vec!["a".into()] }
+fn load(version: &str) -> Artifacts {
+    Artifacts { version: version.into(), adapters: vec!["a".into()] }
 }
 
 proptest! {
@@ -39,7 +39,7 @@
     fn only_placements_of_the_current_holder_take_effect(
         steps in prop::collection::vec((0..3usize, any::<bool>(), 0..5_000u64), 1..100),
     ) {
-        let mut board = Placements::new();
+        let mut placements = Placements::new();
         let mut now = 0;
         let mut fences: [Option<Fence>; 3] = [None; 3];
         let mut newest = None;
@@ -51,9 +51,9 @@
                 let record = Record::Claim {
                     domain: "d".into(), process: name.clone(), incarnation: Incarnation(1), term_ms: 4_000,
                 };
-                let won = board.apply(offset, at, record);
+                let won = placements.apply(offset, at, record);
                 if won {
-                    let fence = board.lease("d").and_then(|lease| lease.holder()).map(|holder| holder.fence);
+                    let fence = placements.lease("d").and_then(|lease| lease.holder()).map(|holder| holder.fence);
                     prop_assert!(fence >= newest, "a fence never decreases");
                     newest = fence;
                     fences[process] = fence;
@@ -62,10 +62,10 @@
             }
             let Some(fence) = fences[process] else { continue };
             let loads = BTreeMap::from([(Name::from("e"), load(&format!("v{offset}")))]);
-            let took_effect = board.apply(offset, at, Record::Place { domain: "d".into(), fence, loads });
+            let took_effect = placements.apply(offset, at, Record::Place { domain: "d".into(), fence, loads });
             prop_assert_eq!(took_effect, Some(fence) == newest);
             if took_effect {
-                let order = board.order_for("e").expect("an order");
+                let order = placements.order_for("e").expect("an order");
                 prop_assert_eq!((order.offset, order.fence), (offset, fence));
             }
         }
--- a/coord/tests/plain/mod.rs
+++ b/coord/tests/plain/mod.rs
@@ -71,7 +71,7 @@
         !self.waiting.is_empty()
     }
 
-    /// Adds a job to the queue; [`Planner::pump`] grants it.
+    /// Adds a job to the queue; [`Planner::grant_ready`] grants it.
     pub fn submit(&mut self, id: Id, job: Job) {
         self.waiting.insert(id, job);
     }
--- a/coord/tests/planner_load/play.rs
+++ b/coord/tests/planner_load/play.rs
@@ -154,7 +154,7 @@
     /// End of the outage of all entries, if there is one.
     outage_until: Option<u64>,
     planner: Planner,
-    figures: Arc<Profile>,
+    profile: Arc<Profile>,
     engines: Vec<Engine>,
     prompts: BTreeMap<u64, Prompt>,
     event_queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -171,8 +171,8 @@
 }
 
 impl Simulation {
-    pub fn new(policy: Policy, figures: Arc<Profile>, seed: u64) -> Self {
-        let planner = planner(policy, &figures);
+    pub fn new(policy: Policy, profile: Arc<Profile>, seed: u64) -> Self {
+        let planner = planner(policy, &profile);
         let engines = (0..ENGINES).map(|_| Engine::default()).collect();
         let rng = StdRng::seed_from_u64(seed);
         let (event_queue, events) = (BinaryHeap::new(), BTreeMap::new());
@@ -180,7 +180,7 @@
             policy,
             outage_until: None,
             planner,
-            figures,
+            profile,
             engines,
             prompts: BTreeMap::new(),
             event_queue,
@@ -279,7 +279,7 @@
         let Caller { kind, tokens, events, first_sent_at } = *caller;
         let spec = &kinds[kind];
         let millis = Duration::from_millis;
-        let stride = u64::from(self.figures.stride);
+        let stride = u64::from(self.profile.stride);
         let job = Job {
             prompt_tokens: tokens,
             max_output_tokens: events * stride,
@@ -335,7 +335,7 @@
                 (prompt.is_lost, prompt.has_retried) = (true, true);
             }
         }
-        self.planner = planner(self.policy, &self.figures);
+        self.planner = planner(self.policy, &self.profile);
         self.planner.begin_settling(Moment::from_micros(until));
     }
 
@@ -348,7 +348,7 @@
             prompt.was_granted = true;
             (prompt.granted_at, prompt.is_lost) = (self.now, is_lost);
             prompt.decoder = engine_indexes[0];
-            let part_ms = self.figures.prefill_share_ms(prompt.tokens, engine_indexes.len());
+            let part_ms = self.profile.prefill_share_ms(prompt.tokens, engine_indexes.len());
             if let Some(timeout) = unresponsive_after {
                 let event = Event::Unresponsive { number: id.number, at: self.now };
                 self.schedule(self.now + timeout.as_micros() as u64, event);
@@ -402,7 +402,7 @@
         }
         let context: u64 = engine_state.decoding.iter().map(|number| self.prompts[number].tokens).sum();
         let decoding = engine_state.decoding.len() as u32;
-        let pass_ms = if decoding == 0 { 0.0 } else { self.figures.pass_ms(decoding, context) };
+        let pass_ms = if decoding == 0 { 0.0 } else { self.profile.pass_ms(decoding, context) };
         let read_ms: f64 = engine_state.parts.iter().map(|(_, ms)| ms).sum();
         engine_state.prefilling = engine_state.parts.drain(..).map(|(number, _)| number).collect();
         engine_state.emitting = engine_state.decoding.clone();
@@ -455,9 +455,9 @@
     }
 }
 
-fn planner(policy: Policy, figures: &Arc<Profile>) -> Planner {
+fn planner(policy: Policy, profile: &Arc<Profile>) -> Planner {
     let mut planner = Planner::new(policy, 0);
-    planner.set_engines((0..ENGINES).map(|index| (name(index), figures.clone())));
+    planner.set_engines((0..ENGINES).map(|index| (name(index), profile.clone())));
     planner
 }
 
--- a/coord/tests/quarantine.rs
+++ b/coord/tests/quarantine.rs
@@ -8,44 +8,44 @@
 }
 
 fn termination(number: u32, run: &str, weight: Weight) -> Event {
-    Event::Terminated { work: fingerprint(number), run: Name::from(run), weight }
+    Event::Terminated { fingerprint: fingerprint(number), run: Name::from(run), weight }
 }
 
-fn register(events: impl IntoIterator<Item = Event>) -> State {
-    let mut register = State::default();
-    events.into_iter().for_each(|event| drop(register.apply(event)));
-    register
+fn state(events: impl IntoIterator<Item = Event>) -> State {
+    let mut state = State::default();
+    events.into_iter().for_each(|event| drop(state.apply(event)));
+    state
 }
 
 #[test]
 fn the_third_termination_at_the_start_of_a_request_condemns_it() {
-    let mut register = register([termination(1, "a", Weight::Strong), termination(1, "b", Weight::Strong)]);
-    assert_eq!(register.status(fingerprint(1)), Status::Suspect);
-    let relayed = register.apply(termination(1, "c", Weight::Strong));
+    let mut state = state([termination(1, "a", Weight::Strong), termination(1, "b", Weight::Strong)]);
+    assert_eq!(state.status(fingerprint(1)), Status::Suspect);
+    let relayed = state.apply(termination(1, "c", Weight::Strong));
     assert_eq!(relayed, [termination(1, "c", Weight::Strong), Event::Condemned(fingerprint(1))]);
-    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
-    assert!(register.apply(termination(1, "d", Weight::Strong)).is_empty());
+    assert_eq!(state.status(fingerprint(1)), Status::Condemned);
+    assert!(state.apply(termination(1, "d", Weight::Strong)).is_empty());
 }
 
 #[test]
 fn one_termination_counts_once_however_many_processes_report_it() {
     let reports = (0..9).map(|_| termination(1, "a", Weight::Strong));
-    let register = register(reports.chain([termination(1, "a", Weight::Faint)]));
-    assert_eq!(register.status(fingerprint(1)), Status::Suspect);
-    assert_eq!(register.suspects().collect::<Vec<_>>(), [(fingerprint(1), 2)]);
+    let state = state(reports.chain([termination(1, "a", Weight::Faint)]));
+    assert_eq!(state.status(fingerprint(1)), Status::Suspect);
+    assert_eq!(state.suspects().collect::<Vec<_>>(), [(fingerprint(1), 2)]);
 }
 
 #[test]
 fn faint_evidence_condemns_only_after_five_terminations() {
-    let mut register = register(["a", "b", "c", "d"].map(|run| termination(1, run, Weight::Faint)));
-    assert_ne!(register.status(fingerprint(1)), Status::Condemned);
-    register.apply(termination(1, "e", Weight::Faint));
-    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
+    let mut state = state(["a", "b", "c", "d"].map(|run| termination(1, run, Weight::Faint)));
+    assert_ne!(state.status(fingerprint(1)), Status::Condemned);
+    state.apply(termination(1, "e", Weight::Faint));
+    assert_eq!(state.status(fingerprint(1)), Status::Condemned);
 }
 
 #[test]
 fn a_request_that_shared_each_replica_with_a_condemned_one_is_cleared() {
-    let mut register = register([
+    let mut state = state([
         termination(1, "a", Weight::Strong),
         termination(2, "a", Weight::Strong),
         termination(1, "b", Weight::Strong),
@@ -53,74 +53,74 @@
         termination(1, "c", Weight::Strong),
     ]);
     // A report that the other fingerprint was on the third replica too may still be in transit.
-    assert_eq!(register.status(fingerprint(1)), Status::Suspect);
-    register.apply(termination(1, "d", Weight::Strong));
-    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
-    assert_eq!(register.status(fingerprint(2)), Status::Clear);
+    assert_eq!(state.status(fingerprint(1)), Status::Suspect);
+    state.apply(termination(1, "d", Weight::Strong));
+    assert_eq!(state.status(fingerprint(1)), Status::Condemned);
+    assert_eq!(state.status(fingerprint(2)), Status::Clear);
     // Reports of the same terminations that arrive later do not count either.
-    assert!(register.apply(termination(2, "c", Weight::Strong)).is_empty());
-    assert_eq!(register.status(fingerprint(2)), Status::Clear);
+    assert!(state.apply(termination(2, "c", Weight::Strong)).is_empty());
+    assert_eq!(state.status(fingerprint(2)), Status::Clear);
 }
 
 #[test]
 fn of_two_suspects_on_the_same_replicas_neither_is_condemned_until_one_is_alone() {
     let both = ["a", "b"].into_iter().flat_map(|run| [1, 2].map(|number| termination(number, run, Weight::Strong)));
-    let mut register = register(both);
+    let mut state = state(both);
     // The innocent fingerprint is reported first at the third termination.
-    register.apply(termination(2, "c", Weight::Faint));
-    register.apply(termination(1, "c", Weight::Strong));
-    assert_eq!(register.status(fingerprint(2)), Status::Suspect);
-    register.apply(termination(1, "d", Weight::Strong));
-    register.apply(termination(1, "e", Weight::Strong));
-    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
-    assert_eq!(register.status(fingerprint(2)), Status::Clear);
+    state.apply(termination(2, "c", Weight::Faint));
+    state.apply(termination(1, "c", Weight::Strong));
+    assert_eq!(state.status(fingerprint(2)), Status::Suspect);
+    state.apply(termination(1, "d", Weight::Strong));
+    state.apply(termination(1, "e", Weight::Strong));
+    assert_eq!(state.status(fingerprint(1)), Status::Condemned);
+    assert_eq!(state.status(fingerprint(2)), Status::Clear);
 }
 
 #[test]
 fn suspects_that_are_always_present_together_are_condemned_eventually() {
     let runs = ["a", "b", "c", "d", "e"].into_iter();
-    let register = register(runs.flat_map(|run| [1, 2].map(|number| termination(number, run, Weight::Strong))));
-    assert!(register.condemned().next().is_some());
+    let state = state(runs.flat_map(|run| [1, 2].map(|number| termination(number, run, Weight::Strong))));
+    assert!(state.condemned().next().is_some());
 }
 
 #[test]
 fn a_successful_answer_clears_a_suspect_and_lifts_a_verdict() {
-    let mut with_suspect = register([termination(1, "a", Weight::Strong)]);
+    let mut with_suspect = state([termination(1, "a", Weight::Strong)]);
     assert_eq!(with_suspect.apply(Event::Cleared(fingerprint(1))), [Event::Cleared(fingerprint(1))]);
     assert_eq!(with_suspect.status(fingerprint(1)), Status::Clear);
-    let mut with_verdict = register([Event::Condemned(fingerprint(1))]);
+    let mut with_verdict = state([Event::Condemned(fingerprint(1))]);
     assert_eq!(with_verdict.apply(Event::Cleared(fingerprint(1))), [Event::Lifted(fingerprint(1))]);
     assert_eq!(with_verdict.status(fingerprint(1)), Status::Clear);
 }
 
 #[test]
 fn an_operator_lifts_a_verdict_and_new_evidence_brings_it_back() {
-    let mut register = register([Event::Condemned(fingerprint(1)), Event::Lifted(fingerprint(1))]);
-    assert_eq!(register.status(fingerprint(1)), Status::Clear);
+    let mut state = state([Event::Condemned(fingerprint(1)), Event::Lifted(fingerprint(1))]);
+    assert_eq!(state.status(fingerprint(1)), Status::Clear);
     for run in ["a", "b", "c"] {
-        register.apply(termination(1, run, Weight::Strong));
+        state.apply(termination(1, run, Weight::Strong));
     }
-    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
+    assert_eq!(state.status(fingerprint(1)), Status::Condemned);
 }
 
 #[test]
 fn a_flood_of_suspects_evicts_no_verdict_and_no_suspect_with_more_points() {
-    let mut register = register([
+    let mut state = state([
         Event::Condemned(fingerprint(1)),
         termination(2, "a", Weight::Strong),
         termination(2, "b", Weight::Strong),
     ]);
     for number in 10..20_000 {
-        register.apply(termination(number, &format!("run-{}", number / 16), Weight::Faint));
+        state.apply(termination(number, &format!("run-{}", number / 16), Weight::Faint));
     }
-    assert_eq!(register.status(fingerprint(1)), Status::Condemned);
-    assert_eq!(register.suspects().collect::<Vec<_>>(), [(fingerprint(2), 4)]);
-    assert!((10..20_000).filter(|number| register.evidence(fingerprint(*number)).next().is_some()).count() < 4_096);
+    assert_eq!(state.status(fingerprint(1)), Status::Condemned);
+    assert_eq!(state.suspects().collect::<Vec<_>>(), [(fingerprint(2), 4)]);
+    assert!((10..20_000).filter(|number| state.evidence(fingerprint(*number)).next().is_some()).count() < 4_096);
 }
 
 #[test]
 fn a_process_that_receives_all_events_of_another_reaches_the_same_status() {
-    let original = register([
+    let original = state([
         Event::Condemned(fingerprint(1)),
         termination(2, "a", Weight::Strong),
         termination(2, "b", Weight::Strong),
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -34,7 +34,7 @@
 /// Non-fatal request on a replica.
 #[derive(Clone, Copy)]
 struct Request {
-    work: Fingerprint,
+    fingerprint: Fingerprint,
     entry: usize,
     /// Whether the request has produced output.
     has_output: bool,
@@ -45,7 +45,7 @@
 struct Simulation {
     parameters: Parameters,
     random: SmallRng,
-    registers: Vec<State>,
+    states: Vec<State>,
     /// Events in transit, with the arrival step and the receiving entry.
     in_transit: Vec<(usize, usize, Event)>,
     /// Running requests by replica.
@@ -61,7 +61,7 @@
         Self {
             parameters,
             random: SmallRng::seed_from_u64(seed),
-            registers: vec![State::default(); ENTRIES],
+            states: vec![State::default(); ENTRIES],
             in_transit: Vec::new(),
             running: vec![Vec::new(); REPLICAS],
             terminations: vec![0; REPLICAS],
@@ -75,12 +75,12 @@
         self.random.random::<f64>() < probability
     }
 
-    fn publish(&mut self, entry: usize, news: Event) {
-        let relayed = self.registers[entry].apply(news);
+    fn publish(&mut self, entry: usize, event: Event) {
+        let relayed = self.states[entry].apply(event);
         for other in (0..ENTRIES).filter(|other| *other != entry) {
-            for news in &relayed {
+            for event in &relayed {
                 let at = self.step + self.random.random_range(0..=self.parameters.max_transit_steps);
-                self.in_transit.push((at, other, news.clone()));
+                self.in_transit.push((at, other, event.clone()));
             }
         }
     }
@@ -88,20 +88,20 @@
     fn deliver(&mut self) {
         let step = self.step;
         let due: Vec<_> = self.in_transit.extract_if(.., |(at, ..)| *at <= step).collect();
-        for (_, entry, news) in due {
-            self.registers[entry].apply(news);
+        for (_, entry, event) in due {
+            self.states[entry].apply(event);
         }
     }
 
     /// Selects a replica: for a suspect the least loaded replica without other suspects, for other requests a random
     /// replica without suspects.
-    fn select_replica(&mut self, entry: usize, work: Fingerprint) -> usize {
-        let register = &self.registers[entry];
-        let is_suspect = |work: Fingerprint| register.status(work) == Status::Suspect;
+    fn select_replica(&mut self, entry: usize, fingerprint: Fingerprint) -> usize {
+        let state = &self.states[entry];
+        let is_suspect = |fingerprint: Fingerprint| state.status(fingerprint) == Status::Suspect;
         let free: Vec<usize> = (0..REPLICAS)
-            .filter(|replica| !self.running[*replica].iter().any(|request| is_suspect(request.work)))
+            .filter(|replica| !self.running[*replica].iter().any(|request| is_suspect(request.fingerprint)))
             .collect();
-        if is_suspect(work) {
+        if is_suspect(fingerprint) {
             return free.into_iter().min_by_key(|replica| self.running[*replica].len()).unwrap_or(0);
         }
         let all: Vec<usize> = (0..REPLICAS).collect();
@@ -116,25 +116,25 @@
         let victims = std::mem::take(&mut self.running[replica]);
         for request in &victims {
             let weight = if request.has_output { Weight::Faint } else { Weight::Strong };
-            self.publish(request.entry, Event::Terminated { work: request.work, run: run.clone(), weight });
+            self.publish(request.entry, Event::Terminated { fingerprint: request.fingerprint, run: run.clone(), weight });
         }
         for request in victims.into_iter().filter(|request| request.sends < MAX_SENDS) {
             let sent_again = Request { has_output: false, sends: request.sends + 1, ..request };
-            let replica = self.select_replica(request.entry, request.work);
+            let replica = self.select_replica(request.entry, request.fingerprint);
             self.running[replica].push(sent_again);
         }
     }
 
     fn send_fatal(&mut self) {
         let entry = self.random.random_range(0..ENTRIES);
-        if self.registers[entry].status(FATAL_FINGERPRINT) == Status::Condemned {
+        if self.states[entry].status(FATAL_FINGERPRINT) == Status::Condemned {
             return;
         }
         let replica = self.select_replica(entry, FATAL_FINGERPRINT);
         self.fatal_terminations += 1;
         let run: Name = format!("{replica}/{}", self.terminations[replica] + 1).into();
         self.terminate_replica(replica);
-        self.publish(entry, Event::Terminated { work: FATAL_FINGERPRINT, run, weight: Weight::Strong });
+        self.publish(entry, Event::Terminated { fingerprint: FATAL_FINGERPRINT, run, weight: Weight::Strong });
     }
 
     fn run(&mut self, steps: usize) {
@@ -143,10 +143,10 @@
             self.deliver();
             if self.running.iter().map(Vec::len).sum::<usize>() < CONCURRENT_REQUESTS {
                 self.next_fingerprint += 1;
-                let work = Fingerprint(self.next_fingerprint.to_be_bytes());
+                let fingerprint = Fingerprint(self.next_fingerprint.to_be_bytes());
                 let entry = self.random.random_range(0..ENTRIES);
-                let replica = self.select_replica(entry, work);
-                self.running[replica].push(Request { work, entry, has_output: false, sends: 1 });
+                let replica = self.select_replica(entry, fingerprint);
+                self.running[replica].push(Request { fingerprint, entry, has_output: false, sends: 1 });
             }
             let replica = self.random.random_range(0..REPLICAS);
             self.advance_request(replica);
@@ -170,13 +170,13 @@
             return;
         }
         let request = self.running[replica].swap_remove(index);
-        self.publish(request.entry, Event::Cleared(request.work));
+        self.publish(request.entry, Event::Cleared(request.fingerprint));
     }
 
     /// Returns the condemned fingerprints other than the fatal one.
     fn wrongly_condemned(&self) -> BTreeSet<Fingerprint> {
-        let condemned = self.registers.iter().flat_map(State::condemned);
-        condemned.filter(|work| *work != FATAL_FINGERPRINT).collect()
+        let condemned = self.states.iter().flat_map(State::condemned);
+        condemned.filter(|fingerprint| *fingerprint != FATAL_FINGERPRINT).collect()
     }
 }
 
@@ -191,7 +191,7 @@
         simulation.run(3_000);
         assert_eq!(simulation.wrongly_condemned(), BTreeSet::new(), "seed {seed}");
         assert!(
-            simulation.registers.iter().all(|register| register.status(FATAL_FINGERPRINT) == Status::Condemned),
+            simulation.states.iter().all(|state| state.status(FATAL_FINGERPRINT) == Status::Condemned),
             "seed {seed}"
         );
         *terminations.entry(simulation.fatal_terminations).or_default() += 1;
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -28,8 +28,8 @@
     roster.usable_replica("r").is_some()
 }
 
-fn apply_record(roster: &mut Roster, offset: u64, born: Option<u64>, leaving: bool) {
-    roster.apply(offset, RecordState::Present(record(born, leaving)), NOW);
+fn apply_record(roster: &mut Roster, offset: u64, started_ms: Option<u64>, leaving: bool) {
+    roster.apply(offset, RecordState::Present(record(started_ms, leaving)), NOW);
 }
 
 #[test]
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -229,9 +229,9 @@
     assert!(fresh.get("replica-1").expect("the replica has returned").takes_work());
 }
 
-/// Returns a record change for the run of replica 1 with start time `born`.
-fn run_record(born: u64, leaving: bool) -> RecordState {
-    RecordState::Present(Record { started_ms: Some(born), ..record(1, leaving) })
+/// Returns a record change for the run of replica 1 with start time `started_ms`.
+fn run_record(started_ms: u64, leaving: bool) -> RecordState {
+    RecordState::Present(Record { started_ms: Some(started_ms), ..record(1, leaving) })
 }
 
 #[test]
@@ -271,19 +271,19 @@
         let (mut reader, mut receiver) = (Roster::default(), Roster::default());
         let now = Moment::from_millis(10_000);
         let mut log: Vec<RecordState> = Vec::new();
-        let mut born: u64 = 1;
+        let mut started_ms: u64 = 1;
         let mut ended = BTreeSet::new();
         let mut sent_offset = 0;
         for (step, start_delay, index) in steps {
             match step {
-                0 => born += 1,
+                0 => started_ms += 1,
                 1 => log.push(RecordState::Unusable(name(1))),
                 2 => log.push(RecordState::Removed(name(1))),
                 // A record of an earlier run is written late.
-                3 => log.push(run_record(born.saturating_sub(start_delay.into()), false)),
+                3 => log.push(run_record(started_ms.saturating_sub(start_delay.into()), false)),
                 4 => {
-                    ended.insert(born);
-                    log.push(run_record(born, true));
+                    ended.insert(started_ms);
+                    log.push(run_record(started_ms, true));
                 }
                 _ => {
                     let updates = reader.updates_since(sent_offset, now);
@@ -293,8 +293,8 @@
                     sent_offset = log.len() as u64;
                 }
             }
-            for (offset, news) in log.iter().enumerate() {
-                reader.apply(offset as u64, news.clone(), now);
+            for (offset, record_state) in log.iter().enumerate() {
+                reader.apply(offset as u64, record_state.clone(), now);
             }
             if !log.is_empty() {
                 // A random record is applied again.
@@ -303,7 +303,7 @@
             }
             let Some(known) = reader.get("replica-1") else { continue };
             let newest = known.record.started_ms.unwrap_or(0);
-            prop_assert!(newest <= born);
+            prop_assert!(newest <= started_ms);
             if ended.contains(&newest) {
                 prop_assert!(!known.takes_work(), "run {newest} announced its end");
             }
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -12,7 +12,7 @@
 use coord::fence::Fence;
 use coord::membership::{Role, Vm};
 use coord::name::Name;
-use coord::placement::{Placements, Endpoint, Load, Order, Record, roll_out};
+use coord::placement::{Placements, Endpoint, Artifacts, Order, Record, roll_out};
 use coord::time::Moment;
 use tokio::sync::watch;
 
@@ -42,7 +42,7 @@
     /// clock.
     log_clock: Option<(Moment, Moment)>,
     /// Load (model version and adapters) that each endpoint was last seen to have.
-    observed_loads: HashMap<Name, Load>,
+    observed_loads: HashMap<Name, Artifacts>,
     client: Caller,
     orders: watch::Sender<Arc<HashMap<Name, Order>>>,
 }
--- a/sorrelpass/src/gateway/belief.rs
+++ b/sorrelpass/src/gateway/belief.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coord::evacuation::{Event, Snapshot};
-use coord::offset::Text;
+use coord::offset::Formatted;
 use coord::delta::Version;
 use coord::roster::{Change, DrainingRun, Replica, Update, Availability};
 use platform::{evacuation, table};
@@ -34,7 +34,7 @@
 
 /// Puts a configuration in force unless a newer one already is.
 pub fn apply_configuration(gateway: &Gateway, document: Version) -> ApplyOutcome {
-    let offset = Text(document.offset);
+    let offset = Formatted(document.offset);
     match table::decode(&document.value) {
         Ok(table) => {
             let (version, (routes, services, keys)) = (table.version(), table.counts());
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -85,7 +85,7 @@
             metric::replica_ended();
         }
         forget_removed_replicas(gateway);
-        apply_events(gateway, vec![Event::Terminated { work: self.fingerprint, run, weight: self.weight }], Source::Own);
+        apply_events(gateway, vec![Event::Terminated { fingerprint: self.fingerprint, run, weight: self.weight }], Source::Own);
     }
 }
 
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -52,11 +52,11 @@
     }
 
     /// Returns the record as events for a register.
-    pub fn news(&self, work: Fingerprint) -> Vec<Event> {
+    pub fn news(&self, fingerprint: Fingerprint) -> Vec<Event> {
         if self.condemned {
-            return vec![Event::Condemned(work)];
+            return vec![Event::Condemned(fingerprint)];
         }
-        let to_event = |end: &End| Event::Terminated { work, run: end.run.clone(), weight: end.weight };
+        let to_event = |end: &End| Event::Terminated { fingerprint, run: end.run.clone(), weight: end.weight };
         self.ends.iter().map(to_event).collect()
     }
 }
@@ -64,13 +64,13 @@
 /// Decodes a record of the quarantine topic into the fingerprint and its entry. The entry is `None` if the record was
 /// removed.
 pub fn decode(record: &Keyed) -> Result<(Fingerprint, Option<Entry>)> {
-    let work = record.key.parse().wrap_err("step=decode-quarantine")?;
-    let Some(value) = &record.value else { return Ok((work, None)) };
+    let fingerprint = record.key.parse().wrap_err("step=decode-quarantine")?;
+    let Some(value) = &record.value else { return Ok((fingerprint, None)) };
     eyre::ensure!(
         value.len() <= MAX_RECORD_BYTES,
-        "step=decode-quarantine work={work}: the record has {} bytes, more than {MAX_RECORD_BYTES}",
+        "step=decode-quarantine work={fingerprint}: the record has {} bytes, more than {MAX_RECORD_BYTES}",
         value.len()
     );
-    let entry = serde_json::from_slice(value).wrap_err_with(|| format!("step=decode-quarantine work={work}"))?;
-    Ok((work, Some(entry)))
+    let entry = serde_json::from_slice(value).wrap_err_with(|| format!("step=decode-quarantine work={fingerprint}"))?;
+    Ok((fingerprint, Some(entry)))
 }
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::offset::Text;
+use coord::offset::Formatted;
 use coord::quarantine::{Event, State, Status, Fingerprint};
 use eyre::Result;
 use platform::store::{Client, Keyed, QUARANTINE};
@@ -80,7 +80,7 @@
     let (fingerprint, entry) = match record::decode(record) {
         Ok(decoded) => decoded,
         Err(error) => {
-            warn_event!("quarantine-record", offset = %Text(record.offset), error = %format!("{error:#}"));
+            warn_event!("quarantine-record", offset = %Formatted(record.offset), error = %format!("{error:#}"));
             return;
         }
     };
--- a/sorrelpass/src/gateway/quarantine/told.rs
+++ b/sorrelpass/src/gateway/quarantine/told.rs
@@ -17,19 +17,19 @@
 impl Told {
     /// Returns the wire form of an event that is sent now.
     pub(super) fn from_event(event: Event, ends: &Terminations) -> Self {
-        let span = match &event {
+        let interval = match &event {
             Event::Terminated { run, .. } => ends.interval(run),
             Event::Cleared(_) | Event::Condemned(_) | Event::Lifted(_) => None,
         };
-        Self { event, termination_age: span.map(|span| IntervalAge::of(&span, now())) }
+        Self { event, termination_age: interval.map(|interval| IntervalAge::of(&interval, now())) }
     }
 
     /// Returns the event as received now, with the name that the run has in this process.
     pub(super) fn into_event(self, ends: &mut Terminations) -> Event {
         let now = now();
-        let span = self.termination_age.map_or(Interval::before(now), |age| age.interval(now));
+        let interval = self.termination_age.map_or(Interval::before(now), |age| age.interval(now));
         match self.event {
-            Event::Terminated { work, run, weight } => Event::Terminated { work, run: ends.record_reported(&run, span), weight },
+            Event::Terminated { fingerprint, run, weight } => Event::Terminated { fingerprint, run: ends.record_reported(&run, interval), weight },
             other => other,
         }
     }
--- a/sorrelpass/src/gateway/reader.rs
+++ b/sorrelpass/src/gateway/reader.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coord::offset::Text;
+use coord::offset::Formatted;
 use coord::retry_delay::RetryDelay;
 use eyre::Result;
 use platform::store::{Client, Keyed, Read};
@@ -114,18 +114,18 @@
         metric::store_calls("read", self.topic_name, 1);
         match self.client.read(self.topic_name, from, wait, RESPONSE_TIMEOUT).await? {
             Read::Trimmed => {
-                event!("store-trimmed", topic = self.topic_name, from = %Text(from));
+                event!("store-trimmed", topic = self.topic_name, from = %Formatted(from));
                 topic.forget();
                 Ok(None)
             }
             Read::Outdated => {
-                event!("store-outdated", topic = self.topic_name, from = %Text(from));
+                event!("store-outdated", topic = self.topic_name, from = %Formatted(from));
                 topic.forget();
                 Ok(None)
             }
             Read::Records { end, .. } if end < from => {
                 // A response older than the records already read does not verify the copy.
-                warn_event!("store-stale", topic = self.topic_name, from = %Text(from), end = %Text(end));
+                warn_event!("store-stale", topic = self.topic_name, from = %Formatted(from), end = %Formatted(end));
                 tokio::time::sleep(MIN_RETRY_DELAY).await;
                 Ok(None)
             }
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use coord::offset::Text;
+use coord::offset::Formatted;
 use coord::delta::{Delta, VersionCache, Version};
 use coord::quota::Bucket;
 use coord::time::Moment;
@@ -117,7 +117,7 @@
         match self.configurations.borrow().decode(delta) {
             Ok(document) => Some(document),
             Err(error) => {
-                warn_event!("configuration", offset = %Text(delta.offset), error = %error);
+                warn_event!("configuration", offset = %Formatted(delta.offset), error = %error);
                 None
             }
         }
--- a/sorrelpass/src/sidecar/order.rs
+++ b/sorrelpass/src/sidecar/order.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coord::name::Name;
-use coord::placement::{Load, Order};
+use coord::placement::{Artifacts, Order};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -82,8 +82,8 @@
 }
 
 /// Asks the endpoint for its load; `None` if it does not answer.
-pub async fn query_load(client: &http::Caller, shared: &Shared) -> Option<Load> {
+pub async fn query_load(client: &http::Caller, shared: &Shared) -> Option<Artifacts> {
     let call = http::exchange_json(client, &shared.settings.endpoint_address, "GET", "/loaded", None);
     let loaded: LoadedResponse = tokio::time::timeout(ORDER_TIMEOUT, call).await.ok()?.ok()?;
-    Some(Load { version: loaded.loaded.version, adapters: loaded.loaded.adapters })
+    Some(Artifacts { version: loaded.loaded.version, adapters: loaded.loaded.adapters })
 }
