--- a/coord/src/answer.rs
+++ b/coord/src/answer.rs
@@ -16,25 +16,25 @@
 
 /// Numbers and hashes the frames of one attempt, at the sender and at the receiver.
 #[derive(Clone)]
-pub struct Tally {
+pub struct FrameDigest {
     count: u64,
     digest: Xxh3,
 }
 
-impl Default for Tally {
+impl Default for FrameDigest {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Tally {
+impl FrameDigest {
     /// Creates the digest of an empty answer.
     pub fn new() -> Self {
         Self { count: 0, digest: Xxh3::new() }
     }
 
     /// Adds a frame and returns its number.
-    pub fn add(&mut self, bytes: &[u8]) -> u64 {
+    pub fn push(&mut self, bytes: &[u8]) -> u64 {
         let number = self.count;
         self.digest.update(bytes);
         self.count += 1;
@@ -61,35 +61,35 @@
 /// Accepts the frames of the live attempt, in order, and rejects all others.
 pub struct Receiver {
     live: Attempt,
-    tally: Tally,
+    digest: FrameDigest,
 }
 
 impl Receiver {
     /// Creates a receiver for the frames of attempt `live`.
     pub fn new(live: Attempt) -> Self {
-        Self { live, tally: Tally::new() }
+        Self { live, digest: FrameDigest::new() }
     }
 
     /// Checks a frame, and adds it to the count and digest if the verdict is [`Verdict::Pass`].
     pub fn accept(&mut self, attempt: Attempt, number: u64, bytes: &[u8]) -> Verdict {
-        if attempt != self.live || number < self.tally.count {
+        if attempt != self.live || number < self.digest.count {
             return Verdict::Drop;
         }
-        if number > self.tally.count {
+        if number > self.digest.count {
             return Verdict::Gap;
         }
-        self.tally.add(bytes);
+        self.digest.push(bytes);
         Verdict::Pass
     }
 
     /// Returns the number of frames accepted.
     pub fn count(&self) -> u64 {
-        self.tally.count
+        self.digest.count
     }
 
     /// Returns whether `seal` comes from the live attempt and matches the frames accepted, so that the answer is
     /// complete.
-    pub fn is_whole(&self, attempt: Attempt, seal: Seal) -> bool {
-        attempt == self.live && self.tally.seal() == seal
+    pub fn is_complete(&self, attempt: Attempt, seal: Seal) -> bool {
+        attempt == self.live && self.digest.seal() == seal
     }
 }
--- a/coord/src/claim.rs
+++ b/coord/src/claim.rs
@@ -28,20 +28,20 @@
 
 /// Claims replayed from the log. The claim with the lowest offset holds the key for a window.
 #[derive(Debug)]
-pub struct Board {
+pub struct Claims {
     window: Duration,
     bound: HashMap<Key, (Binding, Moment)>,
     claims_by_age: VecDeque<(Moment, Key)>,
     next: u64,
 }
 
-impl Board {
-    /// Creates an empty board that keeps a binding for `window` after its claim.
+impl Claims {
+    /// Creates an empty set of claims that keeps a binding for `window` after its claim.
     pub fn new(window: Duration) -> Self {
         Self { window, bound: HashMap::new(), claims_by_age: VecDeque::new(), next: 0 }
     }
 
-    /// Marks all records before `offset` as read. A record can hold several claims: replay all of them before
+    /// Marks all records before `offset` as read. A record can hold several claims: apply all of them before
     /// skipping to the next offset.
     pub fn skip_to(&mut self, offset: u64) {
         crate::invariant!(offset >= self.next, "the log is read forward");
@@ -49,7 +49,7 @@
     }
 
     /// Replays the claim at `offset` with log timestamp `at`, and returns the binding in force.
-    pub fn replay(&mut self, offset: u64, at: Moment, key: Key, binding: Binding) -> Binding {
+    pub fn apply(&mut self, offset: u64, at: Moment, key: Key, binding: Binding) -> Binding {
         if offset < self.next {
             return self.binding(&key).cloned().unwrap_or(binding);
         }
@@ -69,7 +69,7 @@
     }
 
     /// Returns the offset of the next record to read.
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         self.next
     }
 
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -1,73 +1,73 @@
 //! Rate limits that replicas announce: the number of requests per second that a replica accepts from all entries
 //! together.
 //!
-//! [`Register`] holds the limits that this process or its peers received. A replica reports its limit in each
+//! [`ReplicaLimits`] holds the limits that this process or its peers received. A replica reports its limit in each
 //! response, and responses can overtake each other: one report is certainly newer than another only if its request
 //! was sent after the other response arrived. While the order is unknown, the stricter limit is in force; the next
 //! response settles it.
 //!
-//! [`Allowance`] counts the requests that may still be sent to a limited replica. [`Group`] yields the share of a
+//! [`TokenBucket`] counts the requests that may still be sent to a limited replica. [`GroupSize`] yields the share of a
 //! limit that the entries of one leader may use.
 
-mod allowance;
-mod group;
+mod token_bucket;
+mod group_size;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use self::allowance::Allowance;
-pub use self::group::Group;
+pub use self::token_bucket::TokenBucket;
+pub use self::group_size::GroupSize;
 
 use crate::name::Name;
 use crate::time::Moment;
 
 /// Report of a replica's limit in one response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct TimedReport {
     /// Requests per second accepted from all entries together; `None` if the replica has no limit.
     pub rate: Option<f64>,
     /// Send time of the request.
-    pub asked: Moment,
+    pub requested_at: Moment,
     /// Arrival time of the response.
-    pub heard: Moment,
+    pub received_at: Moment,
 }
 
-impl Word {
+impl TimedReport {
     /// Returns whether this report is certainly newer than `other`.
-    fn is_newer_than(&self, other: &Word) -> bool {
-        self.asked >= other.heard
+    fn is_newer_than(&self, other: &TimedReport) -> bool {
+        self.requested_at >= other.received_at
     }
 
     /// Returns whether this report allows fewer requests than `other`.
-    fn is_stricter_than(&self, other: &Word) -> bool {
+    fn is_stricter_than(&self, other: &TimedReport) -> bool {
         self.rate.unwrap_or(f64::INFINITY) < other.rate.unwrap_or(f64::INFINITY)
     }
 }
 
 /// Report in transit between entries, with ages in place of moments because clocks differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct News {
+pub struct RelayedReport {
     /// Replica that reported the limit.
     pub replica: Name,
-    /// Reported limit, as in [`Word`].
+    /// Reported limit, as in [`TimedReport`].
     pub rate: Option<f64>,
     /// Time since the request was sent.
-    pub asked_ago: Duration,
+    pub requested_ago: Duration,
     /// Time since the response arrived.
-    pub heard_ago: Duration,
+    pub received_ago: Duration,
 }
 
-impl News {
+impl RelayedReport {
     /// Converts a report for sending at `now`.
-    pub fn of(replica: &Name, report: &Word, now: Moment) -> Self {
-        let (asked_ago, heard_ago) = (now.since(report.asked), now.since(report.heard));
-        Self { replica: replica.clone(), rate: report.rate, asked_ago, heard_ago }
+    pub fn of(replica: &Name, report: &TimedReport, now: Moment) -> Self {
+        let (requested_ago, received_ago) = (now.since(report.requested_at), now.since(report.received_at));
+        Self { replica: replica.clone(), rate: report.rate, requested_ago, received_ago }
     }
 
     /// Converts back to moments at the receive time `now`. The transit time makes both moments later by the same
     /// amount.
-    pub fn word(&self, now: Moment) -> Word {
-        Word { rate: self.rate, asked: now - self.asked_ago, heard: now - self.heard_ago }
+    pub fn timed_report(&self, now: Moment) -> TimedReport {
+        TimedReport { rate: self.rate, requested_at: now - self.requested_ago, received_at: now - self.received_ago }
     }
 }
 
@@ -75,28 +75,28 @@
 #[derive(Clone, Copy, Debug)]
 struct ReplicaLimit {
     /// Report in force; of several with the same limit, the oldest.
-    report: Word,
+    report: TimedReport,
     /// Earliest start time of the current run of the replica; responses to earlier requests belong to a previous run.
     run_started: Moment,
 }
 
 /// Limits by replica. A replica that never reported a limit uses no memory.
 #[derive(Debug, Default)]
-pub struct Register(BTreeMap<Name, ReplicaLimit>);
+pub struct ReplicaLimits(BTreeMap<Name, ReplicaLimit>);
 
-impl Register {
+impl ReplicaLimits {
     /// Records a report and returns whether the limit in force changed.
     ///
     /// Of reports with the same limit the first is kept, so that all entries that received the change hold the same
     /// one.
-    pub fn hear(&mut self, replica: &Name, report: Word) -> bool {
+    pub fn apply(&mut self, replica: &Name, report: TimedReport) -> bool {
         let Some(limit) = self.0.get_mut(replica) else {
             if report.rate.is_some() {
                 self.0.insert(replica.clone(), ReplicaLimit { report, run_started: Moment::ZERO });
             }
             return report.rate.is_some();
         };
-        let is_from_current_run = report.asked >= limit.run_started;
+        let is_from_current_run = report.requested_at >= limit.run_started;
         let takes_precedence = report.is_newer_than(&limit.report)
             || (!limit.report.is_newer_than(&report) && report.is_stricter_than(&limit.report));
         if !is_from_current_run || !takes_precedence || report.rate == limit.report.rate {
@@ -117,27 +117,27 @@
     }
 
     /// Returns the reports that a peer needs: current limits and the withdrawal of earlier ones.
-    pub fn all(&self, now: Moment) -> Vec<News> {
-        self.0.iter().map(|(replica, limit)| News::of(replica, &limit.report, now)).collect()
+    pub fn relayed_reports(&self, now: Moment) -> Vec<RelayedReport> {
+        self.0.iter().map(|(replica, limit)| RelayedReport::of(replica, &limit.report, now)).collect()
     }
 
     /// Returns the report in force of one replica in the form sent to peers.
-    pub fn news(&self, replica: &str, now: Moment) -> Option<News> {
+    pub fn relayed_report(&self, replica: &str, now: Moment) -> Option<RelayedReport> {
         let (replica, limit) = self.0.get_key_value(replica)?;
-        Some(News::of(replica, &limit.report, now))
+        Some(RelayedReport::of(replica, &limit.report, now))
     }
 
     /// Discards the limit of a replica that restarted, since it belonged to the previous run. Returns whether the
     /// replica had a limit.
-    pub fn restarted(&mut self, replica: &str, now: Moment) -> bool {
+    pub fn reset_for_restart(&mut self, replica: &str, now: Moment) -> bool {
         let Some(limit) = self.0.get_mut(replica) else { return false };
         let was_limited = limit.report.rate.is_some();
-        *limit = ReplicaLimit { report: Word { rate: None, asked: now, heard: now }, run_started: now };
+        *limit = ReplicaLimit { report: TimedReport { rate: None, requested_at: now, received_at: now }, run_started: now };
         was_limited
     }
 
     /// Removes a replica that no longer exists.
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove(&mut self, replica: &str) {
         self.0.remove(replica);
     }
 }
--- a/coord/src/memory.rs
+++ b/coord/src/memory.rs
@@ -7,7 +7,7 @@
 
 /// Reservation of memory by one owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hold {
+pub struct Reservation {
     /// Amount of reserved KV memory, in tokens.
     pub tokens: u64,
     /// Expiry time unless the memory is freed earlier.
@@ -19,42 +19,42 @@
 pub struct Ledger<K> {
     capacity: u64,
     held: u64,
-    holds: HashMap<K, Hold>,
+    reservations: HashMap<K, Reservation>,
 }
 
 impl<K: Eq + Hash + Copy> Ledger<K> {
     /// Creates an empty ledger over `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
-        Self { capacity, held: 0, holds: HashMap::new() }
+        Self { capacity, held: 0, reservations: HashMap::new() }
     }
 
     /// Reserves `tokens` for `owner` until `until`. Returns `false` and reserves nothing if they do not fit or the
     /// owner already has a reservation.
-    pub fn hold(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
-        if self.holds.contains_key(&owner) || tokens > self.free() {
+    pub fn reserve(&mut self, owner: K, tokens: u64, until: Moment) -> bool {
+        if self.reservations.contains_key(&owner) || tokens > self.available() {
             return false;
         }
         self.held += tokens;
-        self.holds.insert(owner, Hold { tokens, until });
+        self.reservations.insert(owner, Reservation { tokens, until });
         self.check_invariants();
         true
     }
 
     /// Frees the memory of `owner` and returns its number of tokens.
-    pub fn free_owner(&mut self, owner: K) -> u64 {
-        let Some(hold) = self.holds.remove(&owner) else { return 0 };
-        self.held -= hold.tokens;
+    pub fn release(&mut self, owner: K) -> u64 {
+        let Some(reservation) = self.reservations.remove(&owner) else { return 0 };
+        self.held -= reservation.tokens;
         self.check_invariants();
-        hold.tokens
+        reservation.tokens
     }
 
     /// Returns the owners whose reservations have expired at `now`. Expired memory stays reserved until freed.
-    pub fn lapsed(&self, now: Moment) -> Vec<K> {
-        self.holds.iter().filter(|(_, hold)| hold.until < now).map(|(owner, _)| *owner).collect()
+    pub fn expired(&self, now: Moment) -> Vec<K> {
+        self.reservations.iter().filter(|(_, reservation)| reservation.until < now).map(|(owner, _)| *owner).collect()
     }
 
     /// Returns the number of tokens that are not reserved.
-    pub fn free(&self) -> u64 {
+    pub fn available(&self) -> u64 {
         self.capacity - self.held
     }
 
@@ -70,6 +70,6 @@
 
     fn check_invariants(&self) {
         crate::invariant!(self.held <= self.capacity, "memory held stays within the engine's");
-        crate::invariant!(!self.holds.is_empty() || self.held == 0, "memory without an owner is free");
+        crate::invariant!(!self.reservations.is_empty() || self.held == 0, "memory without an owner is free");
     }
 }
--- a/coord/src/placement.rs
+++ b/coord/src/placement.rs
@@ -16,7 +16,7 @@
 
 /// Model version and adapters that an endpoint has to load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct Artifacts {
     /// Version of the model; if empty, the engine chooses.
     pub version: Name,
     /// Adapters to load together with the model.
@@ -31,7 +31,7 @@
     /// Log offset of the order; of two orders with the same fence, the later one is valid.
     pub offset: u64,
     /// Version and adapters to load.
-    pub load: Load,
+    pub load: Artifacts,
 }
 
 /// Record on the control stream.
@@ -56,26 +56,26 @@
         /// Fence of the controller's lease.
         fence: Fence,
         /// Loads by endpoint name.
-        loads: BTreeMap<Name, Load>,
+        loads: BTreeMap<Name, Artifacts>,
     },
 }
 
 /// Leases and orders replayed from the control stream.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Placements {
     next: u64,
     leases: BTreeMap<Name, Lease>,
     orders: BTreeMap<Name, Order>,
 }
 
-impl Board {
+impl Placements {
     /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Replays the record at `offset` with log timestamp `at`, and returns whether it took effect.
-    pub fn replay(&mut self, offset: u64, at: Moment, record: Record) -> bool {
+    pub fn apply(&mut self, offset: u64, at: Moment, record: Record) -> bool {
         if offset < self.next {
             return false;
         }
@@ -86,7 +86,7 @@
                 lease.replay(&process, incarnation, offset, at, Duration::from_millis(term_ms))
             }
             Record::Place { domain, fence, loads } => {
-                let is_valid = self.leases.get(&domain).is_some_and(|lease| lease.counts(fence));
+                let is_valid = self.leases.get(&domain).is_some_and(|lease| lease.is_current_fence(fence));
                 if is_valid {
                     loads
                         .into_iter()
@@ -110,7 +110,7 @@
     }
 
     /// Returns the offset of the next record to read.
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         self.next
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Returns the valid order to an endpoint.
-    pub fn order_to(&self, endpoint: &str) -> Option<&Order> {
+    pub fn order_for(&self, endpoint: &str) -> Option<&Order> {
         self.orders.get(endpoint)
     }
 
@@ -132,10 +132,10 @@
 
 /// Returns what the intents require the endpoints of `service` to load, or `None` if no intent uses the service. The
 /// adapters of several intents are merged; the first version stated is used.
-pub fn wanted(config: &Config, service: &str) -> Option<Load> {
+pub fn desired_load(config: &Config, service: &str) -> Option<Artifacts> {
     let mut intents = config.intents.values().filter(|intent| *intent.service == *service).peekable();
     intents.peek()?;
-    let mut load = Load::default();
+    let mut load = Artifacts::default();
     for intent in intents {
         if load.version.is_empty() {
             load.version = intent.version.clone();
@@ -155,7 +155,7 @@
     /// Service that the endpoint belongs to.
     pub service: Name,
     /// Load that the endpoint reported; `None` before its first report.
-    pub holds: Option<Load>,
+    pub loaded: Option<Artifacts>,
 }
 
 /// Returns the next orders of a rolling update. At most `share` of each service's endpoints, but at least one, change
@@ -165,17 +165,17 @@
     endpoints: &[Endpoint],
     orders: &BTreeMap<Name, Order>,
     share: f64,
-) -> BTreeMap<Name, Load> {
+) -> BTreeMap<Name, Artifacts> {
     let mut by_service: BTreeMap<&Name, Vec<&Endpoint>> = BTreeMap::new();
     for endpoint in endpoints {
         by_service.entry(&endpoint.service).or_default().push(endpoint);
     }
     let mut next_orders = BTreeMap::new();
     for (service, endpoints) in by_service {
-        let Some(load) = wanted(config, service) else { continue };
+        let Some(load) = desired_load(config, service) else { continue };
         let is_ordered = |endpoint: &&&Endpoint| orders.get(&endpoint.name).is_some_and(|order| order.load == load);
         let pending_count =
-            endpoints.iter().filter(|endpoint| is_ordered(endpoint) && endpoint.holds.as_ref() != Some(&load)).count();
+            endpoints.iter().filter(|endpoint| is_ordered(endpoint) && endpoint.loaded.as_ref() != Some(&load)).count();
         let max_pending = ((endpoints.len() as f64 * share) as usize).max(1);
         let unordered =
             endpoints.iter().filter(|endpoint| !is_ordered(endpoint)).take(max_pending.saturating_sub(pending_count));
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -42,12 +42,12 @@
 use self::snapshot::FleetSnapshot;
 pub use self::snapshot::{EngineCounts, Exclusion};
 use self::wait_queue::{Candidate, WaitQueue};
-use crate::engine::Figures;
-use crate::limit::Allowance;
+use crate::engine::Profile;
+use crate::limit::TokenBucket;
 use crate::name::Name;
 use crate::pick::rendezvous;
-use crate::quarantine::Work;
-use crate::rest;
+use crate::quarantine::Fingerprint;
+use crate::backoff;
 use crate::time::Moment;
 
 /// Bounds the number of engines that are listed to explain why prompts wait; 12 give a log line of some 300 bytes.
@@ -69,9 +69,9 @@
     granted: GrantedJobs,
     overload: Overload,
     /// Fingerprints of requests that are suspected of crashing engines.
-    suspects: BTreeSet<Work>,
+    suspects: BTreeSet<Fingerprint>,
     /// Backoffs that engines requested, by entry.
-    backoffs: BTreeMap<u64, rest::Register>,
+    backoffs: BTreeMap<u64, backoff::Backoffs>,
 }
 
 impl Planner {
@@ -82,7 +82,7 @@
     }
 
     /// Sets the engines that accept work. Jobs on an engine that is left out are forgotten.
-    pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Figures>)>) {
+    pub fn set_engines(&mut self, engines: impl IntoIterator<Item = (Name, Arc<Profile>)>) {
         self.fleet.set(engines);
         self.path_failures.retain_engines(|name| self.fleet.position(name).is_some());
         let profile = self.fleet.nominal_profile().map(AsRef::as_ref);
@@ -91,8 +91,8 @@
     }
 
     /// Starts the settling period, in which entries report the jobs that they have at the engines.
-    pub fn unsettle(&mut self, now: Moment) {
-        if self.policy.settling {
+    pub fn begin_settling(&mut self, now: Moment) {
+        if self.policy.settle_before_long {
             self.settled_at = now + SETTLING_PERIOD;
         }
     }
@@ -102,13 +102,13 @@
         !self.waiting.is_empty()
     }
 
-    /// Adds a job to the queue; [`Planner::pump`] grants it.
+    /// Adds a job to the queue; [`Planner::grant_ready`] grants it.
     pub fn submit(&mut self, id: Id, job: Job) {
         self.waiting.insert(id, self.estimate_prompt(job));
     }
 
     /// Records a job that another planner granted. `is_prefilling` tells whether its prompt is still being prefilled.
-    pub fn adopt(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
+    pub fn add_granted(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) {
         self.record_grant(id, job, team, is_prefilling, now);
     }
 
@@ -116,22 +116,22 @@
     fn record_grant(&mut self, id: Id, job: &Job, team: Team, is_prefilling: bool, now: Moment) -> f64 {
         self.waiting.remove(id);
         let parts = 1 + team.helpers.len();
-        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.holds).sum();
+        let held_tokens: u64 = team.helpers.iter().map(|helper| helper.held_tokens).sum();
         let prompt = self.estimate_prompt(*job);
         let expected_ms = self.expected_ms(prompt.prefill_ms, &team, now);
         if is_prefilling {
             for name in team.engines() {
                 let Some(engine) = self.fleet.get_mut(name) else { continue };
-                let ms = engine.profile().part_ms(job.prompt, parts);
+                let ms = engine.profile().prefill_share_ms(job.prompt_tokens, parts);
                 engine.add_part(id, ms, now);
             }
         }
         let suspect = self.suspected_fingerprint(job);
         let sequence =
-            |tokens, suspect| Sequence { tokens, gap_target_ms: job.gap_ms, is_short: prompt.is_short, suspect };
-        self.add_sequence(&team.writer, id, sequence(job.memory_tokens().saturating_sub(held_tokens), suspect));
-        for helper in team.helpers.iter().filter(|helper| helper.holds > 0) {
-            self.add_sequence(&helper.engine, id, sequence(helper.holds, None));
+            |tokens, suspect| Sequence { tokens, gap_target_ms: job.gap_target_ms, is_short: prompt.is_short, suspect };
+        self.add_sequence(&team.decoder, id, sequence(job.memory_tokens().saturating_sub(held_tokens), suspect));
+        for helper in team.helpers.iter().filter(|helper| helper.held_tokens > 0) {
+            self.add_sequence(&helper.engine, id, sequence(helper.held_tokens, None));
         }
         self.granted.insert(id, GrantedJob::new(team, expected_ms, now), is_prefilling);
         expected_ms
@@ -144,9 +144,9 @@
     }
 
     /// Records that a job produced its first event, which means that its prompt is prefilled.
-    pub fn first_event(&mut self, id: Id, now: Moment) {
+    pub fn record_first_event(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.first_event(id) else { return };
-        let is_overdue = job.is_overdue(now) && self.policy.suspicion;
+        let is_overdue = job.is_overdue(now) && self.policy.suspect_slow;
         let has_no_helpers = job.team.helpers.is_empty();
         for name in job.team.engines() {
             let Some(engine) = self.fleet.get_mut(name) else { continue };
@@ -155,11 +155,11 @@
                 engine.answered_at = now;
                 self.path_failures.record_success(id.entry, name);
                 if let Some(breaker) = &mut engine.breaker {
-                    breaker.succeeded(now);
+                    breaker.record_success(now);
                 }
             } else if has_no_helpers {
                 let share = self.path_failures.record_failure(id.entry, name, now);
-                engine.breaker.get_or_insert_default().failed(share, now);
+                engine.breaker.get_or_insert_default().record_failure(share, now);
             }
         }
         if is_overdue && !has_no_helpers {
@@ -173,22 +173,22 @@
     /// Events that occurred meanwhile are handled late, which is no fault of the engines: without this, each first
     /// event that was in time but handled after the suspension would count as a failure, and a few of those eject an
     /// engine for the longest period.
-    pub fn absent(&mut self, entry: Option<u64>, delay: Duration) {
+    pub fn postpone_first_events(&mut self, entry: Option<u64>, delay: Duration) {
         self.granted.postpone(|id| entry.is_none_or(|entry| entry == id.entry), delay);
     }
 
     /// Sets the fingerprints that are suspected of crashing engines; their prompts are isolated from others.
-    pub fn set_suspects(&mut self, suspects: impl IntoIterator<Item = Work>) {
+    pub fn set_suspects(&mut self, suspects: impl IntoIterator<Item = Fingerprint>) {
         self.suspects = suspects.into_iter().collect();
     }
 
     /// Returns the fingerprint of a job if it is suspected.
-    fn suspected_fingerprint(&self, job: &Job) -> Option<Work> {
-        job.work.filter(|fingerprint| self.suspects.contains(fingerprint))
+    fn suspected_fingerprint(&self, job: &Job) -> Option<Fingerprint> {
+        job.fingerprint.filter(|fingerprint| self.suspects.contains(fingerprint))
     }
 
     /// Removes a job that has finished or no longer waits.
-    pub fn end(&mut self, id: Id, now: Moment) {
+    pub fn finish(&mut self, id: Id, now: Moment) {
         self.waiting.remove(id);
         let Some(job) = self.granted.remove(id) else { return };
         for name in job.team.engines() {
@@ -201,7 +201,7 @@
 
     /// Requires trial requests of the engines of prompts with overdue first events.
     fn suspect_overdue(&mut self, now: Moment) {
-        if !self.policy.suspicion {
+        if !self.policy.suspect_slow {
             return;
         }
         while let Some(job) = self.granted.next_overdue(now) {
@@ -211,33 +211,33 @@
     }
 
     /// Removes an entry with all its jobs.
-    pub fn end_entry(&mut self, entry: u64, now: Moment) {
+    pub fn remove_entry(&mut self, entry: u64, now: Moment) {
         let of_entry = |id: &&Id| id.entry == entry;
         let ids: Vec<Id> = self.waiting.ids().chain(self.granted.ids()).filter(of_entry).copied().collect();
         for id in ids {
-            self.end(id, now);
+            self.finish(id, now);
         }
         self.backoffs.remove(&entry);
     }
 
     /// Records that an engine failed a job of an entry. The engine is ejected for a period that grows with each
     /// failure.
-    pub fn failed(&mut self, entry: u64, engine: &Name, now: Moment) {
+    pub fn record_failure(&mut self, entry: u64, engine: &Name, now: Moment) {
         let Some(state) = self.fleet.get_mut(engine).filter(|_| self.policy.breakers) else { return };
         let share = self.path_failures.record_failure(entry, engine, now);
-        state.breaker.get_or_insert_default().failed(share, now);
+        state.breaker.get_or_insert_default().record_failure(share, now);
     }
 
     /// Records that an engine asked an entry to send it nothing for `period`. Other entries are not affected.
-    pub fn rests(&mut self, entry: u64, engine: &Name, period: Duration, now: Moment) {
-        self.backoffs.entry(entry).or_default().hear(engine, period, now);
+    pub fn set_backoff(&mut self, entry: u64, engine: &Name, period: Duration, now: Moment) {
+        self.backoffs.entry(entry).or_default().record(engine, period, now);
     }
 
     /// Resets an engine that restarted under the same name. Its memory and prefill queue are empty, and earlier
     /// failures and slowdowns belong to the previous run.
-    pub fn restarted(&mut self, engine: &Name) {
+    pub fn reset_engine(&mut self, engine: &Name) {
         self.path_failures.retain_engines(|name| name != engine);
-        self.backoffs.values_mut().for_each(|backoffs| backoffs.forget(engine));
+        self.backoffs.values_mut().for_each(|backoffs| backoffs.remove(engine));
         if let Some(state) = self.fleet.get_mut(engine) {
             *state = Engine::new(engine.clone(), state.nominal_profile().clone());
         }
@@ -251,23 +251,23 @@
         match (rate, &mut engine.limit) {
             (None, limit) => *limit = None,
             (Some(rate), Some(limit)) => limit.set(rate, share, now),
-            (Some(rate), limit) => *limit = Some(Allowance::new(rate, share, initial_share(salt, &engine.name), now)),
+            (Some(rate), limit) => *limit = Some(TokenBucket::new(rate, share, initial_share(salt, &engine.name), now)),
         }
     }
 
-    /// Resets the saved-up allowance of all rate limits. Needed when this planner takes over from another one whose
-    /// recent grants it does not know.
-    pub fn restart_limits(&mut self, now: Moment) {
+    /// Resets the credit of the token buckets of all rate limits. Needed when this planner takes over from another one
+    /// whose recent grants it does not know.
+    pub fn reset_limits(&mut self, now: Moment) {
         let salt = self.salt;
         for engine in self.fleet.engines_mut() {
             if let Some(limit) = &mut engine.limit {
-                limit.restart(initial_share(salt, &engine.name), now);
+                limit.reset(initial_share(salt, &engine.name), now);
             }
         }
     }
 
     /// Grants the prompts that can start now.
-    pub fn pump(&mut self, now: Moment) -> Vec<Grant> {
+    pub fn grant_ready(&mut self, now: Moment) -> Vec<Grant> {
         self.suspect_overdue(now);
         let mut grants = Vec::new();
         if self.waiting.is_empty() || self.fleet.engines().is_empty() {
@@ -314,13 +314,13 @@
 
     /// Returns for how long prompts that could be in time have found no engine, the number of waiting prompts, and
     /// the engine counts of the last pump.
-    pub fn held(&self, now: Moment) -> (Duration, usize, EngineCounts) {
+    pub fn starvation(&self, now: Moment) -> (Duration, usize, EngineCounts) {
         (self.overload.duration(now), self.waiting.ids().count(), self.snapshot.count_engines(&self.policy))
     }
 
     /// Returns the first rule that excluded each engine from short prompts at the last pump, for up to
     /// `MAX_LISTED_EXCLUSIONS` engines.
-    pub fn bars(&self) -> Vec<(&Name, Exclusion)> {
+    pub fn exclusions(&self) -> Vec<(&Name, Exclusion)> {
         let engines = self.fleet.engines();
         let exclusions = self
             .snapshot
@@ -335,7 +335,7 @@
         for name in team.engines() {
             let Some(index) = self.fleet.position(name) else { continue };
             if let Some(breaker) = self.fleet.get_mut(name).and_then(|engine| engine.breaker.as_mut()) {
-                breaker.begin(now);
+                breaker.record_request(now);
             }
             if let Some(limit) = self.fleet.get_mut(name).and_then(|engine| engine.limit.as_mut()) {
                 limit.take(now);
@@ -343,13 +343,13 @@
             self.snapshot.update(index, &self.fleet.engines()[index], &self.policy, now);
         }
         // The expected time is unreliable until all entries have reported their running jobs.
-        let can_predict = self.policy.second_sends && now >= self.settled_at;
-        let silent_after = can_predict.then(|| unresponsive::first_event_timeout(expected_ms));
-        Grant { id: candidate.id, team, silent_after }
+        let can_predict = self.policy.resend_unresponsive && now >= self.settled_at;
+        let unresponsive_after = can_predict.then(|| unresponsive::first_event_timeout(expected_ms));
+        Grant { id: candidate.id, team, unresponsive_after }
     }
 }
 
-/// Returns the part of the first request, from 0 to 1, that an engine's allowance starts with. It differs between
+/// Returns the part of the first request, from 0 to 1, that an engine's token bucket starts with. It differs between
 /// planners, so that together they do not exceed the limit at the start.
 fn initial_share(salt: u64, engine: &Name) -> f64 {
     rendezvous(salt, engine) as f64 / u64::MAX as f64
--- a/coord/src/planner/place/long.rs
+++ b/coord/src/planner/place/long.rs
@@ -19,11 +19,11 @@
     /// Returns the largest team whose members can each prefill a part without exceeding a gap target.
     pub(super) fn select_team(&self) -> Option<Team> {
         let max_parts =
-            ((self.prompt().prefill_ms / self.policy().least_part_ms) as usize).clamp(1, self.policy().most_parts);
+            ((self.prompt().prefill_ms / self.policy().min_part_ms) as usize).clamp(1, self.policy().max_parts);
         let available = self.prefill_engines();
         let sizes = self.min_parts(max_parts)..=max_parts.min(available.by_wait.len() + 1);
         let largest = |helpers| sizes.clone().rev().find_map(|parts| self.build_team(&available, parts, helpers));
-        let with_idle_helpers = if self.policy().spare_writers { largest(HelperScope::Idle) } else { None };
+        let with_idle_helpers = if self.policy().prefer_idle_helpers { largest(HelperScope::Idle) } else { None };
         with_idle_helpers.or_else(|| largest(HelperScope::Any))
     }
 
@@ -33,7 +33,7 @@
             return self.min_parts_late(max_parts);
         }
         // A team that is too small to be in time would block its engines for long.
-        let slack_ms = self.job().aim.since(self.now).as_secs_f64() * 1e3;
+        let slack_ms = self.job().first_event_target.since(self.now).as_secs_f64() * 1e3;
         let required = (self.prompt().prefill_ms / (slack_ms * self.policy().in_time_share).max(1.0)).ceil() as usize;
         required.clamp(1, max_parts)
     }
@@ -80,8 +80,8 @@
             *index != decoder && (helpers == HelperScope::Any || self.state(*index).sequence_count == 0)
         };
         let others = with_budget.iter().copied().filter(is_suitable).take(parts - 1);
-        let helpers: Vec<Helper> = others.map(|index| Helper { engine: self.name(index).clone(), holds: 0 }).collect();
-        (helpers.len() == parts - 1).then(|| Team { writer: self.name(decoder).clone(), helpers })
+        let helpers: Vec<Helper> = others.map(|index| Helper { engine: self.name(index).clone(), held_tokens: 0 }).collect();
+        (helpers.len() == parts - 1).then(|| Team { decoder: self.name(decoder).clone(), helpers })
     }
 
     /// Returns engines that decode only long answers and have little pending prefill, so that one more long answer
@@ -89,11 +89,11 @@
     fn joinable_engines(&self, part_ms: f64) -> impl Iterator<Item = usize> {
         let policy = self.policy();
         let is_suitable = move |state: &EngineState| {
-            policy.gather
+            policy.colocate_long
                 && state.sequence_count > 0
                 && state.short_sequence_count == 0
-                && state.pending_ms > policy.start_pending_ms
-                && state.pending_ms <= policy.join_pending_ms
+                && state.pending_ms > policy.max_pending_ms
+                && state.pending_ms <= policy.max_join_pending_ms
                 && state.prefill_budget_ms >= part_ms
                 && !state.is_half_open
         };
@@ -113,21 +113,21 @@
         others.sort_by_key(|index| Reverse(free_memory(*index)));
         let mut helpers = Vec::new();
         for index in others.into_iter().take(parts - 1) {
-            let holds = remaining_tokens.min(free_memory(index));
-            remaining_tokens -= holds;
-            helpers.push(Helper { engine: self.name(index).clone(), holds });
+            let held_tokens = remaining_tokens.min(free_memory(index));
+            remaining_tokens -= held_tokens;
+            helpers.push(Helper { engine: self.name(index).clone(), held_tokens });
         }
-        (remaining_tokens == 0).then(|| Team { writer: self.name(decoder).clone(), helpers })
+        (remaining_tokens == 0).then(|| Team { decoder: self.name(decoder).clone(), helpers })
     }
 
     /// Ranks engines for decoding, smallest first. Long answers decode beside other long answers and away from short
     /// ones, so that most engines only prefill.
     fn decoder_key(&self, state: &EngineState) -> (u8, Reverse<usize>) {
-        let preference = match self.policy().gather {
+        let preference = match self.policy().colocate_long {
             true if state.short_sequence_count > 0 => 2,
             true if state.sequence_count == 0 => 1,
             true => 0,
-            false => u8::from(state.min_gap_target_ms < self.job().gap_ms),
+            false => u8::from(state.min_gap_target_ms < self.job().gap_target_ms),
         };
         (preference, Reverse(state.sequence_count))
     }
--- a/coord/src/planner/unresponsive.rs
+++ b/coord/src/planner/unresponsive.rs
@@ -12,7 +12,7 @@
 
 use super::Planner;
 use super::job::{Id, Team};
-use crate::engine::millis;
+use crate::engine::duration_from_ms;
 use crate::name::Name;
 use crate::time::Moment;
 
@@ -24,12 +24,12 @@
 
 /// Returns the time after the grant from which on a prompt counts as unresponsive.
 pub(super) fn first_event_timeout(expected_ms: f64) -> Duration {
-    millis(expected_ms * TIMEOUT_FACTOR + TIMEOUT_MARGIN_MS)
+    duration_from_ms(expected_ms * TIMEOUT_FACTOR + TIMEOUT_MARGIN_MS)
 }
 
 impl Planner {
     /// Records that a granted prompt is unresponsive. The caller submits it again.
-    pub fn silent(&mut self, id: Id, now: Moment) {
+    pub fn mark_unresponsive(&mut self, id: Id, now: Moment) {
         let Some(job) = self.granted.get(id) else { return };
         let (team, granted_at) = (job.team.clone(), job.granted_at);
         self.suspect_team(&team, granted_at, now);
@@ -39,7 +39,7 @@
     /// `granted_at`. The other members have answered prompts meanwhile and do not hold up the team. The blame is
     /// shared equally, so that an engine which belongs to several overdue teams is ejected.
     pub(super) fn suspect_team(&mut self, team: &Team, granted_at: Moment, now: Moment) {
-        let suspects_all = !self.policy.mute_only;
+        let suspects_all = !self.policy.suspect_unresponsive_only;
         let is_unresponsive =
             |name: &&Name| self.fleet.get(name).is_some_and(|engine| suspects_all || engine.answered_at < granted_at);
         let unresponsive: Vec<Name> = team.engines().filter(is_unresponsive).cloned().collect();
@@ -47,10 +47,10 @@
         for name in &unresponsive {
             let Some(engine) = self.fleet.get_mut(name) else { continue };
             let breaker = engine.breaker.get_or_insert_default();
-            if self.policy.breakers && self.policy.mute_only {
-                breaker.failed(share, now);
+            if self.policy.breakers && self.policy.suspect_unresponsive_only {
+                breaker.record_failure(share, now);
             }
-            breaker.suspect(now);
+            breaker.require_trial(now);
         }
     }
 }
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -1,13 +1,13 @@
 //! Quarantine of requests that repeatedly coincide with replica terminations.
 //!
 //! A faulty request can terminate every replica that starts to run it. All repetitions of a request share a
-//! fingerprint, [`Work`]. Each termination is evidence against the fingerprints of all requests on the replica, most
+//! [`Fingerprint`]. Each termination is evidence against the fingerprints of all requests on the replica, most
 //! of them innocent; a fingerprint that is present again at the next termination accumulates evidence. A fingerprint
 //! with enough evidence is *condemned*: no replica receives its requests until an operator lifts the verdict. A
 //! complete successful answer clears it.
 //!
-//! Processes exchange evidence and verdicts as [`News`], which can arrive in any order, late or repeatedly. A
-//! [`Register`] that received a verdict keeps it, whatever else arrives. Entries do not expire with time.
+//! Processes exchange evidence and verdicts as [`Event`], which can arrive in any order, late or repeatedly. A
+//! [`State`] that received a verdict keeps it, whatever else arrives. Entries do not expire with time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -38,9 +38,9 @@
 
 /// Fingerprint of a request, equal for each repetition, whichever entry receives it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Work(pub [u8; 16]);
+pub struct Fingerprint(pub [u8; 16]);
 
-impl Work {
+impl Fingerprint {
     /// Returns the fingerprint of a request from its parts. Each part is prefixed with its length, so that different
     /// lists of parts never yield the same input. The hash uses its own context, so that hashes of the same text from
     /// other sources do not reveal the fingerprint.
@@ -50,19 +50,19 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut work = Self([0; 16]);
-        work.0.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        work
+        let mut fingerprint = Self([0; 16]);
+        fingerprint.0.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        fingerprint
     }
 }
 
-impl fmt::Display for Work {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for Work {
+impl fmt::Debug for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Work({self})")
     }
@@ -70,24 +70,24 @@
 
 /// Error for a text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct ParseFingerprintError;
 
-impl fmt::Display for Malformed {
+impl fmt::Display for ParseFingerprintError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a fingerprint is 32 hexadecimal digits")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for ParseFingerprintError {}
 
-impl FromStr for Work {
-    type Err = Malformed;
+impl FromStr for Fingerprint {
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
         if text.len() != 32 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(Malformed);
+            return Err(ParseFingerprintError);
         }
-        u128::from_str_radix(text, 16).map(|number| Self(number.to_be_bytes())).map_err(|_| Malformed)
+        u128::from_str_radix(text, 16).map(|number| Self(number.to_be_bytes())).map_err(|_| ParseFingerprintError)
     }
 }
 
@@ -112,37 +112,37 @@
 
 /// Event that a process observes and sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Event {
     /// A replica terminated while it held a request with the fingerprint.
-    Ended {
+    Terminated {
         /// Fingerprint of the request.
-        work: Work,
+        fingerprint: Fingerprint,
         /// Name of the terminated run, unique among all runs of all replicas.
         run: Name,
         /// Strength of the evidence.
         weight: Weight,
     },
     /// A request with the fingerprint completed successfully.
-    Cleared(Work),
+    Cleared(Fingerprint),
     /// The fingerprint is condemned.
-    Condemned(Work),
+    Condemned(Fingerprint),
     /// An operator lifted the verdict or the suspicion.
-    Lifted(Work),
+    Lifted(Fingerprint),
 }
 
-impl News {
+impl Event {
     /// Returns the fingerprint that the event concerns.
-    pub const fn work(&self) -> Work {
+    pub const fn fingerprint(&self) -> Fingerprint {
         match self {
-            News::Ended { work, .. } => *work,
-            News::Cleared(work) | News::Condemned(work) | News::Lifted(work) => *work,
+            Event::Terminated { fingerprint, .. } => *fingerprint,
+            Event::Cleared(fingerprint) | Event::Condemned(fingerprint) | Event::Lifted(fingerprint) => *fingerprint,
         }
     }
 }
 
 /// Status of a fingerprint in the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Status {
     /// The evidence is below the suspicion threshold.
     Clear,
     /// Requests are sent, but isolated from others.
@@ -179,83 +179,83 @@
 
 /// Suspects and verdicts that one process has recorded.
 #[derive(Clone, Debug, Default)]
-pub struct Register {
-    suspects: BTreeMap<Work, Suspect>,
-    condemned: BTreeMap<Work, Verdict>,
+pub struct State {
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    condemned: BTreeMap<Fingerprint, Verdict>,
     next_sequence: u64,
 }
 
-impl Register {
+impl State {
     /// Returns the status of a fingerprint.
-    pub fn standing(&self, work: Work) -> Standing {
-        if self.condemned.contains_key(&work) {
-            return Standing::Condemned;
+    pub fn status(&self, fingerprint: Fingerprint) -> Status {
+        if self.condemned.contains_key(&fingerprint) {
+            return Status::Condemned;
         }
-        match self.suspects.get(&work) {
-            Some(suspect) if suspect.points() >= SUSPECT_POINTS => Standing::Suspect,
-            _ => Standing::Clear,
+        match self.suspects.get(&fingerprint) {
+            Some(suspect) if suspect.points() >= SUSPECT_POINTS => Status::Suspect,
+            _ => Status::Clear,
         }
     }
 
     /// Applies an event and returns the events to send to peers. The result is empty if the event was already
     /// recorded or adds too little evidence.
-    pub fn hear(&mut self, event: News) -> Vec<News> {
+    pub fn apply(&mut self, event: Event) -> Vec<Event> {
         match event {
-            News::Ended { work, run, weight } => self.record_termination(work, run, weight),
-            News::Cleared(work) => self.clear(work),
-            News::Condemned(work) => self.condemn(work),
-            News::Lifted(work) => self.lift(work),
+            Event::Terminated { fingerprint, run, weight } => self.record_termination(fingerprint, run, weight),
+            Event::Cleared(fingerprint) => self.clear(fingerprint),
+            Event::Condemned(fingerprint) => self.condemn(fingerprint),
+            Event::Lifted(fingerprint) => self.lift(fingerprint),
         }
     }
 
     /// Returns the recorded runs that terminated under a condemned fingerprint, with the strength of the evidence.
-    pub fn ends(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
-        let terminations = self.condemned.get(&work).map(|verdict| &verdict.terminations);
+    pub fn terminations(&self, fingerprint: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
+        let terminations = self.condemned.get(&fingerprint).map(|verdict| &verdict.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns the evidence against a fingerprint that is not condemned, by terminated run.
-    pub fn evidence(&self, work: Work) -> impl Iterator<Item = (&Name, Weight)> {
-        let terminations = self.suspects.get(&work).map(|suspect| &suspect.terminations);
+    pub fn evidence(&self, fingerprint: Fingerprint) -> impl Iterator<Item = (&Name, Weight)> {
+        let terminations = self.suspects.get(&fingerprint).map(|suspect| &suspect.terminations);
         terminations.into_iter().flatten().map(|(run, weight)| (run, *weight))
     }
 
     /// Returns all condemned fingerprints.
-    pub fn condemned(&self) -> impl Iterator<Item = Work> {
+    pub fn condemned(&self) -> impl Iterator<Item = Fingerprint> {
         self.condemned.keys().copied()
     }
 
     /// Returns the suspects with their points.
-    pub fn suspects(&self) -> impl Iterator<Item = (Work, u32)> {
-        let counted = self.suspects.iter().map(|(work, suspect)| (*work, suspect.points()));
+    pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, u32)> {
+        let counted = self.suspects.iter().map(|(fingerprint, suspect)| (*fingerprint, suspect.points()));
         counted.filter(|(_, points)| *points >= SUSPECT_POINTS)
     }
 
     /// Returns the fingerprints whose evidence is worth persisting. If this process is isolated, so that no peer
     /// receives its events, that includes all suspects: terminations observed by three isolated processes then
     /// condemn a fingerprint just as those observed by one.
-    pub fn lasting(&self, is_isolated: bool) -> impl Iterator<Item = Work> {
+    pub fn persistent(&self, is_isolated: bool) -> impl Iterator<Item = Fingerprint> {
         let min_points = if is_isolated { SUSPECT_POINTS } else { PERSISTENT_POINTS };
-        let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(work, _)| work);
+        let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(fingerprint, _)| fingerprint);
         self.condemned().chain(suspects)
     }
 
     /// Returns the events that bring a new peer up to date.
-    pub fn all(&self) -> Vec<News> {
-        let condemned = self.condemned().map(News::Condemned);
-        let suspects = self.suspects().flat_map(|(work, _)| {
-            self.evidence(work).map(move |(run, weight)| News::Ended { work, run: run.clone(), weight })
+    pub fn events(&self) -> Vec<Event> {
+        let condemned = self.condemned().map(Event::Condemned);
+        let suspects = self.suspects().flat_map(|(fingerprint, _)| {
+            self.evidence(fingerprint).map(move |(run, weight)| Event::Terminated { fingerprint, run: run.clone(), weight })
         });
         condemned.chain(suspects).collect()
     }
 
-    fn record_termination(&mut self, work: Work, run: Name, weight: Weight) -> Vec<News> {
-        if self.condemned.contains_key(&work) || self.is_attributed(&run) {
+    fn record_termination(&mut self, fingerprint: Fingerprint, run: Name, weight: Weight) -> Vec<Event> {
+        if self.condemned.contains_key(&fingerprint) || self.is_attributed(&run) {
             return Vec::new();
         }
         self.next_sequence += 1;
         let sequence = self.next_sequence;
-        let suspect = self.suspects.entry(work).or_insert_with(|| Suspect { sequence, ..Suspect::default() });
+        let suspect = self.suspects.entry(fingerprint).or_insert_with(|| Suspect { sequence, ..Suspect::default() });
         let previous = suspect.terminations.insert(run.clone(), weight);
         suspect.newest_run = run.clone();
         if let Some(previous) = previous.filter(|previous| *previous >= weight) {
@@ -265,10 +265,10 @@
         let (points, termination_count) = (suspect.points(), suspect.terminations.len());
         let mut relayed = Vec::new();
         if points >= SUSPECT_POINTS {
-            relayed.push(News::Ended { work, run, weight });
+            relayed.push(Event::Terminated { fingerprint, run, weight });
         }
-        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(work)) {
-            relayed.extend(self.condemn(work));
+        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(fingerprint)) {
+            relayed.extend(self.condemn(fingerprint));
         }
         self.evict();
         relayed
@@ -284,49 +284,49 @@
     /// Returns whether another fingerprint was on all replicas that terminated under this one, so that either may be
     /// the cause. The newest termination is left out because its report for the other fingerprint may still be in
     /// transit.
-    fn is_ambiguous(&self, work: Work) -> bool {
-        let Some(suspect) = self.suspects.get(&work) else { return false };
+    fn is_ambiguous(&self, fingerprint: Fingerprint) -> bool {
+        let Some(suspect) = self.suspects.get(&fingerprint) else { return false };
         let earlier: Vec<&Name> = suspect.terminations.keys().filter(|run| **run != suspect.newest_run).collect();
-        let mut others = self.suspects.iter().filter(|(other, _)| **other != work);
+        let mut others = self.suspects.iter().filter(|(other, _)| **other != fingerprint);
         others.any(|(_, other)| earlier.iter().all(|run| other.terminations.contains_key(*run)))
     }
 
-    fn condemn(&mut self, work: Work) -> Vec<News> {
-        if self.condemned.contains_key(&work) {
+    fn condemn(&mut self, fingerprint: Fingerprint) -> Vec<Event> {
+        if self.condemned.contains_key(&fingerprint) {
             return Vec::new();
         }
-        let terminations = self.suspects.remove(&work).map(|suspect| suspect.terminations).unwrap_or_default();
+        let terminations = self.suspects.remove(&fingerprint).map(|suspect| suspect.terminations).unwrap_or_default();
         for suspect in self.suspects.values_mut() {
             suspect.terminations.retain(|run, _| !terminations.contains_key(run));
         }
         self.suspects.retain(|_, suspect| !suspect.terminations.is_empty());
         self.next_sequence += 1;
-        self.condemned.insert(work, Verdict { terminations, sequence: self.next_sequence });
+        self.condemned.insert(fingerprint, Verdict { terminations, sequence: self.next_sequence });
         self.evict();
-        vec![News::Condemned(work)]
+        vec![Event::Condemned(fingerprint)]
     }
 
     /// Clears a fingerprint after a complete successful answer. An answer that was in flight when its request was
     /// condemned proves the verdict wrong.
-    fn clear(&mut self, work: Work) -> Vec<News> {
-        let relayed = match self.standing(work) {
-            Standing::Clear => Vec::new(),
-            Standing::Suspect => vec![News::Cleared(work)],
-            Standing::Condemned => vec![News::Lifted(work)],
+    fn clear(&mut self, fingerprint: Fingerprint) -> Vec<Event> {
+        let relayed = match self.status(fingerprint) {
+            Status::Clear => Vec::new(),
+            Status::Suspect => vec![Event::Cleared(fingerprint)],
+            Status::Condemned => vec![Event::Lifted(fingerprint)],
         };
-        self.remove(work);
+        self.remove(fingerprint);
         relayed
     }
 
-    fn lift(&mut self, work: Work) -> Vec<News> {
-        let was_recorded = self.standing(work) != Standing::Clear;
-        self.remove(work);
-        if was_recorded { vec![News::Lifted(work)] } else { Vec::new() }
+    fn lift(&mut self, fingerprint: Fingerprint) -> Vec<Event> {
+        let was_recorded = self.status(fingerprint) != Status::Clear;
+        self.remove(fingerprint);
+        if was_recorded { vec![Event::Lifted(fingerprint)] } else { Vec::new() }
     }
 
-    fn remove(&mut self, work: Work) {
-        self.suspects.remove(&work);
-        self.condemned.remove(&work);
+    fn remove(&mut self, fingerprint: Fingerprint) {
+        self.suspects.remove(&fingerprint);
+        self.condemned.remove(&fingerprint);
     }
 
     /// Bounds the state by evicting the suspect with the fewest points, the oldest first among equals, and the oldest
@@ -334,16 +334,16 @@
     fn evict(&mut self) {
         while self.suspects.len() > MAX_SUSPECTS {
             let weakest = self.suspects.iter().min_by_key(|(_, suspect)| (suspect.points(), suspect.sequence));
-            let Some(work) = weakest.map(|(work, _)| *work) else { break };
-            self.suspects.remove(&work);
+            let Some(fingerprint) = weakest.map(|(fingerprint, _)| *fingerprint) else { break };
+            self.suspects.remove(&fingerprint);
         }
         while self.condemned.len() > MAX_VERDICTS {
             let oldest = self.condemned.iter().min_by_key(|(_, verdict)| verdict.sequence);
-            let Some(work) = oldest.map(|(work, _)| *work) else { break };
-            self.condemned.remove(&work);
+            let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) else { break };
+            self.condemned.remove(&fingerprint);
         }
         invariant!(
-            self.suspects.keys().all(|work| !self.condemned.contains_key(work)),
+            self.suspects.keys().all(|fingerprint| !self.condemned.contains_key(fingerprint)),
             "condemned work is no suspect any more"
         );
     }
--- a/coord/src/route.rs
+++ b/coord/src/route.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::engine::Figures;
+use crate::engine::Profile;
 use crate::name::Name;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// The request may be executed any number of times.
     Safe,
     /// The request may be executed at most once.
@@ -20,7 +20,7 @@
 
 /// Share of a route's traffic for one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Name,
     /// Weight among the shares of the route; 0 sends no traffic to the service.
@@ -37,7 +37,7 @@
     /// Path prefix, with a trailing slash.
     pub prefix: Name,
     /// Whether requests may be executed more than once.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Whether responses are event streams.
     pub streaming: bool,
     /// Whether another replica may continue a stream after the last event delivered.
@@ -45,9 +45,9 @@
     /// Maximum time that the system holds a request.
     pub timeout: Duration,
     /// Target latency of the response, or of the first event of a stream.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Target for the longest gap between two events; zero if not configured.
-    pub gap_aim: Duration,
+    pub gap_target: Duration,
     /// Maximum number of replicas that may execute one request.
     pub max_attempts: u32,
     /// Priority among routes; 0 is the most urgent.
@@ -55,7 +55,7 @@
     /// Whether requests need no API key.
     pub public: bool,
     /// Services that receive the traffic of the route.
-    pub shares: Vec<Share>,
+    pub shares: Vec<WeightedService>,
 }
 
 /// Minimum time that callers wait for the next event of a stream, including the first.
@@ -68,13 +68,13 @@
 
 impl Route {
     /// Returns how long callers wait for the first event of a stream before they give up.
-    pub fn patience(&self) -> Duration {
-        MIN_CLIENT_TIMEOUT.max(self.aim * CLIENT_TIMEOUT_LATENCY_FACTOR).max(self.gap_aim * CLIENT_TIMEOUT_GAP_FACTOR)
+    pub fn client_timeout(&self) -> Duration {
+        MIN_CLIENT_TIMEOUT.max(self.latency_target * CLIENT_TIMEOUT_LATENCY_FACTOR).max(self.gap_target * CLIENT_TIMEOUT_GAP_FACTOR)
     }
 
     /// Returns the service for a request with the random number `point`, uniform in 0..1; `None` if all weights are
     /// zero.
-    pub fn pick(&self, point: f64) -> Option<&Name> {
+    pub fn choose_service(&self, point: f64) -> Option<&Name> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
         if total <= 0.0 {
             return None;
@@ -90,8 +90,8 @@
     }
 
     /// Returns whether a request may be sent again after it may have been executed.
-    pub fn repeatable(&self) -> bool {
-        self.repeat == Repeat::Safe || self.resumable
+    pub fn is_retryable(&self) -> bool {
+        self.idempotency == Idempotency::Safe || self.resumable
     }
 }
 
@@ -103,18 +103,18 @@
     /// Maximum number of connections to one replica from all callers together.
     pub max_connections: u32,
     /// Engine parameters; `None` for a plain service.
-    pub engine: Option<Arc<Figures>>,
+    pub engine: Option<Arc<Profile>>,
     /// Limit of cold replicas; `None` if they accept as many requests as warm ones.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdLimit>,
 }
 
 /// Reduced limit of a replica that is cold: for a while after its start, and whenever it reports so.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdLimit {
     /// Requests per second from all entries together.
     pub rate: f64,
     /// Duration of the cold period after a start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Workspace that an API key belongs to.
@@ -152,7 +152,7 @@
 
 /// Reason for rejecting a request during routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum RouteError {
     /// No route of the host matches the path.
     NoRoute,
     /// The API key is missing or unknown.
@@ -192,9 +192,9 @@
     }
 
     /// Returns the route for a host and a path.
-    pub fn route(&self, host: &str, path: &str) -> Result<&Route, Denied> {
-        let routes = self.hosts.get(host).ok_or(Denied::NoRoute)?;
-        routes.iter().find(|route| path.starts_with(&*route.prefix)).ok_or(Denied::NoRoute)
+    pub fn route(&self, host: &str, path: &str) -> Result<&Route, RouteError> {
+        let routes = self.hosts.get(host).ok_or(RouteError::NoRoute)?;
+        routes.iter().find(|route| path.starts_with(&*route.prefix)).ok_or(RouteError::NoRoute)
     }
 
     /// Returns whether requests on `route` require an API key.
@@ -203,8 +203,8 @@
     }
 
     /// Returns the workspace that `key` belongs to.
-    pub fn workspace(&self, key: Option<&str>) -> Result<&Workspace, Denied> {
-        key.and_then(|key| self.keys.get(key)).ok_or(Denied::UnknownKey)
+    pub fn workspace(&self, key: Option<&str>) -> Result<&Workspace, RouteError> {
+        key.and_then(|key| self.keys.get(key)).ok_or(RouteError::UnknownKey)
     }
 
     /// Returns a service by name.
@@ -218,7 +218,7 @@
     }
 
     /// Returns the numbers of routes, services and keys, for log lines.
-    pub fn sizes(&self) -> (usize, usize, usize) {
+    pub fn counts(&self) -> (usize, usize, usize) {
         (self.hosts.values().map(Vec::len).sum(), self.services.len(), self.keys.len())
     }
 }
--- a/coord/src/scheduler/message.rs
+++ b/coord/src/scheduler/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::name::{Attempt, Ran};
+use crate::name::{Attempt, ExecutionStatus};
 
 /// Sizes and limits of one endpoint.
 #[derive(Clone, Debug)]
@@ -14,28 +14,28 @@
     /// KV memory of the engine, in tokens.
     pub memory_tokens: u64,
     /// Largest number of waiting jobs.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Longest prompt that counts as short, in tokens.
     pub short_tokens: u64,
     /// Share of slots and memory that is reserved for short prompts.
     pub short_share: f64,
     /// Whether long prompts get different priorities by length, so that the engine prefills shorter ones first.
-    pub grade_long: bool,
+    pub split_long_by_length: bool,
     /// Time for which key outcomes and cancelled attempts are remembered.
-    pub window: Duration,
+    pub retention: Duration,
 }
 
 /// Reason for refusing a job. A refused job did not run and will not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum RefusalReason {
     /// The endpoint is draining.
-    Leaving,
+    Draining,
     /// The endpoint fails its health checks.
     Unhealthy,
     /// The attempt was cancelled before it arrived.
-    Voided,
+    Cancelled,
     /// The attempt was offered before.
-    Repeated,
+    Duplicate,
     /// The job cannot finish before its deadline.
     TooLate,
     /// Too many jobs wait.
@@ -48,9 +48,9 @@
 
 /// Refusal with a retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Reason for the refusal.
-    pub reason: Refusal,
+    pub reason: RefusalReason,
     /// Time after which a similar job could be accepted.
     pub retry_after: Duration,
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start the job on the engine with this priority.
-    Start(Attempt, Level),
+    Start(Attempt, PrefillPriority),
     /// Discard the job, because its deadline passed before it started.
     Expire(Attempt),
     /// Stop the job on the engine, because its deadline passed while it ran.
@@ -70,9 +70,9 @@
     FreeSpan(Attempt),
 }
 
-/// Prefill priority of a job on the engine. Prefill of a higher level goes first and pauses that of lower levels.
+/// Prefill priority of a job on the engine. Prefill at a higher priority goes first and pauses prefill at lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Level {
+pub enum PrefillPriority {
     /// Prompts longer than long ones, and spans.
     Huge,
     /// Long prompts.
@@ -85,26 +85,26 @@
 
 /// Result of cancelling an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Voided {
+pub enum CancelOutcome {
     /// The attempt had not started and never will.
     NotRun,
     /// The attempt had started; it is being stopped or has finished.
     Started,
 }
 
-impl Voided {
+impl CancelOutcome {
     /// Returns whether the attempt ran, as far as a caller may be told.
-    pub fn ran(self) -> Ran {
+    pub fn ran(self) -> ExecutionStatus {
         match self {
-            Voided::NotRun => Ran::No,
-            Voided::Started => Ran::Unknown,
+            CancelOutcome::NotRun => ExecutionStatus::No,
+            CancelOutcome::Started => ExecutionStatus::Unknown,
         }
     }
 }
 
 /// State of an idempotency key that is bound to this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Once {
+pub enum KeyState {
     /// The key was new; this attempt is now bound to it and may run.
     First,
     /// The given attempt is bound to the key and has not finished.
@@ -119,11 +119,11 @@
     /// Expected time to the first token.
     pub ttft: Duration,
     /// Expected time to the complete answer.
-    pub whole: Duration,
+    pub total: Duration,
     /// Total delay that the prompt would add to the first tokens of other jobs here.
-    pub harm: Duration,
+    pub interference: Duration,
     /// Whether the endpoint would accept the prompt now.
-    pub open: bool,
+    pub is_accepting: bool,
     /// Time after which to retry if the endpoint would not accept the prompt.
     pub retry_after: Duration,
     /// Number of waiting and running jobs.
--- a/coord/src/end.rs
+++ b/coord/src/termination.rs
@@ -27,46 +27,46 @@
 
 /// Interval in which a termination happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct Interval {
     /// Time at which the process was still running or had not started.
-    pub after: Moment,
+    pub not_before: Moment,
     /// Time by which the process had terminated.
-    pub by: Moment,
+    pub not_after: Moment,
 }
 
-impl Span {
+impl Interval {
     /// Returns the interval of a termination that is known only to have happened before `now`.
     pub const fn before(now: Moment) -> Self {
-        Self { after: Moment::ZERO, by: now }
+        Self { not_before: Moment::ZERO, not_after: now }
     }
 
-    fn overlaps(&self, other: &Span) -> bool {
-        self.after <= other.by && other.after <= self.by
+    fn overlaps(&self, other: &Interval) -> bool {
+        self.not_before <= other.not_after && other.not_before <= self.not_after
     }
 
     /// Returns the intersection of both intervals.
-    fn intersection(&self, other: &Span) -> Span {
-        Span { after: self.after.max(other.after), by: self.by.min(other.by) }
+    fn intersection(&self, other: &Interval) -> Interval {
+        Interval { not_before: self.not_before.max(other.not_before), not_after: self.not_after.min(other.not_after) }
     }
 }
 
 /// Interval in transit between processes, with ages in place of moments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Age {
+pub struct IntervalAge {
     start_age: Duration,
     end_age: Duration,
 }
 
-impl Age {
-    /// Converts `span` for sending at `now`.
-    pub fn of(span: &Span, now: Moment) -> Self {
-        Self { start_age: now.since(span.after), end_age: now.since(span.by) }
+impl IntervalAge {
+    /// Converts `interval` for sending at `now`.
+    pub fn of(interval: &Interval, now: Moment) -> Self {
+        Self { start_age: now.since(interval.not_before), end_age: now.since(interval.not_after) }
     }
 
     /// Converts back to an interval at the receive time `now`. The interval is widened by the longest transit time
     /// because the actual one is unknown.
-    pub fn span(&self, now: Moment) -> Span {
-        Span { after: now - self.start_age - MAX_TRANSIT_TIME, by: now - self.end_age }
+    pub fn interval(&self, now: Moment) -> Interval {
+        Interval { not_before: now - self.start_age - MAX_TRANSIT_TIME, not_after: now - self.end_age }
     }
 }
 
@@ -99,7 +99,7 @@
 struct Termination {
     /// The first name is the one used in this process.
     names: Vec<Name>,
-    span: Span,
+    interval: Interval,
 }
 
 impl Termination {
@@ -108,16 +108,16 @@
     }
 
     /// Returns whether a reported termination may be this one. One process never gives two names to one termination.
-    fn may_match(&self, run: &RunName, span: &Span) -> bool {
+    fn may_match(&self, run: &RunName, interval: &Interval) -> bool {
         let has_same_author = |name: &Name| run.author.is_some() && RunName::parse(name).author == run.author;
         let has_other_start = self.start_ms().zip(run.start_ms).is_some_and(|(own, other)| own != other);
-        self.span.overlaps(span) && !has_other_start && !self.names.iter().any(has_same_author)
+        self.interval.overlaps(interval) && !has_other_start && !self.names.iter().any(has_same_author)
     }
 }
 
 /// Terminations of replica processes that this process has recorded.
 #[derive(Debug)]
-pub struct Ends {
+pub struct Terminations {
     /// Unique part, after the replica, of the names that this process generates.
     author: Name,
     next_number: u64,
@@ -125,7 +125,7 @@
     replicas: BTreeMap<Name, Vec<Termination>>,
 }
 
-impl Ends {
+impl Terminations {
     /// Creates an empty set. `author` must be unique among processes and contain neither `-` nor `~`.
     pub fn new(author: impl fmt::Display) -> Self {
         Self { author: author.to_string().into(), next_number: 0, replicas: BTreeMap::new() }
@@ -133,12 +133,12 @@
 
     /// Records a termination observed by this process. `start_ms` is the start time in the replica's record. Returns the
     /// name of the terminated run and whether the termination is new.
-    pub fn saw(&mut self, replica: &Name, start_ms: Option<u64>, span: Span) -> (Name, bool) {
+    pub fn record_observed(&mut self, replica: &Name, start_ms: Option<u64>, interval: Interval) -> (Name, bool) {
         let terminations = self.replicas.entry(replica.clone()).or_default();
-        let overlapping = terminations.iter_mut().filter(|termination| termination.span.overlaps(&span));
+        let overlapping = terminations.iter_mut().filter(|termination| termination.interval.overlaps(&interval));
         // The request was running on the first run that terminated after it was sent.
-        if let Some(termination) = overlapping.min_by_key(|termination| termination.span.by) {
-            termination.span = termination.span.intersection(&span);
+        if let Some(termination) = overlapping.min_by_key(|termination| termination.interval.not_after) {
+            termination.interval = termination.interval.intersection(&interval);
             return (termination.names[0].clone(), false);
         }
         // A record shows a restart late: if a termination with this start time is already recorded, the start time
@@ -148,40 +148,40 @@
         let start_suffix = start_ms.map_or_else(String::new, |start_ms| format!("@{start_ms}"));
         let run: Name = format!("{replica}{start_suffix}~{}-{}", self.author, self.next_number).into();
         self.next_number += 1;
-        push_bounded(terminations, Termination { names: vec![run.clone()], span });
+        push_bounded(terminations, Termination { names: vec![run.clone()], interval });
         (run, true)
     }
 
     /// Records a termination reported by another process, and returns its name in this process.
-    pub fn heard(&mut self, name: &Name, span: Span) -> Name {
+    pub fn record_reported(&mut self, name: &Name, interval: Interval) -> Name {
         let run = RunName::parse(name);
         let terminations = self.replicas.entry(run.replica.into()).or_default();
         if let Some(termination) = terminations.iter().find(|termination| termination.names.contains(name)) {
             return termination.names[0].clone();
         }
-        let candidates = terminations.iter_mut().filter(|termination| termination.may_match(&run, &span));
-        if let Some(termination) = candidates.min_by_key(|termination| termination.span.by) {
-            termination.span = termination.span.intersection(&span);
+        let candidates = terminations.iter_mut().filter(|termination| termination.may_match(&run, &interval));
+        if let Some(termination) = candidates.min_by_key(|termination| termination.interval.not_after) {
+            termination.interval = termination.interval.intersection(&interval);
             termination.names.push(name.clone());
             return termination.names[0].clone();
         }
-        push_bounded(terminations, Termination { names: vec![name.clone()], span });
+        push_bounded(terminations, Termination { names: vec![name.clone()], interval });
         name.clone()
     }
 
     /// Returns the interval in which a run terminated, or `None` if no such termination is recorded.
-    pub fn span(&self, run: &Name) -> Option<Span> {
+    pub fn interval(&self, run: &Name) -> Option<Interval> {
         let terminations = self.replicas.get(RunName::parse(run).replica)?;
-        terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.span)
+        terminations.iter().find(|termination| termination.names.contains(run)).map(|termination| termination.interval)
     }
 
     /// Returns the number of replicas with a recorded termination.
-    pub fn replicas(&self) -> usize {
+    pub fn replica_count(&self) -> usize {
         self.replicas.len()
     }
 
     /// Drops the terminations of replicas for which `is_known` returns `false`.
-    pub fn keep(&mut self, is_known: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.replicas.retain(|replica, _| is_known(replica));
     }
 }
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use coord::limit::{Allowance, Group, News, Register, Word};
+use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
 use coord::name::Name;
 use coord::time::Moment;
 use rand::rngs::SmallRng;
@@ -26,9 +26,9 @@
 const TRANSIT_STEPS: u64 = 2;
 
 struct Entry {
-    register: Register,
-    allowances: BTreeMap<Name, Allowance>,
-    group: Group,
+    limits: ReplicaLimits,
+    allowances: BTreeMap<Name, TokenBucket>,
+    group: GroupSize,
     /// Leader of the entry; the entry itself if it has no other.
     leader: usize,
     /// Side of the partition that the entry is on.
@@ -56,15 +56,15 @@
     /// Requests received by replica, with the step and whether the entry was informed.
     arrivals: BTreeMap<Name, Vec<(u64, bool)>>,
     /// Reports in transit, with the arrival step and the receiving entry.
-    in_transit: Vec<(u64, usize, News)>,
+    in_transit: Vec<(u64, usize, RelayedReport)>,
 }
 
 impl Simulation {
     fn new(parameters: Parameters, seed: u64) -> Self {
         let entry = |_| Entry {
-            register: Register::default(),
+            limits: ReplicaLimits::default(),
             allowances: BTreeMap::new(),
-            group: Group::default(),
+            group: GroupSize::default(),
             leader: 0,
             side: 0,
             leaderless_until: 0,
@@ -113,7 +113,7 @@
     fn reset_buckets(&mut self, entry: usize) {
         let now = self.now();
         for allowance in self.entries[entry].allowances.values_mut() {
-            allowance.restart(self.random.random_range(0.0..1.0), now);
+            allowance.reset(self.random.random_range(0.0..1.0), now);
         }
     }
 
@@ -127,7 +127,7 @@
         let now = self.now();
         for entry in 0..self.parameters.entries {
             let group_size = self.group_size(self.leader_of(entry));
-            self.entries[entry].group.note(group_size, now);
+            self.entries[entry].group.record_size(group_size, now);
         }
     }
 
@@ -137,11 +137,11 @@
         let group_size = self.group_size(entry);
         let start = self.random.random_range(0.0..1.0);
         let state = &mut self.entries[entry];
-        state.group.note(group_size, now);
+        state.group.record_size(group_size, now);
         let share = state.group.share(group_size, 0, now);
-        for (replica, rate) in state.register.limited() {
+        for (replica, rate) in state.limits.limited() {
             let allowance = state.allowances.entry(replica.clone());
-            allowance.or_insert_with(|| Allowance::new(rate, share, start, now)).set(rate, share, now);
+            allowance.or_insert_with(|| TokenBucket::new(rate, share, start, now)).set(rate, share, now);
         }
     }
 
@@ -151,8 +151,8 @@
         let leader = self.leader_of(entry);
         self.apply_limits(leader);
         let leader_state = &mut self.entries[leader];
-        if leader_state.register.rate(&name).is_some() {
-            let Some(allowance) = leader_state.allowances.get_mut(&name).filter(|allowance| allowance.admits(now))
+        if leader_state.limits.rate(&name).is_some() {
+            let Some(allowance) = leader_state.allowances.get_mut(&name).filter(|allowance| allowance.allows_request(now))
             else {
                 return;
             };
@@ -161,15 +161,15 @@
         let is_informed =
             self.entries[entry].first_reported.get(&name).is_some_and(|at| at + INFORM_DELAY_STEPS <= self.step);
         self.arrivals.entry(name.clone()).or_default().push((self.step, is_informed));
-        let report = Word { rate: Some(self.parameters.rates[replica]), asked: now, heard: now };
+        let report = TimedReport { rate: Some(self.parameters.rates[replica]), requested_at: now, received_at: now };
         self.entries[entry].first_reported.entry(name.clone()).or_insert(self.step);
-        if self.entries[entry].register.hear(&name, report) {
-            self.relay(entry, &News::of(&name, &report, now));
+        if self.entries[entry].limits.apply(&name, report) {
+            self.relay(entry, &RelayedReport::of(&name, &report, now));
         }
     }
 
     /// Sends a report to all entries with the same leader.
-    fn relay(&mut self, entry: usize, report: &News) {
+    fn relay(&mut self, entry: usize, report: &RelayedReport) {
         let leader = self.leader_of(entry);
         for other in 0..self.parameters.entries {
             if other != entry && self.leader_of(other) == leader {
@@ -182,9 +182,9 @@
         let now = self.now();
         let (due, later) = std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= self.step);
         self.in_transit = later;
-        let due: Vec<(u64, usize, News)> = due;
+        let due: Vec<(u64, usize, RelayedReport)> = due;
         for (_, entry, report) in due {
-            self.entries[entry].register.hear(&report.replica, report.word(now));
+            self.entries[entry].limits.apply(&report.replica, report.timed_report(now));
         }
         if self.random.random_bool(self.parameters.fault_probability) {
             let is_partitioned = self.random.random_bool(0.5);
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -7,7 +7,7 @@
 use coord::fence::Fence;
 use coord::intent::{Change, Config, Intent};
 use coord::name::{Incarnation, Name};
-use coord::placement::{Board, Endpoint, Load, Order, Record, roll_out};
+use coord::placement::{Placements, Endpoint, Artifacts, Order, Record, roll_out};
 use coord::time::Moment;
 use proptest::prelude::*;
 
@@ -21,8 +21,8 @@
     config
 }
 
-fn load(version: &str) -> Load {
-    Load { version: version.into(), adapters: vec!["a".into()] }
+fn load(version: &str) -> Artifacts {
+    Artifacts { version: version.into(), adapters: vec!["a".into()] }
 }
 
 proptest! {
@@ -39,7 +39,7 @@
     fn only_placements_of_the_current_holder_take_effect(
         steps in prop::collection::vec((0..3usize, any::<bool>(), 0..5_000u64), 1..100),
     ) {
-        let mut board = Board::new();
+        let mut placements = Placements::new();
         let mut now = 0;
         let mut fences: [Option<Fence>; 3] = [None; 3];
         let mut newest = None;
@@ -51,9 +51,9 @@
                 let record = Record::Claim {
                     domain: "d".into(), process: name.clone(), incarnation: Incarnation(1), term_ms: 4_000,
                 };
-                let won = board.replay(offset, at, record);
+                let won = placements.apply(offset, at, record);
                 if won {
-                    let fence = board.lease("d").and_then(|lease| lease.holder()).map(|holder| holder.fence);
+                    let fence = placements.lease("d").and_then(|lease| lease.holder()).map(|holder| holder.fence);
                     prop_assert!(fence >= newest, "a fence never decreases");
                     newest = fence;
                     fences[process] = fence;
@@ -62,10 +62,10 @@
             }
             let Some(fence) = fences[process] else { continue };
             let loads = BTreeMap::from([(Name::from("e"), load(&format!("v{offset}")))]);
-            let took_effect = board.replay(offset, at, Record::Place { domain: "d".into(), fence, loads });
+            let took_effect = placements.apply(offset, at, Record::Place { domain: "d".into(), fence, loads });
             prop_assert_eq!(took_effect, Some(fence) == newest);
             if took_effect {
-                let order = board.order_to("e").expect("an order");
+                let order = placements.order_for("e").expect("an order");
                 prop_assert_eq!((order.offset, order.fence), (offset, fence));
             }
         }
@@ -80,7 +80,7 @@
     ) {
         let config = config("v2");
         let mut endpoints: Vec<Endpoint> = (0..count)
-            .map(|number| Endpoint { name: format!("e{number}").into(), service: "s".into(), holds: Some(load("v1")) })
+            .map(|number| Endpoint { name: format!("e{number}").into(), service: "s".into(), loaded: Some(load("v1")) })
             .collect();
         let mut orders: BTreeMap<Name, Order> = BTreeMap::new();
         let max_changing = ((count as f64 * share) as usize).max(1);
@@ -92,13 +92,13 @@
             }
             let changing = endpoints
                 .iter()
-                .filter(|endpoint| orders.contains_key(&endpoint.name) && endpoint.holds != Some(load("v2")))
+                .filter(|endpoint| orders.contains_key(&endpoint.name) && endpoint.loaded != Some(load("v2")))
                 .count();
             prop_assert!(changing <= max_changing, "{} of {} change at once", changing, count);
             if orders.contains_key(&endpoints[arrived].name) {
-                endpoints[arrived].holds = Some(load("v2"));
+                endpoints[arrived].loaded = Some(load("v2"));
             }
         }
-        prop_assert!(endpoints.iter().all(|endpoint| endpoint.holds == Some(load("v2"))));
+        prop_assert!(endpoints.iter().all(|endpoint| endpoint.loaded == Some(load("v2"))));
     }
 }
--- a/coord/tests/plain/engine.rs
+++ b/coord/tests/plain/engine.rs
@@ -7,7 +7,7 @@
 
 use super::memory_tokens;
 use super::policy::{MIN_PENDING_SHARE, OVERDUE_FACTOR};
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::time::Moment;
 
 /// Part of a prompt that is still to be prefilled.
@@ -30,7 +30,7 @@
 /// State of one engine as known to the planner.
 #[derive(Debug)]
 pub struct Engine {
-    pub profile: Arc<Figures>,
+    pub profile: Arc<Profile>,
     /// Pending prefill, in order.
     parts: VecDeque<Part>,
     /// Time at which prefill of the first part started.
@@ -40,7 +40,7 @@
 
 impl Engine {
     /// Creates an idle engine.
-    pub fn new(profile: Arc<Figures>) -> Self {
+    pub fn new(profile: Arc<Profile>) -> Self {
         Self { profile, parts: VecDeque::new(), front_started_at: Moment::ZERO, sequences: BTreeMap::new() }
     }
 
@@ -100,7 +100,7 @@
     /// Returns the prefill that fits in before the gap between two events of a sequence exceeds its target, in
     /// milliseconds.
     pub fn prefill_budget_ms(&self, now: Moment, policy: &Policy) -> f64 {
-        self.min_gap_target_ms() * policy.pause_share - self.pass_ms() - self.pending_ms(now)
+        self.min_gap_target_ms() * policy.gap_share - self.pass_ms() - self.pending_ms(now)
     }
 
     /// Returns the KV memory that can still be granted, in tokens.
--- a/coord/tests/plain/place/mod.rs
+++ b/coord/tests/plain/place/mod.rs
@@ -45,19 +45,19 @@
         }
         let context = PlacementContext { planner: self, job, engines, scope, prefill_ms: self.prefill_ms(job), now };
         if self.is_short(job) {
-            return context.select_short().map(|team| Grant { id, team, silent_after: None });
+            return context.select_short().map(|team| Grant { id, team, unresponsive_after: None });
         }
         if now < self.settled_at || scope == CandidateScope::SharedOnly {
             return None;
         }
-        context.select_team().map(|team| Grant { id, team, silent_after: None })
+        context.select_team().map(|team| Grant { id, team, unresponsive_after: None })
     }
 
     /// Returns the eligible engines for a job of `entry`. Recently failed engines are excluded as long as most
     /// engines remain: a failure that hits many engines at once has another cause.
     fn candidates(&self, entry: u64, now: Moment) -> Vec<(&Name, &Engine)> {
         let allowed: Vec<_> = self.engines.iter().filter(|(name, _)| self.health.allows_request(name, now)).collect();
-        let leaves_most = allowed.len() as f64 > self.engines.len() as f64 * self.policy.least_usable;
+        let leaves_most = allowed.len() as f64 > self.engines.len() as f64 * self.policy.min_usable_share;
         let eligible = if leaves_most { allowed } else { self.engines.iter().collect() };
         let reachable = |(name, _): &(&Name, &Engine)| self.health.can_reach(entry, name, now);
         let reachable: Vec<_> = eligible.iter().copied().filter(reachable).collect();
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -11,7 +11,7 @@
 use common::figures;
 use coord::name::Name;
 use coord::planner::{Id, Job, Planner, Policy};
-use coord::quarantine::Work;
+use coord::quarantine::Fingerprint;
 use coord::time::Moment;
 
 fn planner(engines: usize) -> Planner {
@@ -31,19 +31,19 @@
     let mut granted = 0;
     for number in 0..40 {
         planner.submit(id(number), short::job(5_000, now));
-        granted += planner.pump(now).len();
+        granted += planner.grant_ready(now).len();
     }
     assert!(granted > 0 && granted < 40, "{granted} of 40 fit");
-    planner.failed(0, &"engine-00".into(), now);
-    planner.restarted(&"engine-00".into());
-    let granted_again = planner.pump(now + Duration::from_millis(1)).len();
+    planner.record_failure(0, &"engine-00".into(), now);
+    planner.reset_engine(&"engine-00".into());
+    let granted_again = planner.grant_ready(now + Duration::from_millis(1)).len();
     assert!(granted_again >= granted, "{granted_again} after {granted}");
 }
 
 /// Submits `number` short prompts with the same fingerprint and returns their engines.
-fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, work: Option<Work>, now: Moment) -> Vec<Name> {
-    (first..first + number).for_each(|number| planner.submit(id(number), Job { work, ..short::job(3_000, now) }));
-    planner.pump(now).into_iter().map(|grant| grant.team.writer).collect()
+fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, fingerprint: Option<Fingerprint>, now: Moment) -> Vec<Name> {
+    (first..first + number).for_each(|number| planner.submit(id(number), Job { fingerprint, ..short::job(3_000, now) }));
+    planner.grant_ready(now).into_iter().map(|grant| grant.team.decoder).collect()
 }
 
 #[test]
@@ -51,8 +51,8 @@
     let mut planner = planner(8);
     let now = Moment::from_millis(10_000);
     let others: BTreeSet<Name> = submit_and_pump(&mut planner, 0, 12, None, now).into_iter().collect();
-    let fingerprint = |number: u8| Some(Work([number; 16]));
-    planner.set_suspects([1, 2].map(|number| Work([number; 16])));
+    let fingerprint = |number: u8| Some(Fingerprint([number; 16]));
+    planner.set_suspects([1, 2].map(|number| Fingerprint([number; 16])));
     let first = submit_and_pump(&mut planner, 100, 5, fingerprint(1), now);
     assert_eq!(first.len(), 5, "a request that many callers send is served while it is suspected");
     let first: BTreeSet<Name> = first.into_iter().collect();
--- a/coord/tests/planner_load/play.rs
+++ b/coord/tests/planner_load/play.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Planner, Policy};
 use coord::time::Moment;
@@ -154,7 +154,7 @@
     /// End of the outage of all entries, if there is one.
     outage_until: Option<u64>,
     planner: Planner,
-    figures: Arc<Figures>,
+    profile: Arc<Profile>,
     engines: Vec<Engine>,
     prompts: BTreeMap<u64, Prompt>,
     event_queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -171,8 +171,8 @@
 }
 
 impl Simulation {
-    pub fn new(policy: Policy, figures: Arc<Figures>, seed: u64) -> Self {
-        let planner = planner(policy, &figures);
+    pub fn new(policy: Policy, profile: Arc<Profile>, seed: u64) -> Self {
+        let planner = planner(policy, &profile);
         let engines = (0..ENGINES).map(|_| Engine::default()).collect();
         let rng = StdRng::seed_from_u64(seed);
         let (event_queue, events) = (BinaryHeap::new(), BTreeMap::new());
@@ -180,7 +180,7 @@
             policy,
             outage_until: None,
             planner,
-            figures,
+            profile,
             engines,
             prompts: BTreeMap::new(),
             event_queue,
@@ -203,7 +203,7 @@
     pub fn report_slowdown(&mut self) {
         let (slow, slowdown) = self.slow.clone();
         for index in slow {
-            self.planner.set_pace(&name(index), slowdown);
+            self.planner.set_slowdown(&name(index), slowdown);
         }
     }
 
@@ -279,15 +279,15 @@
         let Caller { kind, tokens, events, first_sent_at } = *caller;
         let spec = &kinds[kind];
         let millis = Duration::from_millis;
-        let stride = u64::from(self.figures.stride);
+        let stride = u64::from(self.profile.stride);
         let job = Job {
-            prompt: tokens,
-            output: events * stride,
-            aim: self.moment() + millis(spec.first_event_target_ms),
-            gap_ms: spec.gap_target_ms,
+            prompt_tokens: tokens,
+            max_output_tokens: events * stride,
+            first_event_target: self.moment() + millis(spec.first_event_target_ms),
+            gap_target_ms: spec.gap_target_ms,
             deadline: self.moment() + GRANT_TIMEOUT,
             priority: 1,
-            work: None,
+            fingerprint: None,
         };
         self.next_number += 1;
         let number = self.next_number;
@@ -335,12 +335,12 @@
                 (prompt.is_lost, prompt.has_retried) = (true, true);
             }
         }
-        self.planner = planner(self.policy, &self.figures);
-        self.planner.unsettle(Moment::from_micros(until));
+        self.planner = planner(self.policy, &self.profile);
+        self.planner.begin_settling(Moment::from_micros(until));
     }
 
     fn pump(&mut self) {
-        for Grant { id, team, silent_after } in self.planner.pump(self.moment()) {
+        for Grant { id, team, unresponsive_after } in self.planner.grant_ready(self.moment()) {
             let is_lost = self.loss_rng.random_bool(self.lost_share);
             let engine_indexes: Vec<usize> = team.engines().map(engine_index).collect();
             let Some(prompt) = self.prompts.get_mut(&id.number) else { continue };
@@ -348,8 +348,8 @@
             prompt.was_granted = true;
             (prompt.granted_at, prompt.is_lost) = (self.now, is_lost);
             prompt.decoder = engine_indexes[0];
-            let part_ms = self.figures.part_ms(prompt.tokens, engine_indexes.len());
-            if let Some(timeout) = silent_after {
+            let part_ms = self.profile.prefill_share_ms(prompt.tokens, engine_indexes.len());
+            if let Some(timeout) = unresponsive_after {
                 let event = Event::Unresponsive { number: id.number, at: self.now };
                 self.schedule(self.now + timeout.as_micros() as u64, event);
             }
@@ -369,7 +369,7 @@
         if prompt.last_event_at.is_none() && prompt.refused_at.is_none() && !prompt.was_granted {
             prompt.refused_at = Some(self.now);
             let moment = self.moment();
-            self.planner.end(Id { entry: 0, number }, moment);
+            self.planner.finish(Id { entry: 0, number }, moment);
         }
     }
 
@@ -383,8 +383,8 @@
             return;
         }
         let id = Id { entry: 0, number };
-        self.planner.silent(id, moment);
-        self.planner.end(id, moment);
+        self.planner.mark_unresponsive(id, moment);
+        self.planner.finish(id, moment);
         self.planner.submit(id, prompt.job);
         (prompt.parts_remaining, prompt.last_event_at) = (0, None);
         for engine in &mut self.engines {
@@ -402,7 +402,7 @@
         }
         let context: u64 = engine_state.decoding.iter().map(|number| self.prompts[number].tokens).sum();
         let decoding = engine_state.decoding.len() as u32;
-        let pass_ms = if decoding == 0 { 0.0 } else { self.figures.pass_ms(decoding, context) };
+        let pass_ms = if decoding == 0 { 0.0 } else { self.profile.pass_ms(decoding, context) };
         let read_ms: f64 = engine_state.parts.iter().map(|(_, ms)| ms).sum();
         engine_state.prefilling = engine_state.parts.drain(..).map(|(number, _)| number).collect();
         engine_state.emitting = engine_state.decoding.clone();
@@ -442,7 +442,7 @@
             _ if prompt.is_lost => {}
             None => {
                 prompt.is_in_time &= self.now - prompt.arrived_at <= kind.first_event_target_ms * 1_000;
-                self.planner.first_event(id, moment);
+                self.planner.record_first_event(id, moment);
             }
             Some(last_event_at) => prompt.is_in_time &= (self.now - last_event_at) as f64 <= kind.gap_target_ms * 1e3,
         }
@@ -450,14 +450,14 @@
         prompt.events_remaining -= 1;
         if prompt.events_remaining == 0 {
             self.engines[engine].decoding.retain(|decoder| *decoder != number);
-            self.planner.end(id, moment);
+            self.planner.finish(id, moment);
         }
     }
 }
 
-fn planner(policy: Policy, figures: &Arc<Figures>) -> Planner {
+fn planner(policy: Policy, profile: &Arc<Profile>) -> Planner {
     let mut planner = Planner::new(policy, 0);
-    planner.set_engines((0..ENGINES).map(|index| (name(index), figures.clone())));
+    planner.set_engines((0..ENGINES).map(|index| (name(index), profile.clone())));
     planner
 }
 
--- a/sorrelpass/src/config/gateway.rs
+++ b/sorrelpass/src/config/gateway.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coord::planner;
-use coord::standing::Power;
+use coord::succession::Capacity;
 
 use super::reader::Reader;
 use super::{MAX_DURATION_MS, Process, read_address, read_process};
@@ -35,7 +35,7 @@
     /// Peer addresses of some other entries, possibly outdated, which are contacted while the store does not answer.
     pub seeds: Vec<SocketAddr>,
     /// Capacity of the process, by which the leader of the entries is chosen.
-    pub capacity: Power,
+    pub capacity: Capacity,
     /// Bandwidth of the VM's network link, in Mbit/s; 0 if it is unknown.
     pub link_mbps: f64,
     /// Time and retry bounds that the deployment sets.
@@ -117,7 +117,7 @@
     let seeds = reader.sockets("gateway", "seeds");
     let cores = reader.number("gateway", "cores", 0.0..=MAX_CORES, 0.0);
     let link_mbps = reader.number("gateway", "link_mbps", 0.0..=MAX_LINK_MBPS, 0.0);
-    let capacity = Power::of(cores, link_mbps);
+    let capacity = Capacity::of(cores, link_mbps);
     let bounds = read_bounds(reader);
     let policy = read_policy(reader);
     let listen = listen?;
@@ -155,19 +155,19 @@
     let millis = |reader: &mut Reader, key, default| reader.number("policy", key, 0.0..=MAX_POLICY_MS, default);
     let flag = |reader: &mut Reader, key, default| reader.flag("policy", key, default);
     planner::Policy {
-        pause_share: share(reader, "pause_share", defaults.pause_share),
-        least_part_ms: millis(reader, "least_part_ms", defaults.least_part_ms),
-        most_parts: reader.number("policy", "most_parts", 1..=defaults.most_parts, defaults.most_parts),
-        start_pending_ms: millis(reader, "start_pending_ms", defaults.start_pending_ms),
+        gap_share: share(reader, "pause_share", defaults.gap_share),
+        min_part_ms: millis(reader, "least_part_ms", defaults.min_part_ms),
+        max_parts: reader.number("policy", "most_parts", 1..=defaults.max_parts, defaults.max_parts),
+        max_pending_ms: millis(reader, "start_pending_ms", defaults.max_pending_ms),
         slot_share: share(reader, "slot_share", defaults.slot_share),
         memory_share: share(reader, "memory_share", defaults.memory_share),
         long_share: share(reader, "long_share", defaults.long_share),
         late_share: share(reader, "late_share", defaults.late_share),
-        least_usable: share(reader, "least_usable", defaults.least_usable),
+        min_usable_share: share(reader, "least_usable", defaults.min_usable_share),
         in_time_share: share(reader, "in_time_share", defaults.in_time_share),
-        spare_writers: flag(reader, "spare_writers", defaults.spare_writers),
-        join_pending_ms: millis(reader, "join_pending_ms", defaults.join_pending_ms),
-        gather: flag(reader, "gather", defaults.gather),
+        prefer_idle_helpers: flag(reader, "spare_writers", defaults.prefer_idle_helpers),
+        max_join_pending_ms: millis(reader, "join_pending_ms", defaults.max_join_pending_ms),
+        colocate_long: flag(reader, "gather", defaults.colocate_long),
         cheapest_first: flag(reader, "cheapest_first", defaults.cheapest_first),
         late_last: flag(reader, "late_last", defaults.late_last),
         late_shared: flag(reader, "late_shared", defaults.late_shared),
@@ -175,12 +175,12 @@
         packing: flag(reader, "packing", defaults.packing),
         shared_memory: flag(reader, "shared_memory", defaults.shared_memory),
         breakers: flag(reader, "breakers", defaults.breakers),
-        suspicion: flag(reader, "suspicion", defaults.suspicion),
-        few_left: flag(reader, "few_left", defaults.few_left),
-        mute_only: flag(reader, "mute_only", defaults.mute_only),
-        ask_pace: flag(reader, "ask_pace", defaults.ask_pace),
-        second_sends: flag(reader, "second_sends", defaults.second_sends),
-        settling: flag(reader, "settling", defaults.settling),
+        suspect_slow: flag(reader, "suspicion", defaults.suspect_slow),
+        relax_exclusions: flag(reader, "few_left", defaults.relax_exclusions),
+        suspect_unresponsive_only: flag(reader, "mute_only", defaults.suspect_unresponsive_only),
+        probe_slowdown: flag(reader, "ask_pace", defaults.probe_slowdown),
+        resend_unresponsive: flag(reader, "second_sends", defaults.resend_unresponsive),
+        settle_before_long: flag(reader, "settling", defaults.settle_before_long),
         salt: flag(reader, "salt", defaults.salt),
     }
 }
--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -207,7 +207,7 @@
             ticket::TicketError::OtherWorkspace => "belongs to another workspace",
             ticket::TicketError::Expired => "has expired; whether it ran is no longer known",
         };
-        let ran = if error == ticket::TicketError::Expired { coord::name::Ran::Unknown } else { coord::name::Ran::No };
+        let ran = if error == ticket::TicketError::Expired { coord::name::ExecutionStatus::Unknown } else { coord::name::ExecutionStatus::No };
         Failure::bad_request("invalid_ticket", format!("the ticket {reason}")).with_ran(ran)
     })?;
     Ok(Some(RunPolicy::OnceTicket(Key { workspace, key }, verified.binding)))
@@ -358,6 +358,6 @@
         chain: Chain::default(),
     };
     let quoted = upstream::request_quotes(app, candidates.targets, &quote_request).await;
-    let best = quoted.into_iter().find(|quoted| quoted.offer.quote.open).ok_or_else(no_endpoint)?;
+    let best = quoted.into_iter().find(|quoted| quoted.offer.quote.is_accepting).ok_or_else(no_endpoint)?;
     Ok(Binding { endpoint: best.target.endpoint, incarnation: best.incarnation })
 }
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coord::claim::{Binding, Board, Key};
-use coord::name::{Name, Ran};
+use coord::claim::{Binding, Claims, Key};
+use coord::name::{Name, ExecutionStatus};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, oneshot, watch};
 
@@ -70,7 +70,7 @@
 struct Partition {
     stream: String,
     log: Box<dyn Log>,
-    bindings: RefCell<Board>,
+    bindings: RefCell<Claims>,
     waiting_replies: RefCell<HashMap<Key, Vec<oneshot::Sender<Binding>>>>,
     proposals: RefCell<Vec<Claim>>,
     proposals_added: Notify,
@@ -99,7 +99,7 @@
 fn assigned_entries(shared: &Shared, index: u64) -> Vec<Name> {
     let mut entries = shared.peers();
     entries.push(own_address(shared));
-    coord::pick::chosen(index, entries.iter(), FOLLOWERS_PER_PARTITION)
+    coord::pick::highest_ranked(index, entries.iter(), FOLLOWERS_PER_PARTITION)
 }
 
 fn own_address(shared: &Shared) -> Name {
@@ -141,7 +141,7 @@
         let partition = Rc::new(Self {
             stream: format!("claims-{index}"),
             log,
-            bindings: RefCell::new(Board::new(shared.settings.idempotency_window)),
+            bindings: RefCell::new(Claims::new(shared.settings.idempotency_window)),
             waiting_replies: RefCell::default(),
             proposals: RefCell::default(),
             proposals_added: Notify::new(),
@@ -208,7 +208,7 @@
 
     async fn follow_stream(self: Rc<Self>) {
         loop {
-            let next = self.bindings.borrow().next();
+            let next = self.bindings.borrow().next_offset();
             let is_caught_up = *self.replay_state.borrow() == ReplayState::CaughtUp;
             let wait_ms = if is_caught_up { READ_WAIT_MS } else { 0 };
             match self.log.read(&self.stream, next, wait_ms).await {
@@ -221,7 +221,7 @@
                     for record in &batch.records {
                         self.apply(record.offset, record.appended_at, &record.payload);
                     }
-                    if self.bindings.borrow().next() >= batch.end {
+                    if self.bindings.borrow().next_offset() >= batch.end {
                         self.replay_state.send_replace(ReplayState::CaughtUp);
                     }
                 }
@@ -246,7 +246,7 @@
         let mut bindings = self.bindings.borrow_mut();
         let mut waiting_replies = self.waiting_replies.borrow_mut();
         for claim in claims {
-            let bound = bindings.replay(offset, appended_at, claim.key.clone(), claim.binding);
+            let bound = bindings.apply(offset, appended_at, claim.key.clone(), claim.binding);
             for reply in waiting_replies.remove(&claim.key).unwrap_or_default() {
                 let _ = reply.send(bound.clone());
             }
@@ -312,15 +312,15 @@
 
 /// Queries all entries for a key. Returns its binding, if known, and whether the key is proven not to have
 /// run.
-async fn query_peers(shared: &Shared, key: &Key) -> (Option<Binding>, Ran) {
+async fn query_peers(shared: &Shared, key: &Key) -> (Option<Binding>, ExecutionStatus) {
     let peers = shared.peers();
-    let mut ran = if peers.len() > MAX_PEERS_QUERIED { Ran::Unknown } else { Ran::No };
+    let mut ran = if peers.len() > MAX_PEERS_QUERIED { ExecutionStatus::Unknown } else { ExecutionStatus::No };
     let answers = peers.iter().take(MAX_PEERS_QUERIED).map(|entry| peer::fetch_binding(entry, key));
     for answer in futures_util::future::join_all(answers).await {
         match answer {
-            Ok(Some(bound)) => return (Some(bound), Ran::Unknown),
+            Ok(Some(bound)) => return (Some(bound), ExecutionStatus::Unknown),
             Ok(None) => {}
-            Err(_) => ran = Ran::Unknown,
+            Err(_) => ran = ExecutionStatus::Unknown,
         }
     }
     (lookup_local(shared, key.clone()).await.flatten(), ran)
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -12,7 +12,7 @@
 use coord::fence::Fence;
 use coord::membership::{Role, Vm};
 use coord::name::Name;
-use coord::placement::{Board, Endpoint, Load, Order, Record, roll_out};
+use coord::placement::{Placements, Endpoint, Artifacts, Order, Record, roll_out};
 use coord::time::Moment;
 use tokio::sync::watch;
 
@@ -37,12 +37,12 @@
 struct Controller {
     shared: Arc<Shared>,
     log: Box<dyn Log>,
-    placements: Board,
+    placements: Placements,
     /// Timestamp of the newest record and the local time when it was read. Leases are judged by the log's
     /// clock.
     log_clock: Option<(Moment, Moment)>,
     /// Load (model version and adapters) that each endpoint was last seen to have.
-    observed_loads: HashMap<Name, Load>,
+    observed_loads: HashMap<Name, Artifacts>,
     client: Client,
     orders: watch::Sender<Arc<HashMap<Name, Order>>>,
 }
@@ -52,7 +52,7 @@
     let mut controller = Controller {
         shared,
         log,
-        placements: Board::new(),
+        placements: Placements::new(),
         log_clock: None,
         observed_loads: HashMap::new(),
         client: http::client_h2(),
@@ -82,13 +82,13 @@
     }
 
     async fn read_stream(&mut self) -> eyre::Result<()> {
-        let batch = self.log.read(CONTROL_STREAM, self.placements.next(), READ_WAIT_MS).await?;
+        let batch = self.log.read(CONTROL_STREAM, self.placements.next_offset(), READ_WAIT_MS).await?;
         self.placements.skip_to(batch.oldest);
         let mut has_changed = false;
         for record in batch.records {
             self.log_clock = Some((record.appended_at, util::now()));
             match serde_json::from_slice(&record.payload) {
-                Ok(decoded) => has_changed |= self.placements.replay(record.offset, record.appended_at, decoded),
+                Ok(decoded) => has_changed |= self.placements.apply(record.offset, record.appended_at, decoded),
                 Err(error) => {
                     warn_event!("record-unreadable", stream = CONTROL_STREAM, offset = record.offset, reason = %error);
                     self.placements.skip_to(record.offset + 1);
@@ -161,13 +161,13 @@
         let vms = self.shared.vms.borrow().clone();
         let is_ours = |vm: &&Vm| vm.role == Role::Endpoint && vm.failure_domain == *self.failure_domain();
         let listed: Vec<Vm> = vms.iter().filter(is_ours).cloned().collect();
-        let order = |vm: &Vm| self.placements.order_to(&vm.name);
+        let order = |vm: &Vm| self.placements.order_for(&vm.name);
         let is_pending =
             |vm: &&Vm| order(vm).is_some_and(|order| self.observed_loads.get(&vm.name) != Some(&order.load));
         let pending: Vec<Vm> = listed.iter().filter(is_pending).cloned().collect();
         self.query_loads(&pending).await;
         let with_load =
-            |vm: Vm| Endpoint { holds: self.observed_loads.get(&vm.name).cloned(), name: vm.name, service: vm.service };
+            |vm: Vm| Endpoint { loaded: self.observed_loads.get(&vm.name).cloned(), name: vm.name, service: vm.service };
         listed.into_iter().map(with_load).collect()
     }
 
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -8,9 +8,9 @@
 use axum::extract::{Path, State};
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
-use coord::intent::{Change, Config, Fault};
+use coord::intent::{Change, Config, ValidationError};
 use coord::membership::Role;
-use coord::name::{Name, Ran};
+use coord::name::{Name, ExecutionStatus};
 use coord::replay::{Record, Verdict};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -76,7 +76,7 @@
     let plan = PlanResponse {
         plan: id,
         base,
-        changes: request.changes.iter().map(|change| change.in_words(&config)).collect(),
+        changes: request.changes.iter().map(|change| change.describe(&config)).collect(),
         placement: describe_placement(&app.shared, &request.changes),
         warnings: collect_warnings(&app.shared, &request.changes, &config),
     };
@@ -91,8 +91,8 @@
         let message = format!("the base is newer than revision {} in force here", config.revision);
         return Err(Failure::bad_request("invalid_plan", message));
     }
-    let faults: Vec<Fault> =
-        request.changes.iter().enumerate().flat_map(|(index, change)| change.faults(index)).collect();
+    let faults: Vec<ValidationError> =
+        request.changes.iter().enumerate().flat_map(|(index, change)| change.validate(index)).collect();
     if faults.is_empty() {
         return Ok(());
     }
@@ -173,7 +173,7 @@
 
 /// Returns the failure of an append whose outcome is unknown. The call can be repeated without harm.
 fn log_unavailable(error: &eyre::Report) -> Failure {
-    Failure::unavailable("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).with_ran(Ran::Unknown)
+    Failure::unavailable("log_unavailable", format!("{error:#}"), LOG_RETRY_AFTER).with_ran(ExecutionStatus::Unknown)
 }
 
 /// Handles `GET /v1/intents`: returns the configuration in use.
--- a/sorrelpass/src/gateway/admission/follower.rs
+++ b/sorrelpass/src/gateway/admission/follower.rs
@@ -49,7 +49,7 @@
             });
         }
         for (number, waiter) in &*self.waiting.borrow() {
-            self.with_planner(&waiter.service, |planner| planner.end(own_id(*number), now));
+            self.with_planner(&waiter.service, |planner| planner.finish(own_id(*number), now));
             let spec = PromptSpec::from_job(&waiter.job, now);
             self.report_to_leader(FollowerMessage::Submit { number: *number, service: waiter.service.clone(), spec });
         }
--- a/sorrelpass/src/gateway/admission/leader.rs
+++ b/sorrelpass/src/gateway/admission/leader.rs
@@ -30,14 +30,14 @@
 
     /// Notifies the planners that this entry starts to plan for other entries, whose prompts it does not know yet.
     pub(super) fn expect_reports(&self) {
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.unsettle(now()));
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.begin_settling(now()));
     }
 
     /// Removes a follower and its prompts.
     pub fn remove_follower(&self, entry: u64) {
         self.followers.borrow_mut().remove(&entry);
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.end_entry(entry, now());
+            planner.remove_entry(entry, now());
         }
         self.request_planning();
     }
@@ -51,23 +51,23 @@
                 self.with_planner(&service, |planner| planner.submit(id(number), spec.restore_job(now)));
             }
             FollowerMessage::Adopt { number, service, spec, team, is_prefilling } => {
-                self.with_planner(&service, |planner| planner.adopt(id(number), &spec.restore_job(now), team, is_prefilling, now));
+                self.with_planner(&service, |planner| planner.add_granted(id(number), &spec.restore_job(now), team, is_prefilling, now));
             }
             FollowerMessage::FirstEvent { number, service } => {
-                self.with_planner(&service, |planner| planner.first_event(id(number), now));
+                self.with_planner(&service, |planner| planner.record_first_event(id(number), now));
             }
             FollowerMessage::Unresponsive { number, service } => {
-                self.with_planner(&service, |planner| planner.silent(id(number), now))
+                self.with_planner(&service, |planner| planner.mark_unresponsive(id(number), now))
             }
-            FollowerMessage::End { number, service } => self.with_planner(&service, |planner| planner.end(id(number), now)),
+            FollowerMessage::End { number, service } => self.with_planner(&service, |planner| planner.finish(id(number), now)),
             FollowerMessage::Suspended(duration) => {
-                self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(Some(entry), duration));
+                self.planners.borrow_mut().values_mut().for_each(|planner| planner.postpone_first_events(Some(entry), duration));
             }
             FollowerMessage::Failed { service, engine } => {
-                self.with_planner(&service, |planner| planner.failed(entry, &engine, now))
+                self.with_planner(&service, |planner| planner.record_failure(entry, &engine, now))
             }
             FollowerMessage::EngineBackoff { service, engine, backoff } => {
-                self.with_planner(&service, |planner| planner.rests(entry, &engine, backoff, now));
+                self.with_planner(&service, |planner| planner.set_backoff(entry, &engine, backoff, now));
             }
             // Reports about the store, quarantine and plain replicas do not affect planning.
             FollowerMessage::SyncRequest(_) | FollowerMessage::SyncResponse { .. } | FollowerMessage::Quarantine(_) | FollowerMessage::Draining(_) => return,
@@ -147,7 +147,7 @@
 
     /// Sends a grant to the entry that owns the prompt.
     pub(super) fn deliver_grant(self: &Rc<Self>, grant: Grant) {
-        let Grant { id, team, silent_after: unresponsive_after } = grant;
+        let Grant { id, team, unresponsive_after } = grant;
         let placement = Placement { team, unresponsive_after };
         if id.entry == OWN_ENTRY {
             self.start_prompt(id.number, placement, false);
--- a/sorrelpass/src/gateway/admission/mod.rs
+++ b/sorrelpass/src/gateway/admission/mod.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::engine::Figures;
+use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Id, Job, Planner, Policy, Team};
-use coord::quarantine::Work;
+use coord::quarantine::Fingerprint;
 use coord::time::Moment;
 use tokio::sync::{Notify, mpsc, oneshot};
 
@@ -86,7 +86,7 @@
     /// Planners by service.
     planners: RefCell<HashMap<Name, Planner>>,
     /// Fingerprints of requests that are suspected of crashing engines.
-    suspects: RefCell<Vec<Work>>,
+    suspects: RefCell<Vec<Fingerprint>>,
     /// Waiting prompts of this entry, by number.
     waiting: RefCell<HashMap<u64, WaitingPrompt>>,
     /// Granted prompts of this entry, by number.
@@ -174,8 +174,8 @@
     }
 
     /// Sets the engines of a service.
-    pub fn set_engines(&self, service: &Name, figures: &Arc<Figures>, engines: impl Iterator<Item = Name>) {
-        let engines: Vec<(Name, Arc<Figures>)> = engines.map(|name| (name, figures.clone())).collect();
+    pub fn set_engines(&self, service: &Name, figures: &Arc<Profile>, engines: impl Iterator<Item = Name>) {
+        let engines: Vec<(Name, Arc<Profile>)> = engines.map(|name| (name, figures.clone())).collect();
         let mut planners = self.planners.borrow_mut();
         let planner = planners.entry(service.clone()).or_insert_with(|| self.new_planner());
         planner.set_engines(engines);
@@ -189,7 +189,7 @@
 
     /// Records that an engine restarted under the same name.
     pub fn reset_engine(&self, service: &Name, engine: &Name) {
-        self.with_planner(service, |planner| planner.restarted(engine));
+        self.with_planner(service, |planner| planner.reset_engine(engine));
         self.request_planning();
     }
 
@@ -204,11 +204,11 @@
     /// does not know.
     pub fn reset_limit_accounting(&self) {
         let now = now();
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.restart_limits(now));
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.reset_limits(now));
     }
 
     /// Sets the fingerprints of requests that are suspected of crashing engines.
-    pub fn set_suspects(&self, suspects: Vec<Work>) {
+    pub fn set_suspects(&self, suspects: Vec<Fingerprint>) {
         let mut planners = self.planners.borrow_mut();
         planners.values_mut().for_each(|planner| planner.set_suspects(suspects.iter().copied()));
         *self.suspects.borrow_mut() = suspects;
@@ -252,14 +252,14 @@
             return Vec::new();
         }
         let mut planners = self.planners.borrow_mut();
-        let by_service = planners.iter_mut().map(|(service, planner)| (service, planner.to_ask(now())));
+        let by_service = planners.iter_mut().map(|(service, planner)| (service, planner.engines_to_probe(now())));
         by_service.flat_map(|(service, engines)| engines.into_iter().map(|engine| (service.clone(), engine))).collect()
     }
 
     /// Sets the slowdown factor that an engine reports.
     pub fn record_slowdown(&self, service: &Name, engine: &Name, slowdown: f64) {
         self.with_planner(service, |planner| {
-            if planner.set_pace(engine, slowdown) {
+            if planner.set_slowdown(engine, slowdown) {
                 crate::event!("pace", peer = &**engine, pace = slowdown);
             }
         });
@@ -272,7 +272,7 @@
             return;
         }
         let engine = Name::from(engine);
-        self.with_planner(service, |planner| planner.failed(OWN_ENTRY, &engine, now()));
+        self.with_planner(service, |planner| planner.record_failure(OWN_ENTRY, &engine, now()));
         self.report_to_leader(FollowerMessage::Failed { service: service.clone(), engine });
     }
 
@@ -282,7 +282,7 @@
         if !self.planners.borrow().contains_key(service) {
             return;
         }
-        self.with_planner(service, |planner| planner.rests(OWN_ENTRY, engine, backoff, now()));
+        self.with_planner(service, |planner| planner.set_backoff(OWN_ENTRY, engine, backoff, now()));
         self.report_to_leader(FollowerMessage::EngineBackoff { service: service.clone(), engine: engine.clone(), backoff });
     }
 
@@ -333,7 +333,7 @@
             return;
         }
         crate::event!("suspended", for_ms = suspension.as_millis());
-        self.planners.borrow_mut().values_mut().for_each(|planner| planner.absent(None, suspension));
+        self.planners.borrow_mut().values_mut().for_each(|planner| planner.postpone_first_events(None, suspension));
         self.report_to_leader(FollowerMessage::Suspended(suspension));
     }
 
@@ -351,7 +351,7 @@
             }
             None => return,
         };
-        self.with_planner(&service, |planner| planner.first_event(own_id(number), now()));
+        self.with_planner(&service, |planner| planner.record_first_event(own_id(number), now()));
         self.report_to_leader(FollowerMessage::FirstEvent { number, service });
         self.request_planning();
     }
@@ -359,7 +359,7 @@
     /// Records that the engines of a granted prompt are unresponsive.
     fn record_unresponsive(&self, number: u64) {
         let Some(service) = self.running.borrow().get(&number).map(|running| running.service.clone()) else { return };
-        self.with_planner(&service, |planner| planner.silent(own_id(number), now()));
+        self.with_planner(&service, |planner| planner.mark_unresponsive(own_id(number), now()));
         self.report_to_leader(FollowerMessage::Unresponsive { number, service });
     }
 
@@ -371,7 +371,7 @@
 
     /// Records that a prompt of this entry is complete or withdrawn.
     fn end_prompt(&self, service: &Name, number: u64) {
-        self.with_planner(service, |planner| planner.end(own_id(number), now()));
+        self.with_planner(service, |planner| planner.finish(own_id(number), now()));
         self.report_to_leader(FollowerMessage::End { number, service: service.clone() });
         self.request_planning();
     }
@@ -391,7 +391,7 @@
         let WaitingPrompt { service, job, sender } = waiter;
         let team = placement.team.clone();
         if by_leader {
-            self.with_planner(&service, |planner| planner.adopt(own_id(number), &job, team.clone(), true, now()));
+            self.with_planner(&service, |planner| planner.add_granted(own_id(number), &job, team.clone(), true, now()));
         }
         self.running.borrow_mut().insert(number, GrantedPrompt { service, job, team, is_prefilling: true });
         self.prefill_started.notify_one();
@@ -409,7 +409,7 @@
         let mut has_waiting = false;
         for planner in self.planners.borrow_mut().values_mut() {
             if planner.has_waiting() {
-                grants.extend(planner.pump(now()));
+                grants.extend(planner.grant_ready(now()));
                 refusals.extend(planner.refuse(now()));
                 has_waiting |= planner.has_waiting();
             }
@@ -431,11 +431,11 @@
             return;
         }
         for (service, planner) in &*self.planners.borrow() {
-            let (held_time, waiting, counts) = planner.held(now);
+            let (held_time, waiting, counts) = planner.starvation(now);
             if held_time >= EXPLAIN_AFTER {
                 self.last_explained.set(now);
                 let exclusions: Vec<String> =
-                    planner.bars().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
+                    planner.exclusions().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
                 crate::event!("prompts-waiting", service = %service, for_ms = held_time.as_millis(), waiting, counts = ?counts, exclusions = exclusions.join(" "));
             }
         }
--- a/sorrelpass/src/gateway/backoff.rs
+++ b/sorrelpass/src/gateway/backoff.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use coord::name::Name;
-use coord::rest::Register;
+use coord::backoff::Backoffs as BackoffTable;
 use coord::roster::Record;
 use platform::headers;
 use tokio::sync::Notify;
@@ -21,7 +21,7 @@
 /// Backoff times that replicas asked this entry to keep.
 #[derive(Default)]
 pub struct Backoffs {
-    register: RefCell<Register>,
+    register: RefCell<BackoffTable>,
     /// Notified when a replica asks for backoff.
     requested: Notify,
 }
@@ -29,12 +29,12 @@
 impl Backoffs {
     /// Returns whether this entry must not send requests to a replica now, because the replica asked for backoff.
     pub fn is_backing_off(&self, replica: &str) -> bool {
-        !self.register.borrow().left(replica, now()).is_zero()
+        !self.register.borrow().time_left(replica, now()).is_zero()
     }
 
     /// Discards the backoff of a replica that ended or was restarted.
     pub fn forget(&self, replica: &str) {
-        self.register.borrow_mut().forget(replica);
+        self.register.borrow_mut().remove(replica);
     }
 
     /// Waits until a replica asks for backoff after this call.
@@ -50,7 +50,7 @@
         return;
     }
     metric::record_backoff_request();
-    gateway.backoffs.register.borrow_mut().hear(&record.id, backoff, now());
+    gateway.backoffs.register.borrow_mut().record(&record.id, backoff, now());
     gateway.admission.record_backoff(&record.service, &record.id, backoff);
     gateway.backoffs.requested.notify_waiters();
 }
@@ -65,7 +65,7 @@
 pub fn next_available_of(gateway: &Gateway, service: &str, is_eligible: impl Fn(&Name) -> bool) -> Option<Duration> {
     let roster = gateway.roster.borrow();
     let candidates = roster.usable(service).map(|record| &record.id).filter(|replica| is_eligible(replica));
-    gateway.backoffs.register.borrow().soonest(candidates, now())
+    gateway.backoffs.register.borrow().earliest_end(candidates, now())
 }
 
 /// Returns the current backoffs of engines as reports to a leader that this entry starts to follow.
@@ -76,5 +76,5 @@
         let service = roster.get(engine)?.record.service.clone();
         Some(FollowerMessage::EngineBackoff { service, engine: engine.clone(), backoff })
     };
-    register.resting(now()).filter_map(report).collect()
+    register.active(now()).filter_map(report).collect()
 }
--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -94,7 +94,7 @@
     if workspace.is_some() && !gateway.is_recently_verified() {
         metric::record_stale_verification();
     }
-    let service = route.pick(rand::random()).cloned().ok_or_else(no_service)?;
+    let service = route.choose_service(rand::random()).cloned().ok_or_else(no_service)?;
     let deadline = started + timeout.min(route.timeout);
     let upstream_request = UpstreamRequest { method: head.method, uri: head.uri, headers: head.headers, body };
     let fingerprint = fingerprint::compute(&request_head.host, &upstream_request, workspace.as_ref().map(|workspace| &workspace.name));
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::name::{Name, Ran};
-use coord::quarantine::{Weight, Work};
+use coord::name::{Name, ExecutionStatus};
+use coord::quarantine::{Weight, Fingerprint};
 use coord::roster::Record;
 use coord::route::{Route, Workspace};
 use coord::time::Moment;
@@ -57,7 +57,7 @@
     /// Request that is sent to replicas.
     pub upstream_request: UpstreamRequest,
     /// Fingerprint of the request, which is the same for every retry.
-    pub fingerprint: Work,
+    pub fingerprint: Fingerprint,
     /// Time at which the head of the request was received.
     pub started: Moment,
     /// Timeout that the caller allows.
@@ -105,7 +105,7 @@
 
     /// Returns whether the request may be sent again although a replica may have executed it.
     fn can_retry(&self) -> bool {
-        self.route.repeatable() && self.has_attempts_left()
+        self.route.is_retryable() && self.has_attempts_left()
     }
 
     fn has_attempts_left(&self) -> bool {
@@ -153,7 +153,7 @@
     /// well.
     fn condemned_failure(&self) -> Failure {
         metric::record_refused_condemned();
-        let ran = if self.possible_executions == 0 { Ran::No } else { Ran::Unknown };
+        let ran = if self.possible_executions == 0 { ExecutionStatus::No } else { ExecutionStatus::Unknown };
         Failure::new(StatusCode::BAD_GATEWAY, "condemned", "replicas end under this request").with_ran(ran)
     }
 
@@ -236,7 +236,7 @@
             let delay = retry_after.unwrap_or(BUSY_RETRY_AFTER);
             return Failure::unavailable("overloaded", "no replica takes this now", delay);
         }
-        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").with_ran(Ran::Unknown)
+        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").with_ran(ExecutionStatus::Unknown)
     }
 
     /// Returns the failure of a request whose deadline has passed.
@@ -249,7 +249,7 @@
             // the deadline has failed.
             self.record_failure(replica, NO_RESPONSE_WEIGHT);
         }
-        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").with_ran(Ran::Unknown)
+        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").with_ran(ExecutionStatus::Unknown)
     }
 }
 
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -59,7 +59,7 @@
         let head = self.upstream_head(&record, helpers, last_event_id);
         event!("send", request = %self.request_head.id, peer = %record.id, helpers = head.helpers.len(), number = self.attempts + 1, left_ms = head.time_left.as_millis(),
             after_event = last_event_id.map_or(-1, |event| event as i64));
-        let can_run = self.possible_executions == 0 || self.route.repeatable();
+        let can_run = self.possible_executions == 0 || self.route.is_retryable();
         invariant!(can_run, "a request that may run once is not sent again after it may have run");
         let is_first = self.attempts == 0;
         // Counted before the send, since the replica may have executed the request if the deadline passes during the
@@ -189,7 +189,7 @@
         let roster = self.gateway.roster.borrow();
         let named_replica = response.responsible_address.as_ref().and_then(|address| {
             let has_address = |record: &&Record| record.address == *address || record.id == *address;
-            roster.living(&self.service).map(|replica| &replica.record).find(has_address)
+            roster.alive(&self.service).map(|replica| &replica.record).find(has_address)
         });
         named_replica.unwrap_or(record).id.clone()
     }
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -158,7 +158,7 @@
         let is_excluded = |id: &Name| {
             self.tried_replicas.contains(id) || without_permit.contains(id) || self.gateway.backoffs.is_backing_off(id)
         };
-        self.gateway.replica_picker.borrow().pick(&roster, &self.service, self.route.repeat, |id| !is_excluded(id))
+        self.gateway.replica_picker.borrow().pick(&roster, &self.service, self.route.idempotency, |id| !is_excluded(id))
     }
 
     /// Opens a slot at a plain replica.
@@ -169,7 +169,7 @@
 
     /// Returns how much longer a request may wait for a plain replica.
     fn max_plain_wait(&self) -> Duration {
-        (self.started + self.route.aim.mul_f64(MAX_PERMIT_WAIT_SHARE)).since(now())
+        (self.started + self.route.latency_target.mul_f64(MAX_PERMIT_WAIT_SHARE)).since(now())
     }
 
     /// Waits for the end of the first backoff of an untried replica. Returns an error if it ends too late.
@@ -212,7 +212,7 @@
     /// Waits until engines are granted, for at most the time that the caller's deadline and the policy allow.
     async fn choose_engine_target(&self, tokens: u64) -> Result<Target, PlacementError> {
         let job = self.planner_job(tokens);
-        let max_wait = self.route.patience().min(self.timeout).mul_f64(self.gateway.settings.policy.timeout_share);
+        let max_wait = self.route.client_timeout().min(self.timeout).mul_f64(self.gateway.settings.policy.timeout_share);
         let until = (self.started + max_wait).max(now() + MIN_GRANT_WAIT);
         loop {
             if self.gateway.roster.borrow().usable(&self.service).next().is_none() {
@@ -259,7 +259,7 @@
 
     /// Returns the error of a request that no replica of the service accepts now.
     fn no_replica_error(&self) -> PlacementError {
-        if self.gateway.roster.borrow().is_emptied(&self.service) {
+        if self.gateway.roster.borrow().is_evacuated(&self.service) {
             return PlacementError::Refused(EVACUATED_RETRY_AFTER);
         }
         match backoff::next_available(&self.gateway, &self.service) {
@@ -291,13 +291,13 @@
     fn planner_job(&self, tokens: u64) -> planner::Job {
         let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         planner::Job {
-            prompt: tokens,
-            output: self.request_head.output_tokens,
-            aim: self.started + self.route.aim,
-            gap_ms: self.route.gap_aim.as_secs_f64() * 1e3,
-            deadline: self.deadline.min(self.started + self.route.patience()),
+            prompt_tokens: tokens,
+            max_output_tokens: self.request_head.output_tokens,
+            first_event_target: self.started + self.route.latency_target,
+            gap_target_ms: self.route.gap_target.as_secs_f64() * 1e3,
+            deadline: self.deadline.min(self.started + self.route.client_timeout()),
             priority: workspace_priority.unwrap_or(self.route.priority),
-            work: Some(self.fingerprint),
+            fingerprint: Some(self.fingerprint),
         }
     }
 
@@ -311,15 +311,15 @@
                 Some(record) => {
                     let helper = LocatedHelper {
                         helper: headers::Helper { address: record.address, reservation: None },
-                        reserved_tokens: helper.holds,
+                        reserved_tokens: helper.held_tokens,
                     };
                     located.push(helper);
                 }
-                None if helper.holds > 0 => return None,
+                None if helper.held_tokens > 0 => return None,
                 None => {}
             }
         }
-        Some((find_available(&team.writer)?, located))
+        Some((find_available(&team.decoder)?, located))
     }
 
     /// Reserves the memory of a prompt at its helpers, either all of it or none. The reservation is absent if no helper
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::inquiry::Inquiry;
-use coord::search::Search;
+use coord::poll::Poll;
+use coord::search::LeaderSearch;
 use eyre::{Result, eyre};
 use platform::store::Client;
 use tokio::sync::{mpsc, oneshot};
@@ -66,7 +66,7 @@
     gateway: Rc<Gateway>,
     own_address: SocketAddr,
     client: Client,
-    search: Search<SocketAddr>,
+    search: LeaderSearch<SocketAddr>,
     /// Known entries in the succession order.
     ranked: Vec<Peer>,
     /// Number of searches since the last one that found a leader.
@@ -85,7 +85,7 @@
             gateway,
             own_address,
             client,
-            search: Search::default(),
+            search: LeaderSearch::default(),
             ranked,
             failed_searches: 0,
             search_delay: MIN_SEARCH_DELAY,
@@ -133,7 +133,7 @@
         gateway.limits.record_stored_entries(ranked.len());
         // The share of each rate limit that this entry may use depends on time and on the number of entries.
         limits::apply(gateway);
-        self.search.keep(|address| ranked.iter().any(|peer| peer.address == *address));
+        self.search.retain(|address| ranked.iter().any(|peer| peer.address == *address));
         self.ranked = ranked;
     }
 
@@ -223,7 +223,7 @@
 /// Waits before the next search for a leader. Returns the delay after the search that follows.
 async fn sleep_before_search(
     gateway: &Gateway,
-    search: &mut Search<SocketAddr>,
+    search: &mut LeaderSearch<SocketAddr>,
     is_leader: bool,
     delay: Duration,
 ) -> Duration {
@@ -242,7 +242,7 @@
     // After an outage of the store, all entries search at the same time, so earlier failures say nothing.
     let is_recovered = gateway.is_recently_verified() && !was_verified;
     if is_recovered {
-        search.restart();
+        search.reset();
     }
     if is_recovered { MIN_SEARCH_DELAY } else { (delay * 2).min(MAX_SEARCH_DELAY) }
 }
@@ -316,7 +316,7 @@
     let bounds = gateway.bounds();
     let sync_interval = MAX_SYNC_INTERVAL.min(bounds.propagation().min(bounds.drain) / MIN_SYNCS_PER_BOUND);
     let mut next_sync = Instant::now();
-    let mut inquiry = Inquiry::default();
+    let mut inquiry = Poll::default();
     if !gateway.membership.is_announced() {
         connection.send(FollowerMessage::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue).await?;
     }
@@ -340,7 +340,7 @@
                     LeaderMessage::Grant { number, placement } => gateway.admission.handle_grant(number, placement),
                     LeaderMessage::Refuse { number, retry_after } => gateway.admission.refuse_prompt(number, retry_after),
                     LeaderMessage::SyncResponse { number, mut response } => {
-                        let Some(requested_at) = inquiry.answer(number) else { continue };
+                        let Some(requested_at) = inquiry.record_response(number) else { continue };
                         let successors = response.successors.take();
                         store_view::apply_sync_response(gateway, response, requested_at);
                         if let Some(successors) = successors {
@@ -372,10 +372,10 @@
                 connection.send(report, &mut queue).await?;
             }
             () = tokio::time::sleep_until(next_sync), if gateway.settings.policy.delegated_reads => {
-                let delay = inquiry.pause(sync_interval, gateway.store_view.is_complete(), rand::random_range(0.0..1.0));
+                let delay = inquiry.next_delay(sync_interval, gateway.store_view.is_complete(), rand::random_range(0.0..1.0));
                 next_sync = Instant::now() + delay;
-                if inquiry.may_ask(now()) {
-                    let request = store_view::sync_request(gateway, inquiry.ask(now()));
+                if inquiry.may_send(now()) {
+                    let request = store_view::sync_request(gateway, inquiry.record_request(now()));
                     connection.send(FollowerMessage::SyncRequest(request), &mut queue).await?;
                 }
             }
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use coord::limit::{Allowance, Group, News, Register, Word};
+use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
 use coord::name::Name;
 use coord::roster::Record;
 use coord::time::Moment;
@@ -35,14 +35,14 @@
 /// Rate limits as this entry knows them.
 #[derive(Default)]
 pub struct Limits {
-    register: RefCell<Register>,
+    register: RefCell<ReplicaLimits>,
     /// Cold replicas, with their rate limit while they are cold, in requests per second.
     cold: RefCell<BTreeMap<Name, f64>>,
     /// Notified when the set of cold replicas may have changed.
     cold_changed: Notify,
     /// Remaining allowances of plain replicas, from which this entry grants permits while it is the leader or has no
     /// leader.
-    allowances: RefCell<HashMap<Name, Allowance>>,
+    allowances: RefCell<HashMap<Name, TokenBucket>>,
     /// Replicas that have no permit for this entry before the given time.
     no_permit_until: RefCell<HashMap<Name, Moment>>,
     /// Replicas whose limit could not be parsed.
@@ -50,7 +50,7 @@
     /// Permit requests of this entry that the leader has not answered.
     permit_requests: PermitRequests,
     /// Recent sizes of the group of entries with the same leader.
-    group: Cell<Group>,
+    group: Cell<GroupSize>,
     /// Number of entries in the store at the last read.
     stored_entries: Cell<usize>,
 }
@@ -72,7 +72,7 @@
     /// Records the size of the group of entries with the same leader.
     pub fn record_group_size(&self, entries: usize) {
         let mut group = self.group.get();
-        group.note(entries, now());
+        group.record_size(entries, now());
         self.group.set(group);
     }
 
@@ -83,7 +83,7 @@
 
     /// Removes the limit that a replica set before it restarted.
     pub fn reset_replica(&self, replica: &Name) {
-        if self.register.borrow_mut().restarted(replica, now()) {
+        if self.register.borrow_mut().reset_for_restart(replica, now()) {
             event!("limit", peer = %replica, rate = ?None::<f64>, reason = "restarted");
         }
     }
@@ -93,12 +93,12 @@
     pub fn forget(&self, replica: &Name) {
         self.unparsable.borrow_mut().remove(replica);
         self.no_permit_until.borrow_mut().remove(replica);
-        self.register.borrow_mut().forget(replica);
+        self.register.borrow_mut().remove(replica);
     }
 
     /// Returns the full register for another entry, split into messages.
-    pub fn sync_messages(&self) -> Vec<Vec<News>> {
-        self.register.borrow().all(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[News]>::to_vec).collect()
+    pub fn sync_messages(&self) -> Vec<Vec<RelayedReport>> {
+        self.register.borrow().relayed_reports(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[RelayedReport]>::to_vec).collect()
     }
 
     /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
@@ -106,7 +106,7 @@
     pub fn grant_permit(&self, replicas: &[Name], max_wait: Duration) -> Result<Permit, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
-        let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.wait(now));
+        let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.time_until_next(now));
         let earliest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
         let Some((delay, replica)) = earliest else { return Err(Duration::ZERO) };
         if delay > max_wait {
@@ -133,8 +133,8 @@
     match response.rate_limit {
         Ok(rate) if rate.is_none() && !gateway.limits.is_limited(replica) => {}
         Ok(rate) => {
-            let report = Word { rate, asked: sent_at, heard: now() };
-            apply_updates(gateway, vec![News::of(replica, &report, now())], Source::Own);
+            let report = TimedReport { rate, requested_at: sent_at, received_at: now() };
+            apply_updates(gateway, vec![RelayedReport::of(replica, &report, now())], Source::Own);
         }
         // The previous limit stays in force. The error is logged once, not for each response.
         Err(error) if gateway.limits.unparsable.borrow_mut().insert(replica.clone()) => {
@@ -145,15 +145,15 @@
 }
 
 /// Applies reports of rate limits, and relays the ones that change a limit.
-pub fn apply_updates(gateway: &Gateway, reports: Vec<News>, source: Source) {
+pub fn apply_updates(gateway: &Gateway, reports: Vec<RelayedReport>, source: Source) {
     let limits = &gateway.limits;
     let now = now();
     let mut changed = Vec::new();
     for report in reports {
         let mut register = limits.register.borrow_mut();
         let previous_rate = register.rate(&report.replica);
-        if register.hear(&report.replica, report.word(now)) {
-            let age_ms = report.heard_ago.as_millis();
+        if register.apply(&report.replica, report.timed_report(now)) {
+            let age_ms = report.received_ago.as_millis();
             event!("limit", peer = %report.replica, rate = ?report.rate, before = ?previous_rate, source = ?source, age_ms);
             changed.push(report);
         }
@@ -192,7 +192,7 @@
         return;
     };
     let now = now();
-    let new_allowance = || Allowance::new(rate, share, rand::random_range(0.0..1.0), now);
+    let new_allowance = || TokenBucket::new(rate, share, rand::random_range(0.0..1.0), now);
     allowances.entry(replica.clone()).or_insert_with(new_allowance).set(rate, share, now);
 }
 
@@ -217,7 +217,7 @@
     gateway.admission.reset_limit_accounting();
     let now = now();
     let mut allowances = limits.allowances.borrow_mut();
-    allowances.values_mut().for_each(|allowance| allowance.restart(rand::random_range(0.0..1.0), now));
+    allowances.values_mut().for_each(|allowance| allowance.reset(rand::random_range(0.0..1.0), now));
     drop(allowances);
     apply(gateway);
 }
--- a/sorrelpass/src/gateway/peer_protocol.rs
+++ b/sorrelpass/src/gateway/peer_protocol.rs
@@ -7,10 +7,10 @@
 use coord::evacuation;
 use coord::limit;
 use coord::name::Name;
-use coord::parcel::Parcel;
+use coord::delta::Delta;
 use coord::planner::{self, Team};
-use coord::quarantine::Work;
-use coord::roster::Leaver;
+use coord::quarantine::Fingerprint;
+use coord::roster::DrainingRun;
 use coord::time::Moment;
 use eyre::{Result, WrapErr, eyre};
 use futures_util::{SinkExt, StreamExt};
@@ -50,33 +50,33 @@
     gap_ms: f64,
     deadline_in: Duration,
     priority: u32,
-    work: Option<Work>,
+    work: Option<Fingerprint>,
 }
 
 impl PromptSpec {
     /// Converts `job` for a message that is sent at `now`.
     pub fn from_job(job: &planner::Job, now: Moment) -> Self {
         Self {
-            prompt_tokens: job.prompt,
-            output_tokens: job.output,
-            first_event_target_in: job.aim.since(now),
-            gap_ms: job.gap_ms,
+            prompt_tokens: job.prompt_tokens,
+            output_tokens: job.max_output_tokens,
+            first_event_target_in: job.first_event_target.since(now),
+            gap_ms: job.gap_target_ms,
             deadline_in: job.deadline.since(now),
             priority: job.priority,
-            work: job.work,
+            work: job.fingerprint,
         }
     }
 
     /// Converts the message, received at `now`, back to a job.
     pub fn restore_job(&self, now: Moment) -> planner::Job {
         planner::Job {
-            prompt: self.prompt_tokens,
-            output: self.output_tokens,
-            aim: now + self.first_event_target_in,
-            gap_ms: self.gap_ms,
+            prompt_tokens: self.prompt_tokens,
+            max_output_tokens: self.output_tokens,
+            first_event_target: now + self.first_event_target_in,
+            gap_target_ms: self.gap_ms,
             deadline: now + self.deadline_in,
             priority: self.priority,
-            work: self.work,
+            fingerprint: self.work,
         }
     }
 }
@@ -120,11 +120,11 @@
     /// is to ask again for the newest configuration.
     pub configuration: Option<CopyState>,
     /// Newest configuration, if the requester has an older one and the delta is small enough to be sent.
-    pub delta: Option<Parcel>,
+    pub delta: Option<Delta>,
     /// Whether there is a newer configuration that is too large to be sent, so that the requester must read it itself.
     pub is_too_large: bool,
     /// Failure domains that operators have evacuated.
-    pub evacuations: evacuation::Picture,
+    pub evacuations: evacuation::Snapshot,
     /// State of the sender's copy of the replicas' records, or `None` before its first verification, or if
     /// `replica_updates` is not valid.
     pub replicas: Option<CopyState>,
@@ -205,7 +205,7 @@
     /// Quarantine events: requests that are suspected or known to terminate replicas.
     Quarantine(Vec<RelayedEvent>),
     /// Reports of the rate limits that replicas announced.
-    Limits(Vec<limit::News>),
+    Limits(Vec<limit::RelayedReport>),
     /// Requests a permit at one of several replicas, all of which announced rate limits.
     PermitRequest {
         /// Number by which the follower identifies the permit request.
@@ -228,7 +228,7 @@
     /// much older.
     Suspended(Duration),
     /// Runs of replicas that reported that they are draining.
-    Draining(Vec<Leaver>),
+    Draining(Vec<DrainingRun>),
     /// Reports that an engine refused a request of the sender and asked it to back off.
     EngineBackoff {
         /// Service of the engine.
@@ -285,7 +285,7 @@
     /// Quarantine events: requests that are suspected or known to terminate replicas.
     Quarantine(Vec<RelayedEvent>),
     /// Reports of the rate limits that replicas announced.
-    Limits(Vec<limit::News>),
+    Limits(Vec<limit::RelayedReport>),
     /// Answers [`FollowerMessage::PermitRequest`].
     Permit {
         /// Number of the permit request.
@@ -294,7 +294,7 @@
         permit: Result<Permit, Duration>,
     },
     /// Runs of replicas that reported that they are draining.
-    Draining(Vec<Leaver>),
+    Draining(Vec<DrainingRun>),
 }
 
 /// Permit to send one request to a replica that announced a rate limit.
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::end::Span;
+use coord::termination::Interval;
 use coord::name::Name;
-use coord::quarantine::{News, Weight, Work};
+use coord::quarantine::{Event, Weight, Fingerprint};
 use coord::roster::Record;
 use coord::time::Moment;
 use platform::connection::ProbeResult;
@@ -32,7 +32,7 @@
     /// Request id that the caller sent.
     pub request: Name,
     /// Fingerprint of the request.
-    pub fingerprint: Work,
+    pub fingerprint: Fingerprint,
     /// Replica that the request was sent to.
     pub record: Record,
     /// Time at which the request was sent.
@@ -79,21 +79,21 @@
         if known_draining.unwrap_or(self.record.leaving) {
             return;
         }
-        let span = Span { after: self.sent_at, by: now() };
-        let (run, is_new) = gateway.quarantine.terminations.borrow_mut().saw(&self.record.id, self.record.born, span);
+        let span = Interval { not_before: self.sent_at, not_after: now() };
+        let (run, is_new) = gateway.quarantine.terminations.borrow_mut().record_observed(&self.record.id, self.record.started_ms, span);
         if is_new {
             metric::record_replica_termination();
         }
         forget_removed_replicas(gateway);
-        apply_events(gateway, vec![News::Ended { work: self.fingerprint, run, weight: self.weight }], Source::Own);
+        apply_events(gateway, vec![Event::Terminated { fingerprint: self.fingerprint, run, weight: self.weight }], Source::Own);
     }
 }
 
 /// Bounds the number of remembered terminations.
 pub(super) fn forget_removed_replicas(gateway: &Gateway) {
     let mut terminations = gateway.quarantine.terminations.borrow_mut();
-    if terminations.replicas() > MAX_REPLICAS_WITH_TERMINATIONS {
+    if terminations.replica_count() > MAX_REPLICAS_WITH_TERMINATIONS {
         let roster = gateway.roster.borrow();
-        terminations.keep(|replica| roster.get(replica).is_some());
+        terminations.retain(|replica| roster.get(replica).is_some());
     }
 }
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -12,8 +12,8 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-use coord::end::Ends;
-use coord::quarantine::{News, Register, Standing, Work};
+use coord::termination::Terminations;
+use coord::quarantine::{Event, State, Status, Fingerprint};
 use tokio::sync::{Notify, watch};
 
 pub use self::evidence::LostConnection;
@@ -40,13 +40,13 @@
 
 /// Quarantine as this entry knows it.
 pub struct Quarantine {
-    register: RefCell<Register>,
+    register: RefCell<State>,
     /// Read position in the quarantine topic of the store.
     topic: TopicState,
     /// Contents of the store, as far as this entry has read or written them.
-    stored: RefCell<HashMap<Work, Record>>,
+    stored: RefCell<HashMap<Fingerprint, Record>>,
     /// Terminations of replicas that this entry has observed or received.
-    terminations: RefCell<Ends>,
+    terminations: RefCell<Terminations>,
     /// Notified when a record may have to be written to the store.
     write_needed: Notify,
     /// Counter that increases with each verdict.
@@ -60,34 +60,34 @@
             register: RefCell::default(),
             topic: TopicState::default(),
             stored: RefCell::default(),
-            terminations: RefCell::new(Ends::new(util::incarnation())),
+            terminations: RefCell::new(Terminations::new(util::incarnation())),
             write_needed: Notify::new(),
             verdicts: watch::Sender::default(),
         }
     }
 
     /// Returns whether requests with the fingerprint are no longer sent.
-    pub fn is_condemned(&self, fingerprint: Work) -> bool {
-        self.register.borrow().standing(fingerprint) == Standing::Condemned
+    pub fn is_condemned(&self, fingerprint: Fingerprint) -> bool {
+        self.register.borrow().status(fingerprint) == Status::Condemned
     }
 
     /// Passes all suspects to the planners and updates the metrics. A verdict also clears other suspects without an
     /// event of its own, so the list is always complete.
     fn update_planners(&self, gateway: &Gateway) {
         let register = self.register.borrow();
-        let suspects: Vec<Work> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
+        let suspects: Vec<Fingerprint> = register.suspects().map(|(fingerprint, _)| fingerprint).collect();
         metric::set_quarantine_size(suspects.len(), register.condemned().count());
         gateway.admission.set_suspects(suspects);
     }
 
     /// Returns whether any evidence or verdict exists against a fingerprint.
-    fn has_evidence(&self, fingerprint: Work) -> bool {
+    fn has_evidence(&self, fingerprint: Fingerprint) -> bool {
         let register = self.register.borrow();
-        register.standing(fingerprint) != Standing::Clear || register.evidence(fingerprint).next().is_some()
+        register.status(fingerprint) != Status::Clear || register.evidence(fingerprint).next().is_some()
     }
 
     /// Waits until a fingerprint is condemned.
-    pub async fn wait_until_condemned(&self, fingerprint: Work) {
+    pub async fn wait_until_condemned(&self, fingerprint: Fingerprint) {
         // Waiting fails only when the sender is dropped, which has the lifetime of `self`.
         let _ = self.verdicts.subscribe().wait_for(|_| self.is_condemned(fingerprint)).await;
     }
@@ -99,11 +99,11 @@
 
     /// Returns the full register for another entry, split into messages.
     pub fn sync_messages(&self) -> Vec<Vec<RelayedEvent>> {
-        self.register.borrow().all().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
+        self.register.borrow().events().chunks(MAX_EVENTS_PER_MESSAGE).map(|events| self.to_wire(events)).collect()
     }
 
     /// Returns the wire form of events, with ages relative to the current time.
-    fn to_wire(&self, events: &[News]) -> Vec<RelayedEvent> {
+    fn to_wire(&self, events: &[Event]) -> Vec<RelayedEvent> {
         let terminations = self.terminations.borrow();
         events.iter().map(|event| RelayedEvent::from_event(event.clone(), &terminations)).collect()
     }
@@ -119,14 +119,14 @@
 }
 
 /// Applies events, and relays the ones that change the register.
-fn apply_events(gateway: &Gateway, events: Vec<News>, source: Source) {
+fn apply_events(gateway: &Gateway, events: Vec<Event>, source: Source) {
     let quarantine = &gateway.quarantine;
     if source == Source::Own && gateway.admission.has_leader() {
         gateway.admission.report_to_leader(FollowerMessage::Quarantine(quarantine.to_wire(&events)));
     }
     let mut changes = Vec::new();
     for event in events {
-        changes.extend(quarantine.register.borrow_mut().hear(event));
+        changes.extend(quarantine.register.borrow_mut().apply(event));
     }
     if changes.is_empty() {
         return;
@@ -140,27 +140,27 @@
 }
 
 /// Records that a request with the fingerprint completed successfully.
-pub fn record_success(gateway: &Gateway, fingerprint: Work) {
+pub fn record_success(gateway: &Gateway, fingerprint: Fingerprint) {
     if gateway.quarantine.has_evidence(fingerprint) {
-        apply_events(gateway, vec![News::Cleared(fingerprint)], Source::Own);
+        apply_events(gateway, vec![Event::Cleared(fingerprint)], Source::Own);
     }
 }
 
 /// Logs a change of the register, and announces a verdict to the tasks that wait for one.
-fn log_change(gateway: &Gateway, event: &News) {
-    let fingerprint = event.work();
+fn log_change(gateway: &Gateway, event: &Event) {
+    let fingerprint = event.fingerprint();
     let quarantine = &gateway.quarantine;
     match event {
-        News::Ended { run, weight, .. } => {
+        Event::Terminated { run, weight, .. } => {
             let ends = quarantine.register.borrow().evidence(fingerprint).count();
             event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends);
         }
-        News::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
-        News::Condemned(_) => {
+        Event::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
+        Event::Condemned(_) => {
             warn_event!("condemned", work = %fingerprint);
             metric::record_condemned();
             quarantine.verdicts.send_modify(|verdicts| *verdicts += 1);
         }
-        News::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
+        Event::Lifted(_) => event!("quarantine-lifted", work = %fingerprint),
     }
 }
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -1,8 +1,8 @@
 //! Stored form of the quarantine: one record for each request fingerprint.
 
-use coord::end::{Ends, Span};
+use coord::termination::{Terminations, Interval};
 use coord::name::Name;
-use coord::quarantine::{News, Register, Standing, Weight, Work};
+use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
 use coord::time::Moment;
 use eyre::{Result, WrapErr};
 use platform::store::KeyedRecord;
@@ -31,18 +31,18 @@
 
 impl Record {
     /// Returns the evidence and verdict of a register for a fingerprint.
-    pub fn for_fingerprint(register: &Register, fingerprint: Work) -> Self {
+    pub fn for_fingerprint(register: &State, fingerprint: Fingerprint) -> Self {
         let ends = register
             .evidence(fingerprint)
-            .chain(register.ends(fingerprint))
+            .chain(register.terminations(fingerprint))
             .map(|(run, weight)| Termination { run: run.clone(), weight });
-        Self { condemned: register.standing(fingerprint) == Standing::Condemned, ends: ends.collect() }
+        Self { condemned: register.status(fingerprint) == Status::Condemned, ends: ends.collect() }
     }
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
     /// does not contain the times of the terminations.
-    pub fn with_local_run_names(self, terminations: &mut Ends, now: Moment) -> Self {
-        let rename = |termination: Termination| Termination { run: terminations.heard(&termination.run, Span::before(now)), ..termination };
+    pub fn with_local_run_names(self, terminations: &mut Terminations, now: Moment) -> Self {
+        let rename = |termination: Termination| Termination { run: terminations.record_reported(&termination.run, Interval::before(now)), ..termination };
         Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
     }
 
@@ -52,25 +52,25 @@
     }
 
     /// Returns the record as events for a register.
-    pub fn events(&self, fingerprint: Work) -> Vec<News> {
+    pub fn events(&self, fingerprint: Fingerprint) -> Vec<Event> {
         if self.condemned {
-            return vec![News::Condemned(fingerprint)];
+            return vec![Event::Condemned(fingerprint)];
         }
-        let to_event = |termination: &Termination| News::Ended { work: fingerprint, run: termination.run.clone(), weight: termination.weight };
+        let to_event = |termination: &Termination| Event::Terminated { fingerprint, run: termination.run.clone(), weight: termination.weight };
         self.ends.iter().map(to_event).collect()
     }
 }
 
 /// Decodes a record of the quarantine topic into the fingerprint and its entry. The entry is `None` if the record was
 /// removed.
-pub fn decode(record: &KeyedRecord) -> Result<(Work, Option<Record>)> {
-    let work = record.key.parse().wrap_err("step=decode-quarantine")?;
-    let Some(value) = &record.value else { return Ok((work, None)) };
+pub fn decode(record: &KeyedRecord) -> Result<(Fingerprint, Option<Record>)> {
+    let fingerprint = record.key.parse().wrap_err("step=decode-quarantine")?;
+    let Some(value) = &record.value else { return Ok((fingerprint, None)) };
     eyre::ensure!(
         value.len() <= MAX_RECORD_BYTES,
-        "step=decode-quarantine work={work}: the record has {} bytes, more than {MAX_RECORD_BYTES}",
+        "step=decode-quarantine work={fingerprint}: the record has {} bytes, more than {MAX_RECORD_BYTES}",
         value.len()
     );
-    let entry = serde_json::from_slice(value).wrap_err_with(|| format!("step=decode-quarantine work={work}"))?;
-    Ok((work, Some(entry)))
+    let entry = serde_json::from_slice(value).wrap_err_with(|| format!("step=decode-quarantine work={fingerprint}"))?;
+    Ok((fingerprint, Some(entry)))
 }
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::budget::{self, Windowed};
+use coord::budget::{self, WindowedBudget};
 use coord::evacuation;
 use coord::name::Name;
 use coord::offset;
@@ -88,7 +88,7 @@
     /// Known replicas of all services.
     pub roster: RefCell<Roster>,
     /// Failure domains that operators have evacuated.
-    pub evacuations: RefCell<evacuation::Register>,
+    pub evacuations: RefCell<evacuation::Evacuations>,
     /// Selects replicas of plain services.
     pub replica_picker: RefCell<ReplicaPicker>,
     /// Queue of prompts that wait for engines.
@@ -100,7 +100,7 @@
     /// Replicas that asked this entry to back off.
     pub backoffs: Backoffs,
     /// Retry budgets by service.
-    retry_budgets: RefCell<HashMap<Name, Windowed>>,
+    retry_budgets: RefCell<HashMap<Name, WindowedBudget>>,
     /// Largest number of entries that was observed, at least [`MIN_ENTRY_COUNT`].
     entry_count: Cell<usize>,
     /// Latest known era of the store, or `None` before the first response.
@@ -176,7 +176,7 @@
 
     /// Removes the replica `id` after a response showed that another replica now has its address.
     pub fn remove_displaced(&self, id: &str) {
-        if self.roster.borrow_mut().displaced(id).is_some() {
+        if self.roster.borrow_mut().mark_displaced(id).is_some() {
             crate::event!("replica", peer = id, standing = "displaced");
             self.refresh_engines();
         }
@@ -198,7 +198,7 @@
     /// failure domain is not evacuated, and it has not asked this entry to back off.
     pub fn available_replica(&self, id: &str) -> Option<Record> {
         let roster = self.roster.borrow();
-        roster.usable_one(id).filter(|_| !self.backoffs.is_backing_off(id)).cloned()
+        roster.usable_replica(id).filter(|_| !self.backoffs.is_backing_off(id)).cloned()
     }
 
     /// Updates the engines of each service in the admission queue, and the rate limits.
@@ -276,7 +276,7 @@
         self.era.set(Some(era));
         let Some(before) = current else { return };
         crate::event!("era", era, before);
-        self.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
+        self.roster.borrow_mut().record_store_recovery(now(), STORE_RECOVERY_GRACE);
         self.membership.invalidate_announcements();
     }
 
@@ -331,18 +331,18 @@
 
     /// Records the first send of a request to a service, which adds to the service's retry budget.
     pub fn record_first_send(&self, service: &Name) {
-        self.with_retry_budget(service, |budget| budget.earn(now()));
+        self.with_retry_budget(service, |budget| budget.record_request(now()));
     }
 
     /// Takes a retry out of the service's retry budget. Returns whether the budget allows it.
     pub fn charge_retry(&self, service: &Name) -> bool {
-        self.with_retry_budget(service, |budget| budget.spend(now()))
+        self.with_retry_budget(service, |budget| budget.try_retry(now()))
     }
 
-    fn with_retry_budget<T>(&self, service: &Name, action: impl FnOnce(&mut Windowed) -> T) -> T {
+    fn with_retry_budget<T>(&self, service: &Name, action: impl FnOnce(&mut WindowedBudget) -> T) -> T {
         let bounds = self.bounds();
-        let allowance = budget::part(bounds.retry_allowance, self.entry_count.get());
-        let new_budget = || Windowed::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
+        let allowance = budget::allowance_per_process(bounds.retry_allowance, self.entry_count.get());
+        let new_budget = || WindowedBudget::new(bounds.retry_share * RETRY_SHARE_USED, allowance, bounds.retry_window);
         let mut budgets = self.retry_budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(new_budget);
         budget.set_allowance(allowance);
--- a/sorrelpass/src/gateway/store_reader.rs
+++ b/sorrelpass/src/gateway/store_reader.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::parcel::Version;
-use coord::roster::Sighting;
+use coord::delta::Version;
+use coord::roster::Update;
 use coord::time::Moment;
 use eyre::{Result, eyre};
 use platform::store::KeyedRecord;
@@ -207,13 +207,13 @@
 /// store then still answered another entry.
 fn start_recovery_grace(gateway: &Gateway, reader: &TopicReader) {
     if reader.is_failing() && !are_replicas_fresh(gateway) {
-        gateway.roster.borrow_mut().store_returned(now(), STORE_RECOVERY_GRACE);
+        gateway.roster.borrow_mut().record_store_recovery(now(), STORE_RECOVERY_GRACE);
     }
 }
 
 /// Decodes replica records. Logs the error of a record that cannot be decoded only if its replica accepted work until
 /// now.
-fn decode_updates(gateway: &Gateway, records: &[KeyedRecord]) -> Vec<Sighting> {
+fn decode_updates(gateway: &Gateway, records: &[KeyedRecord]) -> Vec<Update> {
     let mut updates = Vec::with_capacity(records.len());
     for record in records {
         let replica::DecodedRecord { state, error } = replica::decode(record);
@@ -221,7 +221,7 @@
             let error: String = error.chars().take(MAX_LOGGED_ERROR_CHARS).collect();
             warn_event!("replica-record", peer = %record.key, offset = record.offset, fault = %error);
         }
-        updates.push(Sighting { offset: record.offset, news: state });
+        updates.push(Update { offset: record.offset, state });
     }
     updates
 }
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -8,8 +8,8 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use coord::offset::Text;
-use coord::parcel::{Parcel, Shelf, Version};
+use coord::offset::Formatted;
+use coord::delta::{Delta, VersionCache, Version};
 use coord::quota::Bucket;
 use coord::time::Moment;
 use tokio::sync::Notify;
@@ -43,7 +43,7 @@
     /// State of the copy of the topic with the replicas' records.
     pub replicas: TopicState,
     /// The newest configurations in their encoded form, from which deltas are made.
-    configurations: RefCell<Shelf>,
+    configurations: RefCell<VersionCache>,
     /// Compressed records of all replicas and the offset that they are valid for. Entries that start at the same time
     /// request the same ones.
     replica_snapshot: RefCell<Option<(u64, Packed)>>,
@@ -90,15 +90,15 @@
 
     /// Stores an encoded configuration for sending it to other entries.
     pub fn cache_configuration(&self, document: Version) {
-        self.configurations.borrow_mut().keep(document);
+        self.configurations.borrow_mut().insert(document);
     }
 
     /// Decides how an entry that has all records below the offset `next` gets the newest configuration.
     fn delivery(&self, next: Option<u64>) -> Delivery {
-        match self.configurations.borrow_mut().parcel(next) {
+        match self.configurations.borrow_mut().encode_newest(next) {
             Ok(None) => Delivery::UpToDate,
-            Ok(Some(delta)) if delta.packed.len() > MAX_DELTA_BYTES => Delivery::TooLarge,
-            Ok(Some(delta)) if !self.take_link_budget(delta.packed.len()) => Delivery::Deferred,
+            Ok(Some(delta)) if delta.compressed.len() > MAX_DELTA_BYTES => Delivery::TooLarge,
+            Ok(Some(delta)) if !self.take_link_budget(delta.compressed.len()) => Delivery::Deferred,
             Ok(Some(delta)) => Delivery::Delta(delta),
             Err(error) => {
                 warn_event!("configuration", error = %error);
@@ -109,15 +109,15 @@
 
     /// Takes `bytes` out of the link budget. Returns whether they may be sent now.
     fn take_link_budget(&self, bytes: usize) -> bool {
-        self.link_budget.as_ref().is_none_or(|budget| budget.borrow_mut().take(bytes as f64, now()).is_ok())
+        self.link_budget.as_ref().is_none_or(|budget| budget.borrow_mut().try_take(bytes as f64, now()).is_ok())
     }
 
     /// Decodes the configuration in a delta from another entry. Returns `None` and logs the error if that fails.
-    fn open_delta(&self, delta: &Parcel) -> Option<Version> {
-        match self.configurations.borrow().open(delta) {
+    fn open_delta(&self, delta: &Delta) -> Option<Version> {
+        match self.configurations.borrow().decode(delta) {
             Ok(document) => Some(document),
             Err(error) => {
-                warn_event!("configuration", offset = %Text(delta.offset), error = %error);
+                warn_event!("configuration", offset = %Formatted(delta.offset), error = %error);
                 None
             }
         }
@@ -178,7 +178,7 @@
     /// The requester already has the newest configuration.
     UpToDate,
     /// The response carries the configuration in this delta.
-    Delta(Parcel),
+    Delta(Delta),
     /// The link budget is used up: the requester keeps its configuration and asks again.
     Deferred,
     /// The requester must read the configuration from the store: its delta is too large, or could not be made.
@@ -216,10 +216,10 @@
         is_too_large,
         // After a failed compression the response must not claim that there are no changes.
         replicas: view.replicas.copy_state().filter(|_| replica_updates.is_some()),
-        evacuations: gateway.evacuations.borrow().picture().clone(),
+        evacuations: gateway.evacuations.borrow().snapshot().clone(),
         replica_updates: replica_updates.unwrap_or_default(),
         is_snapshot,
-        grace_time_left: gateway.roster.borrow().doubt_left(now()),
+        grace_time_left: gateway.roster.borrow().grace_left(now()),
         entry_count: gateway.entry_count(),
         successors: gateway.membership.successors_if_changed(request.successors_revision),
     }
@@ -230,7 +230,7 @@
 fn pack_replica_updates(gateway: &Gateway, from: Option<u64>) -> Option<Packed> {
     let roster = gateway.roster.borrow();
     let view = &gateway.store_view;
-    let compress = || Packed::new(&roster.since(from.unwrap_or(0), now()));
+    let compress = || Packed::new(&roster.updates_since(from.unwrap_or(0), now()));
     let snapshot_offset = view.replicas.next_offset().filter(|_| from.is_none());
     let cached = view
         .replica_snapshot
@@ -286,7 +286,7 @@
         // An entry with a fresh copy sees a missing record as removed, even if the other entry was cut off from the
         // store for long. Only an entry with a stale copy takes over the other one's grace period.
         if !store_reader::are_replicas_fresh(gateway) {
-            gateway.roster.borrow_mut().store_returned(now(), response.grace_time_left);
+            gateway.roster.borrow_mut().record_store_recovery(now(), response.grace_time_left);
         }
         if response.is_snapshot {
             ingest::apply_snapshot(gateway, copy_state.next_offset, replica_updates, Source::Peer);
--- a/sorrelpass/src/gateway/topic_reader.rs
+++ b/sorrelpass/src/gateway/topic_reader.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use coord::offset::Text;
-use coord::pause::Pause;
+use coord::offset::Formatted;
+use coord::retry_delay::RetryDelay;
 use eyre::Result;
 use platform::store::{Client, KeyedRecord, Read};
 
@@ -21,12 +21,12 @@
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Retry delay after failed calls. A failed call costs as much as a successful one, and one second is short
 /// compared with an outage.
-const RETRY_DELAY: Pause = Pause { first: MIN_RETRY_DELAY, longest: Duration::from_millis(1_000) };
+const RETRY_DELAY: RetryDelay = RetryDelay { initial: MIN_RETRY_DELAY, max: Duration::from_millis(1_000) };
 /// Retry delay before the first snapshot, without which the entry cannot serve requests: some response times of the
 /// store.
-const INITIAL_RETRY_DELAY: Pause = Pause { first: Duration::from_millis(50), longest: Duration::from_millis(200) };
+const INITIAL_RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(50), max: Duration::from_millis(200) };
 /// Retry delay of a follower, which gets the data from its leader once the store has recovered.
-const FOLLOWER_RETRY_DELAY: Pause = Pause { first: Duration::from_millis(400), longest: Duration::from_millis(2_000) };
+const FOLLOWER_RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(400), max: Duration::from_millis(2_000) };
 /// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one
 /// follower may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an
 /// outage of 8 s as with independent retry delays.
@@ -92,18 +92,18 @@
     pub async fn back_off(&self, gateway: &Gateway, topic: &TopicState) {
         let retry_delay = match topic.age() {
             _ if gateway.admission.has_leader() => {
-                FOLLOWER_RETRY_DELAY.shared(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S)
+                FOLLOWER_RETRY_DELAY.shared_among(gateway.entry_count(), MAX_FOLLOWER_CALLS_PER_S)
             }
             None => INITIAL_RETRY_DELAY,
             // Each failed call of a leader delegates a read to followers, at least as often as the leader itself
             // would read.
-            Some(_) if !gateway.admission.is_standalone() => Pause {
-                longest: RETRY_DELAY.longest.min(store_reader::replicas_read_interval(&gateway.bounds())),
+            Some(_) if !gateway.admission.is_standalone() => RetryDelay {
+                max: RETRY_DELAY.max.min(store_reader::replicas_read_interval(&gateway.bounds())),
                 ..RETRY_DELAY
             },
             Some(_) => RETRY_DELAY,
         };
-        let delay = retry_delay.after(self.failures);
+        let delay = retry_delay.delay(self.failures);
         // The jitter keeps entries that restart together after a power loss from calling the store at the same time.
         gateway.store_view.sleep_until_woken(delay.mul_f64(rand::random_range(0.75..1.25))).await;
     }
@@ -114,18 +114,18 @@
         metric::record_store_calls("read", self.topic_name, 1);
         match self.client.read(self.topic_name, from, wait, RESPONSE_TIMEOUT).await? {
             Read::Trimmed => {
-                event!("store-trimmed", topic = self.topic_name, from = %Text(from));
+                event!("store-trimmed", topic = self.topic_name, from = %Formatted(from));
                 topic.reset();
                 Ok(None)
             }
             Read::EraChanged => {
-                event!("store-outdated", topic = self.topic_name, from = %Text(from));
+                event!("store-outdated", topic = self.topic_name, from = %Formatted(from));
                 topic.reset();
                 Ok(None)
             }
             Read::Records { end_offset, .. } if end_offset < from => {
                 // A response older than the records already read does not verify the copy.
-                warn_event!("store-stale", topic = self.topic_name, from = %Text(from), end = %Text(end_offset));
+                warn_event!("store-stale", topic = self.topic_name, from = %Formatted(from), end = %Formatted(end_offset));
                 tokio::time::sleep(MIN_RETRY_DELAY).await;
                 Ok(None)
             }
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -8,7 +8,7 @@
 use coord::name::{Attempt, Name};
 use coord::prefix::{Cache, Chain};
 use coord::queue::Job;
-use coord::scheduler::{Action, Level, Once, Refusal, Refused, Scheduler, Voided};
+use coord::scheduler::{Action, PrefillPriority, KeyState, RefusalReason, Refusal, Scheduler, CancelOutcome};
 use coord::time::{Moment, micros};
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// The job starts, at the given priority level.
-    Start(Level),
+    Start(PrefillPriority),
     /// The deadline passed before the job started; it never starts.
     Expired,
     /// The scheduler removed the job from its queue, as it could not start here for a long time; it never starts.
@@ -44,7 +44,7 @@
     /// The job is accepted; the receiver gets its signals.
     Accepted(mpsc::UnboundedReceiver<Signal>),
     /// The job is refused: it did not run and will not.
-    Refused(Refused),
+    Refused(Refusal),
     /// A job with the same key ran or runs here; the transcript is its answer.
     Duplicate(Transcript),
 }
@@ -81,7 +81,7 @@
         /// Idempotency key of the attempt, if it has one.
         idempotency_key: Option<Key>,
         /// Receives whether the attempt had started; one that had not never will.
-        reply: Option<oneshot::Sender<Voided>>,
+        reply: Option<oneshot::Sender<CancelOutcome>>,
     },
     /// Reserves memory for a span, or renews the span's lease.
     ReserveSpan(HoldRequest, oneshot::Sender<HoldResponse>),
@@ -197,7 +197,7 @@
             }
             Command::CancelAttempt { attempt, idempotency_key, reply } => self.cancel_attempt(attempt, idempotency_key.as_ref(), reply),
             Command::ReserveSpan(request, reply) => drop(reply.send(self.reserve_span(request))),
-            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.fill(span, active, util::now()))),
+            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.set_span_prefill(span, active, util::now()))),
             Command::ReleaseSpan(span) => self.release_span(span),
             Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
             Command::SpanFreed(span) => self.record_span_freed(span),
@@ -209,7 +209,7 @@
     }
 
     fn make_job(&self, attempt: Attempt, request: &QuoteRequest, now: Moment) -> Job {
-        let cached = Chain::bytes(self.cache.shared(&request.chain)) as f64 / request.bytes_per_token;
+        let cached = Chain::bytes(self.cache.matching_blocks(&request.chain)) as f64 / request.bytes_per_token;
         let prefill_tokens = request.prompt_tokens.saturating_sub(cached as u64);
         let cost = match self.settings.kind {
             EndpointKind::Engine => self.scheduler.cost(prefill_tokens),
@@ -235,7 +235,7 @@
         let job = self.make_job(Attempt(0), request, now);
         QuoteResponse {
             incarnation: util::incarnation(),
-            is_draining: self.scheduler.is_leaving(),
+            is_draining: self.scheduler.is_draining(),
             quote: self.scheduler.quote(&job, now),
         }
     }
@@ -244,12 +244,12 @@
         let now = util::now();
         let attempt = work.attempt;
         if let (Some(key), Some(transcript)) = (&work.idempotency_key, transcript) {
-            match self.scheduler.once(key, attempt, now) {
-                Once::First => {
+            match self.scheduler.claim_key(key, attempt, now) {
+                KeyState::First => {
                     self.transcripts.insert(key.clone(), transcript);
                     self.key_by_attempt.insert(attempt, key.clone());
                 }
-                Once::Running(_) | Once::Done(_) => return self.make_duplicate(key, transcript),
+                KeyState::Running(_) | KeyState::Done(_) => return self.make_duplicate(key, transcript),
             }
         }
         let job = self.make_job(attempt, &work.quote_request, now);
@@ -273,7 +273,7 @@
     /// Makes a key available again, as its attempt is proven not to have run.
     fn unbind_key(&mut self, attempt: Attempt) {
         if let Some(key) = self.key_by_attempt.remove(&attempt) {
-            self.scheduler.once_not_run(&key, attempt);
+            self.scheduler.release_key(&key, attempt);
             self.transcripts.remove(&key);
         }
     }
@@ -292,7 +292,7 @@
             self.unbind_key(attempt);
         }
         if let Some(key) = self.key_by_attempt.remove(&attempt) {
-            self.scheduler.once_done(&key, attempt);
+            self.scheduler.complete_key(&key, attempt);
         }
     }
 
@@ -301,17 +301,17 @@
         self.chains.remove(&attempt);
     }
 
-    fn cancel_attempt(&mut self, attempt: Attempt, idempotency_key: Option<&Key>, reply: Option<oneshot::Sender<Voided>>) {
-        let outcome = self.scheduler.void(attempt, idempotency_key, util::now());
+    fn cancel_attempt(&mut self, attempt: Attempt, idempotency_key: Option<&Key>, reply: Option<oneshot::Sender<CancelOutcome>>) {
+        let outcome = self.scheduler.cancel_unstarted(attempt, idempotency_key, util::now());
         match outcome {
-            Voided::NotRun => {
+            CancelOutcome::NotRun => {
                 self.send_signal(attempt, Signal::CancelledBeforeStart);
                 self.remove_attempt(attempt);
                 self.unbind_key(attempt);
             }
             // A call that may run at most once is not cancelled, so that its outcome becomes known.
-            Voided::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
-            Voided::Started => {}
+            CancelOutcome::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
+            CancelOutcome::Started => {}
         }
         event!("void", attempt = %attempt, voided = ?outcome);
         if let Some(reply) = reply {
@@ -329,14 +329,14 @@
         let now = util::now();
         let lease_end = now + Duration::from_micros(request.lease_micros);
         if request.renew {
-            return if self.scheduler.renew(request.span, lease_end) { HoldResponse::Held } else { HoldResponse::Refused };
+            return if self.scheduler.renew_span(request.span, lease_end) { HoldResponse::Held } else { HoldResponse::Refused };
         }
-        match self.scheduler.reserve(request.span, request.tokens, lease_end, now) {
+        match self.scheduler.reserve_span(request.span, request.tokens, lease_end, now) {
             Ok(()) => {
                 event!("reserve-span", span = %request.span, tokens = request.tokens);
                 HoldResponse::Held
             }
-            Err(refused) if refused.reason == Refusal::QueueFull => HoldResponse::RetryAfter(micros(refused.retry_after)),
+            Err(refused) if refused.reason == RefusalReason::QueueFull => HoldResponse::RetryAfter(micros(refused.retry_after)),
             Err(_) => HoldResponse::Refused,
         }
     }
@@ -344,29 +344,29 @@
     /// Releases a span. The `control` thread frees it on the engine, since the entry that requested the
     /// release may be gone by then.
     fn release_span(&mut self, span: Attempt) {
-        if self.scheduler.give_up(span) {
+        if self.scheduler.release_span(span) {
             let _ = self.expired_spans.send(span);
         }
     }
 
     fn record_span_freed(&mut self, span: Attempt) {
         event!("free-span", span = %span);
-        self.scheduler.freed(span);
+        self.scheduler.confirm_span_freed(span);
     }
 
     fn start_shutdown(&mut self, idle: oneshot::Sender<()>) {
         event!("shutdown", waiting = self.scheduler.waiting(), running = self.scheduler.running());
         self.is_stopping = true;
-        self.scheduler.leave();
+        self.scheduler.start_drain();
         self.idle_waiters.push(idle);
     }
 
     fn set_drained(&mut self, drained: bool) {
-        if self.is_stopping || drained == self.scheduler.is_leaving() {
+        if self.is_stopping || drained == self.scheduler.is_draining() {
             return;
         }
         event!("drain", drained, running = self.scheduler.running());
-        if drained { self.scheduler.leave() } else { self.scheduler.stay() }
+        if drained { self.scheduler.start_drain() } else { self.scheduler.cancel_drain() }
     }
 
     fn set_healthy(&mut self, healthy: bool) {
@@ -389,7 +389,7 @@
     /// Drops the transcripts of keys that are past the idempotency window.
     fn prune_transcripts(&mut self) {
         let scheduler = &self.scheduler;
-        self.transcripts.retain(|key, _| scheduler.knows(key));
+        self.transcripts.retain(|key, _| scheduler.has_key(key));
     }
 
     fn advance(&mut self) {
@@ -423,7 +423,7 @@
         }
     }
 
-    fn start_job(&mut self, attempt: Attempt, level: Level) {
+    fn start_job(&mut self, attempt: Attempt, level: PrefillPriority) {
         let is_notified = self.signals.get(&attempt).is_some_and(|sender| sender.send(Signal::Start(level)).is_ok());
         if !is_notified {
             // The job's task has ended, so nothing was sent to the endpoint.
@@ -438,7 +438,7 @@
             endpoint: self.settings.endpoint.clone(),
             service: self.settings.service.clone(),
             incarnation: util::incarnation().to_string(),
-            leaving: self.scheduler.is_leaving(),
+            leaving: self.scheduler.is_draining(),
             waiting: self.scheduler.waiting(),
             running: self.scheduler.running(),
             memory_held_tokens: self.scheduler.memory_held(),
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -213,7 +213,7 @@
             let (key, prompt) = (*key, prompt.clone());
             self.waiting.remove(&key);
             self.reserved += memory;
-            let cached = Chain::bytes(self.cache.shared(&prompt.chain)) / crate::text::BYTES_PER_TOKEN as u64;
+            let cached = Chain::bytes(self.cache.matching_blocks(&prompt.chain)) / crate::text::BYTES_PER_TOKEN as u64;
             let local_tokens = prompt.tokens - prompt.remote_tokens;
             // The last token is always prefilled, even on a full cache hit, because decoding starts from its output.
             let remaining_prefill = local_tokens.saturating_sub(cached).max(1);
