--- a/standin/src/cmd/site_soak.rs
+++ b/standin/src/cmd/site_soak.rs
@@ -62,10 +62,10 @@
         faults,
         entries: args.entries,
         callers: args.callers,
-        fatal: args.fatal,
-        limits: args.limits,
-        evacuations: args.evacuations,
-        words: args.words,
+        has_fatal_requests: args.fatal,
+        has_rate_limits: args.limits,
+        has_evacuations: args.evacuations,
+        has_response_signals: args.words,
     };
     let seeds = stream::iter(args.seed..args.seed + args.seeds);
     let mut reports =
--- a/standin/src/platform/client.rs
+++ b/standin/src/platform/client.rs
@@ -12,7 +12,7 @@
 
 /// Describes a request that a caller sends.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestSpec {
     /// HTTP method.
     pub method: &'static str,
     /// Path, with the query if there is one.
@@ -22,18 +22,18 @@
     /// Body; empty by default.
     pub body: Bytes,
     /// Time after which [`send`] closes the connection even if the response is incomplete; `None` to wait for its end.
-    pub leave_after: Option<Duration>,
+    pub disconnect_after: Option<Duration>,
 }
 
-impl Ask {
+impl RequestSpec {
     /// Creates a request with this request id and API key, and an empty body.
     pub fn new(method: &'static str, path: &str, id: &str, key: &str) -> Self {
         let headers = vec![("request-id", id.to_owned()), ("authorization", format!("Bearer {key}"))];
-        Self { method, path: path.to_owned(), headers, body: Bytes::new(), leave_after: None }
+        Self { method, path: path.to_owned(), headers, body: Bytes::new(), disconnect_after: None }
     }
 
     /// Adds a header.
-    pub fn with(mut self, name: &'static str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.push((name, value.to_owned()));
         self
     }
@@ -41,7 +41,7 @@
 
 /// Outcome of a request.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Outcome {
     /// Status code; 0 if no response arrived.
     pub status: u16,
     /// Headers of the response; empty if no response arrived.
@@ -49,12 +49,12 @@
     /// Part of the body that arrived, as lossy UTF-8.
     pub body: String,
     /// Whether the response was complete, by its length or its last chunk.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Time from the start of the request to the end of the response, or to its failure.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-impl Seen {
+impl Outcome {
     /// Returns the value of a header; empty if the response does not have it or if it is not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
@@ -63,20 +63,20 @@
 
 /// Sends a request to `address` on a new connection and waits for the end of the response.
 ///
-/// Fails if the connection cannot be opened or the request is malformed, unless `leave_after` is set. A connection that
-/// is lost later shows in the outcome.
-pub async fn send(address: &str, host: &str, spec: &Ask) -> Result<Seen> {
+/// Fails if the connection cannot be opened or the request is malformed, unless `disconnect_after` is set. A connection
+/// that is lost later shows in the outcome.
+pub async fn send(address: &str, host: &str, spec: &RequestSpec) -> Result<Outcome> {
     let started = Instant::now();
-    let mut outcome = Seen::default();
+    let mut outcome = Outcome::default();
     let exchange = async {
         let mut connection = Connection::open(address).await?;
         connection.exchange(host, spec, &mut outcome).await
     };
-    match spec.leave_after {
+    match spec.disconnect_after {
         Some(disconnect_after) => drop(tokio::time::timeout(disconnect_after, exchange).await),
         None => exchange.await?,
     }
-    outcome.took = started.elapsed();
+    outcome.elapsed = started.elapsed();
     Ok(outcome)
 }
 
@@ -101,7 +101,7 @@
 
     /// Sends a request and records its outcome in `outcome` as it arrives, so that a caller that cancels this future
     /// keeps the part that arrived. A lost connection leaves the outcome incomplete and is not an error.
-    pub async fn exchange(&mut self, host: &str, spec: &Ask, outcome: &mut Seen) -> Result<()> {
+    pub async fn exchange(&mut self, host: &str, spec: &RequestSpec, outcome: &mut Outcome) -> Result<()> {
         let mut request = Request::builder().method(spec.method).uri(&spec.path).header("host", host);
         for (name, value) in &spec.headers {
             request = request.header(*name, value);
@@ -117,7 +117,7 @@
         loop {
             match body.frame().await {
                 None => {
-                    outcome.whole = true;
+                    outcome.is_complete = true;
                     return Ok(());
                 }
                 Some(Err(_)) => return Ok(()),
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -9,8 +9,8 @@
 pub mod soak;
 mod store;
 
-pub use client::{Ask, Connection, Seen, send};
+pub use client::{RequestSpec, Connection, Outcome, send};
 pub use proxy::{NetworkFault, Proxy};
-pub use replica::{Act, Replica, Run};
+pub use replica::{Behavior, Replica, ReceivedRequest};
 pub use site::{HOST, KEY, Proxies, Site, Spec};
-pub use store::{Copy, Fault, Store, StoreListener};
+pub use store::{Snapshot, Fault, Store, StoreListener};
--- a/standin/src/platform/replica/answers.rs
+++ b/standin/src/platform/replica/answers.rs
@@ -12,7 +12,7 @@
 use futures_util::stream;
 use serde_json::{Value, json};
 
-use super::{Act, CRASH_DELAY, CrashTrigger, Replica, Reservation};
+use super::{Behavior, CRASH_DELAY, CrashTrigger, Replica, Reservation};
 
 /// Number of events in a complete stream.
 const STREAM_EVENTS: u64 = 8;
@@ -99,7 +99,7 @@
     let crash_trigger = replica.find_crash_trigger(&body);
     let Some(behavior) = replica.record_request(&id, head, body) else {
         let misdirected = (StatusCode::MISDIRECTED_REQUEST, [("replica-id", replica.id.clone())]).into_response();
-        return add_replica_headers(misdirected, &replica, Act::Refuse, &id);
+        return add_replica_headers(misdirected, &replica, Behavior::Refuse, &id);
     };
     if replica.is_overloaded() {
         let overload =
@@ -113,7 +113,7 @@
         return add_replica_headers(body, &replica, behavior, &id);
     }
     let mut guard = CancellationGuard { replica: replica.clone(), id: id.clone(), is_complete: false };
-    if let Act::Stall(millis) = behavior {
+    if let Behavior::Stall(millis) = behavior {
         tokio::time::sleep(Duration::from_millis(millis)).await;
     }
     if !is_streaming {
@@ -121,10 +121,10 @@
         guard.is_complete = true;
     }
     let response = match behavior {
-        Act::Refuse => (StatusCode::SERVICE_UNAVAILABLE, [("not-executed", "1")]).into_response(),
-        Act::Fail => (StatusCode::INTERNAL_SERVER_ERROR, "failed").into_response(),
-        Act::Unproven => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Act::LoseAnswer => aborted_body(),
+        Behavior::Refuse => (StatusCode::SERVICE_UNAVAILABLE, [("not-executed", "1")]).into_response(),
+        Behavior::Fail => (StatusCode::INTERNAL_SERVER_ERROR, "failed").into_response(),
+        Behavior::UnconfirmedRefusal => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Behavior::DropResponse => aborted_body(),
         _ if is_streaming => event_stream(guard, replica.service_time, last_event_id, behavior),
         _ => format!("{} {id}", replica.id).into_response(),
     };
@@ -132,10 +132,10 @@
 }
 
 /// Adds the headers that each response of a replica has: request id, seal, load, and the limits that are in force.
-fn add_replica_headers(mut response: Response, replica: &Replica, behavior: Act, id: &str) -> Response {
-    let request_id = if behavior == Act::ForeignId { "another" } else { id };
+fn add_replica_headers(mut response: Response, replica: &Replica, behavior: Behavior, id: &str) -> Response {
+    let request_id = if behavior == Behavior::WrongRequestId { "another" } else { id };
     set_header(&mut response, "request-id", request_id);
-    if behavior != Act::Unsealed {
+    if behavior != Behavior::MissingSeal {
         set_header(&mut response, "response-seal", &format!("seal-of-{}", replica.id));
     }
     set_header(&mut response, "replica-load", "1,0,16");
@@ -146,7 +146,7 @@
     if inner.is_draining {
         set_header(&mut response, "server-leaving", "1");
     }
-    if let Some(backoff) = inner.backoff.clone().filter(|_| behavior == Act::Refuse) {
+    if let Some(backoff) = inner.backoff.clone().filter(|_| behavior == Behavior::Refuse) {
         set_header(&mut response, "retry-after", &backoff);
         inner.record_backoff_request(id);
     }
@@ -182,12 +182,12 @@
 }
 
 /// Builds a stream of the events after `last_event_id`, each of which takes `service_time`.
-fn event_stream(guard: CancellationGuard, service_time: Duration, last_event_id: u64, behavior: Act) -> Response {
+fn event_stream(guard: CancellationGuard, service_time: Duration, last_event_id: u64, behavior: Behavior) -> Response {
     let final_event = match behavior {
-        Act::BreakAfter(events) => last_event_id + events + 1,
+        Behavior::AbortAfter(events) => last_event_id + events + 1,
         _ => STREAM_EVENTS,
     };
-    let is_aborted = matches!(behavior, Act::BreakAfter(_));
+    let is_aborted = matches!(behavior, Behavior::AbortAfter(_));
     let chunks = stream::unfold((guard, last_event_id + 1), move |(guard, event)| async move {
         if event > final_event {
             guard.complete();
--- a/standin/src/platform/replica/mod.rs
+++ b/standin/src/platform/replica/mod.rs
@@ -19,7 +19,7 @@
 
 /// Behavior of a replica for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Act {
+pub enum Behavior {
     /// The request runs and succeeds.
     #[default]
     Serve,
@@ -28,23 +28,23 @@
     /// The request runs, and the response is 500.
     Fail,
     /// The request runs, and the connection is closed in the middle of the response.
-    LoseAnswer,
+    DropResponse,
     /// The request runs, and the response has the id of another request.
-    ForeignId,
+    WrongRequestId,
     /// The request runs, and the response is 200 without the header `response-seal`.
-    Unsealed,
+    MissingSeal,
     /// The request runs, and the response is 503 without the header `not-executed`, so that the entry cannot tell
     /// whether it ran.
-    Unproven,
+    UnconfirmedRefusal,
     /// A stream is aborted in the middle of the event that follows this many events.
-    BreakAfter(u64),
+    AbortAfter(u64),
     /// The response starts only after this many milliseconds; then the request runs and succeeds.
     Stall(u64),
 }
 
 /// Request that a replica received.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct ReceivedRequest {
     /// Request id that the caller chose.
     pub id: String,
     /// Path and query.
@@ -54,9 +54,9 @@
     /// Complete body.
     pub body: Bytes,
     /// Time at which the body was complete.
-    pub at: Instant,
+    pub received_at: Instant,
     /// Whether the replica ran the request; false if it refused the request.
-    pub ran: bool,
+    pub was_run: bool,
     /// Whether the replica refused the request and asked for a backoff.
     pub has_backoff_request: bool,
 }
@@ -68,9 +68,9 @@
 #[derive(Default)]
 struct Inner {
     /// Behaviors queued for the next requests, in order.
-    behaviors: VecDeque<Act>,
+    behaviors: VecDeque<Behavior>,
     /// All received requests, in order.
-    received: Vec<Run>,
+    received: Vec<ReceivedRequest>,
     /// Ids of requests that were cancelled before their end, and when.
     cancellations: Vec<(String, Instant)>,
     /// Memory reservations by id, including expired ones.
@@ -187,7 +187,7 @@
     }
 
     /// Stops the process and closes all its connections; does nothing if the process is down.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         let process = self.process.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(process) = process {
             self.set_proxy_listening(false);
@@ -197,14 +197,14 @@
 
     /// Makes each request whose body contains `marker` crash the process. The process starts again after `downtime`
     /// with the same id and without its memory reservations.
-    pub fn end_under(&self, marker: &str, downtime: Duration) {
+    pub fn crash_on(&self, marker: &str, downtime: Duration) {
         self.lock().crash_trigger =
             Some(CrashTrigger { marker: marker.to_owned(), downtime, listener_delay: Duration::ZERO });
     }
 
-    /// Does the same as [`Replica::end_under`], but the process still listens for `listener_delay` after it has closed
+    /// Does the same as [`Replica::crash_on`], but the process still listens for `listener_delay` after it has closed
     /// the connection of the request.
-    pub fn linger_under(&self, marker: &str, downtime: Duration, listener_delay: Duration) {
+    pub fn crash_on_with_delay(&self, marker: &str, downtime: Duration, listener_delay: Duration) {
         self.lock().crash_trigger = Some(CrashTrigger { marker: marker.to_owned(), downtime, listener_delay });
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Returns the number of crashes, by a request that triggers one or by overload in a cold period.
-    pub fn ends(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.lock().crash_count
     }
 
@@ -247,7 +247,7 @@
                 return;
             }
             replica.lock().crash_count += 1;
-            replica.end();
+            replica.stop();
             std::thread::sleep(trigger.downtime);
             replica.lock().reservations.clear();
             if let Err(error) = replica.restart() {
@@ -261,7 +261,7 @@
     }
 
     /// Queues behaviors for the next requests, one for each; later requests are served normally.
-    pub fn next(&self, behaviors: impl IntoIterator<Item = Act>) {
+    pub fn queue_behaviors(&self, behaviors: impl IntoIterator<Item = Behavior>) {
         self.lock().behaviors.extend(behaviors);
     }
 
@@ -271,17 +271,17 @@
     }
 
     /// Returns all received requests in order, including refused and misdirected ones.
-    pub fn seen(&self) -> Vec<Run> {
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         self.lock().received.clone()
     }
 
     /// Returns how often requests with this id were run.
-    pub fn ran(&self, id: &str) -> usize {
-        self.lock().received.iter().filter(|request| request.ran && request.id == id).count()
+    pub fn run_count(&self, id: &str) -> usize {
+        self.lock().received.iter().filter(|request| request.was_run && request.id == id).count()
     }
 
     /// Returns when a request was cancelled; `None` if no request with this id was cancelled before its end.
-    pub fn cancelled(&self, id: &str) -> Option<Instant> {
+    pub fn cancelled_at(&self, id: &str) -> Option<Instant> {
         self.lock()
             .cancellations
             .iter()
@@ -290,7 +290,7 @@
     }
 
     /// Returns the reserved memory in tokens, without expired reservations.
-    pub fn memory(&self) -> u64 {
+    pub fn reserved_tokens(&self) -> u64 {
         let now = Instant::now();
         self.lock()
             .reservations
@@ -314,45 +314,45 @@
     }
 
     /// Returns the bodies of all memory orders, in order of arrival.
-    pub fn orders(&self) -> Vec<Value> {
+    pub fn memory_orders(&self) -> Vec<Value> {
         self.lock().memory_orders.clone()
     }
 
     /// Sets whether orders that reserve memory are refused.
-    pub fn refuse_memory(&self, refuses: bool) {
+    pub fn refuse_reservations(&self, refuses: bool) {
         self.lock().refuses_reservations = refuses;
     }
 
     /// Sets the slowdown factor in its load reports; its real service time does not change.
-    pub fn tell_pace(&self, slowdown: f64) {
+    pub fn set_reported_slowdown(&self, slowdown: f64) {
         self.lock().slowdown = Some(slowdown);
     }
 
     /// Sets the rate limit that its responses announce, in requests per second over all entries; `None` announces none.
     /// The replica does not enforce the limit.
-    pub fn name_limit(&self, rate_limit: Option<&str>) {
+    pub fn set_rate_limit(&self, rate_limit: Option<&str>) {
         self.lock().rate_limit = rate_limit.map(str::to_owned);
     }
 
     /// Makes all its responses announce that it is draining, whatever state its record has.
-    pub fn say_leaving(&self) {
+    pub fn set_draining(&self) {
         self.lock().is_draining = true;
     }
 
     /// Makes it refuse all requests and ask for this backoff, in seconds as written in the header `retry-after`; `None`
     /// makes it serve again.
-    pub fn ask_rest(&self, backoff: Option<&str>) {
+    pub fn set_backoff(&self, backoff: Option<&str>) {
         self.lock().backoff = backoff.map(str::to_owned);
     }
 
     /// Sets the failure domain for records that are written from now on.
-    pub fn stand_in(&self, failure_domain: &str) {
+    pub fn set_failure_domain(&self, failure_domain: &str) {
         self.lock().failure_domain = Some(failure_domain.to_owned());
     }
 
     /// Starts a cold period of this length, in which more than `max_requests` requests within one second crash the
     /// process.
-    pub fn turn_cold(&self, duration: Duration, max_requests: usize) {
+    pub fn set_cold_period(&self, duration: Duration, max_requests: usize) {
         self.lock().cold_period = Some(ColdPeriod { ends_at: Instant::now() + duration, max_requests });
     }
 
@@ -366,40 +366,40 @@
             .received
             .iter()
             .rev()
-            .take_while(|request| now - request.at < OVERLOAD_WINDOW)
-            .filter(|request| request.ran)
+            .take_while(|request| now - request.received_at < OVERLOAD_WINDOW)
+            .filter(|request| request.was_run)
             .count()
             > cold_period.max_requests
     }
 
     /// Returns how many load reports were requested.
-    pub fn reports(&self) -> usize {
+    pub fn report_count(&self) -> usize {
         self.lock().report_count
     }
 
     /// Records a request and returns the behavior for it; `None` if its header `expect-replica` names another replica.
-    fn record_request(&self, id: &str, head: Parts, body: Bytes) -> Option<Act> {
+    fn record_request(&self, id: &str, head: Parts, body: Bytes) -> Option<Behavior> {
         let expected = header(&head.headers, "expect-replica");
         let is_misdirected = !expected.is_empty() && expected != self.id;
         let path = head.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
         let mut inner = self.lock();
         let is_refused = is_misdirected || inner.backoff.is_some();
-        let behavior = if is_refused { Act::Refuse } else { inner.behaviors.pop_front().unwrap_or_default() };
-        let ran = behavior != Act::Refuse;
-        inner.received.push(Run {
+        let behavior = if is_refused { Behavior::Refuse } else { inner.behaviors.pop_front().unwrap_or_default() };
+        let was_run = behavior != Behavior::Refuse;
+        inner.received.push(ReceivedRequest {
             id: id.to_owned(),
             path,
             headers: head.headers,
             body,
-            at: Instant::now(),
-            ran,
+            received_at: Instant::now(),
+            was_run,
             has_backoff_request: false,
         });
         (!is_misdirected).then_some(behavior)
     }
 
     /// Returns the record, as JSON, with which the replica announces itself in the store.
-    pub fn record(&self, service: &str, state: &str) -> String {
+    pub fn store_record(&self, service: &str, state: &str) -> String {
         let inner = self.lock();
         let proxy_address = inner.proxy.as_ref().map(|proxy| proxy.address.clone());
         let address = proxy_address.unwrap_or_else(|| self.address.clone());
--- a/standin/src/platform/site.rs
+++ b/standin/src/platform/site.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-use super::client::{self, Ask, Seen};
+use super::client::{self, RequestSpec, Outcome};
 use super::configuration::configuration;
 use super::proxy::Proxy;
 use super::replica::Replica;
@@ -38,42 +38,42 @@
     /// Number of engines of the service `advisor`.
     pub engines: usize,
     /// Number of replicas of the plain service `ledger`.
-    pub plain: usize,
+    pub plain_replicas: usize,
     /// Time that a replica takes for a response, or for each event of a stream.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// Lines that the section `[bounds]` of each entry's settings gets.
     pub bounds: String,
     /// Whether the settings of an entry name the peer addresses of the entries started before it.
-    pub seeded: bool,
+    pub has_seeds: bool,
     /// Whether entries do not listen for peers, so that each runs isolated from the others.
-    pub apart: bool,
+    pub is_isolated: bool,
     /// Whether connections from callers to entries, and from entries to the store and to replicas, pass through
     /// proxies.
-    pub proxied: bool,
+    pub has_proxies: bool,
     /// Whether entries log at level `debug` instead of `info`.
-    pub verbose: bool,
+    pub is_verbose: bool,
 }
 
 impl Spec {
     /// Returns the parameters of a site with two entries, three engines and two plain replicas, without proxies.
     pub fn small(name: &str) -> Self {
-        let takes = Duration::from_millis(20);
+        let service_time = Duration::from_millis(20);
         Self {
             name: name.to_owned(),
             entries: 2,
             engines: 3,
-            plain: 2,
-            takes,
+            plain_replicas: 2,
+            service_time,
             bounds: String::new(),
-            seeded: false,
-            apart: false,
-            proxied: false,
-            verbose: false,
+            has_seeds: false,
+            is_isolated: false,
+            has_proxies: false,
+            is_verbose: false,
         }
     }
 }
 
-/// Proxies of a site; empty unless [`Spec::proxied`] is set.
+/// Proxies of a site; empty unless [`Spec::has_proxies`] is set.
 #[derive(Default)]
 pub struct Proxies {
     /// Proxy in front of each entry, for callers.
@@ -96,17 +96,17 @@
     /// Store that all entries share.
     pub store: Arc<Store>,
     /// Listener of the store for each entry, by the entry's index.
-    pub doors: Vec<Arc<StoreListener>>,
+    pub store_listeners: Vec<Arc<StoreListener>>,
     /// Engines of the service `advisor`.
     pub engines: Vec<Arc<Replica>>,
     /// Replicas of the service `ledger`.
-    pub plain: Vec<Arc<Replica>>,
+    pub plain_replicas: Vec<Arc<Replica>>,
     /// Proxies that inject network faults.
     pub proxies: Proxies,
     /// Address of each entry for callers; that of its proxy if there is one.
     pub addresses: Vec<String>,
     /// Address of each entry for the load balancer's readiness checks.
-    pub ready: Vec<String>,
+    pub ready_addresses: Vec<String>,
     /// Address of each entry for its peers.
     peer_addresses: Vec<String>,
     /// Folder with the settings and logs of the entries.
@@ -127,31 +127,31 @@
         let store = Store::new();
         let mut engines = Vec::new();
         for index in 0..spec.engines {
-            engines.push(Replica::start(&format!("engine-{index}"), spec.takes).await?);
+            engines.push(Replica::start(&format!("engine-{index}"), spec.service_time).await?);
         }
-        let mut plain = Vec::new();
-        for index in 0..spec.plain {
-            plain.push(Replica::start(&format!("plain-{index}"), spec.takes).await?);
+        let mut plain_replicas = Vec::new();
+        for index in 0..spec.plain_replicas {
+            plain_replicas.push(Replica::start(&format!("plain-{index}"), spec.service_time).await?);
         }
         let mut site = Self {
             store,
-            doors: Vec::new(),
+            store_listeners: Vec::new(),
             engines,
-            plain,
+            plain_replicas,
             proxies: Proxies::default(),
             addresses: Vec::new(),
-            ready: Vec::new(),
+            ready_addresses: Vec::new(),
             peer_addresses: Vec::new(),
             dir,
             processes: Vec::new(),
             start_counts: Vec::new(),
             config_version: Cell::new(0),
         };
-        if spec.proxied {
+        if spec.has_proxies {
             site.start_replica_proxies().await?;
         }
         site.configure(&[KEY], |_| {});
-        site.announce_all();
+        site.write_replica_records();
         for index in 0..spec.entries {
             site.add_entry(index, &spec).await?;
         }
@@ -163,7 +163,7 @@
 
     /// Starts a proxy in front of each replica and has the replica's record name the proxy's address.
     async fn start_replica_proxies(&mut self) -> Result<()> {
-        for replica in self.engines.iter().chain(&self.plain) {
+        for replica in self.engines.iter().chain(&self.plain_replicas) {
             let proxy = Proxy::start(replica.address.clone()).await?;
             replica.set_proxy(proxy.clone());
             self.proxies.replicas.push(proxy);
@@ -176,26 +176,26 @@
         let store_listener = self.store.listen().await?;
         let (entry_address, ready_address, peer_address) = (free_address()?, free_address()?, free_address()?);
         let earlier_peers = &self.peer_addresses[..self.peer_addresses.len().min(MAX_SEEDS)];
-        let seeds = if spec.seeded { earlier_peers.join(",") } else { String::new() };
+        let seeds = if spec.has_seeds { earlier_peers.join(",") } else { String::new() };
         self.peer_addresses.push(peer_address.clone());
         let bounds = &spec.bounds;
         let (mut store_address, mut caller_address) = (store_listener.address.clone(), entry_address.clone());
-        if spec.proxied {
+        if spec.has_proxies {
             let (store_proxy, caller_proxy) = (Proxy::start(store_address).await?, Proxy::start(caller_address).await?);
             (store_address, caller_address) = (store_proxy.address.clone(), caller_proxy.address.clone());
             self.proxies.store.push(store_proxy);
             self.proxies.callers.push(caller_proxy);
         }
-        let log_level = if spec.verbose { "debug" } else { "info" };
-        let peer_listen = if spec.apart { String::new() } else { format!("peer_listen = {peer_address}\n") };
+        let log_level = if spec.is_verbose { "debug" } else { "info" };
+        let peer_listen = if spec.is_isolated { String::new() } else { format!("peer_listen = {peer_address}\n") };
         let settings = format!(
             "[process]\nname = entry-{index}\nfailure_domain = here\nlog_level = {log_level}\n\n[gateway]\nlisten = {entry_address}\n\
              ready_listen = {ready_address}\nstore = {store_address}\n{peer_listen}seeds = {seeds}\n\n[bounds]\nretry_allowance = 100\n{bounds}\n"
         );
         std::fs::write(self.settings_file(index), settings).wrap_err("step=write-settings")?;
         self.addresses.push(caller_address);
-        self.ready.push(ready_address);
-        self.doors.push(store_listener);
+        self.ready_addresses.push(ready_address);
+        self.store_listeners.push(store_listener);
         self.processes.push(None);
         self.start_counts.push(0);
         self.start_process(index)
@@ -252,7 +252,7 @@
 
     /// Writes the configuration again under its newest version, as operators do after a restore of the store. Edits
     /// made by `change` in [`Site::configure`] are not repeated.
-    pub fn configure_again(&self, keys: &[&str]) {
+    pub fn rewrite_configuration(&self, keys: &[&str]) {
         self.store.put("keyed.op", "config", configuration(self.config_version.get(), keys).to_string());
     }
 
@@ -262,28 +262,28 @@
     }
 
     /// Cancels the evacuation of a failure domain, as operators do.
-    pub fn end_evacuation(&self, domain: &str) {
+    pub fn cancel_evacuation(&self, domain: &str) {
         self.store.put("keyed.op", &format!("evacuate/{domain}"), "");
     }
 
     /// Writes the records of all replicas to the store, with state `ready`.
-    pub fn announce_all(&self) {
-        for (service, replicas) in [("advisor", &self.engines), ("ledger", &self.plain)] {
+    pub fn write_replica_records(&self) {
+        for (service, replicas) in [("advisor", &self.engines), ("ledger", &self.plain_replicas)] {
             for replica in replicas {
-                self.store.put("keyed.servers", &replica.id, replica.record(service, "ready"));
+                self.store.put("keyed.servers", &replica.id, replica.store_record(service, "ready"));
             }
         }
     }
 
     /// Sends a request to an entry; the status is 0 if the connection cannot be opened.
-    pub async fn send(&self, entry: usize, spec: &Ask) -> Seen {
+    pub async fn send(&self, entry: usize, spec: &RequestSpec) -> Outcome {
         client::send(&self.addresses[entry], HOST, spec).await.unwrap_or_default()
     }
 
     /// Returns whether an entry reports that it is ready.
     pub async fn is_ready(&self, entry: usize) -> bool {
-        let spec = Ask { headers: Vec::new(), ..Ask::new("GET", "/ready", "", "") };
-        client::send(&self.ready[entry], HOST, &spec).await.is_ok_and(|outcome| outcome.status == 200)
+        let spec = RequestSpec { headers: Vec::new(), ..RequestSpec::new("GET", "/ready", "", "") };
+        client::send(&self.ready_addresses[entry], HOST, &spec).await.is_ok_and(|outcome| outcome.status == 200)
     }
 
     /// Waits until an entry reports that it is ready, or not ready if `is_ready` is false. An error contains the
@@ -311,7 +311,7 @@
     }
 
     /// Waits until an entry's process has exited, and returns whether it exited as expected.
-    pub async fn wait_end(&mut self, entry: usize) -> Result<bool> {
+    pub async fn wait_exit(&mut self, entry: usize) -> Result<bool> {
         let Some(mut process) = self.processes[entry].take() else {
             return Err(eyre!("step=wait-exit entry={entry}: not running"));
         };
@@ -378,7 +378,7 @@
             let _ = process.kill();
             let _ = process.wait();
         }
-        self.engines.iter().chain(&self.plain).for_each(|replica| replica.end());
+        self.engines.iter().chain(&self.plain_replicas).for_each(|replica| replica.stop());
     }
 }
 
--- a/standin/src/platform/soak/caller.rs
+++ b/standin/src/platform/soak/caller.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use crate::platform::client::{self, Ask, Connection, Seen};
+use crate::platform::client::{self, RequestSpec, Connection, Outcome};
 use crate::platform::site::HOST;
 
 /// Range of the time that a caller waits before each request, in milliseconds.
@@ -60,7 +60,7 @@
     /// Phase just before the request was sent.
     pub phase: Phase,
     /// Outcome for the caller.
-    pub outcome: Seen,
+    pub outcome: Outcome,
 }
 
 /// State shared by the callers and the fault injector.
@@ -103,16 +103,16 @@
 }
 
 /// Builds a request for a route, with this request id and API key.
-fn build_request(route: Route, id: &str, key: &str) -> Ask {
+fn build_request(route: Route, id: &str, key: &str) -> RequestSpec {
     let prompt = |tokens: u32| {
         let usage = format!("{tokens},400");
-        Ask::new("POST", "/prompt/1", id, key).with("token-usage", &usage).with("deadline-ms", "2500")
+        RequestSpec::new("POST", "/prompt/1", id, key).with_header("token-usage", &usage).with_header("deadline-ms", "2500")
     };
     match route {
         Route::Prompt => prompt(500),
         Route::LongPrompt => prompt(700_000),
-        Route::Pay => Ask::new("POST", "/pay/1", id, key).with("deadline-ms", "2000"),
-        Route::Look => Ask::new("GET", "/look/1", id, key).with("deadline-ms", "2000"),
+        Route::Pay => RequestSpec::new("POST", "/pay/1", id, key).with_header("deadline-ms", "2000"),
+        Route::Look => RequestSpec::new("GET", "/look/1", id, key).with_header("deadline-ms", "2000"),
     }
 }
 
@@ -166,12 +166,12 @@
         let id = format!("soak-{}", shared.next_request_number.fetch_add(1, Ordering::Relaxed));
         let sent_at = Instant::now();
         let spec = build_request(route, &id, &api_key(key));
-        let mut outcome = Seen::default();
+        let mut outcome = Outcome::default();
         let exchange = connection.exchange(HOST, &spec, &mut outcome);
         // The timeout exceeds all deadlines in the requests, so that it never cuts off a response that is due.
         let _ = tokio::time::timeout(Duration::from_secs(4), exchange).await;
-        outcome.took = sent_at.elapsed();
-        let is_reusable = outcome.whole && outcome.header("connection") != "close";
+        outcome.elapsed = sent_at.elapsed();
+        let is_reusable = outcome.is_complete && outcome.header("connection") != "close";
         shared.add_record(RequestRecord { id, route, entry, key_number: key, sent_at, phase, outcome });
         if is_reusable {
             idle_connection = Some((entry, connection, request_count + 1));
--- a/standin/src/platform/soak/injector.rs
+++ b/standin/src/platform/soak/injector.rs
@@ -14,9 +14,9 @@
 use super::caller::{Phase, SharedState, api_key};
 use super::{BACKOFF, EVACUATED_DOMAIN, Plan, RECOVERY_TIMEOUT};
 use crate::platform::proxy::NetworkFault;
-use crate::platform::replica::{Act, Replica};
+use crate::platform::replica::{Behavior, Replica};
 use crate::platform::site::Site;
-use crate::platform::store::{Copy, Fault};
+use crate::platform::store::{Snapshot, Fault};
 
 /// Length of the fault-free phase at the end of a round, in which every request must succeed.
 const FAULT_FREE_PERIOD: Duration = Duration::from_millis(1_500);
@@ -64,7 +64,7 @@
     Return,
 }
 
-/// Kinds that [`Plan::words`] adds.
+/// Kinds that [`Plan::has_response_signals`] adds.
 const RESPONSE_SIGNAL_KINDS: [Kind; 3] = [Kind::Leave, Kind::Rest, Kind::Return];
 
 /// Kinds in rounds with maintenance only.
@@ -94,7 +94,7 @@
     /// Clears the fault of the proxy with this index in [`Proxies::all`](crate::platform::site::Proxies::all).
     ClearNetworkFault(usize),
     ClearBackoff(Arc<Replica>),
-    RestoreStore(Copy),
+    RestoreStore(Snapshot),
 }
 
 /// Injects faults, reverts them when they are due, and records what the checks need to know about them.
@@ -118,7 +118,7 @@
     /// Times at which a fault affected an entry, given by its index, or the network, given as `None`.
     pub disturbances: Vec<(Option<usize>, Instant)>,
     /// Snapshot of the store, to be restored later.
-    snapshot: Option<Copy>,
+    snapshot: Option<Snapshot>,
     /// Descriptions of the guarantees that were breached during the rounds.
     pub breaches: Vec<String>,
 }
@@ -154,7 +154,7 @@
                 matches!(revert, Revert::RestartEntry(other) | Revert::ResumeEntry(other) | Revert::AwaitExit(other) if other == entry)
             })
         };
-        let candidates: Vec<usize> = (0..self.site.doors.len())
+        let candidates: Vec<usize> = (0..self.site.store_listeners.len())
             .filter(|entry| self.site.is_running(*entry) && !has_pending_revert(entry))
             .collect();
         candidates.choose(&mut self.rng).copied()
@@ -214,12 +214,12 @@
 
     /// Sets the same random fault of the store for one entry or for all.
     fn inject_store_fault(&mut self, revert_at: Instant) {
-        let faults = [Fault::Unavailable, Fault::TooMany, Fault::Silent, Fault::DropResponses];
+        let faults = [Fault::Unavailable, Fault::TooManyRequests, Fault::Unresponsive, Fault::DropResponses];
         let fault = *faults.choose(&mut self.rng).unwrap_or(&Fault::Unavailable);
         let affects_all = self.rng.random_bool(0.4);
-        let chosen_entry = self.rng.random_range(0..self.site.doors.len());
-        for entry in (0..self.site.doors.len()).filter(|entry| affects_all || *entry == chosen_entry) {
-            self.site.doors[entry].set(fault);
+        let chosen_entry = self.rng.random_range(0..self.site.store_listeners.len());
+        for entry in (0..self.site.store_listeners.len()).filter(|entry| affects_all || *entry == chosen_entry) {
+            self.site.store_listeners[entry].set_fault(fault);
             self.pending_reverts.push((revert_at, Revert::ClearStoreFault(entry)));
         }
     }
@@ -250,19 +250,19 @@
     /// Queues one to five random faulty behaviors at a random replica.
     fn queue_bad_responses(&mut self) {
         let behaviors = [
-            Act::Refuse,
-            Act::Fail,
-            Act::LoseAnswer,
-            Act::ForeignId,
-            Act::Unsealed,
-            Act::Unproven,
-            Act::BreakAfter(3),
-            Act::Stall(700),
+            Behavior::Refuse,
+            Behavior::Fail,
+            Behavior::DropResponse,
+            Behavior::WrongRequestId,
+            Behavior::MissingSeal,
+            Behavior::UnconfirmedRefusal,
+            Behavior::AbortAfter(3),
+            Behavior::Stall(700),
         ];
-        let replicas: Vec<&Arc<Replica>> = self.site.engines.iter().chain(&self.site.plain).collect();
+        let replicas: Vec<&Arc<Replica>> = self.site.engines.iter().chain(&self.site.plain_replicas).collect();
         let Some(replica) = replicas.choose(&mut self.rng) else { return };
         let count = self.rng.random_range(1..6);
-        replica.next((0..count).filter_map(|_| behaviors.choose(&mut self.rng).copied()));
+        replica.queue_behaviors((0..count).filter_map(|_| behaviors.choose(&mut self.rng).copied()));
     }
 
     /// Adds an API key and removes the oldest one, so that the two newest keys are valid.
@@ -282,10 +282,10 @@
         let index = self.drained_replicas.len();
         let (service, replica) = match index {
             0 => ("advisor", self.site.engines[0].clone()),
-            1 => ("ledger", self.site.plain[0].clone()),
+            1 => ("ledger", self.site.plain_replicas[0].clone()),
             _ => return,
         };
-        self.site.store.put("keyed.servers", &replica.id, replica.record(service, "draining"));
+        self.site.store.put("keyed.servers", &replica.id, replica.store_record(service, "draining"));
         self.drained_replicas.push((replica, Instant::now()));
     }
 
@@ -294,18 +294,18 @@
     fn announce_draining(&mut self) {
         let replica = match self.draining_by_response.len() {
             0 => self.site.engines[1].clone(),
-            1 => self.site.plain[1].clone(),
+            1 => self.site.plain_replicas[1].clone(),
             _ => return,
         };
-        replica.say_leaving();
+        replica.set_draining();
         self.draining_by_response.push((replica, Instant::now()));
     }
 
     /// Makes the last engine or the last plain replica refuse requests and ask for a backoff.
     fn start_backoff(&mut self, revert_at: Instant) {
-        let replicas = if self.rng.random_bool(0.5) { &self.site.engines } else { &self.site.plain };
+        let replicas = if self.rng.random_bool(0.5) { &self.site.engines } else { &self.site.plain_replicas };
         let Some(replica) = replicas.last().cloned() else { return };
-        replica.ask_rest(Some(&BACKOFF.as_secs().to_string()));
+        replica.set_backoff(Some(&BACKOFF.as_secs().to_string()));
         self.pending_reverts.push((revert_at, Revert::ClearBackoff(replica)));
     }
 
@@ -313,29 +313,29 @@
     /// from the snapshot.
     fn snapshot_or_restore_store(&mut self, revert_at: Instant) {
         let Some(snapshot) = self.snapshot.take() else {
-            self.snapshot = Some(self.site.store.copy());
+            self.snapshot = Some(self.site.store.snapshot());
             return;
         };
-        for entry in 0..self.site.doors.len() {
-            self.site.doors[entry].set(Fault::Unavailable);
+        for entry in 0..self.site.store_listeners.len() {
+            self.site.store_listeners[entry].set_fault(Fault::Unavailable);
             self.pending_reverts.push((revert_at, Revert::ClearStoreFault(entry)));
         }
         self.pending_reverts.push((revert_at, Revert::RestoreStore(snapshot)));
     }
 
     /// Restores the store from a snapshot, and writes the present records of operators and replicas again.
-    fn restore_store(&self, snapshot: Copy) {
-        self.site.store.come_back_from(snapshot);
+    fn restore_store(&self, snapshot: Snapshot) {
+        self.site.store.restore(snapshot);
         let newest_key = self.shared.newest_key.load(Ordering::Relaxed);
         let previous_key = newest_key.saturating_sub(1);
-        self.site.configure_again(&[api_key(newest_key).as_str(), api_key(previous_key).as_str()]);
+        self.site.rewrite_configuration(&[api_key(newest_key).as_str(), api_key(previous_key).as_str()]);
         if self.evacuations.last().is_some_and(|(_, cancelled_at)| cancelled_at.is_none()) {
             self.site.evacuate(EVACUATED_DOMAIN);
         }
-        self.site.announce_all();
+        self.site.write_replica_records();
         for (index, (replica, _)) in self.drained_replicas.iter().enumerate() {
             let service = if index == 0 { "advisor" } else { "ledger" };
-            self.site.store.put("keyed.servers", &replica.id, replica.record(service, "draining"));
+            self.site.store.put("keyed.servers", &replica.id, replica.store_record(service, "draining"));
         }
     }
 
@@ -344,7 +344,7 @@
         let now = Instant::now();
         if let Some((_, cancelled_at @ None)) = self.evacuations.last_mut() {
             *cancelled_at = Some(now);
-            self.site.end_evacuation(EVACUATED_DOMAIN);
+            self.site.cancel_evacuation(EVACUATED_DOMAIN);
         } else {
             self.evacuations.push((now, None));
             self.site.evacuate(EVACUATED_DOMAIN);
@@ -365,14 +365,14 @@
                     self.site.signal(entry, Signal::CONT)?;
                 }
                 Revert::AwaitExit(entry) => {
-                    if !self.site.wait_end(entry).await? {
+                    if !self.site.wait_exit(entry).await? {
                         self.breaches.push(format!("entry {entry} did not exit with status 0 after SIGTERM"));
                     }
                     self.site.restart(entry).await?;
                 }
-                Revert::ClearBackoff(replica) => replica.ask_rest(None),
+                Revert::ClearBackoff(replica) => replica.set_backoff(None),
                 Revert::RestoreStore(snapshot) => self.restore_store(snapshot),
-                Revert::ClearStoreFault(entry) => self.site.doors[entry].set(Fault::None),
+                Revert::ClearStoreFault(entry) => self.site.store_listeners[entry].set_fault(Fault::None),
                 Revert::ClearNetworkFault(index) => {
                     if let Some(proxy) = self.site.proxies.all().nth(index) {
                         proxy.set_fault(NetworkFault::None);
@@ -387,10 +387,10 @@
     /// through the recovery and the fault-free phase.
     pub async fn run_round(&mut self, plan: &Plan, is_maintenance: bool) -> Result<()> {
         let mut kinds = if is_maintenance { MAINTENANCE_KINDS.to_vec() } else { FAULT_KINDS.to_vec() };
-        if plan.evacuations {
+        if plan.has_evacuations {
             kinds.push(Kind::Evacuate);
         }
-        if plan.words {
+        if plan.has_response_signals {
             kinds.extend(RESPONSE_SIGNAL_KINDS);
         }
         self.shared.set_phase(if is_maintenance { Phase::Maintenance } else { Phase::Faults });
@@ -405,10 +405,10 @@
             self.revert_faults(false).await?;
         }
         self.revert_faults(true).await?;
-        self.site.engines.iter().chain(&self.site.plain).for_each(|replica| replica.clear_behaviors());
+        self.site.engines.iter().chain(&self.site.plain_replicas).for_each(|replica| replica.clear_behaviors());
         // Requests that were sent during the faults end before the fault-free phase starts.
         tokio::time::sleep(RECOVERY_TIMEOUT).await;
-        for entry in 0..self.site.doors.len() {
+        for entry in 0..self.site.store_listeners.len() {
             if !self.site.is_ready(entry).await {
                 self.breaches
                     .push(format!("entry {entry} is not ready {} s after the last fault", RECOVERY_TIMEOUT.as_secs()));
--- a/standin/src/platform/soak/judge.rs
+++ b/standin/src/platform/soak/judge.rs
@@ -8,7 +8,7 @@
 use super::caller::{FATAL_BODY, Phase, RequestRecord, Route};
 use super::injector::Injector;
 use super::{BACKOFF, Plan, RATE_LIMIT, RECOVERY_TIMEOUT, REVOKE_TIMEOUT, Report, last_replicas};
-use crate::platform::replica::{Replica, Run};
+use crate::platform::replica::{Replica, ReceivedRequest};
 use crate::platform::site::Site;
 
 /// Bounds the time from a replica's announcement that it is draining to its last request: the default of the entries'
@@ -44,8 +44,8 @@
         ..
     } = injector;
     let mut run_counts: BTreeMap<String, usize> = BTreeMap::new();
-    for replica in site.engines.iter().chain(&site.plain) {
-        for request in replica.seen().iter().filter(|request| request.ran) {
+    for replica in site.engines.iter().chain(&site.plain_replicas) {
+        for request in replica.received_requests().iter().filter(|request| request.was_run) {
             *run_counts.entry(request.id.clone()).or_default() += 1;
         }
     }
@@ -60,9 +60,9 @@
     }
     for (replica, drained_at) in &drained_replicas {
         let late_count = replica
-            .seen()
+            .received_requests()
             .iter()
-            .filter(|request| request.ran && request.at > *drained_at + DRAIN_TIMEOUT + RECOVERY_TIMEOUT)
+            .filter(|request| request.was_run && request.received_at > *drained_at + DRAIN_TIMEOUT + RECOVERY_TIMEOUT)
             .count();
         if late_count > 0 {
             breaches.push(format!(
@@ -72,12 +72,12 @@
         }
     }
     for (started_at, cancelled_at) in evacuations {
-        let is_late = |request: &Run| {
-            request.ran
-                && request.at > started_at + DRAIN_TIMEOUT + RECOVERY_TIMEOUT
-                && cancelled_at.is_none_or(|cancelled_at| request.at < cancelled_at)
+        let is_late = |request: &ReceivedRequest| {
+            request.was_run
+                && request.received_at > started_at + DRAIN_TIMEOUT + RECOVERY_TIMEOUT
+                && cancelled_at.is_none_or(|cancelled_at| request.received_at < cancelled_at)
         };
-        let late_count = last_replicas(&site).flat_map(|replica| replica.seen()).filter(is_late).count();
+        let late_count = last_replicas(&site).flat_map(|replica| replica.received_requests()).filter(is_late).count();
         if late_count > 0 {
             breaches
                 .push(format!("{late_count} requests reached a failure domain too long after its evacuation started"));
@@ -94,24 +94,24 @@
         }
     }
     let max_requests_in_backoff =
-        if plan.words { find_max_requests_in_backoff(&site, &entry_by_id, &disturbances) } else { 0 };
+        if plan.has_response_signals { find_max_requests_in_backoff(&site, &entry_by_id, &disturbances) } else { 0 };
     if max_requests_in_backoff > MAX_REQUESTS_IN_BACKOFF {
         breaches.push(format!(
             "a replica got {max_requests_in_backoff} requests from an entry during the backoff that it had requested"
         ));
     }
     let fatal_request_count = count_fatal_requests(&site);
-    let crash_count = site.engines.iter().map(|engine| engine.ends()).sum();
+    let crash_count = site.engines.iter().map(|engine| engine.crash_count()).sum();
     if fatal_request_count > MAX_FATAL_REQUESTS {
         breaches.push(format!("{fatal_request_count} fatal requests reached engines, with {crash_count} crashes"));
     }
-    let max_requests_in_window = if plan.limits { find_max_requests_in_window(&site) } else { 0 };
+    let max_requests_in_window = if plan.has_rate_limits { find_max_requests_in_window(&site) } else { 0 };
     let allowed_count = (RATE_LIMIT * RATE_LIMIT_WINDOW.as_secs_f64() * 1.5 + 5.0) as usize;
     if max_requests_in_window > allowed_count {
         breaches.push(format!("a replica with a limit of {RATE_LIMIT}/s got {max_requests_in_window} requests in 4 s"));
     }
     let wait_start = Instant::now();
-    let reserved_tokens = || site.engines.iter().map(|engine| engine.memory()).sum::<u64>();
+    let reserved_tokens = || site.engines.iter().map(|engine| engine.reserved_tokens()).sum::<u64>();
     while reserved_tokens() > 0 && wait_start.elapsed() < RELEASE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -140,7 +140,7 @@
 /// exempts.
 fn find_max_requests_in_window(site: &Site) -> usize {
     let max_in_window = |replica: &Replica| {
-        let times: Vec<Instant> = replica.seen().iter().map(|request| request.at).collect();
+        let times: Vec<Instant> = replica.received_requests().iter().map(|request| request.received_at).collect();
         let window_starts = times.iter().filter(|start| **start >= times[0] + RATE_LIMIT_DELAY);
         let count_in_window = |start: &Instant| {
             times.iter().filter(|time| **time >= *start && **time < *start + RATE_LIMIT_WINDOW).count()
@@ -155,9 +155,9 @@
 
 /// Groups the requests that a replica received by the entry that sent them. Requests of unknown origin, which are those
 /// of the fatal caller, are skipped.
-fn group_by_entry(replica: &Replica, entry_by_id: &EntryById) -> BTreeMap<usize, Vec<Run>> {
-    let mut groups: BTreeMap<usize, Vec<Run>> = BTreeMap::new();
-    for request in replica.seen() {
+fn group_by_entry(replica: &Replica, entry_by_id: &EntryById) -> BTreeMap<usize, Vec<ReceivedRequest>> {
+    let mut groups: BTreeMap<usize, Vec<ReceivedRequest>> = BTreeMap::new();
+    for request in replica.received_requests() {
         if let Some(entry) = entry_by_id.get(&*request.id) {
             groups.entry(*entry).or_default().push(request);
         }
@@ -184,14 +184,14 @@
     let mut late_count = 0;
     for (entry, requests) in group_by_entry(replica, entry_by_id) {
         let notice_times: Vec<Instant> =
-            requests.iter().map(|request| request.at).filter(|time| *time >= since).collect();
-        let is_late = |request: &Run| {
+            requests.iter().map(|request| request.received_at).filter(|time| *time >= since).collect();
+        let is_late = |request: &ReceivedRequest| {
             let is_binding = |notice: &Instant| {
-                request.at > *notice + DRAIN_TIMEOUT && !is_disturbed(entry, disturbances, *notice, request.at)
+                request.received_at > *notice + DRAIN_TIMEOUT && !is_disturbed(entry, disturbances, *notice, request.received_at)
             };
             notice_times.iter().any(is_binding)
         };
-        late_count += requests.iter().filter(|request| request.ran && is_late(request)).count();
+        late_count += requests.iter().filter(|request| request.was_run && is_late(request)).count();
     }
     late_count
 }
@@ -204,14 +204,14 @@
     disturbances: &[(Option<usize>, Instant)],
 ) -> usize {
     let mut max_count = 0;
-    for replica in site.engines.iter().chain(&site.plain) {
+    for replica in site.engines.iter().chain(&site.plain_replicas) {
         for (entry, requests) in group_by_entry(replica, entry_by_id) {
             let refusals = requests.iter().filter(|request| request.has_backoff_request);
             for refusal in
-                refusals.filter(|request| !is_disturbed(entry, disturbances, request.at, request.at + BACKOFF))
+                refusals.filter(|request| !is_disturbed(entry, disturbances, request.received_at, request.received_at + BACKOFF))
             {
                 let is_in_backoff =
-                    |request: &&Run| request.at > refusal.at + BACKOFF_DELAY && request.at < refusal.at + BACKOFF;
+                    |request: &&ReceivedRequest| request.received_at > refusal.received_at + BACKOFF_DELAY && request.received_at < refusal.received_at + BACKOFF;
                 max_count = max_count.max(requests.iter().filter(is_in_backoff).count());
             }
         }
@@ -221,7 +221,7 @@
 
 /// Returns the number of fatal requests that reached engines.
 fn count_fatal_requests(site: &Site) -> usize {
-    let requests = site.engines.iter().flat_map(|engine| engine.seen());
+    let requests = site.engines.iter().flat_map(|engine| engine.received_requests());
     requests.filter(|request| *request.body == *FATAL_BODY.as_bytes()).count()
 }
 
@@ -246,7 +246,7 @@
     if revoked_at.is_some_and(|revoked_at| record.sent_at > revoked_at + REVOKE_TIMEOUT) && run_count > 0 {
         return Some("the request ran with a revoked API key");
     }
-    let is_answered = outcome.whole && outcome.status > 0;
+    let is_answered = outcome.is_complete && outcome.status > 0;
     match record.phase {
         Phase::Maintenance if run_count > 0 && !is_answered => {
             Some("the response was lost during maintenance without faults")
@@ -270,8 +270,8 @@
         Route::Prompt | Route::LongPrompt => {
             let expected: String =
                 (1..=8).map(|event| format!("id: {event}\ndata: piece {event} of {}\n\n", record.id)).collect();
-            if outcome.whole { outcome.body == expected } else { expected.starts_with(&outcome.body) }
+            if outcome.is_complete { outcome.body == expected } else { expected.starts_with(&outcome.body) }
         }
-        Route::Pay | Route::Look => !outcome.whole || outcome.body.ends_with(&format!(" {}", record.id)),
+        Route::Pay | Route::Look => !outcome.is_complete || outcome.body.ends_with(&format!(" {}", record.id)),
     }
 }
--- a/standin/src/platform/soak/mod.rs
+++ b/standin/src/platform/soak/mod.rs
@@ -45,7 +45,7 @@
 /// Returns the last replica of each service, which announces a rate limit or is in the evacuated failure domain. Only
 /// one replica of each service is used, so that others remain; the last one, since the first one is drained.
 fn last_replicas(site: &Site) -> impl Iterator<Item = &Arc<Replica>> {
-    site.engines.last().into_iter().chain(site.plain.last())
+    site.engines.last().into_iter().chain(site.plain_replicas.last())
 }
 
 /// Backoff that replicas ask for.
@@ -68,14 +68,14 @@
     /// Number of concurrent callers.
     pub callers: usize,
     /// Whether one more caller repeatedly sends requests that crash engines.
-    pub fatal: bool,
+    pub has_fatal_requests: bool,
     /// Whether an engine and a plain replica announce a rate limit from the start.
-    pub limits: bool,
+    pub has_rate_limits: bool,
     /// Whether a failure domain is evacuated, and the evacuation cancelled, from time to time.
-    pub evacuations: bool,
+    pub has_evacuations: bool,
     /// Whether replicas announce draining or ask for a backoff in their responses, and the store is restored from older
     /// snapshots.
-    pub words: bool,
+    pub has_response_signals: bool,
 }
 
 /// Result of a soak.
@@ -117,11 +117,11 @@
 pub async fn run(plan: &Plan) -> Result<Report> {
     let bounds = format!("revoke_ms = {}", REVOKE_TIMEOUT.as_millis());
     let name = format!("soak-{}", plan.seed);
-    let spec = Spec { entries: plan.entries, engines: 4, plain: 3, proxied: true, bounds, ..Spec::small(&name) };
+    let spec = Spec { entries: plan.entries, engines: 4, plain_replicas: 3, has_proxies: true, bounds, ..Spec::small(&name) };
     let site = Site::start(spec).await?;
-    if plan.evacuations {
-        last_replicas(&site).for_each(|replica| replica.stand_in(EVACUATED_DOMAIN));
-        site.announce_all();
+    if plan.has_evacuations {
+        last_replicas(&site).for_each(|replica| replica.set_failure_domain(EVACUATED_DOMAIN));
+        site.write_replica_records();
     }
     let shared = Arc::new(SharedState::default());
     let first_key = api_key(0);
@@ -133,13 +133,13 @@
         let rng = SmallRng::seed_from_u64(seed_rng.random());
         callers.push(tokio::spawn(run_caller(shared.clone(), site.addresses.clone(), rng)));
     }
-    if plan.fatal {
-        site.engines.iter().for_each(|engine| engine.end_under(FATAL_BODY, CRASH_DOWNTIME));
+    if plan.has_fatal_requests {
+        site.engines.iter().for_each(|engine| engine.crash_on(FATAL_BODY, CRASH_DOWNTIME));
         let rng = SmallRng::seed_from_u64(seed_rng.random());
         callers.push(tokio::spawn(run_fatal_caller(shared.clone(), site.addresses.clone(), rng)));
     }
-    if plan.limits {
-        last_replicas(&site).for_each(|replica| replica.name_limit(Some(&RATE_LIMIT.to_string())));
+    if plan.has_rate_limits {
+        last_replicas(&site).for_each(|replica| replica.set_rate_limit(Some(&RATE_LIMIT.to_string())));
     }
     let mut injector = Injector::new(site, shared.clone(), seed_rng);
     for round in 0..plan.rounds {
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -31,9 +31,9 @@
     /// Calls are not run and get 503.
     Unavailable,
     /// Calls are not run and get 429.
-    TooMany,
+    TooManyRequests,
     /// Calls are accepted, but not run, and get no response.
-    Silent,
+    Unresponsive,
     /// Appends are run but get no response; reads are served normally.
     DropResponses,
 }
@@ -88,11 +88,11 @@
 }
 
 /// Snapshot of all topics of the store.
-pub struct Copy(HashMap<String, Topic>);
+pub struct Snapshot(HashMap<String, Topic>);
 
-impl Copy {
+impl Snapshot {
     /// Removes a topic from the snapshot, as if nothing had been written to it before the snapshot was taken.
-    pub fn without(mut self, topic: &str) -> Self {
+    pub fn without_topic(mut self, topic: &str) -> Self {
         self.0.remove(topic);
         self
     }
@@ -154,13 +154,13 @@
     }
 
     /// Takes a snapshot of all topics.
-    pub fn copy(&self) -> Copy {
-        Copy(lock(&self.topics).clone())
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot(lock(&self.topics).clone())
     }
 
     /// Restores the store from a snapshot and starts a new era. Records written since the snapshot are lost, and their
     /// offsets are assigned again.
-    pub fn come_back_from(&self, snapshot: Copy) {
+    pub fn restore(&self, snapshot: Snapshot) {
         let mut topics = lock(&self.topics);
         *topics = snapshot.0;
         self.era.fetch_add(1, Ordering::SeqCst);
@@ -200,12 +200,12 @@
 
 impl StoreListener {
     /// Sets the fault for calls that start from now on.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         *lock(&self.fault) = fault;
     }
 
     /// Returns the number of calls through this listener, including those that failed by its fault.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         *lock(&self.call_count)
     }
 
@@ -216,8 +216,8 @@
         let fault = *lock(&self.fault);
         match fault {
             Fault::Unavailable => Err(StatusCode::SERVICE_UNAVAILABLE.into_response()),
-            Fault::TooMany => Err(StatusCode::TOO_MANY_REQUESTS.into_response()),
-            Fault::Silent => {
+            Fault::TooManyRequests => Err(StatusCode::TOO_MANY_REQUESTS.into_response()),
+            Fault::Unresponsive => {
                 std::future::pending::<()>().await;
                 Ok(fault)
             }
--- a/standin/tests/platform_crashes.rs
+++ b/standin/tests/platform_crashes.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use rustix::process::Signal;
-use standin::platform::{Ask, Fault, KEY, Replica, Seen, Site, Spec, send};
+use standin::platform::{RequestSpec, Fault, KEY, Replica, Outcome, Site, Spec, send};
 
 /// What the body of the work holds under which replicas end.
 const MARKER: &str = "ends-replicas";
@@ -28,31 +28,31 @@
 
 /// A site whose replicas end under marked work.
 async fn site(name: &str) -> Site {
-    start(Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) }).await
+    start(Spec { entries: 3, engines: 8, plain_replicas: 4, ..Spec::small(name) }).await
 }
 
 async fn start(spec: Spec) -> Site {
     let site = Site::start(spec).await.expect("the site starts");
-    site.engines.iter().chain(&site.plain).for_each(|replica| replica.end_under(MARKER, DOWN));
+    site.engines.iter().chain(&site.plain_replicas).for_each(|replica| replica.crash_on(MARKER, DOWN));
     site
 }
 
 /// A prompt with a body of its own.
-fn prompt(id: &str, body: &str) -> Ask {
-    let ask = Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500");
-    Ask { body: Bytes::from(body.to_owned()), ..ask }
+fn prompt(id: &str, body: &str) -> RequestSpec {
+    let ask = RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500");
+    RequestSpec { body: Bytes::from(body.to_owned()), ..ask }
 }
 
 /// A call that may be repeated, with a body of its own.
-fn look(id: &str, body: &str) -> Ask {
-    let ask = Ask::new("POST", "/look/1", id, KEY).with("deadline-ms", "2500");
-    Ask { body: Bytes::from(body.to_owned()), ..ask }
+fn look(id: &str, body: &str) -> RequestSpec {
+    let ask = RequestSpec::new("POST", "/look/1", id, KEY).with_header("deadline-ms", "2500");
+    RequestSpec { body: Bytes::from(body.to_owned()), ..ask }
 }
 
 /// How often marked work reached one of `replicas`.
 fn arrivals(replicas: &[Arc<Replica>]) -> usize {
     let marked = |body: &[u8]| body.windows(MARKER.len()).any(|part| part == MARKER.as_bytes());
-    replicas.iter().flat_map(|replica| replica.seen()).filter(|run| marked(&run.body)).count()
+    replicas.iter().flat_map(|replica| replica.received_requests()).filter(|run| marked(&run.body)).count()
 }
 
 /// Waits until an entry's log has a text.
@@ -66,12 +66,12 @@
     panic!("entry {entry} never logged {text:?}");
 }
 
-fn is_condemned(seen: &Seen) -> bool {
+fn is_condemned(seen: &Outcome) -> bool {
     seen.status == 502 && seen.body.contains("\"condemned\"")
 }
 
 /// Sends the same work through each entry in turn, so many times, under another id each time.
-async fn repeat(site: &Site, times: usize, ask: impl Fn(&str, &str) -> Ask) -> Vec<Seen> {
+async fn repeat(site: &Site, times: usize, ask: impl Fn(&str, &str) -> RequestSpec) -> Vec<Outcome> {
     let mut seen = Vec::new();
     for number in 0..times {
         let ask = ask(&format!("again-{number}"), MARKER);
@@ -93,7 +93,7 @@
 async fn a_call_under_which_three_replicas_ended_is_sent_no_more_by_any_entry() {
     let site = site("crashes-call").await;
     repeat(&site, 12, look).await;
-    assert!(arrivals(&site.plain) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.plain));
+    assert!(arrivals(&site.plain_replicas) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.plain_replicas));
     site.close().expect("no invariant was breached");
 }
 
@@ -123,13 +123,13 @@
         assert!(is_condemned(&seen), "{seen:?}");
         // No promise that it did not run in other tries, no time to come back at.
         assert_eq!(seen.header("retry-after"), "", "{seen:?}");
-        assert!(seen.took < Duration::from_millis(300), "{:?}", seen.took);
+        assert!(seen.elapsed < Duration::from_millis(300), "{:?}", seen.elapsed);
     }
     tokio::time::sleep(DOWN * 2).await;
     for entry in 0..site.addresses.len() {
         // The same caller and path, another body.
         let seen = site.send(entry, &prompt(&format!("other-{entry}"), "as usual")).await;
-        assert!(seen.whole && seen.status == 200, "{seen:?}");
+        assert!(seen.is_complete && seen.status == 200, "{seen:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -147,7 +147,7 @@
     });
     let (others, _) = futures_util::future::join(join_all(beside), repeat(&site, 8, prompt)).await;
     assert!(!others.iter().any(is_condemned), "{others:?}");
-    let whole = others.iter().filter(|seen| seen.whole && seen.status == 200).count();
+    let whole = others.iter().filter(|seen| seen.is_complete && seen.status == 200).count();
     // One that met two ends is out of attempts.
     assert!(whole >= 22, "{whole} of 24 were whole");
     assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
@@ -164,7 +164,7 @@
         });
         join_all(sends)
     };
-    let ends = || site.engines.iter().map(|engine| engine.ends()).sum::<usize>();
+    let ends = || site.engines.iter().map(|engine| engine.crash_count()).sum::<usize>();
     let mut rounds = 0;
     while ends() < 3 {
         at_once(rounds).await;
@@ -181,7 +181,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_hear_nothing_of_each_other_hear_of_it_from_the_store() {
-    let spec = Spec { entries: 3, engines: 8, apart: true, ..Spec::small("crashes-apart") };
+    let spec = Spec { entries: 3, engines: 8, is_isolated: true, ..Spec::small("crashes-apart") };
     let site = start(spec).await;
     repeat(&site, 12, prompt).await;
     assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
@@ -190,11 +190,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_while_the_store_is_silent_hears_of_it_from_another() {
-    let spec = Spec { entries: 3, engines: 8, seeded: true, ..Spec::small("crashes-late") };
+    let spec = Spec { entries: 3, engines: 8, has_seeds: true, ..Spec::small("crashes-late") };
     let mut site = start(spec).await;
     repeat(&site, 6, prompt).await;
     let before = arrivals(&site.engines);
-    site.doors[2].set(Fault::Silent);
+    site.store_listeners[2].set_fault(Fault::Unresponsive);
     site.restart(2).await.expect("the entry starts again");
     site.wait_ready(2, true).await.expect("the entry is ready");
     for number in 0..4 {
@@ -210,7 +210,7 @@
     let site = site("crashes-lifted").await;
     repeat(&site, 6, prompt).await;
     let before = arrivals(&site.engines);
-    let store = site.doors[0].address.clone();
+    let store = site.store_listeners[0].address.clone();
     let (shown, ended_well) = common::sorrelpass(&["quarantine", "--store", &store]);
     assert!(ended_well && shown.contains("standing=condemned ends="), "{shown}");
     let work = shown.split(['=', ' ']).nth(1).expect("a fingerprint").to_owned();
@@ -219,10 +219,10 @@
         wait_log(&site, entry, "step=quarantine-lifted").await;
     }
     // What ended replicas was mended.
-    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", DOWN));
+    site.engines.iter().for_each(|replica| replica.crash_on("nothing-any-more", DOWN));
     tokio::time::sleep(DOWN * 2).await;
     let seen = site.send(0, &prompt("mended", MARKER)).await;
-    assert!(seen.whole && seen.status == 200, "{seen:?}");
+    assert!(seen.is_complete && seen.status == 200, "{seen:?}");
     assert_eq!(arrivals(&site.engines), before + 1);
     assert!(
         !common::sorrelpass(&["quarantine", "--store", &store, "--lift", &work]).1,
@@ -242,9 +242,9 @@
     repeat(&site, 6, |id, _| prompt(id, &long)).await;
     let before = arrivals(&site.engines);
     let same = [
-        prompt("later", &long).with("last-event-id", "3"),
-        prompt("hurried", &long).with("x-note", "any other header"),
-        Ask {
+        prompt("later", &long).with_header("last-event-id", "3"),
+        prompt("hurried", &long).with_header("x-note", "any other header"),
+        RequestSpec {
             headers: vec![
                 ("request-id", "sooner".into()),
                 ("authorization", format!("Bearer {KEY}")),
@@ -260,20 +260,20 @@
     }
     assert_eq!(arrivals(&site.engines), before);
     tokio::time::sleep(DOWN * 2).await;
-    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", DOWN));
-    let other_workspace = Ask {
+    site.engines.iter().for_each(|replica| replica.crash_on("nothing-any-more", DOWN));
+    let other_workspace = RequestSpec {
         headers: prompt("w", "").headers.into_iter().map(|(name, value)| (name, value.replace(KEY, "key-1"))).collect(),
         ..prompt("w", &long)
     };
     let others = [
         other_workspace,
         prompt("longer", &format!("{long}x")),
-        Ask { path: "/prompt/1?again=1".to_owned(), ..prompt("query", &long) },
-        Ask { path: "/prompt/2".to_owned(), ..prompt("path", &long) },
+        RequestSpec { path: "/prompt/1?again=1".to_owned(), ..prompt("query", &long) },
+        RequestSpec { path: "/prompt/2".to_owned(), ..prompt("path", &long) },
     ];
     for ask in others {
         let seen = site.send(1, &ask).await;
-        assert!(seen.whole && seen.status == 200, "{ask:?}: {seen:?}");
+        assert!(seen.is_complete && seen.status == 200, "{ask:?}: {seen:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -302,7 +302,7 @@
         }
         assert!(arrivals(&site.engines) <= 4, "{signal:?}: sent {} times", arrivals(&site.engines));
         if signal == Signal::KILL {
-            site.wait_end(leader).await.expect("it ends");
+            site.wait_exit(leader).await.expect("it ends");
         }
         site.close().expect("no invariant was breached");
     }
@@ -331,17 +331,17 @@
 /// Counted as two it would be enough, with one end more, to have innocent work refused for good.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_end_that_two_entries_saw_counts_once() {
-    let spec = Spec { entries: 2, engines: 1, takes: Duration::from_secs(2), ..Spec::small("crashes-twice") };
+    let spec = Spec { entries: 2, engines: 1, service_time: Duration::from_secs(2), ..Spec::small("crashes-twice") };
     let site = start(spec).await;
     // Two earlier ends, each under work of its own, of which entry 0 alone knows.
     for number in 0..2 {
         site.send(0, &prompt(&format!("earlier-{number}"), &format!("{MARKER} {number}"))).await;
         tokio::time::sleep(DOWN * 3).await;
     }
-    let ends = |site: &Site| site.engines[0].ends();
+    let ends = |site: &Site| site.engines[0].crash_count();
     let before = ends(&site);
     // The same innocent work through both entries, beside work that ends the engine; the work is not sent anew.
-    let innocent: Vec<Ask> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
+    let innocent: Vec<RequestSpec> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
     let sends = join_all((0..2).map(|entry| site.send(entry, &innocent[entry])));
     let fatal = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -378,7 +378,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_listen_a_moment_longer_are_seen_to_have_ended() {
     let site = site("crashes-linger").await;
-    site.engines.iter().for_each(|engine| engine.linger_under(MARKER, DOWN, Duration::from_millis(5)));
+    site.engines.iter().for_each(|engine| engine.crash_on_with_delay(MARKER, DOWN, Duration::from_millis(5)));
     repeat(&site, 12, prompt).await;
     assert!(arrivals(&site.engines) <= 3 + MOST_AFTER, "sent {} times", arrivals(&site.engines));
     site.close().expect("no invariant was breached");
@@ -388,19 +388,19 @@
 /// came to its first run.
 async fn ends_under_two() -> Option<usize> {
     let replica = Replica::start("engine-0", Duration::from_millis(5)).await.expect("it starts");
-    replica.end_under(MARKER, Duration::from_millis(1));
-    let ask = |id: &str| Ask { body: Bytes::from(MARKER), ..Ask::new("POST", "/prompt/1", id, KEY) };
+    replica.crash_on(MARKER, Duration::from_millis(1));
+    let ask = |id: &str| RequestSpec { body: Bytes::from(MARKER), ..RequestSpec::new("POST", "/prompt/1", id, KEY) };
     let (first, second) = (ask("first"), ask("second"));
     let later = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         send(&replica.address, "site.example", &second).await
     };
     let (first, second) = tokio::join!(send(&replica.address, "site.example", &first), later);
-    assert!(!first.unwrap_or_default().whole && !second.unwrap_or_default().whole);
+    assert!(!first.unwrap_or_default().is_complete && !second.unwrap_or_default().is_complete);
     tokio::time::sleep(PAUSE).await;
-    let ends = replica.ends();
-    let at: Vec<_> = replica.seen().iter().map(|run| run.at).collect();
-    replica.end();
+    let ends = replica.crash_count();
+    let at: Vec<_> = replica.received_requests().iter().map(|run| run.received_at).collect();
+    replica.stop();
     // It ends 15 ms after the first came: beside load the second may come to the next run, and ends that one too.
     (at.len() == 2 && at[1] - at[0] < Duration::from_millis(12)).then_some(ends)
 }
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -13,7 +13,7 @@
 
 use futures_util::future::join_all;
 use rustix::process::Signal;
-use standin::platform::{Ask, KEY, Replica, Seen, Site, Spec};
+use standin::platform::{RequestSpec, KEY, Replica, Outcome, Site, Spec};
 
 /// Short prompts that are sent at the same time: fewer than one engine has slots for.
 const AT_ONCE: usize = 12;
@@ -22,20 +22,20 @@
 /// Rounds: which of two things that have come about at the same moment an entry sees first is left to chance.
 const ROUNDS: usize = 8;
 
-fn prompt(id: &str, tokens: u64) -> Ask {
+fn prompt(id: &str, tokens: u64) -> RequestSpec {
     let usage = format!("{tokens},400");
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", &usage).with("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", &usage).with_header("deadline-ms", "2500")
 }
 
 /// Sends short prompts at the same time.
-async fn at_once(site: &Site, entry: usize, name: &str) -> Vec<Seen> {
-    let asks: Vec<Ask> = (0..AT_ONCE).map(|number| prompt(&format!("{name}-{number}"), 500)).collect();
+async fn at_once(site: &Site, entry: usize, name: &str) -> Vec<Outcome> {
+    let asks: Vec<RequestSpec> = (0..AT_ONCE).map(|number| prompt(&format!("{name}-{number}"), 500)).collect();
     join_all(asks.iter().map(|ask| site.send(entry, ask))).await
 }
 
 /// The engines that got requests whose ids begin with `name`.
 fn engines(site: &Site, name: &str) -> Vec<String> {
-    let got = |engine: &&Arc<Replica>| engine.seen().iter().any(|run| run.id.starts_with(name));
+    let got = |engine: &&Arc<Replica>| engine.received_requests().iter().any(|run| run.id.starts_with(name));
     site.engines.iter().filter(got).map(|engine| engine.id.clone()).collect()
 }
 
@@ -64,7 +64,7 @@
         };
         let (answer, ()) = tokio::join!(site.send(left, &long), freeze);
         let after = at_once(&site, left, &format!("after-{round}")).await;
-        let served = after.iter().filter(|seen| seen.whole && seen.status == 200).count();
+        let served = after.iter().filter(|seen| seen.is_complete && seen.status == 200).count();
         assert_eq!(served, AT_ONCE, "round {round}, the long prompt: {answer:?}\n{}", site.log(left));
         site.restart(lost).await.expect("it starts again");
         site.wait_ready(lost, true).await.expect("it is ready");
@@ -77,9 +77,9 @@
 /// which a breaker opens: each first event was heard late, and counted as one more failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answered_while_its_entry_was_frozen_gets_more() {
-    let takes = Duration::from_millis(100);
+    let service_time = Duration::from_millis(100);
     for frozen in 0..2 {
-        let spec = Spec { entries: 2, takes, ..Spec::small(&format!("grants-answered-{frozen}")) };
+        let spec = Spec { entries: 2, service_time, ..Spec::small(&format!("grants-answered-{frozen}")) };
         let site = Site::start(spec).await.expect("it starts");
         let freeze = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -89,7 +89,7 @@
             site.signal(frozen, Signal::CONT).expect("it goes on");
         };
         let (before, ()) = tokio::join!(at_once(&site, frozen, "before"), freeze);
-        assert!(before.iter().all(|seen| seen.whole), "{before:?}");
+        assert!(before.iter().all(|seen| seen.is_complete), "{before:?}");
         tokio::time::sleep(Duration::from_millis(200)).await;
         at_once(&site, frozen, "after").await;
         assert_eq!(engines(&site, "after"), engines(&site, "before"), "{}", site.log(frozen));
@@ -101,8 +101,8 @@
 /// was broken off of which every event had come in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_came_in_time_is_passed_on_by_an_entry_that_was_frozen() {
-    let takes = Duration::from_millis(50);
-    let site = Site::start(Spec { entries: 1, takes, ..Spec::small("grants-late") }).await.expect("it starts");
+    let service_time = Duration::from_millis(50);
+    let site = Site::start(Spec { entries: 1, service_time, ..Spec::small("grants-late") }).await.expect("it starts");
     for round in 0..ROUNDS {
         let freeze = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -111,9 +111,9 @@
             site.signal(0, Signal::CONT).expect("it goes on");
         };
         let id = format!("stream-{round}");
-        let ask = Ask::new("POST", "/prompt/1", &id, KEY).with("token-usage", "500,400").with("deadline-ms", "1000");
+        let ask = RequestSpec::new("POST", "/prompt/1", &id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "1000");
         let (seen, ()) = tokio::join!(site.send(0, &ask), freeze);
-        assert!(seen.whole && seen.status == 200, "round {round}: {seen:?}\n{}", site.log(0));
+        assert!(seen.is_complete && seen.status == 200, "round {round}: {seen:?}\n{}", site.log(0));
     }
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_lifetimes.rs
+++ b/standin/tests/platform_lifetimes.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use serde_json::{Value, json};
-use standin::platform::{Ask, KEY, Seen, Site, Spec};
+use standin::platform::{RequestSpec, KEY, Outcome, Site, Spec};
 
 /// Time for news in the store to be known at both entries: the records are read four times in 2 s.
 const KNOWN: Duration = Duration::from_millis(1_500);
@@ -12,13 +12,13 @@
 const LOOK: Duration = Duration::from_millis(20);
 const TOPIC: &str = "keyed.servers";
 
-fn prompt(id: &str) -> Ask {
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500")
+fn prompt(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500")
 }
 
 /// The record of an engine with some fields changed.
 fn record(site: &Site, engine: usize, state: &str, change: impl FnOnce(&mut Value)) -> String {
-    let mut record: Value = serde_json::from_str(&site.engines[engine].record("advisor", state)).expect("JSON");
+    let mut record: Value = serde_json::from_str(&site.engines[engine].store_record("advisor", state)).expect("JSON");
     change(&mut record);
     record.to_string()
 }
@@ -31,8 +31,8 @@
 async fn served(site: &Site, id: &str) -> bool {
     let mut served = 0;
     for entry in 0..site.addresses.len() {
-        let seen: Seen = site.send(entry, &prompt(&format!("{id}-{entry}"))).await;
-        served += usize::from(seen.status == 200 && seen.whole);
+        let seen: Outcome = site.send(entry, &prompt(&format!("{id}-{entry}"))).await;
+        served += usize::from(seen.status == 200 && seen.is_complete);
     }
     assert!(served == 0 || served == site.addresses.len(), "the entries disagree");
     served > 0
@@ -141,7 +141,7 @@
 async fn a_record_of_another_writer_names_no_replica_and_costs_no_other_until_the_replica_writes_again() {
     let odd = odd_records();
     let sound = odd.len();
-    let mut site = Site::start(Spec { engines: sound + 1, verbose: true, ..Spec::small("lifetimes-odd") })
+    let mut site = Site::start(Spec { engines: sound + 1, is_verbose: true, ..Spec::small("lifetimes-odd") })
         .await
         .expect("the site starts");
     // An entry can stop believing only in a replica that it has heard of.
@@ -162,7 +162,7 @@
             assert_eq!(logged(&site, entry, engine, "unusable"), 1, "entry {entry}: {label}");
         }
     }
-    let ran = |site: &Site| site.engines[..sound].iter().map(|engine| engine.seen().len()).sum::<usize>();
+    let ran = |site: &Site| site.engines[..sound].iter().map(|engine| engine.received_requests().len()).sum::<usize>();
     for number in 0..8 {
         assert!(served(&site, &format!("odd-{number}")).await);
     }
--- a/standin/tests/platform_limits.rs
+++ b/standin/tests/platform_limits.rs
@@ -13,7 +13,7 @@
 
 use common::load::{load, look, most, prompt, served};
 use rustix::process::Signal;
-use standin::platform::{Replica, Seen, Site, Spec};
+use standin::platform::{Replica, Outcome, Site, Spec};
 
 /// The bound holds in every window of this length.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -50,7 +50,7 @@
 }
 
 fn fleet() -> Spec {
-    Spec { entries: 3, engines: 8, plain: 4, ..Spec::small("") }
+    Spec { entries: 3, engines: 8, plain_replicas: 4, ..Spec::small("") }
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -58,9 +58,9 @@
     let site = site("limits-engines", fleet()).await;
     load(&site, 20, Duration::from_secs(1), prompt).await;
     let mut busiest: Vec<&Arc<Replica>> = site.engines.iter().collect();
-    busiest.sort_by_key(|engine| std::cmp::Reverse(engine.seen().len()));
-    busiest[0].name_limit(Some("2.3"));
-    busiest[1].name_limit(Some("1"));
+    busiest.sort_by_key(|engine| std::cmp::Reverse(engine.received_requests().len()));
+    busiest[0].set_rate_limit(Some("2.3"));
+    busiest[1].set_rate_limit(Some("1"));
     let since = Instant::now() + KNOWN_AFTER;
     let seen = load(&site, 20, Duration::from_secs(9), prompt).await;
     for (engine, rate) in [(busiest[0], 2.3), (busiest[1], 1.0)] {
@@ -76,8 +76,8 @@
 async fn a_plain_replica_in_need_gets_what_it_takes_and_others_the_rest() {
     let site = site("limits-plain", fleet()).await;
     load(&site, 30, Duration::from_secs(1), look).await;
-    let busiest = site.plain.iter().max_by_key(|replica| replica.seen().len()).expect("there are replicas");
-    busiest.name_limit(Some("1"));
+    let busiest = site.plain_replicas.iter().max_by_key(|replica| replica.received_requests().len()).expect("there are replicas");
+    busiest.set_rate_limit(Some("1"));
     let since = Instant::now() + KNOWN_AFTER;
     let seen = load(&site, 30, Duration::from_secs(9), look).await;
     let most = most(busiest, since, WINDOW);
@@ -96,7 +96,7 @@
 }
 
 /// What is allowed at each, what came to an end in time, and what was refused at once with a time to come back.
-fn assert_fits(replicas: &[Arc<Replica>], rate: f64, seen: &[Seen], since: Instant, lasts: Duration) {
+fn assert_fits(replicas: &[Arc<Replica>], rate: f64, seen: &[Outcome], since: Instant, lasts: Duration) {
     for replica in replicas {
         let most = most(replica, since + KNOWN_AFTER, WINDOW);
         assert!(most <= calm(rate), "{} got {most} where it takes {}", replica.id, calm(rate));
@@ -113,12 +113,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_plain_replicas_are_in_need_what_fits_is_served_and_the_rest_refused_at_once() {
     let site = site("limits-all-plain", fleet()).await;
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("5")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("5")));
     let (since, lasts) = (Instant::now(), Duration::from_secs(9));
     let seen = load(&site, 40, lasts, look).await;
-    assert_fits(&site.plain, 5.0, &seen, since, lasts);
+    assert_fits(&site.plain_replicas, 5.0, &seen, since, lasts);
     for refused in seen.iter().filter(|seen| seen.status != 200) {
-        assert!(refused.took < Duration::from_millis(150), "half of what its caller wants an answer in: {refused:?}");
+        assert!(refused.elapsed < Duration::from_millis(150), "half of what its caller wants an answer in: {refused:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -126,12 +126,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_engines_are_in_need_what_fits_is_served_and_the_rest_refused() {
     let site = site("limits-all-engines", fleet()).await;
-    site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.engines.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     let (since, lasts) = (Instant::now(), Duration::from_secs(9));
     let seen = load(&site, 30, lasts, prompt).await;
     assert_fits(&site.engines, 2.0, &seen, since, lasts);
     for refused in seen.iter().filter(|seen| seen.status != 200) {
-        assert!(refused.took < Duration::from_millis(300), "what its caller wants an answer in: {refused:?}");
+        assert!(refused.elapsed < Duration::from_millis(300), "what its caller wants an answer in: {refused:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -139,8 +139,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limit_holds_while_the_entry_that_plans_is_frozen_and_killed() {
     let mut site = site("limits-leaders", Spec { entries: 4, ..fleet() }).await;
-    site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.engines.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     let since = Instant::now() + CONTACT;
     tokio::join!(load(&site, 30, Duration::from_secs(4), prompt), load(&site, 20, Duration::from_secs(4), look));
     let frozen = planner(&site);
@@ -151,7 +151,7 @@
     let killed = planner(&site);
     site.restart(killed).await.expect("it starts again");
     tokio::join!(load(&site, 30, Duration::from_secs(4), prompt), load(&site, 20, Duration::from_secs(4), look));
-    for replica in site.engines.iter().chain(&site.plain) {
+    for replica in site.engines.iter().chain(&site.plain_replicas) {
         let most = most(replica, since, WINDOW);
         assert!(most <= troubled(2.0), "{} got {most} where it takes {}", replica.id, troubled(2.0));
     }
@@ -161,8 +161,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limit_holds_after_a_loss_of_all_entries() {
     let mut site = site("limits-loss", Spec { entries: 4, ..fleet() }).await;
-    site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.engines.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     let since = Instant::now() + CONTACT;
     tokio::join!(load(&site, 30, Duration::from_secs(4), prompt), load(&site, 20, Duration::from_secs(4), look));
     for entry in 0..site.addresses.len() {
@@ -172,7 +172,7 @@
         site.wait_ready(entry, true).await.expect("it is ready");
     }
     tokio::join!(load(&site, 30, Duration::from_secs(5), prompt), load(&site, 20, Duration::from_secs(5), look));
-    for replica in site.engines.iter().chain(&site.plain) {
+    for replica in site.engines.iter().chain(&site.plain_replicas) {
         let most = most(replica, since, WINDOW);
         assert!(most <= troubled(2.0), "{} got {most} where it takes {}", replica.id, troubled(2.0));
     }
@@ -182,7 +182,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_is_told_of_limits_and_keeps_them() {
     let mut site = site("limits-start", fleet()).await;
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     load(&site, 20, Duration::from_secs(1), look).await;
     let follower = (planner(&site) + 1) % site.addresses.len();
     let heard_itself = |site: &Site| site.log(follower).matches("before=None source=Own").count();
@@ -196,11 +196,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_is_named_no_longer_binds_no_longer() {
-    let site = site("limits-over", Spec { engines: 2, plain: 2, ..fleet() }).await;
-    let all = || site.engines.iter().chain(&site.plain);
-    all().for_each(|replica| replica.name_limit(Some("1")));
+    let site = site("limits-over", Spec { engines: 2, plain_replicas: 2, ..fleet() }).await;
+    let all = || site.engines.iter().chain(&site.plain_replicas);
+    all().for_each(|replica| replica.set_rate_limit(Some("1")));
     tokio::join!(load(&site, 10, Duration::from_secs(3), prompt), load(&site, 10, Duration::from_secs(3), look));
-    all().for_each(|replica| replica.name_limit(None));
+    all().for_each(|replica| replica.set_rate_limit(None));
     // Each sends one a second or more to hear of it.
     tokio::join!(load(&site, 10, Duration::from_secs(3), prompt), load(&site, 10, Duration::from_secs(3), look));
     let (prompts, looks) =
--- a/standin/tests/platform_members.rs
+++ b/standin/tests/platform_members.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
 use serde_json::json;
-use standin::platform::{Ask, Fault, HOST, Site, Spec, send};
+use standin::platform::{RequestSpec, Fault, HOST, Site, Spec, send};
 
 /// Time in which a fleet of stand-ins has come together.
 const TOGETHER: Duration = Duration::from_millis(1_500);
@@ -25,7 +25,7 @@
 }
 
 async fn site_with(name: &str, entries: usize, bounds: &str) -> Site {
-    let spec = Spec { entries, seeded: true, bounds: bounds.to_owned(), ..Spec::small(name) };
+    let spec = Spec { entries, has_seeds: true, bounds: bounds.to_owned(), ..Spec::small(name) };
     let site = Site::start(spec).await.expect("the site starts");
     tokio::time::sleep(TOGETHER).await;
     site
@@ -33,8 +33,8 @@
 
 /// Calls to the store of all entries but one.
 fn calls_of_others(site: &Site, leader: usize) -> u64 {
-    let others = site.doors.iter().enumerate().filter(|(entry, _)| *entry != leader);
-    others.map(|(_, door)| door.calls()).sum()
+    let others = site.store_listeners.iter().enumerate().filter(|(entry, _)| *entry != leader);
+    others.map(|(_, door)| door.call_count()).sum()
 }
 
 /// Entries that follow nobody, as the last line of each about that says.
@@ -44,7 +44,7 @@
         let ends = ["step=leader-lost", "step=leader-left", "step=start "].map(|step| log.rfind(step));
         log.rfind("step=following") > ends.into_iter().max().flatten()
     };
-    (0..site.doors.len()).filter(|entry| !follows(entry)).collect()
+    (0..site.store_listeners.len()).filter(|entry| !follows(entry)).collect()
 }
 
 /// The entry that leads, once all others follow it: the first in most runs, another if that one came up late.
@@ -108,12 +108,12 @@
     let mut site = site("members-turned-away", 6).await;
     let leader = leader(&site).await;
     let away = if leader == 3 { 4 } else { 3 };
-    site.doors[away].set(Fault::TooMany);
-    let before = site.doors[away].calls();
+    site.store_listeners[away].set_fault(Fault::TooManyRequests);
+    let before = site.store_listeners[away].call_count();
     site.restart(away).await.expect("started again");
     site.wait_ready(away, true).await.expect("ready");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let calls = site.doors[away].calls() - before;
+    let calls = site.store_listeners[away].call_count() - before;
     assert!(calls < 3, "{calls} calls");
     site.close().expect("no invariant was breached");
 }
@@ -126,7 +126,7 @@
         let site = site(&format!("members-deputies-{entries}"), entries).await;
         let leader = leader(&site).await;
         let before = calls_of_others(&site, leader);
-        site.doors[leader].set(Fault::TooMany);
+        site.store_listeners[leader].set_fault(Fault::TooManyRequests);
         tokio::time::sleep(Duration::from_secs(4)).await;
         let calls = calls_of_others(&site, leader) - before;
         let [configuration, records, quarantine] = calls_by_topic(&site, leader).await;
@@ -160,8 +160,8 @@
 
 /// The same over those that have a label.
 async fn labelled(site: &Site, entry: usize, name: &str, label: &str) -> f64 {
-    let ask = Ask { headers: Vec::new(), ..Ask::new("GET", "/metrics", "", "") };
-    let seen = send(&site.ready[entry], HOST, &ask).await.expect("the metrics");
+    let ask = RequestSpec { headers: Vec::new(), ..RequestSpec::new("GET", "/metrics", "", "") };
+    let seen = send(&site.ready_addresses[entry], HOST, &ask).await.expect("the metrics");
     let lines = seen.body.lines().filter(|line| line.starts_with(name) && line.contains(label));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
@@ -220,13 +220,13 @@
     let newcomer = 1 - leader;
     add_records(&site, REPLICAS);
     until("it is told of them", || std::future::ready(told(&site, newcomer) >= REPLICAS)).await;
-    let (calls, sent) = (site.doors[newcomer].calls(), metric(&site, leader, "sorrelpass_peer_bytes").await);
+    let (calls, sent) = (site.store_listeners[newcomer].call_count(), metric(&site, leader, "sorrelpass_peer_bytes").await);
     site.restart(newcomer).await.expect("started again");
     site.wait_ready(newcomer, true).await.expect("ready");
     until("it is told of them again", || std::future::ready(told(&site, newcomer) >= 2 * REPLICAS)).await;
     let bytes = (metric(&site, leader, "sorrelpass_peer_bytes").await - sent) / REPLICAS as f64;
     assert!(bytes < MOST_BYTES_EACH, "{bytes} bytes for each");
-    assert!(site.doors[newcomer].calls() <= calls + 1, "it reads nothing for itself");
+    assert!(site.store_listeners[newcomer].call_count() <= calls + 1, "it reads nothing for itself");
     assert_eq!(site.log(newcomer).matches("step=replica ").count(), 0, "one line for all");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_path.rs
+++ b/standin/tests/platform_path.rs
@@ -7,14 +7,14 @@
 use bytes::Bytes;
 use common::status_line_of_an_endless_head;
 use serde_json::json;
-use standin::platform::{Act, Ask, HOST, KEY, Site, Spec};
+use standin::platform::{Behavior, RequestSpec, HOST, KEY, Site, Spec};
 
-fn prompt(id: &str, tokens: u64) -> Ask {
-    Ask { body: Bytes::from("a question"), ..Ask::new("POST", "/prompt/x?y=1", id, KEY) }
-        .with("model", "m")
-        .with("token-usage", &format!("{tokens},400"))
-        .with("prompt-prefix", &format!("a1:40,{id}:{tokens}"))
-        .with("deadline-ms", "2000")
+fn prompt(id: &str, tokens: u64) -> RequestSpec {
+    RequestSpec { body: Bytes::from("a question"), ..RequestSpec::new("POST", "/prompt/x?y=1", id, KEY) }
+        .with_header("model", "m")
+        .with_header("token-usage", &format!("{tokens},400"))
+        .with_header("prompt-prefix", &format!("a1:40,{id}:{tokens}"))
+        .with_header("deadline-ms", "2000")
 }
 
 fn whole_stream(id: &str) -> String {
@@ -29,11 +29,11 @@
 async fn a_prompt_is_streamed_and_its_head_is_passed_on_as_it_should_be() {
     let site = site("path-prompt").await;
     let seen = site.send(0, &prompt("aa01", 500)).await;
-    assert_eq!((seen.status, seen.whole), (200, true), "{seen:?}");
+    assert_eq!((seen.status, seen.is_complete), (200, true), "{seen:?}");
     assert_eq!(seen.body, whole_stream("aa01"));
     assert_eq!(seen.header("request-id"), "aa01");
     assert!(seen.header("response-seal").starts_with("seal-of-engine"), "{seen:?}");
-    let runs: Vec<_> = site.engines.iter().flat_map(|engine| engine.seen()).collect();
+    let runs: Vec<_> = site.engines.iter().flat_map(|engine| engine.received_requests()).collect();
     assert_eq!(runs.len(), 1);
     let header = |name: &str| runs[0].headers.get(name).map(|value| value.to_str().unwrap_or("").to_owned());
     assert_eq!(runs[0].path, "/prompt/x?y=1");
@@ -54,62 +54,62 @@
     let site = site("path-long").await;
     let seen = site.send(1, &prompt("bb01", 300_000)).await;
     assert_eq!(seen.body, whole_stream("bb01"), "{seen:?}");
-    let run = site.engines.iter().flat_map(|engine| engine.seen()).next().expect("it ran");
+    let run = site.engines.iter().flat_map(|engine| engine.received_requests()).next().expect("it ran");
     let helpers = run.headers.get("helpers").and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
     assert_eq!(helpers.split(',').count(), 2, "{helpers}");
     assert!(!helpers.contains('/'), "no memory is needed: {helpers}");
 
     let seen = site.send(1, &prompt("bb02", 700_000)).await;
     assert_eq!(seen.body, whole_stream("bb02"), "{seen:?}");
-    let runs: Vec<_> = site.engines.iter().flat_map(|engine| engine.seen()).filter(|run| run.id == "bb02").collect();
+    let runs: Vec<_> = site.engines.iter().flat_map(|engine| engine.received_requests()).filter(|run| run.id == "bb02").collect();
     let helpers = runs[0].headers.get("helpers").and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
     assert!(helpers.contains('/'), "memory has a name: {helpers}");
     let held: u64 = site
         .engines
         .iter()
-        .flat_map(|engine| engine.orders())
+        .flat_map(|engine| engine.memory_orders())
         .filter(|order| order["op"] == "reserve")
         .map(|order| order["token_count"].as_u64().unwrap_or(0))
         .sum();
     assert!(held >= 700_000 - 450_000, "{held}");
     for _ in 0..100 {
-        if site.engines.iter().all(|engine| engine.memory() == 0) {
+        if site.engines.iter().all(|engine| engine.reserved_tokens() == 0) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(site.engines.iter().map(|engine| engine.memory()).sum::<u64>(), 0);
+    assert_eq!(site.engines.iter().map(|engine| engine.reserved_tokens()).sum::<u64>(), 0);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn memory_that_cannot_be_had_everywhere_is_given_back_everywhere() {
     let site = site("path-memory").await;
-    site.engines[0].refuse_memory(true);
+    site.engines[0].refuse_reservations(true);
     let seen = site.send(0, &prompt("cc01", 1_200_000)).await;
     assert_eq!(seen.status, 503, "three engines are needed, one refuses: {seen:?}");
-    let ran = site.engines.iter().map(|engine| engine.ran("cc01")).sum::<usize>();
+    let ran = site.engines.iter().map(|engine| engine.run_count("cc01")).sum::<usize>();
     assert_eq!(ran, 0);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(site.engines.iter().map(|engine| engine.memory()).sum::<u64>(), 0);
+    assert_eq!(site.engines.iter().map(|engine| engine.reserved_tokens()).sum::<u64>(), 0);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_routed_or_read_gets_the_right_status_and_reaches_no_replica() {
     let site = site("path-bad").await;
-    let look = |id: &str| Ask::new("GET", "/look/1", id, KEY);
-    let no_route = site.send(0, &Ask::new("GET", "/nowhere/1", "d1", KEY)).await;
-    let no_key = site.send(0, &Ask { headers: vec![("request-id", "d2".into())], ..look("d2") }).await;
-    let wrong_key = site.send(0, &Ask::new("GET", "/look/1", "d3", "nobody")).await;
-    let deadline = site.send(0, &look("d4").with("deadline-ms", "soon")).await;
-    let large = site.send(0, &Ask { method: "POST", body: Bytes::from(vec![b'x'; 70_000]), ..look("d5") }).await;
-    let head = site.send(0, &look("d6").with("x-long", &"y".repeat(40_000))).await;
+    let look = |id: &str| RequestSpec::new("GET", "/look/1", id, KEY);
+    let no_route = site.send(0, &RequestSpec::new("GET", "/nowhere/1", "d1", KEY)).await;
+    let no_key = site.send(0, &RequestSpec { headers: vec![("request-id", "d2".into())], ..look("d2") }).await;
+    let wrong_key = site.send(0, &RequestSpec::new("GET", "/look/1", "d3", "nobody")).await;
+    let deadline = site.send(0, &look("d4").with_header("deadline-ms", "soon")).await;
+    let large = site.send(0, &RequestSpec { method: "POST", body: Bytes::from(vec![b'x'; 70_000]), ..look("d5") }).await;
+    let head = site.send(0, &look("d6").with_header("x-long", &"y".repeat(40_000))).await;
     let statuses = [no_route, no_key, wrong_key, deadline, large, head].map(|seen| seen.status);
     assert_eq!(statuses, [404, 401, 401, 400, 413, 431]);
-    assert!(site.plain.iter().all(|replica| replica.seen().is_empty()));
+    assert!(site.plain_replicas.iter().all(|replica| replica.received_requests().is_empty()));
     let good = site.send(0, &look("d7")).await;
-    assert_eq!((good.status, good.whole), (200, true));
+    assert_eq!((good.status, good.is_complete), (200, true));
     site.close().expect("no invariant was breached");
 }
 
@@ -125,10 +125,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_tell_what_happened() {
     let site = site("path-metrics").await;
-    site.engines.iter().for_each(|engine| engine.next([Act::Serve]));
+    site.engines.iter().for_each(|engine| engine.queue_behaviors([Behavior::Serve]));
     site.send(0, &prompt("ee01", 500)).await;
-    let ask = Ask { headers: Vec::new(), ..Ask::new("GET", "/metrics", "", "") };
-    let seen = standin::platform::send(&site.ready[0], HOST, &ask).await.expect("metrics are served");
+    let ask = RequestSpec { headers: Vec::new(), ..RequestSpec::new("GET", "/metrics", "", "") };
+    let seen = standin::platform::send(&site.ready_addresses[0], HOST, &ask).await.expect("metrics are served");
     assert!(seen.body.contains("sorrelpass_first_event_seconds_count"), "{}", seen.body);
     assert!(seen.body.contains("sorrelpass_requests_total{outcome=\"ok\""), "{}", seen.body);
     site.close().expect("no invariant was breached");
@@ -139,7 +139,7 @@
     let site = site("path-public").await;
     site.configure(&[KEY], |config| config["routes"][2]["public"] = json!(true));
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let ask = Ask { headers: vec![("request-id", "f1".into())], ..Ask::new("GET", "/look/1", "", "") };
+    let ask = RequestSpec { headers: vec![("request-id", "f1".into())], ..RequestSpec::new("GET", "/look/1", "", "") };
     assert_eq!(site.send(0, &ask).await.status, 200);
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_processes.rs
+++ b/standin/tests/platform_processes.rs
@@ -8,14 +8,14 @@
 
 use common::leader;
 use rustix::process::Signal;
-use standin::platform::{Act, Ask, Fault, HOST, KEY, Site, Spec};
+use standin::platform::{Behavior, RequestSpec, Fault, HOST, KEY, Site, Spec};
 
-fn prompt(id: &str) -> Ask {
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500")
+fn prompt(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500")
 }
 
-fn pay(id: &str) -> Ask {
-    Ask::new("POST", "/pay/1", id, KEY).with("deadline-ms", "2000")
+fn pay(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/pay/1", id, KEY).with_header("deadline-ms", "2000")
 }
 
 async fn site(name: &str, entries: usize, bounds: &str) -> Site {
@@ -36,14 +36,14 @@
     for entry in 0..entries {
         let id = format!("{round}{entry}");
         let seen = site.send(entry, &prompt(&id)).await;
-        assert_eq!((seen.status, seen.whole), (200, true), "entry {entry}: {seen:?}");
+        assert_eq!((seen.status, seen.is_complete), (200, true), "entry {entry}: {seen:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_end_finishes_what_runs_and_refuses_what_it_cannot_finish() {
     let mut site = site("processes-end", 2, "grace_s = 6").await;
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_000)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(1_000)]));
     // A kept connection that a caller goes on using until it is closed.
     let mut kept = TcpStream::connect(&site.addresses[0]).expect("it connects");
     let call = |id: &str| {
@@ -57,7 +57,7 @@
         site.wait_ready(0, false).await.expect("it is not ready at once");
     };
     let (seen, ()) = tokio::join!(running, ending);
-    assert_eq!((seen.status, seen.whole), (200, true), "{seen:?}");
+    assert_eq!((seen.status, seen.is_complete), (200, true), "{seen:?}");
     kept.write_all(call("a2").as_bytes()).expect("it is sent");
     let mut answer = [0; 512];
     let read = kept.read(&mut answer).expect("it is answered");
@@ -70,7 +70,7 @@
         rested.read(&mut [0; 16])
     });
     assert_eq!(closed.await.expect("the reader ends").expect("it is closed, not cut"), 0);
-    assert!(site.wait_end(0).await.expect("it ends"), "it ends well");
+    assert!(site.wait_exit(0).await.expect("it ends"), "it ends well");
     assert!(site.log(0).contains("step=stopped in_flight=0"));
     site.close().expect("no invariant was breached");
 }
@@ -79,7 +79,7 @@
 async fn a_request_that_comes_too_late_before_the_end_is_refused_as_not_run() {
     let site = site("processes-late", 1, "grace_s = 6").await;
     // Something that runs to the end keeps the process up.
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_900)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(1_900)]));
     let long = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         site.send(0, &pay("b1")).await
@@ -92,14 +92,14 @@
     let (long, late) = tokio::join!(long, late);
     assert_eq!(long.status, 200, "{long:?}");
     assert!(late.status == 503 || late.status == 0, "{late:?}");
-    assert_eq!(site.plain.iter().map(|replica| replica.ran("b2")).sum::<usize>(), 0);
+    assert_eq!(site.plain_replicas.iter().map(|replica| replica.run_count("b2")).sum::<usize>(), 0);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_faulty_settings_file_is_refused_at_a_reload_and_no_request_is_cut() {
     let site = site("processes-reload", 1, "").await;
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(500)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(500)]));
     let file = site.settings_file(0);
     let good = std::fs::read_to_string(&file).expect("it can be read");
     std::fs::write(&file, good.replace("store = ", "colour = red\nstore = ")).expect("it can be written");
@@ -128,7 +128,7 @@
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
     let waits =
-        Ask::new("POST", "/prompt/1", "k1", KEY).with("token-usage", "5000000,400").with("deadline-ms", "20000");
+        RequestSpec::new("POST", "/prompt/1", "k1", KEY).with_header("token-usage", "5000000,400").with_header("deadline-ms", "20000");
     let ending = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         site.signal(0, Signal::TERM).expect("it is told");
@@ -136,15 +136,15 @@
     let (seen, ()) = tokio::join!(site.send(0, &waits), ending);
     assert_eq!(seen.status, 503, "{seen:?}");
     assert!(!seen.header("retry-after").is_empty());
-    assert!(seen.took < Duration::from_secs(4), "{:?}", seen.took);
-    assert!(site.wait_end(0).await.expect("it ends"), "it ends well");
+    assert!(seen.elapsed < Duration::from_secs(4), "{:?}", seen.elapsed);
+    assert!(site.wait_exit(0).await.expect("it ends"), "it ends well");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reloaded_bounds_are_in_force_at_once() {
     let site = site("processes-bounds", 1, "revoke_ms = 20000").await;
-    site.doors[0].set(Fault::Silent);
+    site.store_listeners[0].set_fault(Fault::Unresponsive);
     let file = site.settings_file(0);
     let settings = std::fs::read_to_string(&file).expect("it can be read");
     std::fs::write(&file, settings.replace("revoke_ms = 20000", "revoke_ms = 1000")).expect("it can be written");
@@ -173,8 +173,8 @@
         }
     });
     for seen in futures_util::future::join_all(flow).await {
-        assert_eq!((seen.status, seen.whole), (200, true), "{seen:?}");
-        assert!(seen.took < Duration::from_millis(1_200), "{:?}", seen.took);
+        assert_eq!((seen.status, seen.is_complete), (200, true), "{seen:?}");
+        assert!(seen.elapsed < Duration::from_millis(1_200), "{:?}", seen.elapsed);
     }
     site.signal(first, Signal::CONT).expect("it wakes");
     site.restart(first).await.expect("it restarts");
@@ -205,13 +205,13 @@
 async fn an_entry_that_the_store_turns_away_plans_for_nobody() {
     let mut site = site("processes-turned-away", 3, "").await;
     let first = leader(&site, 3).await;
-    site.doors[first].set(Fault::TooMany);
+    site.store_listeners[first].set_fault(Fault::TooManyRequests);
     site.restart(first).await.expect("it restarts");
     tokio::time::sleep(Duration::from_millis(500)).await;
     for entry in (0..3).filter(|entry| *entry != first) {
         let seen = site.send(entry, &prompt(&format!("h{entry}"))).await;
-        assert_eq!((seen.status, seen.whole), (200, true), "entry {entry}: {seen:?}");
-        assert!(seen.took < Duration::from_secs(1), "{:?}", seen.took);
+        assert_eq!((seen.status, seen.is_complete), (200, true), "entry {entry}: {seen:?}");
+        assert!(seen.elapsed < Duration::from_secs(1), "{:?}", seen.elapsed);
     }
     let refused = site.send(first, &prompt("h9")).await;
     assert_eq!(refused.status, 503, "{refused:?}");
@@ -224,26 +224,26 @@
     let first = leader(&site, 3).await;
     // One that met another entry first looks for an older one after 3 s.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    site.doors[first].set(Fault::Silent);
+    site.store_listeners[first].set_fault(Fault::Unresponsive);
     // Longer than a proof serves: those that follow it read the store, and tell it what they read.
     tokio::time::sleep(Duration::from_secs(4)).await;
     for entry in 0..3 {
         let seen = site.send(entry, &prompt(&format!("i{entry}"))).await;
-        assert_eq!((seen.status, seen.whole), (200, true), "entry {entry}: {seen:?}");
-        assert!(seen.took < Duration::from_secs(1), "{:?}", seen.took);
+        assert_eq!((seen.status, seen.is_complete), (200, true), "entry {entry}: {seen:?}");
+        assert!(seen.elapsed < Duration::from_secs(1), "{:?}", seen.elapsed);
         assert!(!site.log(entry).contains("step=leader-lost"), "entry {entry} is still planned for");
     }
     // Once nobody reaches the store, nobody can know which keys were taken away.
-    site.doors.iter().for_each(|door| door.set(Fault::Silent));
+    site.store_listeners.iter().for_each(|door| door.set_fault(Fault::Unresponsive));
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     for entry in 0..3 {
         let seen = site.send(entry, &prompt(&format!("j{entry}"))).await;
         assert_eq!(seen.status, 503, "entry {entry}: {seen:?}");
-        assert!(seen.took < Duration::from_millis(500), "it is refused at once: {:?}", seen.took);
+        assert!(seen.elapsed < Duration::from_millis(500), "it is refused at once: {:?}", seen.elapsed);
         assert!(!site.log(entry).contains("step=leader-lost"), "entry {entry} has nobody better to go to");
     }
     // One that can read again is enough for all.
-    site.doors[(first + 1) % 3].set(Fault::None);
+    site.store_listeners[(first + 1) % 3].set_fault(Fault::None);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     served_by_all(&site, 3, "k").await;
     site.close().expect("no invariant was breached");
@@ -254,7 +254,7 @@
     let site = site("processes-handover", 3, "grace_s = 6").await;
     let old = leader(&site, 3).await;
     // Something that runs to the end keeps the process up; what it still takes is planned with all the rest.
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_500)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(1_500)]));
     let ask = pay("p1");
     let running = site.send(old, &ask);
     let ending = async {
@@ -271,15 +271,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_comes_back_while_the_store_is_away_learns_all_from_the_others() {
-    for fault in [Fault::Silent, Fault::Unavailable] {
+    for fault in [Fault::Unresponsive, Fault::Unavailable] {
         let bounds = "revoke_strict = false".to_owned();
-        let spec = Spec { entries: 3, bounds, seeded: true, ..Spec::small("processes-back") };
+        let spec = Spec { entries: 3, bounds, has_seeds: true, ..Spec::small("processes-back") };
         let mut site = Site::start(spec).await.expect("the site starts");
         let old = leader(&site, 3).await;
         // The last entry knows where all the others are.
         let back = if old == 2 { 1 } else { 2 };
         logged(&site, back, "step=announced address", 1).await;
-        site.doors.iter().for_each(|door| door.set(fault));
+        site.store_listeners.iter().for_each(|door| door.set_fault(fault));
         tokio::time::sleep(Duration::from_millis(500)).await;
         site.restart(back).await.expect("it starts");
         let started = Instant::now();
@@ -287,10 +287,10 @@
         assert!(started.elapsed() < Duration::from_millis(2_500), "{fault:?}: {:?}", started.elapsed());
         for (number, ask) in [prompt("q1"), pay("q2")].iter().enumerate() {
             let seen = site.send(back, ask).await;
-            assert_eq!((seen.status, seen.whole), (200, true), "{fault:?} {number}: {seen:?}");
+            assert_eq!((seen.status, seen.is_complete), (200, true), "{fault:?} {number}: {seen:?}");
         }
         // Once the store is back it is listed like all others.
-        site.doors.iter().for_each(|door| door.set(Fault::None));
+        site.store_listeners.iter().for_each(|door| door.set_fault(Fault::None));
         logged(&site, back, "step=announced address", 2).await;
         let listed = site.store.keys("keyed.peers");
         assert_eq!((listed.len(), listed.last().map(String::as_str)), (3, Some(site.peer_address(back))), "{fault:?}");
--- a/standin/tests/platform_rest.rs
+++ b/standin/tests/platform_rest.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::load::{entry_of, load, look, prompt, served};
-use standin::platform::{Act, Ask, Replica, Run, Seen, Site, Spec};
+use standin::platform::{Behavior, RequestSpec, Replica, ReceivedRequest, Outcome, Site, Spec};
 
 /// Rest that replicas ask for, and as it stands in their answers.
 const REST: Duration = Duration::from_secs(2);
@@ -22,29 +22,29 @@
 const AT_ONCE: Duration = Duration::from_millis(100);
 
 async fn site(name: &str) -> Site {
-    let spec = Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) };
+    let spec = Spec { entries: 3, engines: 8, plain_replicas: 4, ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
 /// The replicas, the one that gets the most requests first.
-async fn busiest_first<'a>(site: &Site, replicas: &'a [Arc<Replica>], ask: fn(&str) -> Ask) -> Vec<&'a Arc<Replica>> {
+async fn busiest_first<'a>(site: &Site, replicas: &'a [Arc<Replica>], ask: fn(&str) -> RequestSpec) -> Vec<&'a Arc<Replica>> {
     load(site, 30, Duration::from_secs(1), ask).await;
     let mut busiest: Vec<&Arc<Replica>> = replicas.iter().collect();
-    busiest.sort_by_key(|replica| std::cmp::Reverse(replica.seen().len()));
+    busiest.sort_by_key(|replica| std::cmp::Reverse(replica.received_requests().len()));
     busiest
 }
 
 /// The most requests that came from one entry in a rest that the replica had asked that entry for.
 fn most_in_a_rest(site: &Site, replica: &Replica) -> usize {
-    let runs: Vec<Run> = replica.seen();
-    let in_rest_of = |refusal: &Run| {
-        let is_in = |run: &&Run| {
-            let after = run.at.saturating_duration_since(refusal.at);
+    let runs: Vec<ReceivedRequest> = replica.received_requests();
+    let in_rest_of = |refusal: &ReceivedRequest| {
+        let is_in = |run: &&ReceivedRequest| {
+            let after = run.received_at.saturating_duration_since(refusal.received_at);
             after > BINDS_AFTER && after < REST && entry_of(site, run) == entry_of(site, refusal)
         };
         runs.iter().filter(is_in).count()
     };
-    runs.iter().filter(|run| !run.ran).map(in_rest_of).max().unwrap_or(0)
+    runs.iter().filter(|run| !run.was_run).map(in_rest_of).max().unwrap_or(0)
 }
 
 fn assert_rests(site: &Site, replicas: &[Arc<Replica>]) {
@@ -55,10 +55,10 @@
 }
 
 /// What is refused is refused at once, with a time to come back that lies behind the rest.
-fn assert_refused_at_once(seen: &[Seen], most: Duration) {
+fn assert_refused_at_once(seen: &[Outcome], most: Duration) {
     for refused in seen.iter().filter(|seen| seen.status != 200) {
         assert_eq!(refused.status, 503, "{refused:?}");
-        assert!(refused.took < most, "{refused:?}");
+        assert!(refused.elapsed < most, "{refused:?}");
         let after: f64 = refused.header("retry-after").parse().expect("a time to come back");
         assert!(after > 0.0 && after < 2.0 * REST.as_secs_f64(), "{refused:?}");
     }
@@ -67,9 +67,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_plain_replica_that_asks_for_rest_costs_nobody_beside_it_an_answer() {
     let site = site("rest-plain-one").await;
-    busiest_first(&site, &site.plain, look).await[0].ask_rest(Some(REST_TEXT));
+    busiest_first(&site, &site.plain_replicas, look).await[0].set_backoff(Some(REST_TEXT));
     let seen = load(&site, 30, Duration::from_secs(7), look).await;
-    assert_rests(&site, &site.plain);
+    assert_rests(&site, &site.plain_replicas);
     assert_eq!(served(&seen), seen.len(), "three others have room for all");
     site.close().expect("no invariant was breached");
 }
@@ -77,7 +77,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_replica_that_refuses_at_once_and_names_no_time_costs_nobody_beside_it_an_answer() {
     let site = site("refuses-plain-one").await;
-    busiest_first(&site, &site.plain, look).await[0].next([Act::Refuse; 1_000]);
+    busiest_first(&site, &site.plain_replicas, look).await[0].queue_behaviors([Behavior::Refuse; 1_000]);
     let seen = load(&site, 30, Duration::from_secs(7), look).await;
     assert_eq!(served(&seen), seen.len(), "three others have room for all");
     site.close().expect("no invariant was breached");
@@ -87,7 +87,7 @@
 async fn engines_that_ask_for_rest_get_it_and_others_the_prompts() {
     let site = site("rest-engines-two").await;
     let busiest = busiest_first(&site, &site.engines, prompt).await;
-    busiest[..2].iter().for_each(|engine| engine.ask_rest(Some(REST_TEXT)));
+    busiest[..2].iter().for_each(|engine| engine.set_backoff(Some(REST_TEXT)));
     let seen = load(&site, 30, Duration::from_secs(7), prompt).await;
     assert_rests(&site, &site.engines);
     assert_eq!(served(&seen), seen.len(), "six others have room for all");
@@ -97,12 +97,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_plain_replicas_ask_for_rest_callers_are_refused_at_once_and_served_after_it() {
     let site = site("rest-plain-all").await;
-    site.plain.iter().for_each(|replica| replica.ask_rest(Some(REST_TEXT)));
+    site.plain_replicas.iter().for_each(|replica| replica.set_backoff(Some(REST_TEXT)));
     let refused = load(&site, 30, Duration::from_secs(5), look).await;
-    assert_rests(&site, &site.plain);
+    assert_rests(&site, &site.plain_replicas);
     assert_eq!(served(&refused), 0);
     assert_refused_at_once(&refused, Duration::from_millis(250));
-    site.plain.iter().for_each(|replica| replica.ask_rest(None));
+    site.plain_replicas.iter().for_each(|replica| replica.set_backoff(None));
     tokio::time::sleep(REST).await;
     let seen = load(&site, 30, Duration::from_secs(1), look).await;
     assert_eq!(served(&seen), seen.len(), "the rest is over");
@@ -112,17 +112,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_engines_ask_for_rest_prompts_are_refused_and_served_after_it() {
     let site = site("rest-engines-all").await;
-    site.engines.iter().for_each(|engine| engine.ask_rest(Some(REST_TEXT)));
+    site.engines.iter().for_each(|engine| engine.set_backoff(Some(REST_TEXT)));
     let refused = load(&site, 30, Duration::from_secs(5), prompt).await;
     assert_rests(&site, &site.engines);
     assert_eq!(served(&refused), 0);
-    let at_once = refused.iter().filter(|seen| seen.took < AT_ONCE).count();
+    let at_once = refused.iter().filter(|seen| seen.elapsed < AT_ONCE).count();
     assert!(
         at_once > refused.len() / 2,
         "{at_once} of {}: a rest that outlasts a prompt's patience is no reason to wait",
         refused.len()
     );
-    site.engines.iter().for_each(|engine| engine.ask_rest(None));
+    site.engines.iter().for_each(|engine| engine.set_backoff(None));
     tokio::time::sleep(REST).await;
     let seen = load(&site, 30, Duration::from_secs(1), prompt).await;
     assert_eq!(served(&seen), seen.len(), "the rest is over");
@@ -131,10 +131,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_last_replica_at_rest_is_waited_for_where_callers_can_wait() {
-    let site = Site::start(Spec { entries: 1, plain: 1, ..Spec::small("rest-short") }).await.expect("the site starts");
-    site.plain[0].ask_rest(Some("0.1"));
+    let site = Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-short") }).await.expect("the site starts");
+    site.plain_replicas[0].set_backoff(Some("0.1"));
     site.send(0, &look("load-0")).await;
-    site.plain[0].ask_rest(None);
+    site.plain_replicas[0].set_backoff(None);
     let sent = Instant::now();
     let seen = site.send(0, &look("load-1")).await;
     assert_eq!(seen.status, 200, "{seen:?}");
@@ -146,10 +146,10 @@
 async fn a_rest_that_names_no_time_binds_nobody() {
     for text in ["0", "-3", "soon", "Thu, 03 Dec 2026 11:00:00 GMT"] {
         let site =
-            Site::start(Spec { entries: 1, plain: 1, ..Spec::small("rest-none") }).await.expect("the site starts");
-        site.plain[0].ask_rest(Some(text));
+            Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-none") }).await.expect("the site starts");
+        site.plain_replicas[0].set_backoff(Some(text));
         site.send(0, &look("load-0")).await;
-        site.plain[0].ask_rest(None);
+        site.plain_replicas[0].set_backoff(None);
         let seen = site.send(0, &look("load-1")).await;
         assert_eq!(seen.status, 200, "{text}: {seen:?}");
         site.close().expect("no invariant was breached");
--- a/standin/tests/platform_soak.rs
+++ b/standin/tests/platform_soak.rs
@@ -24,10 +24,10 @@
         faults,
         entries: 3,
         callers: 16,
-        fatal: false,
-        limits: false,
-        evacuations: false,
-        words: false,
+        has_fatal_requests: false,
+        has_rate_limits: false,
+        has_evacuations: false,
+        has_response_signals: false,
     }
 }
 
@@ -54,17 +54,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_31_with_work_under_which_engines_end() {
-    play(Plan { fatal: true, ..plan(31) }).await;
+    play(Plan { has_fatal_requests: true, ..plan(31) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_107_with_work_under_which_engines_end() {
-    play(Plan { fatal: true, ..plan(107) }).await;
+    play(Plan { has_fatal_requests: true, ..plan(107) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_201_beside_replicas_that_name_a_limit() {
-    play(Plan { limits: true, ..plan(201) }).await;
+    play(Plan { has_rate_limits: true, ..plan(201) }).await;
 }
 
 /// The story: once, beside load, six short prompts were held for 0.9 s and refused in the calm: one engine of four was given
@@ -75,27 +75,27 @@
 /// failing: 1, limited: 1, full: 1` for the whole time, and 15 first events 0.64 s after their sends 8 s before its end.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_326_beside_replicas_that_name_a_limit() {
-    play(Plan { limits: true, ..plan(326) }).await;
+    play(Plan { has_rate_limits: true, ..plan(326) }).await;
 }
 
 /// The same, made to come by more callers: of seeds 301 to 316 with 48 callers 303, 310 and 315 had prompts refused in the
 /// calm.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_303_with_many_callers_beside_replicas_that_name_a_limit() {
-    play(Plan { limits: true, callers: 48, ..plan(303) }).await;
+    play(Plan { has_rate_limits: true, callers: 48, ..plan(303) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_that_is_emptied_and_taken_back() {
-    play(Plan { evacuations: true, ..plan(401) }).await;
+    play(Plan { has_evacuations: true, ..plan(401) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_6_with_replicas_that_say_they_leave_or_want_rest_and_a_store_that_comes_back_older() {
-    play(Plan { words: true, ..plan(6) }).await;
+    play(Plan { has_response_signals: true, ..plan(6) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_1032_with_a_refusal_under_way_when_the_rest_is_over() {
-    play(Plan { words: true, ..plan(1032) }).await;
+    play(Plan { has_response_signals: true, ..plan(1032) }).await;
 }
