--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -60,7 +60,7 @@
 
 /// Outcome of a request as the client received it.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ClientResponse {
     /// HTTP status; 0 if no response arrived.
     pub status: u16,
     /// Generated text of a completion, or the response body of a plain service call.
@@ -68,18 +68,18 @@
     /// Time from sending the request to the first token; `None` without streaming or if no token arrived.
     pub ttft: Option<Duration>,
     /// Time from sending the request to the end of the response or to the error.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Time between each token and the one before it.
     pub gaps: Vec<Duration>,
     /// Whether the response was complete; a stream is complete once `[DONE]` arrives.
-    pub ended: bool,
+    pub is_complete: bool,
     /// Error body of the response; `None` if the response carried no JSON error.
     pub failure: Option<Value>,
     /// Transport or decoding error on the client's side.
     pub error: Option<String>,
 }
 
-impl Seen {
+impl ClientResponse {
     /// Returns the error code of the response, or `-` if it carried none.
     pub fn code(&self) -> &str {
         self.failure.as_ref().and_then(|failure| failure["error"]["code"].as_str()).unwrap_or("-")
@@ -133,7 +133,7 @@
     }
 
     /// Sends an optional JSON body and returns the status and the JSON response, `Null` if the response is not JSON.
-    pub async fn json(
+    pub async fn send_json(
         &self,
         method: &str,
         address: &str,
@@ -153,17 +153,17 @@
     }
 
     /// Sends a prompt and reads the response to its end.
-    pub async fn prompt(&self, address: &str, prompt: &Prompt) -> Seen {
+    pub async fn send_prompt(&self, address: &str, prompt: &Prompt) -> ClientResponse {
         let mut headers = prompt.headers.clone();
         headers.push(("authorization".to_owned(), format!("Bearer {}", prompt.key)));
         headers.push(("content-type".to_owned(), "application/json".to_owned()));
         headers.push(("x-deadline-ms".to_owned(), prompt.deadline.as_millis().to_string()));
         let start = Instant::now();
-        let mut received = Seen::default();
+        let mut received = ClientResponse::default();
         if let Err(error) = self.receive(address, prompt, &headers, start, &mut received).await {
             received.error = Some(format!("{error:#}"));
         }
-        received.took = start.elapsed();
+        received.elapsed = start.elapsed();
         received
     }
 
@@ -173,7 +173,7 @@
         prompt: &Prompt,
         headers: &[(String, String)],
         start: Instant,
-        received: &mut Seen,
+        received: &mut ClientResponse,
     ) -> Result<()> {
         let response = self.send("POST", address, "/v1/chat/completions", headers, prompt.body()).await?;
         received.status = response.status().as_u16();
@@ -206,9 +206,9 @@
         path: &str,
         headers: &[(String, String)],
         body: impl Into<Bytes>,
-    ) -> Seen {
+    ) -> ClientResponse {
         let start = Instant::now();
-        let mut received = Seen::default();
+        let mut received = ClientResponse::default();
         let exchange = async {
             let response = self.send(method, address, path, headers, body).await?;
             received.status = response.status().as_u16();
@@ -217,31 +217,31 @@
             if received.status >= 400 {
                 received.failure = serde_json::from_slice(&bytes).ok();
             }
-            received.ended = true;
+            received.is_complete = true;
             Ok::<(), eyre::Report>(())
         };
         if let Err(error) = exchange.await {
             received.error = Some(format!("{error:#}"));
         }
-        received.took = start.elapsed();
+        received.elapsed = start.elapsed();
         received
     }
 }
 
-fn parse_response(bytes: &[u8], received: &mut Seen) -> Result<()> {
+fn parse_response(bytes: &[u8], received: &mut ClientResponse) -> Result<()> {
     let value: Value = serde_json::from_slice(bytes).wrap_err("step=decode")?;
     if value["error"].is_object() {
         received.failure = Some(value);
         return Ok(());
     }
     received.text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
-    received.ended = true;
+    received.is_complete = true;
     Ok(())
 }
 
-fn apply_event(data: &[u8], start: Instant, last_token_at: &mut Instant, received: &mut Seen) -> Result<()> {
+fn apply_event(data: &[u8], start: Instant, last_token_at: &mut Instant, received: &mut ClientResponse) -> Result<()> {
     if data == b"[DONE]" {
-        received.ended = true;
+        received.is_complete = true;
         return Ok(());
     }
     let value: Value = serde_json::from_slice(data).wrap_err("step=decode")?;
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -15,7 +15,7 @@
 use bpaf::Bpaf;
 use eyre::{Result, WrapErr};
 use standin::compare;
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::fleet::{Fleet, Spec, scratch_dir, workspace_key};
 use standin::load_generator::{self, LoadPlan};
 use standin::report::{self, PrefillBaseline};
@@ -60,13 +60,13 @@
 
 /// Runs the demo; the exit status is 1 if the ledger does not balance or an invariant was violated.
 pub async fn run(args: Args) -> Result<ExitCode> {
-    let sizes = Sizes { speed: args.speed, ..Sizes::default() };
+    let engine_capacity = Capacity { speed: args.speed, ..Capacity::default() };
     let spec = Spec {
         deployment: args.deployment,
         entries: 3,
         engines: args.engines,
         services: 3,
-        sizes: sizes.clone(),
+        engine_capacity: engine_capacity.clone(),
         picker: args.picker.clone(),
         order: args.order.clone(),
         vms_lag_ms: 500,
@@ -74,13 +74,13 @@
     };
     let dir = scratch_dir("demo");
     let fleet = Fleet::start(Spec { dir: dir.clone(), ..spec }).await?;
-    println!("fleet of {} processes is up; logs are in {}", fleet.names().len(), dir.display());
+    println!("fleet of {} processes is up; logs are in {}", fleet.process_names().len(), dir.display());
     if args.hold {
         print_curl_command(&fleet);
     }
 
     let include = |class: &workload::Class| !(args.no_long && class.is_long());
-    let rate = compare::request_rate(args.deployment, args.load, args.engines, &sizes);
+    let rate = compare::request_rate(args.deployment, args.load, args.engines, &engine_capacity);
     let arrivals = workload::arrivals(args.deployment, rate, Duration::from_secs(args.seconds), args.seed, include);
     println!(
         "sending {} requests at {rate:.0} a second for {} s, {} times faster than real time",
@@ -95,8 +95,8 @@
         run_id: format!("demo{}", args.seed),
     };
     let ledger = load_generator::send_arrivals(&plan, arrivals).await;
-    let totals = ledger.totals(&fleet.runs().await);
-    let baseline = PrefillBaseline { prefill_per_s: sizes.prefill_per_s * sizes.speed };
+    let totals = ledger.totals(&fleet.run_counts().await);
+    let baseline = PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed };
     let report = report::summarize(&ledger, totals, baseline);
     print!("{}", report.format_table());
     if let Some(file) = &args.json {
@@ -107,10 +107,10 @@
         println!("holding; press Ctrl-C to end");
         let _ = tokio::signal::ctrl_c().await;
     }
-    let breaches = fleet.breaches()?;
+    let breaches = fleet.read_breaches()?;
     let is_balanced = report.ledger.is_balanced() && breaches.is_empty();
     breaches.iter().for_each(|breach| println!("breach: {breach}"));
-    let stuck_processes = fleet.close().await?;
+    let stuck_processes = fleet.shut_down().await?;
     if !stuck_processes.is_empty() {
         println!("did not end in time: {stuck_processes}");
     }
--- a/standin/src/cmd/listen.rs
+++ b/standin/src/cmd/listen.rs
@@ -14,7 +14,7 @@
 
 use bpaf::Bpaf;
 use eyre::Result;
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::engine::server::{self, Engine};
 use standin::{log as log_standin, serve, service as service_standin, vms as vms_standin, weights as weights_standin};
 
@@ -46,14 +46,14 @@
 
 /// Runs an engine stand-in.
 pub async fn engine(args: EngineArgs) -> Result<()> {
-    let sizes = Sizes {
+    let engine_capacity = Capacity {
         speed: args.speed,
         prefill_per_s: args.prefill,
         memory: args.memory,
         slots: args.slots,
-        ..Sizes::default()
+        ..Capacity::default()
     };
-    let engine = Engine::new(sizes, !args.no_fence, LOAD_REPORT_DELAY);
+    let engine = Engine::new(engine_capacity, !args.no_fence, LOAD_REPORT_DELAY);
     tokio::spawn(engine.clone().run());
     serve::run(args.listen, server::router(engine)).await
 }
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -12,7 +12,7 @@
 
 use bpaf::Bpaf;
 use eyre::{Result, ensure};
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::load_generator::{self, LoadPlan};
 use standin::report::{self, PrefillBaseline};
 use standin::workload::{self, Deployment};
@@ -60,7 +60,7 @@
     };
     let ledger = load_generator::send_arrivals(&plan, arrivals).await;
     let totals = ledger.totals(&HashMap::new());
-    let baseline = PrefillBaseline { prefill_per_s: Sizes::default().prefill_per_s * args.speed };
+    let baseline = PrefillBaseline { prefill_per_s: Capacity::default().prefill_per_s * args.speed };
     let report = report::summarize(&ledger, totals, baseline);
     print!("{}", report.format_table());
     Ok(if report.ledger.is_balanced() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -16,7 +16,7 @@
 use eyre::{Result, WrapErr};
 use serde_json::json;
 use standin::compare;
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::fleet::{Fleet, Spec};
 use standin::load_generator::{self, LoadPlan};
 use standin::report::{self, PrefillBaseline};
@@ -55,18 +55,18 @@
 
 /// Runs the soak and prints its report; the exit status is 1 if a guarantee was violated.
 pub async fn run(args: Args) -> Result<ExitCode> {
-    let sizes = Sizes { speed: args.speed, ..Sizes::default() };
+    let engine_capacity = Capacity { speed: args.speed, ..Capacity::default() };
     let spec = Spec {
         deployment: args.deployment,
         entries: 3,
         engines: args.engines,
         services: 3,
-        sizes: sizes.clone(),
+        engine_capacity: engine_capacity.clone(),
         ..Spec::small("soak")
     };
     let mut fleet = Fleet::start(spec).await?;
-    println!("fleet of {} processes is up; logs are in {}", fleet.names().len(), fleet.spec.dir.display());
-    let rate = compare::request_rate(args.deployment, args.load, args.engines, &sizes);
+    println!("fleet of {} processes is up; logs are in {}", fleet.process_names().len(), fleet.spec.dir.display());
+    let rate = compare::request_rate(args.deployment, args.load, args.engines, &engine_capacity);
     let duration = Duration::from_secs(args.seconds);
     let arrivals = workload::arrivals(args.deployment, rate, duration, args.seed, |_| true);
     println!("sending {} requests at {rate:.0} a second for {} s, seed {}", arrivals.len(), args.seconds, args.seed);
@@ -83,17 +83,17 @@
     let mut outcomes = injector.finish(&mut ledger);
 
     let start = Instant::now();
-    while fleet.held_tokens().await > 0 && start.elapsed() < RELEASE_TIMEOUT {
+    while fleet.reserved_tokens().await > 0 && start.elapsed() < RELEASE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let reserved = fleet.held_tokens().await;
+    let reserved = fleet.reserved_tokens().await;
     if reserved > 0 {
         outcomes.breaches.push(format!("{reserved} tokens of KV memory stayed reserved"));
     }
-    outcomes.breaches.extend(fleet.breaches()?);
-    let totals = ledger.totals(&fleet.runs().await);
+    outcomes.breaches.extend(fleet.read_breaches()?);
+    let totals = ledger.totals(&fleet.run_counts().await);
     let report =
-        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: sizes.prefill_per_s * sizes.speed });
+        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed });
     print!("{}", report.format_table());
     for record in ledger.records.iter().filter(|record| record.is_breach()) {
         println!("breach: {} {} entry-{} {:?}", record.class, record.id, record.entry, record.outcome);
@@ -109,7 +109,7 @@
         std::fs::write(file, text).wrap_err_with(|| format!("step=write file={}", file.display()))?;
     }
     let is_passed = report.ledger.is_balanced() && outcomes.breaches.is_empty();
-    let stuck_processes = fleet.close().await?;
+    let stuck_processes = fleet.shut_down().await?;
     if !stuck_processes.is_empty() {
         println!("did not end in time: {stuck_processes}");
     }
--- a/standin/src/compare.rs
+++ b/standin/src/compare.rs
@@ -8,7 +8,7 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-use crate::engine::model::Sizes;
+use crate::engine::model::Capacity;
 use crate::fleet::{Fleet, Spec};
 use crate::load_generator::{self, LoadPlan};
 use crate::report::{self, PrefillBaseline, Report};
@@ -63,8 +63,8 @@
 pub const PREFILL_SHARE_WHILE_DECODING: f64 = 0.75;
 
 /// Returns the request rate, per second, that offers the share `load` of the capacity of `engines`.
-pub fn request_rate(deployment: Deployment, load: f64, engines: usize, sizes: &Sizes) -> f64 {
-    let capacity = engines as f64 * sizes.prefill_per_s * sizes.speed * PREFILL_SHARE_WHILE_DECODING;
+pub fn request_rate(deployment: Deployment, load: f64, engines: usize, engine_capacity: &Capacity) -> f64 {
+    let capacity = engines as f64 * engine_capacity.prefill_per_s * engine_capacity.speed * PREFILL_SHARE_WHILE_DECODING;
     load * capacity / deployment.mean_tokens(|_| true)
 }
 
@@ -76,19 +76,19 @@
 }
 
 async fn run_once(policy: Policy, setup: &Setup, include_long: bool) -> Result<Report> {
-    let sizes = Sizes { speed: setup.speed, ..Sizes::default() };
+    let engine_capacity = Capacity { speed: setup.speed, ..Capacity::default() };
     let spec = Spec {
         deployment: setup.deployment,
         entries: 3,
         engines: setup.engines,
         services: 3,
-        sizes: sizes.clone(),
+        engine_capacity: engine_capacity.clone(),
         picker: policy.picker.to_owned(),
         order: policy.order.to_owned(),
         ..Spec::small("compare")
     };
     let fleet = Fleet::start(spec).await?;
-    let request_rate = request_rate(setup.deployment, setup.load, setup.engines, &sizes);
+    let request_rate = request_rate(setup.deployment, setup.load, setup.engines, &engine_capacity);
     let arrivals = workload::arrivals(setup.deployment, request_rate, setup.duration, setup.seed, |class| {
         include_long || !class.is_long()
     });
@@ -99,11 +99,11 @@
         run_id: format!("compare{}", setup.seed),
     };
     let ledger = load_generator::send_arrivals(&plan, arrivals).await;
-    let totals = ledger.totals(&fleet.runs().await);
+    let totals = ledger.totals(&fleet.run_counts().await);
     let report =
-        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: sizes.prefill_per_s * sizes.speed });
+        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed });
     let dir = fleet.spec.dir.clone();
-    fleet.close().await?;
+    fleet.shut_down().await?;
     let _ = std::fs::remove_dir_all(dir);
     Ok(report)
 }
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -8,7 +8,7 @@
 
 /// Capacity and speed of an engine.
 #[derive(Clone, Debug)]
-pub struct Sizes {
+pub struct Capacity {
     /// Prefill rate, in prompt tokens per second.
     pub prefill_per_s: f64,
     /// Base time of a step that decodes, before the time per sequence.
@@ -27,7 +27,7 @@
     pub speed: f64,
 }
 
-impl Default for Sizes {
+impl Default for Capacity {
     fn default() -> Self {
         Self {
             prefill_per_s: 30_000.0,
@@ -93,7 +93,7 @@
 
 /// Scheduler state of an engine: waiting prompts, running sequences, spans and KV memory.
 pub struct TimingModel {
-    sizes: Sizes,
+    capacity: Capacity,
     waiting: BTreeMap<(std::cmp::Reverse<i32>, SequenceId), Prompt>,
     running: BTreeMap<SequenceId, Sequence>,
     spans: HashMap<SequenceId, u64>,
@@ -104,10 +104,10 @@
 
 impl TimingModel {
     /// Creates an idle engine.
-    pub fn new(sizes: Sizes) -> Self {
-        let cache = Cache::new(sizes.cache_blocks);
+    pub fn new(capacity: Capacity) -> Self {
+        let cache = Cache::new(capacity.cache_blocks);
         Self {
-            sizes,
+            capacity,
             waiting: BTreeMap::new(),
             running: BTreeMap::new(),
             spans: HashMap::new(),
@@ -119,7 +119,7 @@
 
     /// Queues a prompt and returns its id, or `None` if the prompt exceeds the engine's total memory.
     pub fn submit(&mut self, prompt: Prompt) -> Option<SequenceId> {
-        if memory_needed(&prompt) > self.sizes.memory {
+        if memory_needed(&prompt) > self.capacity.memory {
             return None;
         }
         let id = self.next_id;
@@ -153,11 +153,11 @@
             self.running.iter().filter(|(_, sequence)| sequence.remaining_prefill == 0).map(|(id, _)| *id).collect();
         let mut decode_time = Duration::ZERO;
         if !decoding.is_empty() {
-            decode_time = self.sizes.decode_base_time + self.sizes.decode_time_per_sequence * decoding.len() as u32;
+            decode_time = self.capacity.decode_base_time + self.capacity.decode_time_per_sequence * decoding.len() as u32;
         }
         let mut prefill_time = Duration::ZERO;
         if let Some((id, chunk)) = self.prefill_chunk() {
-            prefill_time = Duration::from_secs_f64(chunk as f64 / self.sizes.prefill_per_s);
+            prefill_time = Duration::from_secs_f64(chunk as f64 / self.capacity.prefill_per_s);
             self.finish_prefill(id, &mut events);
         }
         // Decoding is bound by memory bandwidth and prefill by compute, so they mostly overlap in one step.
@@ -166,7 +166,7 @@
             self.decode_token(id, &mut events);
         }
         self.admit();
-        (step_time.div_f64(self.sizes.speed), events)
+        (step_time.div_f64(self.capacity.speed), events)
     }
 
     /// Prefills a chunk of the prompt with the highest priority and returns its id and the chunk's tokens.
@@ -174,7 +174,7 @@
         let prefilling = self.running.iter_mut().filter(|(_, sequence)| sequence.remaining_prefill > 0);
         let (id, sequence) =
             prefilling.min_by_key(|(id, sequence)| (std::cmp::Reverse(sequence.prompt.priority), **id))?;
-        let chunk = sequence.remaining_prefill.min(self.sizes.max_prefill_chunk);
+        let chunk = sequence.remaining_prefill.min(self.capacity.max_prefill_chunk);
         sequence.remaining_prefill -= chunk;
         Some((*id, chunk))
     }
@@ -207,7 +207,7 @@
     fn admit(&mut self) {
         while let Some((key, prompt)) = self.waiting.first_key_value() {
             let memory = memory_needed(prompt);
-            if self.running.len() >= self.sizes.slots || self.reserved + memory > self.sizes.memory {
+            if self.running.len() >= self.capacity.slots || self.reserved + memory > self.capacity.memory {
                 return;
             }
             let (key, prompt) = (*key, prompt.clone());
@@ -256,7 +256,7 @@
 
     /// Returns the factor by which the engine runs faster than real time.
     pub fn speed(&self) -> f64 {
-        self.sizes.speed
+        self.capacity.speed
     }
 }
 
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-use super::model::{Event, Prompt, SequenceId, Sizes, TimingModel};
+use super::model::{Event, Prompt, SequenceId, Capacity, TimingModel};
 use crate::text;
 
 /// Mutable state of the engine, which a restart discards.
@@ -72,9 +72,9 @@
 impl Engine {
     /// Creates an idle engine that refreshes its reported load every `load_report_delay`. It rejects orders with an
     /// old fence if `checks_fence` is set.
-    pub fn new(sizes: Sizes, checks_fence: bool, load_report_delay: Duration) -> Arc<Self> {
+    pub fn new(capacity: Capacity, checks_fence: bool, load_report_delay: Duration) -> Arc<Self> {
         let state = EngineState {
-            model: TimingModel::new(sizes),
+            model: TimingModel::new(capacity),
             outputs: HashMap::new(),
             ready_spans: HashMap::new(),
             span_ids: HashMap::new(),
--- a/standin/src/fleet/control.rs
+++ b/standin/src/fleet/control.rs
@@ -9,7 +9,7 @@
 use eyre::{Result, WrapErr, eyre};
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::ports::binary;
+use super::ports::find_binary;
 use super::{Fleet, OPERATOR_ENV, OPERATOR_KEY, Process, TICKET_ENV};
 
 /// Time allowed for a process to exit after SIGTERM.
@@ -27,7 +27,7 @@
     }
 
     pub(super) fn spawn(&mut self, name: &str, program: &str, args: Vec<String>) -> Result<()> {
-        let program = binary(program)?;
+        let program = find_binary(program)?;
         self.spawn_path(name, program, args)
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Returns the names of all started processes in alphabetical order, including those that have exited.
-    pub fn names(&self) -> Vec<String> {
+    pub fn process_names(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Waits until a process exits by itself; returns whether it exited within `timeout` with status 0.
-    pub async fn wait_end(&mut self, name: &str, timeout: Duration) -> Result<bool> {
+    pub async fn wait_exit(&mut self, name: &str, timeout: Duration) -> Result<bool> {
         let process =
             self.processes.get_mut(name).ok_or_else(|| eyre!("step=wait-end: the fleet has no process {name}"))?;
         let start = std::time::Instant::now();
@@ -129,8 +129,8 @@
 
     /// Ends all processes. Entries and sidecars are sent SIGTERM first; the remaining processes are killed. Returns the
     /// names of the entries and sidecars that did not exit in time with status 0, each followed by a blank.
-    pub async fn close(mut self) -> Result<String> {
-        let names: Vec<String> = self.names();
+    pub async fn shut_down(mut self) -> Result<String> {
+        let names: Vec<String> = self.process_names();
         let has_graceful_exit = |name: &&String| name.starts_with("entry-") || name.starts_with("sidecar-");
         for name in names.iter().filter(has_graceful_exit) {
             let _ = self.signal(name, Signal::CONT);
@@ -139,7 +139,7 @@
         }
         let mut stuck_processes = String::new();
         for name in names.iter().filter(has_graceful_exit) {
-            if !self.wait_end(name, EXIT_TIMEOUT).await? {
+            if !self.wait_exit(name, EXIT_TIMEOUT).await? {
                 let _ = write!(stuck_processes, "{name} ");
             }
         }
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 mod control;
 pub mod ports;
 
-pub use ports::{binary, free_address};
+pub use ports::{find_binary, allocate_address};
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 
 use crate::client::Client;
-use crate::engine::model::Sizes;
+use crate::engine::model::Capacity;
 use crate::workload::{Deployment, WORKSPACE_COUNT};
 
 /// Bearer key of the operators of a fleet.
@@ -48,7 +48,7 @@
     /// Whether the sidecars of all plain services share one stand-in, which saves processes.
     pub shares_service: bool,
     /// Capacity and speed of the engines.
-    pub sizes: Sizes,
+    pub engine_capacity: Capacity,
     /// Whether engines reject orders with an old fence.
     pub checks_fence: bool,
     /// Picker of the entries, as in the setting `entry.picker`.
@@ -78,7 +78,7 @@
             engines: 3,
             services: 2,
             shares_service: false,
-            sizes: Sizes { speed: 10.0, ..Sizes::default() },
+            engine_capacity: Capacity { speed: 10.0, ..Capacity::default() },
             checks_fence: true,
             picker: "quoted".into(),
             order: "slack".into(),
@@ -149,7 +149,7 @@
         let stand_ins: [(&str, &[&str]); 3] =
             [("log", &["--retention-ms", &retention]), ("vms", &["--lag-ms", &lag]), ("weights", &[])];
         for (name, args) in stand_ins {
-            let address = free_address()?;
+            let address = allocate_address()?;
             self.addresses.insert(name.to_owned(), address.clone());
             let mut command_line = vec![name.to_owned(), "--listen".to_owned(), address];
             command_line.extend(args.iter().map(|arg| (*arg).to_owned()));
@@ -170,7 +170,7 @@
         let mut assigned = Vec::new();
         for number in 0..self.spec.entries {
             let name = format!("entry-{number}");
-            let (listen, peer) = (free_address()?, free_address()?);
+            let (listen, peer) = (allocate_address()?, allocate_address()?);
             self.entries.push(listen.clone());
             self.addresses.insert(name.clone(), peer.clone());
             assigned.push((name, listen, peer));
@@ -193,7 +193,7 @@
             match self.addresses.get(&shared).filter(|_| self.spec.shares_service).cloned() {
                 Some(address) => drop(self.addresses.insert(name.clone(), address)),
                 None => {
-                    let address = free_address()?;
+                    let address = allocate_address()?;
                     let args = ["service", "--listen", &address, "--name", self.spec.deployment.service()];
                     self.spawn(&name, "standin", args.map(str::to_owned).to_vec())?;
                     self.addresses.insert(name.clone(), address);
@@ -207,13 +207,13 @@
     /// Starts an engine and its sidecar and registers its VM on the platform's list.
     pub async fn add_engine(&mut self, number: usize) -> Result<()> {
         let name = format!("{}-{number}", self.spec.deployment.model());
-        let address = free_address()?;
-        let sizes = &self.spec.sizes;
+        let address = allocate_address()?;
+        let engine_capacity = &self.spec.engine_capacity;
         let mut args: Vec<String> = ["engine", "--listen", &address].map(str::to_owned).to_vec();
-        args.extend(["--speed".to_owned(), sizes.speed.to_string()]);
-        args.extend(["--prefill".to_owned(), sizes.prefill_per_s.to_string()]);
-        args.extend(["--memory".to_owned(), sizes.memory.to_string()]);
-        args.extend(["--slots".to_owned(), sizes.slots.to_string()]);
+        args.extend(["--speed".to_owned(), engine_capacity.speed.to_string()]);
+        args.extend(["--prefill".to_owned(), engine_capacity.prefill_per_s.to_string()]);
+        args.extend(["--memory".to_owned(), engine_capacity.memory.to_string()]);
+        args.extend(["--slots".to_owned(), engine_capacity.slots.to_string()]);
         if !self.spec.checks_fence {
             args.push("--no-fence".to_owned());
         }
@@ -224,11 +224,11 @@
 
     async fn start_sidecar(&mut self, endpoint: &str, service: &str, kind: &str, number: usize) -> Result<()> {
         let name = format!("sidecar-{endpoint}");
-        let address = free_address()?;
+        let address = allocate_address()?;
         self.addresses.insert(name.clone(), address.clone());
-        let sizes = &self.spec.sizes;
+        let engine_capacity = &self.spec.engine_capacity;
         let (slowdown, ttft) = self.spec.deployment.latency_weights();
-        let gap_ms = (sizes.decode_base_time.div_f64(sizes.speed).as_millis()).max(1);
+        let gap_ms = (engine_capacity.decode_base_time.div_f64(engine_capacity.speed).as_millis()).max(1);
         let text = format!(
             "[process]\nname = {name}\nfailure_domain = {}\n\n[sidecar]\nlisten = {address}\nendpoint = {endpoint}\n\
              endpoint_address = {}\nservice = {service}\nkind = {kind}\nentries = {}\norder = {}\n\
@@ -238,22 +238,22 @@
             self.addresses[endpoint],
             self.peer_addresses(),
             self.spec.order,
-            sizes.slots,
-            sizes.memory,
-            sizes.prefill_per_s * sizes.speed,
+            engine_capacity.slots,
+            engine_capacity.memory,
+            engine_capacity.prefill_per_s * engine_capacity.speed,
             self.spec.sidecar_settings,
         );
         let file = self.write_settings(&name, &text)?;
         self.spawn(&name, "sorrelpass", vec!["sidecar".to_owned(), file])?;
         let vm = json!({ "name": endpoint, "address": address, "role": "endpoint", "service": service,
             "failure_domain": self.failure_domain(number), "leaving": false });
-        self.list_vm(endpoint, &vm).await
+        self.register_vm(endpoint, &vm).await
     }
 
     /// Registers a VM on the platform's list.
-    pub async fn list_vm(&self, name: &str, vm: &Value) -> Result<()> {
+    pub async fn register_vm(&self, name: &str, vm: &Value) -> Result<()> {
         let (status, _) =
-            self.client.json("PUT", &self.addresses["vms"], &format!("/vms/{name}"), "", Some(vm)).await?;
+            self.client.send_json("PUT", &self.addresses["vms"], &format!("/vms/{name}"), "", Some(vm)).await?;
         if status == 204 { Ok(()) } else { bail!("step=list-vm status={status}") }
     }
 
@@ -297,7 +297,7 @@
             let name = format!("entry-{number}");
             let vm = json!({ "name": name, "address": self.addresses[&name], "role": "entry", "service": "",
                 "failure_domain": self.failure_domain(number), "leaving": false });
-            self.list_vm(&name, &vm).await?;
+            self.register_vm(&name, &vm).await?;
         }
         self.publish_at(0, changes).await
     }
@@ -307,10 +307,10 @@
         let entry = &self.entries[entry];
         self.wait_listening(entry).await?;
         let body = json!({ "changes": changes });
-        let (status, plan) = self.client.json("POST", entry, "/v1/intents", OPERATOR_KEY, Some(&body)).await?;
+        let (status, plan) = self.client.send_json("POST", entry, "/v1/intents", OPERATOR_KEY, Some(&body)).await?;
         let Some(id) = plan["plan"].as_str() else { bail!("step=plan status={status}: {plan}") };
         let path = format!("/v1/plans/{id}/confirm");
-        let (status, verdict) = self.client.json("POST", entry, &path, OPERATOR_KEY, None).await?;
+        let (status, verdict) = self.client.send_json("POST", entry, &path, OPERATOR_KEY, None).await?;
         verdict["revision"].as_u64().ok_or_else(|| eyre!("step=confirm status={status}: {verdict}"))
     }
 
@@ -331,7 +331,7 @@
         let start = std::time::Instant::now();
         let expected_members = self.spec.engines + self.spec.services + self.spec.entries;
         while start.elapsed() < READY_TIMEOUT {
-            if let Ok((200, body)) = self.client.json("GET", entry, "/readyz", "", None).await
+            if let Ok((200, body)) = self.client.send_json("GET", entry, "/readyz", "", None).await
                 && body["members"].as_u64().unwrap_or(0) >= expected_members as u64
             {
                 return Ok(());
@@ -342,18 +342,18 @@
     }
 
     /// Injects a fault into a stand-in.
-    pub async fn fault(&self, name: &str, fault: &Value) -> Result<()> {
+    pub async fn inject_fault(&self, name: &str, fault: &Value) -> Result<()> {
         let address = self.addresses.get(name).ok_or_else(|| eyre!("step=fault: the fleet has no stand-in {name}"))?;
-        let (status, _) = self.client.json("POST", address, "/fault", "", Some(fault)).await?;
+        let (status, _) = self.client.send_json("POST", address, "/fault", "", Some(fault)).await?;
         if status == 204 { Ok(()) } else { bail!("step=fault name={name} status={status}") }
     }
 
     /// Returns how often each key was executed, summed over all services that respond.
-    pub async fn runs(&self) -> HashMap<String, u64> {
+    pub async fn run_counts(&self) -> HashMap<String, u64> {
         let mut all = HashMap::new();
         for number in 0..self.spec.services {
             let name = format!("{}-{number}", self.spec.deployment.service());
-            let answer = self.client.json("GET", &self.addresses[&name], "/runs", "", None).await;
+            let answer = self.client.send_json("GET", &self.addresses[&name], "/runs", "", None).await;
             let Ok((200, Value::Object(runs))) = answer else { continue };
             for (key, count) in runs {
                 *all.entry(key).or_default() += count.as_u64().unwrap_or(0);
@@ -363,11 +363,11 @@
     }
 
     /// Returns the reserved KV memory, in tokens, summed over all engines that respond.
-    pub async fn held_tokens(&self) -> u64 {
+    pub async fn reserved_tokens(&self) -> u64 {
         let mut reserved = 0;
         for number in 0..self.spec.engines {
             let name = format!("{}-{number}", self.spec.deployment.model());
-            if let Ok((200, kv)) = self.client.json("GET", &self.addresses[&name], "/kv", "", None).await {
+            if let Ok((200, kv)) = self.client.send_json("GET", &self.addresses[&name], "/kv", "", None).await {
                 reserved += kv["held_tokens"].as_u64().unwrap_or(0);
             }
         }
@@ -375,7 +375,7 @@
     }
 
     /// Returns the log lines of all processes that report a violated invariant or a panic.
-    pub fn breaches(&self) -> Result<Vec<String>> {
+    pub fn read_breaches(&self) -> Result<Vec<String>> {
         let mut breaches = Vec::new();
         for file in self.log_files() {
             let text = String::from_utf8_lossy(&std::fs::read(&file).unwrap_or_default()).into_owned();
--- a/standin/src/fleet/ports.rs
+++ b/standin/src/fleet/ports.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns a free loopback address. Within a process, an address repeats only after all ports of the range.
-pub fn free_address() -> Result<String> {
+pub fn allocate_address() -> Result<String> {
     let range = PORT_RANGE.get_or_init(|| {
         let (offset, _reservation) = reserve_block();
         PortRange { first: FIRST_PORT, count: FLEET_PORT_COUNT, next_offset: AtomicU16::new(offset), _reservation }
@@ -73,7 +73,7 @@
 
 /// Returns the path of the binary `name` in the directory of the current executable or in the parent directory,
 /// which holds the binaries when the current executable is a test.
-pub fn binary(name: &str) -> Result<PathBuf> {
+pub fn find_binary(name: &str) -> Result<PathBuf> {
     let current_exe = std::env::current_exe().wrap_err("step=find-binary")?;
     let found = current_exe.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|path| path.is_file());
     found.ok_or_else(|| {
--- a/standin/src/history.rs
+++ b/standin/src/history.rs
@@ -25,7 +25,7 @@
 
 /// A completed operation of a history.
 #[derive(Clone, Debug)]
-pub struct Call<O> {
+pub struct CompletedCall<O> {
     /// Time of the invocation.
     pub called: Instant,
     /// Time of the return.
@@ -35,7 +35,7 @@
 }
 
 /// Returns whether the history is linearizable. Panics if it has more than 64 operations.
-pub fn is_linearizable<S: Specification>(specification: &S, history: &[Call<S::Operation>]) -> bool {
+pub fn is_linearizable<S: Specification>(specification: &S, history: &[CompletedCall<S::Operation>]) -> bool {
     assert!(history.len() <= u64::BITS as usize, "history has more than 64 operations; split it by key");
     let mut visited = HashSet::new();
     search(specification, history, 0, &specification.initial(), &mut visited)
@@ -43,7 +43,7 @@
 
 fn search<S: Specification>(
     specification: &S,
-    history: &[Call<S::Operation>],
+    history: &[CompletedCall<S::Operation>],
     linearized: u64,
     state: &S::State,
     visited: &mut HashSet<(u64, S::State)>,
@@ -65,11 +65,11 @@
 
 /// Result of a call under an idempotency key, as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OnceCall {
+pub enum IdempotentCall {
     /// Complete response; its text identifies the execution that it belongs to.
     Answer(String),
     /// Failure stating that the call was not executed.
-    NotRun,
+    NotExecuted,
     /// The caller cannot tell whether the operation took effect.
     Unknown,
 }
@@ -81,22 +81,22 @@
 impl Specification for AtMostOnce {
     /// Whether the key was executed, and the response once one was received.
     type State = (bool, Option<String>);
-    type Operation = OnceCall;
+    type Operation = IdempotentCall;
 
     fn initial(&self) -> Self::State {
         (false, None)
     }
 
-    fn next_states(&self, (is_executed, response): &Self::State, operation: &OnceCall) -> Vec<Self::State> {
+    fn next_states(&self, (is_executed, response): &Self::State, operation: &IdempotentCall) -> Vec<Self::State> {
         match operation {
-            OnceCall::Answer(text) if response.as_ref().is_none_or(|first_response| first_response == text) => {
+            IdempotentCall::Answer(text) if response.as_ref().is_none_or(|first_response| first_response == text) => {
                 vec![(true, Some(text.clone()))]
             }
-            OnceCall::Answer(_) => Vec::new(),
+            IdempotentCall::Answer(_) => Vec::new(),
             // After the key was executed, a call must not report that it was not.
-            OnceCall::NotRun if *is_executed => Vec::new(),
-            OnceCall::NotRun => vec![(false, None)],
-            OnceCall::Unknown => vec![(*is_executed, response.clone()), (true, response.clone())],
+            IdempotentCall::NotExecuted if *is_executed => Vec::new(),
+            IdempotentCall::NotExecuted => vec![(false, None)],
+            IdempotentCall::Unknown => vec![(*is_executed, response.clone()), (true, response.clone())],
         }
     }
 }
@@ -127,9 +127,9 @@
 ///
 /// A confirmation with an unknown result leaves the state unchanged. If it was accepted after all, a later conflict
 /// names its revision.
-pub struct Item;
+pub struct PlannedItem;
 
-impl Specification for Item {
+impl Specification for PlannedItem {
     /// Revision of the most recently accepted plan.
     type State = u64;
     type Operation = Confirm;
--- a/standin/src/ledger.rs
+++ b/standin/src/ledger.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 
-use crate::client::Seen;
+use crate::client::ClientResponse;
 
 /// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,9 +32,9 @@
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1_000);
 
 /// Returns the outcome of a request from what its client received; `is_correct` tells whether the text is correct.
-pub fn classify(received: &Seen, is_correct: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
-    if received.took > deadline + DEADLINE_TOLERANCE {
-        return Outcome::Lost(format!("response ended after {} ms, past its deadline", received.took.as_millis()));
+pub fn classify(received: &ClientResponse, is_correct: impl Fn(&str) -> bool, deadline: Duration) -> Outcome {
+    if received.elapsed > deadline + DEADLINE_TOLERANCE {
+        return Outcome::Lost(format!("response ended after {} ms, past its deadline", received.elapsed.as_millis()));
     }
     if received.failure.is_some() {
         let ran = received.ran().unwrap_or("-").to_owned();
@@ -43,7 +43,7 @@
     if let Some(error) = &received.error {
         return Outcome::Lost(error.clone());
     }
-    if !received.ended {
+    if !received.is_complete {
         return Outcome::Lost("response ended early without an error".to_owned());
     }
     if is_correct(&received.text) { Outcome::Complete } else { Outcome::MixedUp }
--- a/standin/src/load_generator.rs
+++ b/standin/src/load_generator.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
-use crate::client::{Client, Prompt, Seen};
+use crate::client::{Client, Prompt, ClientResponse};
 use crate::fleet::workspace_key;
 use crate::ledger::{Ledger, Outcome, RequestRecord, classify};
 use crate::text;
@@ -84,8 +84,8 @@
         id,
         tokens: arrival.tokens,
         outcome,
-        ttft: if arrival.tokens == 0 { Some(received.took) } else { received.ttft },
-        duration: received.took,
+        ttft: if arrival.tokens == 0 { Some(received.elapsed) } else { received.ttft },
+        duration: received.elapsed,
         retry_after: received.retry_after(),
         gaps: received.gaps,
         idempotency_key,
@@ -100,23 +100,23 @@
     key: String,
     arrival: &Arrival,
     deadline: Duration,
-) -> (Seen, Outcome) {
+) -> (ClientResponse, Outcome) {
     let prompt = Prompt {
         model: plan.deployment.model().to_owned(),
         key,
-        text: text::prompt(arrival.tokens as usize, arrival.seed),
+        text: text::generate_prompt(arrival.tokens as usize, arrival.seed),
         output: arrival.output,
         stream: !arrival.seed.is_multiple_of(NON_STREAMED_INTERVAL),
         deadline,
         headers: vec![("x-request-id".to_owned(), id.to_owned())],
     };
-    let received = client.prompt(entry, &prompt).await;
+    let received = client.send_prompt(entry, &prompt).await;
     let expected = prompt.expected();
     let outcome = classify(&received, |text| text == expected, deadline);
     (received, outcome)
 }
 
-async fn request_ticket(plan: &LoadPlan, client: &Client, entry: &str, key: &str) -> Result<String, Seen> {
+async fn request_ticket(plan: &LoadPlan, client: &Client, entry: &str, key: &str) -> Result<String, ClientResponse> {
     let body = json!({ "service": plan.deployment.service() });
     let headers = [("authorization".to_owned(), format!("Bearer {key}"))];
     let received = client.call("POST", entry, "/v1/tickets", &headers, body.to_string()).await;
@@ -137,7 +137,7 @@
     key: &str,
     idempotency_key: Option<String>,
     deadline: Duration,
-) -> (Seen, Outcome) {
+) -> (ClientResponse, Outcome) {
     let mut headers = vec![
         ("authorization".to_owned(), format!("Bearer {key}")),
         ("x-request-id".to_owned(), id.to_owned()),
--- a/standin/src/overhead.rs
+++ b/standin/src/overhead.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::client::{Client, Prompt};
-use crate::engine::model::Sizes;
+use crate::engine::model::Capacity;
 use crate::fleet::{Fleet, Spec, workspace_key};
 use crate::report::{Quantiles, compute_quantiles};
 use crate::resource_usage;
@@ -43,14 +43,14 @@
     speed: f64,
     duration: Duration,
 ) -> Result<Vec<StreamLevel>> {
-    let sizes = Sizes { speed, slots: 4_096, memory: 100_000_000, ..Sizes::default() };
+    let engine_capacity = Capacity { speed, slots: 4_096, memory: 100_000_000, ..Capacity::default() };
     let settings = "queue = 4096\n".to_owned();
     let entry_settings = "threads = 3\nquote_timeout_ms = 2000\n".to_owned();
     let spec = Spec {
         entries: 1,
         engines: 1,
         services: 1,
-        sizes,
+        engine_capacity,
         sidecar_settings: settings,
         entry_settings,
         ..Spec::small("overhead")
@@ -79,7 +79,7 @@
             sidecar_mib: resident_mib(&format!("sidecar-{model}-0")),
         });
     }
-    fleet.close().await?;
+    fleet.shut_down().await?;
     Ok(results)
 }
 
@@ -98,8 +98,8 @@
 
 /// Measures memory under prompts of a million tokens, on engines whose memory holds a complete prompt.
 pub async fn measure_large_prompts(counts: &[usize]) -> Result<Vec<LargePromptUsage>> {
-    let sizes = Sizes { speed: 100.0, memory: 20_000_000, ..Sizes::default() };
-    let fleet = Fleet::start(Spec { entries: 1, engines: 2, services: 1, sizes, ..Spec::small("large") }).await?;
+    let engine_capacity = Capacity { speed: 100.0, memory: 20_000_000, ..Capacity::default() };
+    let fleet = Fleet::start(Spec { entries: 1, engines: 2, services: 1, engine_capacity, ..Spec::small("large") }).await?;
     let model = fleet.spec.deployment.model();
     let mut results = Vec::new();
     for count in counts {
@@ -107,7 +107,7 @@
             .map(|seed| Prompt {
                 model: model.to_owned(),
                 key: workspace_key(0),
-                text: text::prompt(1_000_000, seed as u64),
+                text: text::generate_prompt(1_000_000, seed as u64),
                 output: 20,
                 stream: true,
                 deadline: Duration::from_secs(60),
@@ -115,7 +115,7 @@
             })
             .collect();
         let requests =
-            futures_util::future::join_all(prompts.iter().map(|prompt| fleet.client.prompt(&fleet.entries[0], prompt)));
+            futures_util::future::join_all(prompts.iter().map(|prompt| fleet.client.send_prompt(&fleet.entries[0], prompt)));
         tokio::pin!(requests);
         let mut peak = LargePromptUsage { prompts: *count, whole: 0, entry_mib: 0.0, sidecar_mib: 0.0 };
         let resident_mib = |name: &str| {
@@ -138,7 +138,7 @@
             prompts.iter().zip(received).filter(|(prompt, received)| received.text == prompt.expected()).count();
         results.push(peak);
     }
-    fleet.close().await?;
+    fleet.shut_down().await?;
     Ok(results)
 }
 
@@ -164,14 +164,14 @@
                 let prompt = Prompt {
                     model: model.clone(),
                     key: workspace_key(0),
-                    text: text::prompt(PROMPT_TOKENS, seed),
+                    text: text::generate_prompt(PROMPT_TOKENS, seed),
                     output,
                     stream: true,
                     deadline: Duration::from_secs(30),
                     headers: Vec::new(),
                 };
-                let received = client.prompt(&address, &prompt).await;
-                if received.ended {
+                let received = client.send_prompt(&address, &prompt).await;
+                if received.is_complete {
                     ttfts.extend(received.ttft);
                     tokens += output;
                 }
--- a/standin/src/platform/site.rs
+++ b/standin/src/platform/site.rs
@@ -15,7 +15,7 @@
 use super::proxy::Proxy;
 use super::replica::Replica;
 use super::store::{Store, StoreListener};
-use crate::fleet::{binary, free_address};
+use crate::fleet::{find_binary, allocate_address};
 
 /// Host name in all routes of the configuration.
 pub const HOST: &str = "site.example";
@@ -174,7 +174,7 @@
     /// Opens a store listener for a new entry, writes the entry's settings and starts its process.
     async fn add_entry(&mut self, index: usize, spec: &Spec) -> Result<()> {
         let store_listener = self.store.listen().await?;
-        let (entry_address, ready_address, peer_address) = (free_address()?, free_address()?, free_address()?);
+        let (entry_address, ready_address, peer_address) = (allocate_address()?, allocate_address()?, allocate_address()?);
         let earlier_peers = &self.peer_addresses[..self.peer_addresses.len().min(MAX_SEEDS)];
         let seeds = if spec.has_seeds { earlier_peers.join(",") } else { String::new() };
         self.peer_addresses.push(peer_address.clone());
@@ -206,7 +206,7 @@
         let settings = self.settings_file(index);
         let stdout = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(index))?;
         let stderr = stdout.try_clone()?;
-        let child = Command::new(binary("sorrelpass")?)
+        let child = Command::new(find_binary("sorrelpass")?)
             .arg("entry")
             .arg(settings)
             .stdin(Stdio::null())
--- a/standin/src/scale.rs
+++ b/standin/src/scale.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::client::Prompt;
-use crate::engine::model::Sizes;
+use crate::engine::model::Capacity;
 use crate::fleet::{Fleet, OPERATOR_KEY, Spec, workspace_key};
 use crate::resource_usage::{self, LinearFit, ProcessUsage, fit_line};
 use crate::text;
@@ -103,7 +103,7 @@
             usage.packets_per_s,
         ];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
-        fleet.close().await?;
+        fleet.shut_down().await?;
     }
     let names = [
         "entry, idle, cores",
@@ -128,7 +128,7 @@
             let name = format!("listed-{number}");
             let vm = json!({ "name": name, "address": "127.0.0.1:1", "role": "endpoint", "service": "elsewhere",
                 "failure_domain": format!("domain-{}", number % 11), "leaving": false });
-            fleet.list_vm(&name, &vm).await?;
+            fleet.register_vm(&name, &vm).await?;
         }
         listed_count = *size;
         tokio::time::sleep(SETTLE_DELAY).await;
@@ -136,7 +136,7 @@
         let values = [usage.entry_cores, usage.entry_mib, usage.bytes_per_s / 1_024.0];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
     }
-    fleet.close().await?;
+    fleet.shut_down().await?;
     let names = ["entry, cores", "entry, resident MiB", "loopback, whole fleet, KiB/s"];
     Ok(names
         .into_iter()
@@ -162,7 +162,7 @@
 async fn wait_revision(fleet: &Fleet, entry: usize, revision: u64) -> Result<()> {
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(30) {
-        let answer = fleet.client.json("GET", &fleet.entries[entry], "/v1/status", OPERATOR_KEY, None).await;
+        let answer = fleet.client.send_json("GET", &fleet.entries[entry], "/v1/status", OPERATOR_KEY, None).await;
         if answer.is_ok_and(|(_, status)| status["revision"].as_u64().unwrap_or(0) >= revision) {
             return Ok(());
         }
@@ -197,7 +197,7 @@
         fleet.restart("entry-1")?;
         fleet.wait_ready(&fleet.entries[1]).await?;
         let restart_ms = started.elapsed().as_secs_f64() * 1e3;
-        let (_, config) = fleet.client.json("GET", &fleet.entries[0], "/v1/intents", OPERATOR_KEY, None).await?;
+        let (_, config) = fleet.client.send_json("GET", &fleet.entries[0], "/v1/intents", OPERATOR_KEY, None).await?;
         let config_mib = config.to_string().len() as f64 / BYTES_PER_MIB;
         let max_apply_ms = apply_times_ms.into_iter().fold(0.0, f64::max);
         let values = [
@@ -209,7 +209,7 @@
         ];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*size as f64, value)));
     }
-    fleet.close().await?;
+    fleet.shut_down().await?;
     let names = [
         "entry, resident MiB",
         "entry that only follows, CPU ms per change",
@@ -241,7 +241,7 @@
         let x_values = [*rate as f64, *rate as f64, *rate as f64, claimed_keys as f64];
         points.iter_mut().zip(x_values).zip(values).for_each(|((points, x), value)| points.push((x, value)));
     }
-    fleet.close().await?;
+    fleet.shut_down().await?;
     let [serving, following, appended, resident] = points;
     Ok(vec![
         fit_series("claims/s through it", "entry, cores, with the calls themselves", serving),
@@ -252,7 +252,7 @@
 }
 
 async fn append_count(fleet: &Fleet) -> f64 {
-    let counts = fleet.client.json("GET", &fleet.addresses["log"], "/counts", "", None).await;
+    let counts = fleet.client.send_json("GET", &fleet.addresses["log"], "/counts", "", None).await;
     counts.ok().and_then(|(_, counts)| counts["appends"].as_f64()).unwrap_or(0.0)
 }
 
@@ -275,16 +275,16 @@
 /// Measures one entry and one sidecar under short prompts at each rate.
 pub async fn measure_requests(rates: &[u64], output: u64, duration: Duration) -> Result<Vec<Series>> {
     let mut points: [Vec<(f64, f64)>; 4] = Default::default();
-    let sizes = Sizes { speed: 100.0, slots: 1_024, memory: 40_000_000, ..Sizes::default() };
+    let engine_capacity = Capacity { speed: 100.0, slots: 1_024, memory: 40_000_000, ..Capacity::default() };
     let fleet =
-        Fleet::start(Spec { entries: 1, engines: 1, services: 1, sizes, ..Spec::small("scale-requests") }).await?;
+        Fleet::start(Spec { entries: 1, engines: 1, services: 1, engine_capacity, ..Spec::small("scale-requests") }).await?;
     let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.model());
     for rate in rates {
         let usage = measure_usage(&fleet, &sidecar, send_prompts(&fleet, *rate, output, duration)).await?;
         let values = [usage.entry_cores, usage.entry_mib, usage.sidecar_cores, usage.sidecar_mib];
         points.iter_mut().zip(values).for_each(|(points, value)| points.push((*rate as f64, value)));
     }
-    fleet.close().await?;
+    fleet.shut_down().await?;
     let names = ["entry, cores", "entry, resident MiB", "sidecar, cores", "sidecar, resident MiB"];
     Ok(names.into_iter().zip(points).map(|(name, points)| fit_series("requests/s", name, points)).collect())
 }
@@ -297,13 +297,13 @@
         let prompt = Prompt {
             model: fleet.spec.deployment.model().to_owned(),
             key: workspace_key(0),
-            text: text::prompt(1_000, number),
+            text: text::generate_prompt(1_000, number),
             output,
             stream: true,
             deadline: Duration::from_secs(30),
             headers: Vec::new(),
         };
-        fleet.client.prompt(&fleet.entries[0], &prompt).await;
+        fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     });
     futures_util::future::join_all(calls).await;
     tokio::time::sleep_until(start + duration).await;
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -156,7 +156,7 @@
             }
             self.check_revisions().await;
         }
-        self.fleet.fault("log", &json!({})).await
+        self.fleet.inject_fault("log", &json!({})).await
     }
 
     fn random_engine(&mut self) -> String {
@@ -210,24 +210,24 @@
             }
             FaultKind::FreezeEngine => {
                 let name = self.random_engine();
-                self.fleet.fault(&name, &json!({ "freeze_ms": ms })).await
+                self.fleet.inject_fault(&name, &json!({ "freeze_ms": ms })).await
             }
             FaultKind::FreezeService => {
                 let name = self.random_service();
-                self.fleet.fault(&name, &json!({ "freeze_ms": ms })).await
+                self.fleet.inject_fault(&name, &json!({ "freeze_ms": ms })).await
             }
             FaultKind::LoseServiceAnswers => {
                 let name = self.random_service();
-                self.fleet.fault(&name, &json!({ "lose_answers": 3 })).await
+                self.fleet.inject_fault(&name, &json!({ "lose_answers": 3 })).await
             }
-            FaultKind::LogOutage => self.fleet.fault("log", &json!({ "outage_ms": ms })).await,
+            FaultKind::LogOutage => self.fleet.inject_fault("log", &json!({ "outage_ms": ms })).await,
             FaultKind::LogSlow => {
-                self.fleet.fault("log", &json!({ "slow_ms": ms / 10 })).await?;
+                self.fleet.inject_fault("log", &json!({ "slow_ms": ms / 10 })).await?;
                 self.sleep_random().await;
-                self.fleet.fault("log", &json!({})).await
+                self.fleet.inject_fault("log", &json!({})).await
             }
-            FaultKind::LoseAppends => self.fleet.fault("log", &json!({ "lose_answers": 5 })).await,
-            FaultKind::VmsOutage => self.fleet.fault("vms", &json!({ "outage_ms": ms })).await,
+            FaultKind::LoseAppends => self.fleet.inject_fault("log", &json!({ "lose_answers": 5 })).await,
+            FaultKind::VmsOutage => self.fleet.inject_fault("vms", &json!({ "outage_ms": ms })).await,
             FaultKind::StopSidecar => {
                 let name = self.random_sidecar();
                 self.stop(&name).await
@@ -271,7 +271,7 @@
 
     async fn stop(&mut self, name: &str) -> Result<()> {
         self.fleet.signal(name, Signal::TERM)?;
-        if !self.fleet.wait_end(name, Duration::from_secs(60)).await? {
+        if !self.fleet.wait_exit(name, Duration::from_secs(60)).await? {
             self.outcomes.breaches.push(format!("{name} did not exit within 60 s of SIGTERM"));
             self.fleet.kill(name)?;
         }
@@ -314,13 +314,13 @@
     async fn plan(&self, entry: usize, changes: &serde_json::Value) -> Option<String> {
         let body = json!({ "changes": changes });
         let response =
-            self.fleet.client.json("POST", &self.fleet.entries[entry], "/v1/intents", OPERATOR_KEY, Some(&body));
+            self.fleet.client.send_json("POST", &self.fleet.entries[entry], "/v1/intents", OPERATOR_KEY, Some(&body));
         Some(response.await.ok()?.1["plan"].as_str()?.to_owned())
     }
 
     async fn confirm(&self, entry: usize, plan: &str) -> Option<u64> {
         let path = format!("/v1/plans/{plan}/confirm");
-        let response = self.fleet.client.json("POST", &self.fleet.entries[entry], &path, OPERATOR_KEY, None);
+        let response = self.fleet.client.send_json("POST", &self.fleet.entries[entry], &path, OPERATOR_KEY, None);
         response.await.ok()?.1["revision"].as_u64()
     }
 
@@ -375,7 +375,7 @@
 }
 
 async fn revision_at(client: &Client, entry: &str) -> Option<u64> {
-    let call = client.json("GET", entry, "/v1/status", OPERATOR_KEY, None);
+    let call = client.send_json("GET", entry, "/v1/status", OPERATOR_KEY, None);
     let answer = tokio::time::timeout(Duration::from_secs(1), call).await.ok()?.ok()?;
     answer.1["revision"].as_u64()
 }
--- a/standin/src/text.rs
+++ b/standin/src/text.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns prompt text of `tokens` tokens, different for each `seed`.
-pub fn prompt(tokens: usize, seed: u64) -> String {
+pub fn generate_prompt(tokens: usize, seed: u64) -> String {
     let bytes = tokens * BYTES_PER_TOKEN;
     let mut text = String::with_capacity(bytes + 16);
     let mut hash_state = seed;
--- a/standin/tests/at_most_once.rs
+++ b/standin/tests/at_most_once.rs
@@ -20,7 +20,7 @@
     let body = json!({ "service": "stall-ledger" });
     let (status, ticket) = fleet
         .client
-        .json("POST", &fleet.entries[0], "/v1/tickets", &workspace_key(0), Some(&body))
+        .send_json("POST", &fleet.entries[0], "/v1/tickets", &workspace_key(0), Some(&body))
         .await
         .expect("an answer comes");
     assert_eq!(status, 201, "{ticket}");
@@ -38,7 +38,7 @@
     let second = pay(&fleet, 1, Some("levy-1"), LONG).await;
     assert_eq!((first.status, second.status), (200, 200), "{} {}", first.text, second.text);
     assert_eq!(first.text, second.text);
-    assert_eq!(fleet.runs().await["levy-1"], 1);
+    assert_eq!(fleet.run_counts().await["levy-1"], 1);
     close(fleet).await;
 }
 
@@ -50,7 +50,7 @@
         let (one, other) = tokio::join!(pay(&fleet, 0, Some(&key), LONG), pay(&fleet, 1, Some(&key), LONG));
         assert_eq!((one.status, other.status), (200, 200), "{} {}", one.text, other.text);
         assert_eq!(one.text, other.text);
-        assert_eq!(fleet.runs().await[&key], 1);
+        assert_eq!(fleet.run_counts().await[&key], 1);
     }
     close(fleet).await;
 }
@@ -74,20 +74,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_lost_after_the_effect_is_told_as_unknown_and_never_run_again() {
     let fleet = start(one_service("once-lost")).await;
-    fleet.fault("stall-ledger-0", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
     for _ in 0..3 {
         let seen = pay(&fleet, 0, Some("lost-1"), LONG).await;
         assert_ne!(seen.ran(), Some("no"), "{seen:?}");
         assert!(seen.status >= 500 || seen.error.is_some(), "{seen:?}");
     }
-    assert_eq!(fleet.runs().await["lost-1"], 1);
+    assert_eq!(fleet.run_counts().await["lost-1"], 1);
     close(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sidecar_killed_while_a_call_runs_leaves_it_unknown_and_it_never_runs_again() {
     let mut fleet = start(one_service("once-killed")).await;
-    fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 1_500 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "freeze_ms": 1_500 })).await.expect("the fault is taken");
     let (seen, ()) = tokio::join!(pay(&fleet, 0, Some("killed-1"), LONG), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.signal("sidecar-stall-ledger-0", Signal::KILL).expect("the sidecar is killed");
@@ -100,14 +100,14 @@
     assert_eq!(again.ran(), Some("unknown"), "{again:?}");
     let fresh = pay(&fleet, 1, Some("fresh-1"), LONG).await;
     assert_eq!(fresh.status, 200, "{fresh:?}");
-    assert!(fleet.runs().await.get("killed-1").is_none_or(|runs| *runs <= 1));
+    assert!(fleet.run_counts().await.get("killed-1").is_none_or(|runs| *runs <= 1));
     close(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_killed_while_a_call_runs_leaves_the_answer_for_the_next() {
     let mut fleet = start(one_service("once-entry")).await;
-    fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 700 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "freeze_ms": 700 })).await.expect("the fault is taken");
     let (_, ()) = tokio::join!(pay(&fleet, 0, Some("entry-1"), LONG), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.signal("entry-0", Signal::KILL).expect("the entry is killed");
@@ -115,7 +115,7 @@
     let again = pay(&fleet, 1, Some("entry-1"), LONG).await;
     assert_eq!(again.status, 200, "{again:?}");
     assert_eq!(run_of(&again.text), 1);
-    assert_eq!(fleet.runs().await["entry-1"], 1);
+    assert_eq!(fleet.run_counts().await["entry-1"], 1);
     fleet.kill("entry-0").expect("the entry is reaped");
     fleet.restart("entry-0").expect("the entry starts again");
     fleet.wait_ready(&fleet.entries[0]).await.expect("the entry is ready");
@@ -137,7 +137,7 @@
             tokio::time::sleep(Duration::from_millis(3)).await;
             fleet.signal(&name, Signal::KILL).expect("the sidecar is killed");
         });
-        let runs = fleet.runs().await.get(&format!("own-{round}")).copied().unwrap_or(0);
+        let runs = fleet.run_counts().await.get(&format!("own-{round}")).copied().unwrap_or(0);
         assert!(runs <= 1, "{seen:?}");
         assert!(seen.ran() != Some("no") || runs == 0, "told not run, but it ran: {seen:?}");
         fleet.kill(&name).expect("the sidecar is reaped");
@@ -154,19 +154,19 @@
     let claimed = pay(&fleet, 0, Some("before-1"), LONG).await;
     assert_eq!(claimed.status, 200);
     let ticket = mint(&fleet).await;
-    fleet.fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
 
     let refused = pay(&fleet, 0, Some("during-1"), LONG).await;
     assert_eq!((refused.status, refused.ran()), (503, Some("no")), "{refused:?}");
-    assert!(refused.retry_after().is_some() && refused.took < Duration::from_secs(2), "{refused:?}");
-    assert!(!fleet.runs().await.contains_key("during-1"));
+    assert!(refused.retry_after().is_some() && refused.elapsed < Duration::from_secs(2), "{refused:?}");
+    assert!(!fleet.run_counts().await.contains_key("during-1"));
 
     let known = pay(&fleet, 1, Some("before-1"), LONG).await;
     assert_eq!(known.text, claimed.text, "a key claimed before the outage keeps its answer");
     let (first, second) = (pay(&fleet, 0, Some(&ticket), LONG).await, pay(&fleet, 1, Some(&ticket), LONG).await);
     assert_eq!((first.status, second.status), (200, 200), "{first:?} {second:?}");
     assert_eq!(first.text, second.text);
-    assert_eq!(fleet.runs().await[&ticket], 1);
+    assert_eq!(fleet.run_counts().await[&ticket], 1);
     close(fleet).await;
 }
 
@@ -174,12 +174,12 @@
 async fn a_claim_whose_append_answer_is_lost_still_runs_at_most_once() {
     let fleet = fleet("once-append").await;
     for round in 0..5 {
-        fleet.fault("log", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
+        fleet.inject_fault("log", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
         let key = format!("append-{round}");
         let mut answered = false;
         for entry in [0, 1, 0, 1] {
             let seen = pay(&fleet, entry, Some(&key), LONG).await;
-            let runs = fleet.runs().await.get(&key).copied().unwrap_or(0);
+            let runs = fleet.run_counts().await.get(&key).copied().unwrap_or(0);
             assert!(runs <= 1, "{seen:?}");
             assert!(seen.ran() != Some("no") || runs == 0, "told not run, but it ran: {seen:?}");
             answered |= seen.status == 200;
@@ -217,6 +217,6 @@
         let answer: Value = serde_json::from_str(&seen.text).expect("the answer is JSON");
         assert_eq!(answer["body"], body, "the answer is of the call itself");
     }
-    assert_eq!(fleet.runs().await["trace-7"], 2);
+    assert_eq!(fleet.run_counts().await["trace-7"], 2);
     close(fleet).await;
 }
--- a/standin/tests/bad_input.rs
+++ b/standin/tests/bad_input.rs
@@ -6,12 +6,12 @@
 
 use common::{call_headers, close, fleet, prompt, start, status_line_of_an_endless_head, until};
 use serde_json::{Value, json};
-use standin::client::Seen;
+use standin::client::ClientResponse;
 use standin::fleet::{Fleet, Spec, workspace_key};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-async fn post(fleet: &Fleet, body: &str, more: &[(&str, &str)]) -> Seen {
+async fn post(fleet: &Fleet, body: &str, more: &[(&str, &str)]) -> ClientResponse {
     let mut headers = call_headers(None);
     headers.extend(more.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())));
     fleet.client.call("POST", &fleet.entries[0], "/v1/chat/completions", &headers, body.to_owned()).await
@@ -91,7 +91,7 @@
         assert_eq!((seen.status, seen.code()), (status, code), "{method} {path}");
     }
     let (status, models) =
-        fleet.client.json("GET", &fleet.entries[0], "/v1/models", &workspace_key(0), None).await.expect("an answer");
+        fleet.client.send_json("GET", &fleet.entries[0], "/v1/models", &workspace_key(0), None).await.expect("an answer");
     assert_eq!((status, &models["data"][0]["id"]), (200, &Value::from("market-advisor")));
     close(fleet).await;
 }
@@ -101,14 +101,14 @@
     let settings = "max_body_bytes = 200000\nbody_budget_bytes = 400000\n".to_owned();
     let fleet = start(Spec { entry_settings: settings, ..Spec::small("oversized") }).await;
     let large = prompt(60_000, 3, 1);
-    let seen = fleet.client.prompt(&fleet.entries[0], &large).await;
+    let seen = fleet.client.send_prompt(&fleet.entries[0], &large).await;
     assert_eq!((seen.status, seen.code()), (413, "body_too_large"), "{seen:?}");
     let body = json!({ "changes": [{ "put_intent": { "model": "market-advisor", "service": "market-advisor",
         "workspaces": ["*"], "context_tokens": 1_000 } }] });
     fleet.publish(&body["changes"]).await.expect("the change is accepted");
     until("the limit is in force", || async {
         let long = prompt(2_000, 3, 1);
-        fleet.client.prompt(&fleet.entries[0], &long).await.code() == "context_length_exceeded"
+        fleet.client.send_prompt(&fleet.entries[0], &long).await.code() == "context_length_exceeded"
     })
     .await;
     close(fleet).await;
@@ -179,11 +179,11 @@
         assert_eq!(status_line(&mut second, Duration::from_millis(50)).await, None, "it waits");
         drop(first);
         assert_eq!(status_line(&mut second, Duration::from_millis(600)).await, None, "it was taken in");
-        let seen = fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await;
+        let seen = fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await;
         assert_eq!(seen.code(), "bodies_in_flight", "the second one holds the budget: {seen:?}");
         drop(second);
         until("the budget is back", || async {
-            fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.ended
+            fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.is_complete
         })
         .await;
     }
@@ -199,8 +199,8 @@
     let mut waiting = Vec::new();
     for _ in 0..20 {
         waiting.push(half_sent(&fleet, 190_000).await);
-        let seen = fleet.client.prompt(&fleet.entries[0], &prompt(1_000, 3, 1)).await;
-        assert!(seen.ended, "{seen:?}");
+        let seen = fleet.client.send_prompt(&fleet.entries[0], &prompt(1_000, 3, 1)).await;
+        assert!(seen.is_complete, "{seen:?}");
     }
     for stream in &mut waiting {
         let line = status_line(stream, Duration::from_secs(5)).await.expect("an answer");
@@ -226,11 +226,11 @@
     );
     half_sent.write_all(head.as_bytes()).await.expect("sent");
     until("the budget is used up", || async {
-        fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.code() == "bodies_in_flight"
+        fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.code() == "bodies_in_flight"
     })
     .await;
     drop(half_sent);
-    until("the budget is back", || async { fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.ended })
+    until("the budget is back", || async { fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.is_complete })
         .await;
     close(fleet).await;
 }
@@ -262,7 +262,7 @@
         log.contains("code=caller_too_slow") || log.contains("step=caller-gone")
     })
     .await;
-    until("the engine is free", || async { fleet.held_tokens().await == 0 }).await;
+    until("the engine is free", || async { fleet.reserved_tokens().await == 0 }).await;
     close(fleet).await;
 }
 
@@ -276,7 +276,7 @@
     for seed in 0..40 {
         let mut prompt = prompt(200, 2, seed);
         prompt.key = workspace_key(3);
-        let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+        let seen = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
         if seen.status == 429 {
             limited = Some(seen);
             break;
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use standin::client::{Prompt, Seen};
+use standin::client::{Prompt, ClientResponse};
 use standin::fleet::{Fleet, Spec, workspace_key};
 use standin::platform::Site;
 use standin::text;
@@ -27,7 +27,7 @@
     Prompt {
         model: "market-advisor".into(),
         key: workspace_key(0),
-        text: text::prompt(tokens, seed),
+        text: text::generate_prompt(tokens, seed),
         output,
         stream: true,
         deadline: Duration::from_secs(20),
@@ -45,7 +45,7 @@
 }
 
 /// Posts a call that may run once.
-pub async fn pay(fleet: &Fleet, entry: usize, key: Option<&str>, deadline: Duration) -> Seen {
+pub async fn pay(fleet: &Fleet, entry: usize, key: Option<&str>, deadline: Duration) -> ClientResponse {
     let mut headers = call_headers(key);
     headers.push(("x-deadline-ms".to_owned(), deadline.as_millis().to_string()));
     fleet.client.call("POST", &fleet.entries[entry], "/services/stall-ledger/payments", &headers, "levy 500").await
@@ -61,10 +61,10 @@
 
 /// Ends a fleet; every process must end by itself and none may have breached an invariant.
 pub async fn close(fleet: Fleet) {
-    let breaches = fleet.breaches().expect("logs can be read");
+    let breaches = fleet.read_breaches().expect("logs can be read");
     assert!(breaches.is_empty(), "{breaches:?}");
     let dir = fleet.spec.dir.clone();
-    let stuck = fleet.close().await.expect("the fleet closes");
+    let stuck = fleet.shut_down().await.expect("the fleet closes");
     assert_eq!(stuck, "", "these processes did not end by themselves");
     let _ = std::fs::remove_dir_all(dir);
 }
--- a/standin/tests/configuration.rs
+++ b/standin/tests/configuration.rs
@@ -10,7 +10,7 @@
 use standin::fleet::{Fleet, OPERATOR_KEY, Spec};
 
 async fn operate(fleet: &Fleet, entry: usize, method: &str, path: &str, body: Option<Value>) -> (u16, Value) {
-    let call = fleet.client.json(method, &fleet.entries[entry], path, OPERATOR_KEY, body.as_ref());
+    let call = fleet.client.send_json(method, &fleet.entries[entry], path, OPERATOR_KEY, body.as_ref());
     call.await.expect("an answer comes")
 }
 
@@ -82,7 +82,7 @@
 async fn append_answers_lost_after_the_effect_change_nothing() {
     let fleet = fleet("lost-appends").await;
     for round in 0..5 {
-        fleet.fault("log", &json!({ "lose_answers": 2 })).await.expect("the fault is taken");
+        fleet.inject_fault("log", &json!({ "lose_answers": 2 })).await.expect("the fault is taken");
         let id = plan(&fleet, round % 2, service(&format!("lost-{round}"), 1_000)).await;
         let (status, verdict) = confirm(&fleet, round % 2, &id).await;
         assert_eq!(status, 200, "{verdict}");
@@ -95,11 +95,11 @@
     let fleet = fleet("outage").await;
     let id = plan(&fleet, 0, service("permits", 1_000)).await;
     let before = revision(&fleet, 0).await;
-    fleet.fault("log", &json!({ "outage_ms": 7_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "outage_ms": 7_000 })).await.expect("the fault is taken");
     let (status, answer) = confirm(&fleet, 0, &id).await;
     assert_eq!((status, &answer["ran"]), (503, &json!("unknown")), "{answer}");
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     until("the log is back and the confirm is accepted", || async { confirm(&fleet, 0, &id).await.0 == 200 }).await;
     assert!(revision(&fleet, 0).await > before);
     close(fleet).await;
@@ -111,14 +111,14 @@
     fleet.publish(&service("permits", 1_000)).await.expect("the change is accepted");
     until("both know", || async { revision(&fleet, 0).await == revision(&fleet, 1).await }).await;
     let before = revision(&fleet, 0).await;
-    fleet.fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
     fleet.kill("entry-1").expect("the entry is killed");
     fleet.restart("entry-1").expect("the entry starts again");
     fleet.wait_ready(&fleet.entries[1]).await.expect("the new entry is ready");
     assert_eq!(revision(&fleet, 1).await, before);
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[1], &prompt).await.text, prompt.expected());
-    fleet.fault("log", &json!({})).await.expect("the fault is taken back");
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[1], &prompt).await.text, prompt.expected());
+    fleet.inject_fault("log", &json!({})).await.expect("the fault is taken back");
     close(fleet).await;
 }
 
@@ -128,7 +128,7 @@
     let accepted = fleet.publish(&service("permits", 1_000)).await.expect("the change is accepted");
     until("both know", || async { revision(&fleet, 1).await >= accepted }).await;
     fleet.kill("entry-1").expect("the entry is killed");
-    fleet.fault("log", &json!({ "trim_before": 100 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "trim_before": 100 })).await.expect("the fault is taken");
     fleet.restart("entry-1").expect("the entry starts again");
     fleet.wait_ready(&fleet.entries[1]).await.expect("the new entry is ready");
     assert!(revision(&fleet, 1).await >= accepted);
@@ -141,14 +141,14 @@
     let mut fleet = start(Spec { entry_settings: settings, ..Spec::small("snapshot") }).await;
     let accepted = fleet.publish(&service("permits", 1_000)).await.expect("the change is accepted");
     until("a snapshot is on the log", || async {
-        let counts = fleet.client.json("GET", &fleet.addresses["log"], "/counts", "", None).await;
+        let counts = fleet.client.send_json("GET", &fleet.addresses["log"], "/counts", "", None).await;
         counts.is_ok_and(|(_, counts)| counts["ends"]["config-snapshots"].as_u64().unwrap_or(0) >= 2)
     })
     .await;
     for name in ["entry-0", "entry-1"] {
         fleet.kill(name).expect("the entry is killed");
     }
-    fleet.fault("log", &json!({ "trim_stream": "config" })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "trim_stream": "config" })).await.expect("the fault is taken");
     for name in ["entry-0", "entry-1"] {
         fleet.restart(name).expect("the entry starts again");
     }
@@ -198,7 +198,7 @@
     {
         assert!(message.contains(fault), "{message}");
     }
-    let wrong = fleet.client.json("GET", &fleet.entries[0], "/v1/intents", "wrong", None).await.expect("an answer");
+    let wrong = fleet.client.send_json("GET", &fleet.entries[0], "/v1/intents", "wrong", None).await.expect("an answer");
     assert_eq!(wrong.0, 401);
     close(fleet).await;
 }
--- a/standin/tests/gangs.rs
+++ b/standin/tests/gangs.rs
@@ -11,26 +11,26 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
 use rustix::process::Signal;
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::fleet::{Fleet, Spec};
 
 /// Ten engines of 40,000 tokens: a prompt of 100,000 needs three, and one failure domain has four.
 fn small_engines(name: &str) -> Spec {
-    let sizes = Sizes { memory: 40_000, speed: 20.0, ..Sizes::default() };
-    Spec { engines: 10, services: 1, sizes, ..Spec::small(name) }
+    let engine_capacity = Capacity { memory: 40_000, speed: 20.0, ..Capacity::default() };
+    Spec { engines: 10, services: 1, engine_capacity, ..Spec::small(name) }
 }
 
 async fn is_filling(fleet: &Fleet) -> bool {
-    fleet.held_tokens().await > 60_000
+    fleet.reserved_tokens().await > 60_000
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_of_more_than_two_engines_runs_whole() {
     let fleet = start(small_engines("gang")).await;
     let prompt = prompt(100_000, 30, 1);
-    let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let seen = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!(seen.text, prompt.expected(), "{seen:?}");
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    until("no memory is held", || async { fleet.reserved_tokens().await == 0 }).await;
     close(fleet).await;
 }
 
@@ -46,13 +46,13 @@
         .collect();
     let asked = prompts.iter().enumerate().map(|(number, prompt)| {
         let entry = &fleet.entries[number % 2];
-        fleet.client.prompt(entry, prompt)
+        fleet.client.send_prompt(entry, prompt)
     });
     let seen = futures_util::future::join_all(asked).await;
     for (prompt, seen) in prompts.iter().zip(seen) {
         assert_eq!(seen.text, prompt.expected(), "{seen:?}");
     }
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    until("no memory is held", || async { fleet.reserved_tokens().await == 0 }).await;
     close(fleet).await;
 }
 
@@ -61,14 +61,14 @@
     let fleet = start(small_engines(name)).await;
     let mut prompt = prompt(100_000, 400, 1);
     prompt.deadline = Duration::from_secs(30);
-    let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (seen, ()) = tokio::join!(fleet.client.send_prompt(&fleet.entries[0], &prompt), async {
         until("the spans are being filled", || is_filling(&fleet)).await;
         // Engines 0, 3, 6 and 9 share the entry's failure domain.
         fleet.signal(&victim(3), Signal::KILL).expect("killed");
     });
     assert!(seen.text == prompt.expected() || seen.failure.is_some(), "{seen:?}");
-    assert!(seen.took < prompt.deadline + Duration::from_secs(1));
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    assert!(seen.elapsed < prompt.deadline + Duration::from_secs(1));
+    until("no memory is held", || async { fleet.reserved_tokens().await == 0 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -80,10 +80,10 @@
 async fn an_entry_killed_midway_leaves_nothing_held() {
     let fleet = start(small_engines("gang-entry")).await;
     let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
-    let asked = tokio::spawn(async move { client.prompt(&entry, &prompt(100_000, 400, 1)).await });
+    let asked = tokio::spawn(async move { client.send_prompt(&entry, &prompt(100_000, 400, 1)).await });
     until("the spans are being filled", || is_filling(&fleet)).await;
     fleet.signal("entry-0", Signal::KILL).expect("killed");
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    until("no memory is held", || async { fleet.reserved_tokens().await == 0 }).await;
     asked.abort();
 }
 
@@ -91,7 +91,7 @@
 async fn a_member_sidecar_killed_midway_and_started_again_frees_its_span() {
     let mut fleet = start(small_engines("gang-sidecar")).await;
     let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
-    let asked = tokio::spawn(async move { client.prompt(&entry, &prompt(100_000, 400, 1)).await });
+    let asked = tokio::spawn(async move { client.send_prompt(&entry, &prompt(100_000, 400, 1)).await });
     until("the spans are being filled", || is_filling(&fleet)).await;
     for number in [0, 3, 6, 9] {
         fleet.kill(&format!("sidecar-market-advisor-{number}")).expect("killed");
@@ -100,7 +100,7 @@
     for number in [0, 3, 6, 9] {
         fleet.restart(&format!("sidecar-market-advisor-{number}")).expect("started again");
     }
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    until("no memory is held", || async { fleet.reserved_tokens().await == 0 }).await;
     close(fleet).await;
 }
 
@@ -140,7 +140,7 @@
         fleet.client.call("POST", sidecar, "/span/free", &[], body).await;
     }
     until("every span is freed", || async {
-        let status = fleet.client.json("GET", sidecar, "/status", "", None).await;
+        let status = fleet.client.send_json("GET", sidecar, "/status", "", None).await;
         status.is_ok_and(|(_, status)| status["memory_held_tokens"] == 0)
     })
     .await;
--- a/standin/tests/leaving.rs
+++ b/standin/tests/leaving.rs
@@ -17,7 +17,7 @@
     let before = accepted(fleet, endpoint);
     for seed in 0..30 {
         let prompt = prompt(300, 3, 1_000 + seed);
-        let seen = fleet.client.prompt(&fleet.entries[seed as usize % 2], &prompt).await;
+        let seen = fleet.client.send_prompt(&fleet.entries[seed as usize % 2], &prompt).await;
         assert_eq!(seen.text, prompt.expected(), "{seen:?}");
     }
     accepted(fleet, endpoint) - before
@@ -51,7 +51,7 @@
     let address = &fleet.addresses["sidecar-market-advisor-0"];
     let vm = json!({ "name": "market-advisor-0", "address": address, "role": "endpoint",
         "service": "market-advisor", "failure_domain": "nyabugogo", "leaving": true });
-    fleet.list_vm("market-advisor-0", &vm).await.expect("the VM is listed");
+    fleet.register_vm("market-advisor-0", &vm).await.expect("the VM is listed");
     tokio::time::sleep(LEAVING).await;
     assert_eq!(prompts_at(&fleet, "market-advisor-0").await, 0);
     close(fleet).await;
@@ -61,7 +61,7 @@
 async fn a_stopping_sidecar_finishes_what_runs() {
     let mut fleet = fleet("stop-sidecar").await;
     let prompt = prompt(1_000, 300, 3);
-    let (seen, name) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (seen, name) = tokio::join!(fleet.client.send_prompt(&fleet.entries[0], &prompt), async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         let mut found = String::new();
         for number in 0..3 {
@@ -73,7 +73,7 @@
         found
     });
     assert_eq!(seen.text, prompt.expected(), "{seen:?}");
-    assert!(fleet.wait_end(&name, Duration::from_secs(5)).await.expect("the sidecar is waited for"));
+    assert!(fleet.wait_exit(&name, Duration::from_secs(5)).await.expect("the sidecar is waited for"));
     let log = std::fs::read_to_string(fleet.log_file(&name)).expect("the log can be read");
     assert!(log.contains("step=end-job "), "the job ended at the sidecar that was stopping");
     assert!(!log.contains("step=fail-job "));
@@ -84,12 +84,12 @@
 async fn a_stopping_entry_finishes_what_runs() {
     let mut fleet = fleet("stop-entry").await;
     let prompt = prompt(1_000, 600, 3);
-    let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (seen, ()) = tokio::join!(fleet.client.send_prompt(&fleet.entries[0], &prompt), async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         fleet.signal("entry-0", Signal::TERM).expect("the entry is told to stop");
     });
     assert_eq!(seen.text, prompt.expected(), "{seen:?}");
-    assert!(fleet.wait_end("entry-0", Duration::from_secs(5)).await.expect("the entry is waited for"));
+    assert!(fleet.wait_exit("entry-0", Duration::from_secs(5)).await.expect("the entry is waited for"));
     close(fleet).await;
 }
 
@@ -99,7 +99,7 @@
     fleet.signal("entry-0", Signal::TERM).expect("the entry is told to stop");
     let started = Instant::now();
     until("the entry says that it is not ready", || async {
-        let ready = fleet.client.json("GET", &fleet.entries[0], "/readyz", "", None).await;
+        let ready = fleet.client.send_json("GET", &fleet.entries[0], "/readyz", "", None).await;
         matches!(ready, Ok((503, _))) || started.elapsed() > LEAVING
     })
     .await;
@@ -120,7 +120,7 @@
             std::thread::yield_now();
         }
         fleet.signal(name, Signal::TERM).expect("signalled");
-        assert!(fleet.wait_end(name, Duration::from_secs(10)).await.expect("awaited"), "run {run} did not end well");
+        assert!(fleet.wait_exit(name, Duration::from_secs(10)).await.expect("awaited"), "run {run} did not end well");
     }
     fleet.restart(name).expect("started again");
     close(fleet).await;
--- a/standin/tests/memory.rs
+++ b/standin/tests/memory.rs
@@ -19,13 +19,13 @@
     let asked: Vec<_> = (0..6)
         .map(|seed| {
             let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
-            tokio::spawn(async move { client.prompt(&entry, &prompt(5_000, 3_000, seed)).await })
+            tokio::spawn(async move { client.send_prompt(&entry, &prompt(5_000, 3_000, seed)).await })
         })
         .collect();
-    until("the prompts run", || async { fleet.held_tokens().await > 30_000 }).await;
+    until("the prompts run", || async { fleet.reserved_tokens().await > 30_000 }).await;
     act(fleet).await;
     asked.iter().for_each(tokio::task::JoinHandle::abort);
-    until("no memory is held", || async { fleet.held_tokens().await == 0 }).await;
+    until("no memory is held", || async { fleet.reserved_tokens().await == 0 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,7 +63,7 @@
 async fn after_an_engine_froze_and_came_back() {
     let fleet = small("memory-engine-frozen").await;
     let freeze = async |fleet: &Fleet| {
-        fleet.fault("market-advisor-0", &json!({ "freeze_ms": 2_000 })).await.expect("frozen");
+        fleet.inject_fault("market-advisor-0", &json!({ "freeze_ms": 2_000 })).await.expect("frozen");
         tokio::time::sleep(Duration::from_millis(2_100)).await;
     };
     nothing_stays_held(&fleet, freeze).await;
@@ -78,6 +78,6 @@
     fleet.kill("market-advisor-0").expect("reaped");
     fleet.restart("market-advisor-0").expect("started again");
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     close(fleet).await;
 }
--- a/standin/tests/placement.rs
+++ b/standin/tests/placement.rs
@@ -16,7 +16,7 @@
 
 async fn loaded(fleet: &Fleet, number: usize) -> Value {
     let address = &fleet.addresses[&format!("market-advisor-{number}")];
-    fleet.client.json("GET", address, "/loaded", "", None).await.expect("the engine answers").1
+    fleet.client.send_json("GET", address, "/loaded", "", None).await.expect("the engine answers").1
 }
 
 async fn set_version(fleet: &Fleet, version: &str) {
@@ -42,7 +42,7 @@
     let fleet = start(spec("placement", true)).await;
     set_version(&fleet, "v2").await;
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     all_hold(&fleet, "v2").await;
     close(fleet).await;
 }
@@ -103,9 +103,9 @@
 async fn in_a_log_outage_placement_stands_still_and_goes_on_afterwards() {
     let fleet = start(spec("placement-outage", true)).await;
     set_version(&fleet, "v2").await;
-    fleet.fault("log", &json!({ "outage_ms": 2_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "outage_ms": 2_000 })).await.expect("the fault is taken");
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     all_hold(&fleet, "v2").await;
     close(fleet).await;
 }
--- a/standin/tests/whole_answers.rs
+++ b/standin/tests/whole_answers.rs
@@ -13,7 +13,7 @@
 async fn busy_engine(fleet: &Fleet) -> Option<String> {
     for number in 0..fleet.spec.engines {
         let name = format!("market-advisor-{number}");
-        if let Ok((200, kv)) = fleet.client.json("GET", &fleet.addresses[&name], "/kv", "", None).await
+        if let Ok((200, kv)) = fleet.client.send_json("GET", &fleet.addresses[&name], "/kv", "", None).await
             && kv["held_tokens"].as_u64().unwrap_or(0) > 0
         {
             return Some(name);
@@ -25,14 +25,14 @@
 /// Streams a prompt, and does something to the engine that runs it, by name, in the middle.
 async fn interrupted(fleet: &Fleet, act: impl AsyncFnOnce(&Fleet, &str)) {
     let prompt = prompt(1_000, 400, 3);
-    let (seen, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (seen, ()) = tokio::join!(fleet.client.send_prompt(&fleet.entries[0], &prompt), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         let name = busy_engine(fleet).await.expect("an engine runs the prompt");
         act(fleet, &name).await;
     });
     assert_eq!(seen.error, None);
     assert_eq!(seen.failure, None);
-    assert!(seen.ended);
+    assert!(seen.is_complete);
     assert_eq!(seen.text, prompt.expected(), "the answer is whole although its engine was lost");
 }
 
@@ -50,7 +50,7 @@
         fleet.signal(&format!("sidecar-{name}"), Signal::KILL).expect("the sidecar is killed");
     };
     interrupted(&fleet, kill).await;
-    let breaches = fleet.breaches().expect("logs can be read");
+    let breaches = fleet.read_breaches().expect("logs can be read");
     assert!(breaches.is_empty(), "{breaches:?}");
 }
 
@@ -58,7 +58,7 @@
 async fn a_stream_whose_engine_freezes_goes_on_elsewhere() {
     let fleet = fleet("engine-freezes").await;
     let freeze = async |fleet: &Fleet, name: &str| {
-        fleet.fault(name, &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
+        fleet.inject_fault(name, &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
     };
     interrupted(&fleet, freeze).await;
     close(fleet).await;
@@ -93,7 +93,7 @@
         let fleet = &fleet;
         async move {
             let prompt = prompt(200 + 37 * seed as usize, 40, seed);
-            let seen = fleet.client.prompt(&fleet.entries[seed as usize % 2], &prompt).await;
+            let seen = fleet.client.send_prompt(&fleet.entries[seed as usize % 2], &prompt).await;
             assert_eq!(seen.text, prompt.expected(), "{seen:?}");
         }
     });
--- a/standin/tests/whole_path.rs
+++ b/standin/tests/whole_path.rs
@@ -9,10 +9,10 @@
 async fn a_streamed_prompt_comes_back_whole() {
     let fleet = fleet("stream").await;
     let prompt = prompt(1_000, 20, 7);
-    let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let seen = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!((seen.status, seen.error.as_deref()), (200, None));
     assert_eq!(seen.text, prompt.expected());
-    assert!(seen.ended && seen.ttft.is_some());
+    assert!(seen.is_complete && seen.ttft.is_some());
     close(fleet).await;
 }
 
@@ -55,7 +55,7 @@
     let fleet = fleet("timeline").await;
     let mut prompt = prompt(1_000, 5, 9);
     prompt.headers.push(("x-request-id".into(), "vendor-42".into()));
-    let seen = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let seen = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!(seen.text, prompt.expected());
     let files: Vec<String> = fleet.log_files().iter().map(|file| file.display().to_string()).collect();
     let mut args = vec!["timeline", "--request", "vendor-42"];
