--- a/standin/tests/at_most_once.rs
+++ b/standin/tests/at_most_once.rs
@@ -20,7 +20,7 @@
     let body = json!({ "service": "stall-ledger" });
     let (status, ticket) = fleet
         .client
-        .json("POST", &fleet.entries[0], "/v1/tickets", &workspace_key(0), Some(&body))
+        .send_json("POST", &fleet.entries[0], "/v1/tickets", &workspace_key(0), Some(&body))
         .await
         .expect("a response arrives");
     assert_eq!(status, 201, "{ticket}");
@@ -38,7 +38,7 @@
     let second = post_payment(&fleet, 1, Some("levy-1"), DEADLINE).await;
     assert_eq!((first.status, second.status), (200, 200), "{} {}", first.text, second.text);
     assert_eq!(first.text, second.text);
-    assert_eq!(fleet.runs().await["levy-1"], 1);
+    assert_eq!(fleet.run_counts().await["levy-1"], 1);
     close_fleet(fleet).await;
 }
 
@@ -51,7 +51,7 @@
             tokio::join!(post_payment(&fleet, 0, Some(&key), DEADLINE), post_payment(&fleet, 1, Some(&key), DEADLINE));
         assert_eq!((first.status, second.status), (200, 200), "{} {}", first.text, second.text);
         assert_eq!(first.text, second.text);
-        assert_eq!(fleet.runs().await[&key], 1);
+        assert_eq!(fleet.run_counts().await[&key], 1);
     }
     close_fleet(fleet).await;
 }
@@ -75,20 +75,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_lost_after_the_effect_is_reported_as_unknown_and_never_run_again() {
     let fleet = start_fleet(one_service_spec("once-lost")).await;
-    fleet.fault("stall-ledger-0", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
     for _ in 0..3 {
         let outcome = post_payment(&fleet, 0, Some("lost-1"), DEADLINE).await;
         assert_ne!(outcome.ran(), Some("no"), "{outcome:?}");
         assert!(outcome.status >= 500 || outcome.error.is_some(), "{outcome:?}");
     }
-    assert_eq!(fleet.runs().await["lost-1"], 1);
+    assert_eq!(fleet.run_counts().await["lost-1"], 1);
     close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sidecar_killed_while_a_call_runs_leaves_it_unknown_and_it_never_runs_again() {
     let mut fleet = start_fleet(one_service_spec("once-killed")).await;
-    fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 1_500 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "freeze_ms": 1_500 })).await.expect("the fault is taken");
     let (outcome, ()) = tokio::join!(post_payment(&fleet, 0, Some("killed-1"), DEADLINE), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.signal("sidecar-stall-ledger-0", Signal::KILL).expect("the sidecar is killed");
@@ -101,14 +101,14 @@
     assert_eq!(repeated.ran(), Some("unknown"), "{repeated:?}");
     let other_key = post_payment(&fleet, 1, Some("fresh-1"), DEADLINE).await;
     assert_eq!(other_key.status, 200, "{other_key:?}");
-    assert!(fleet.runs().await.get("killed-1").is_none_or(|runs| *runs <= 1));
+    assert!(fleet.run_counts().await.get("killed-1").is_none_or(|runs| *runs <= 1));
     close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_killed_while_a_call_runs_leaves_the_answer_for_the_next() {
     let mut fleet = start_fleet(one_service_spec("once-entry")).await;
-    fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 700 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "freeze_ms": 700 })).await.expect("the fault is taken");
     let (_, ()) = tokio::join!(post_payment(&fleet, 0, Some("entry-1"), DEADLINE), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.signal("entry-0", Signal::KILL).expect("the entry is killed");
@@ -116,7 +116,7 @@
     let repeated = post_payment(&fleet, 1, Some("entry-1"), DEADLINE).await;
     assert_eq!(repeated.status, 200, "{repeated:?}");
     assert_eq!(run_number(&repeated.text), 1);
-    assert_eq!(fleet.runs().await["entry-1"], 1);
+    assert_eq!(fleet.run_counts().await["entry-1"], 1);
     fleet.kill("entry-0").expect("the entry is reaped");
     fleet.restart("entry-0").expect("the entry restarts");
     fleet.wait_ready(&fleet.entries[0]).await.expect("the entry is ready");
@@ -138,7 +138,7 @@
             tokio::time::sleep(Duration::from_millis(3)).await;
             fleet.signal(&name, Signal::KILL).expect("the sidecar is killed");
         });
-        let runs = fleet.runs().await.get(&format!("own-{round}")).copied().unwrap_or(0);
+        let runs = fleet.run_counts().await.get(&format!("own-{round}")).copied().unwrap_or(0);
         assert!(runs <= 1, "{outcome:?}");
         assert!(outcome.ran() != Some("no") || runs == 0, "reported as not run, but it ran: {outcome:?}");
         fleet.kill(&name).expect("the sidecar is reaped");
@@ -155,12 +155,12 @@
     let first_outcome = post_payment(&fleet, 0, Some("before-1"), DEADLINE).await;
     assert_eq!(first_outcome.status, 200);
     let ticket = create_ticket(&fleet).await;
-    fleet.fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "outage_ms": 60_000 })).await.expect("the fault is taken");
 
     let refused = post_payment(&fleet, 0, Some("during-1"), DEADLINE).await;
     assert_eq!((refused.status, refused.ran()), (503, Some("no")), "{refused:?}");
-    assert!(refused.retry_after().is_some() && refused.took < Duration::from_secs(2), "{refused:?}");
-    assert!(!fleet.runs().await.contains_key("during-1"));
+    assert!(refused.retry_after().is_some() && refused.elapsed < Duration::from_secs(2), "{refused:?}");
+    assert!(!fleet.run_counts().await.contains_key("during-1"));
 
     let repeated = post_payment(&fleet, 1, Some("before-1"), DEADLINE).await;
     assert_eq!(repeated.text, first_outcome.text, "a key claimed before the outage keeps its answer");
@@ -170,7 +170,7 @@
     );
     assert_eq!((first.status, second.status), (200, 200), "{first:?} {second:?}");
     assert_eq!(first.text, second.text);
-    assert_eq!(fleet.runs().await[&ticket], 1);
+    assert_eq!(fleet.run_counts().await[&ticket], 1);
     close_fleet(fleet).await;
 }
 
@@ -178,12 +178,12 @@
 async fn a_claim_whose_append_answer_is_lost_still_runs_at_most_once() {
     let fleet = start_small_fleet("once-append").await;
     for round in 0..5 {
-        fleet.fault("log", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
+        fleet.inject_fault("log", &json!({ "lose_answers": 1 })).await.expect("the fault is taken");
         let key = format!("append-{round}");
         let mut answered = false;
         for entry in [0, 1, 0, 1] {
             let outcome = post_payment(&fleet, entry, Some(&key), DEADLINE).await;
-            let runs = fleet.runs().await.get(&key).copied().unwrap_or(0);
+            let runs = fleet.run_counts().await.get(&key).copied().unwrap_or(0);
             assert!(runs <= 1, "{outcome:?}");
             assert!(outcome.ran() != Some("no") || runs == 0, "reported as not run, but it ran: {outcome:?}");
             answered |= outcome.status == 200;
@@ -221,6 +221,6 @@
         let answer: Value = serde_json::from_str(&outcome.text).expect("the answer is JSON");
         assert_eq!(answer["body"], body, "the answer is of the call itself");
     }
-    assert_eq!(fleet.runs().await["trace-7"], 2);
+    assert_eq!(fleet.run_counts().await["trace-7"], 2);
     close_fleet(fleet).await;
 }
--- a/standin/tests/gangs.rs
+++ b/standin/tests/gangs.rs
@@ -11,27 +11,27 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
 use rustix::process::Signal;
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::fleet::{Fleet, Spec};
 
 /// Returns the spec of a fleet with ten engines of 40,000 tokens: a prompt of 100,000 tokens needs three engines, and
 /// one failure domain has four.
 fn small_engines_spec(name: &str) -> Spec {
-    let sizes = Sizes { memory: 40_000, speed: 20.0, ..Sizes::default() };
-    Spec { engines: 10, services: 1, sizes, ..Spec::small(name) }
+    let engine_capacity = Capacity { memory: 40_000, speed: 20.0, ..Capacity::default() };
+    Spec { engines: 10, services: 1, engine_capacity, ..Spec::small(name) }
 }
 
 async fn is_prefilling(fleet: &Fleet) -> bool {
-    fleet.held_tokens().await > 60_000
+    fleet.reserved_tokens().await > 60_000
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_larger_than_two_engines_is_answered_completely() {
     let fleet = start_fleet(small_engines_spec("gang")).await;
     let prompt = prompt(100_000, 30, 1);
-    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!(outcome.text, prompt.expected(), "{outcome:?}");
-    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("no memory is reserved", || async { fleet.reserved_tokens().await == 0 }).await;
     close_fleet(fleet).await;
 }
 
@@ -47,13 +47,13 @@
         .collect();
     let pending = prompts.iter().enumerate().map(|(index, prompt)| {
         let entry = &fleet.entries[index % 2];
-        fleet.client.prompt(entry, prompt)
+        fleet.client.send_prompt(entry, prompt)
     });
     let outcomes = futures_util::future::join_all(pending).await;
     for (prompt, outcome) in prompts.iter().zip(outcomes) {
         assert_eq!(outcome.text, prompt.expected(), "{outcome:?}");
     }
-    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("no memory is reserved", || async { fleet.reserved_tokens().await == 0 }).await;
     close_fleet(fleet).await;
 }
 
@@ -63,14 +63,14 @@
     let fleet = start_fleet(small_engines_spec(name)).await;
     let mut prompt = prompt(100_000, 400, 1);
     prompt.deadline = Duration::from_secs(30);
-    let (outcome, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (outcome, ()) = tokio::join!(fleet.client.send_prompt(&fleet.entries[0], &prompt), async {
         wait_until("the prefill runs", || is_prefilling(&fleet)).await;
         // Engines 0, 3, 6 and 9 are in the failure domain of entry 0.
         fleet.signal(&victim(3), Signal::KILL).expect("killed");
     });
     assert!(outcome.text == prompt.expected() || outcome.failure.is_some(), "{outcome:?}");
-    assert!(outcome.took < prompt.deadline + Duration::from_secs(1));
-    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
+    assert!(outcome.elapsed < prompt.deadline + Duration::from_secs(1));
+    wait_until("no memory is reserved", || async { fleet.reserved_tokens().await == 0 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -82,10 +82,10 @@
 async fn an_entry_killed_during_prefill_leaves_no_reservation() {
     let fleet = start_fleet(small_engines_spec("gang-entry")).await;
     let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
-    let pending = tokio::spawn(async move { client.prompt(&entry, &prompt(100_000, 400, 1)).await });
+    let pending = tokio::spawn(async move { client.send_prompt(&entry, &prompt(100_000, 400, 1)).await });
     wait_until("the prefill runs", || is_prefilling(&fleet)).await;
     fleet.signal("entry-0", Signal::KILL).expect("killed");
-    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("no memory is reserved", || async { fleet.reserved_tokens().await == 0 }).await;
     pending.abort();
 }
 
@@ -93,7 +93,7 @@
 async fn a_member_sidecar_killed_midway_and_started_again_frees_its_span() {
     let mut fleet = start_fleet(small_engines_spec("gang-sidecar")).await;
     let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
-    let pending = tokio::spawn(async move { client.prompt(&entry, &prompt(100_000, 400, 1)).await });
+    let pending = tokio::spawn(async move { client.send_prompt(&entry, &prompt(100_000, 400, 1)).await });
     wait_until("the prefill runs", || is_prefilling(&fleet)).await;
     for index in [0, 3, 6, 9] {
         fleet.kill(&format!("sidecar-market-advisor-{index}")).expect("killed");
@@ -102,7 +102,7 @@
     for index in [0, 3, 6, 9] {
         fleet.restart(&format!("sidecar-market-advisor-{index}")).expect("the process restarts");
     }
-    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("no memory is reserved", || async { fleet.reserved_tokens().await == 0 }).await;
     close_fleet(fleet).await;
 }
 
@@ -143,7 +143,7 @@
         fleet.client.call("POST", sidecar, "/span/free", &[], body).await;
     }
     wait_until("every span is released", || async {
-        let status = fleet.client.json("GET", sidecar, "/status", "", None).await;
+        let status = fleet.client.send_json("GET", sidecar, "/status", "", None).await;
         status.is_ok_and(|(_, status)| status["memory_held_tokens"] == 0)
     })
     .await;
--- a/standin/tests/in_time.rs
+++ b/standin/tests/in_time.rs
@@ -7,7 +7,7 @@
 use common::{close_fleet, post_payment, prompt, start_fleet, wait_until};
 use rustix::process::Signal;
 use serde_json::json;
-use standin::engine::model::Sizes;
+use standin::engine::model::Capacity;
 use standin::fleet::Spec;
 
 /// Tolerance beyond a deadline for an answer on a busy machine.
@@ -22,12 +22,12 @@
     let fleet = start_fleet(one_engine_spec("frozen-engine")).await;
     let mut prompt = prompt(1_000, 2_000, 1);
     prompt.deadline = Duration::from_secs(10);
-    let (outcome, ()) = tokio::join!(fleet.client.prompt(&fleet.entries[0], &prompt), async {
+    let (outcome, ()) = tokio::join!(fleet.client.send_prompt(&fleet.entries[0], &prompt), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        fleet.fault("market-advisor-0", &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
+        fleet.inject_fault("market-advisor-0", &json!({ "freeze_ms": 30_000 })).await.expect("the fault is taken");
     });
     assert!(outcome.failure.is_some(), "{outcome:?}");
-    assert!(outcome.took < prompt.deadline + DEADLINE_TOLERANCE, "{:?}", outcome.took);
+    assert!(outcome.elapsed < prompt.deadline + DEADLINE_TOLERANCE, "{:?}", outcome.elapsed);
     assert_eq!(outcome.ran(), Some("partial"));
     close_fleet(fleet).await;
 }
@@ -38,9 +38,9 @@
     fleet.signal("sidecar-market-advisor-0", Signal::STOP).expect("the sidecar is stopped");
     let mut prompt = prompt(1_000, 20, 1);
     prompt.deadline = Duration::from_secs(2);
-    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert!(outcome.failure.is_some(), "{outcome:?}");
-    assert!(outcome.took < prompt.deadline + DEADLINE_TOLERANCE, "{:?}", outcome.took);
+    assert!(outcome.elapsed < prompt.deadline + DEADLINE_TOLERANCE, "{:?}", outcome.elapsed);
     close_fleet(fleet).await;
 }
 
@@ -50,7 +50,7 @@
     fleet.signal("sidecar-market-advisor-0", Signal::STOP).expect("the sidecar is stopped");
     for seed in 0..10 {
         let prompt = prompt(1_000, 5, seed);
-        let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+        let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
         assert_eq!(outcome.text, prompt.expected(), "{outcome:?}");
     }
     close_fleet(fleet).await;
@@ -59,32 +59,32 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_on_a_suspended_service_fails_within_its_deadline_as_unknown() {
     let fleet = start_fleet(one_engine_spec("frozen-service")).await;
-    fleet.fault("stall-ledger-0", &json!({ "freeze_ms": 20_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("stall-ledger-0", &json!({ "freeze_ms": 20_000 })).await.expect("the fault is taken");
     let deadline = Duration::from_millis(800);
     let outcome = post_payment(&fleet, 0, None, deadline).await;
     assert_eq!((outcome.status, outcome.ran()), (504, Some("unknown")), "{outcome:?}");
-    assert!(outcome.took < deadline + DEADLINE_TOLERANCE);
+    assert!(outcome.elapsed < deadline + DEADLINE_TOLERANCE);
     close_fleet(fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_that_never_started_is_reported_as_not_run() {
-    let sizes = Sizes { slots: 1, ..Spec::small("").sizes };
+    let engine_capacity = Capacity { slots: 1, ..Spec::small("").engine_capacity };
     // The estimates are far too optimistic, so the sidecar accepts a job that it cannot start before its deadline.
-    let spec = Spec { sizes, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine_spec("never-started") };
+    let spec = Spec { engine_capacity, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine_spec("never-started") };
     let fleet = start_fleet(spec).await;
     let mut long_prompt = prompt(1_000, 3_000, 1);
     long_prompt.deadline = Duration::from_secs(60);
     let entry = fleet.entries[0].clone();
     let client = fleet.client.clone();
-    let pending = tokio::spawn(async move { client.prompt(&entry, &long_prompt).await });
+    let pending = tokio::spawn(async move { client.send_prompt(&entry, &long_prompt).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.fault("market-advisor-0", &json!({ "freeze_ms": 3_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("market-advisor-0", &json!({ "freeze_ms": 3_000 })).await.expect("the fault is taken");
     let mut short_deadline_prompt = prompt(1_000, 1, 2);
     short_deadline_prompt.deadline = Duration::from_millis(900);
-    let outcome = fleet.client.prompt(&fleet.entries[1], &short_deadline_prompt).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[1], &short_deadline_prompt).await;
     assert_eq!(outcome.ran(), Some("no"), "{outcome:?}");
-    assert!(outcome.took < short_deadline_prompt.deadline + DEADLINE_TOLERANCE);
+    assert!(outcome.elapsed < short_deadline_prompt.deadline + DEADLINE_TOLERANCE);
     pending.abort();
     close_fleet(fleet).await;
 }
@@ -94,10 +94,10 @@
     let fleet = start_fleet(one_engine_spec("refused")).await;
     let mut prompt = prompt(390_000, 100, 1);
     prompt.deadline = Duration::from_millis(500);
-    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!((outcome.status, outcome.code(), outcome.ran()), (503, "overloaded", Some("no")), "{outcome:?}");
     assert!(outcome.retry_after().is_some());
-    assert!(outcome.took < Duration::from_millis(450), "{:?}", outcome.took);
+    assert!(outcome.elapsed < Duration::from_millis(450), "{:?}", outcome.elapsed);
     close_fleet(fleet).await;
 }
 
@@ -106,10 +106,10 @@
     let fleet = start_fleet(one_engine_spec("gone")).await;
     let entry = fleet.entries[0].clone();
     let client = fleet.client.clone();
-    let pending = tokio::spawn(async move { client.prompt(&entry, &prompt(1_000, 4_000, 1)).await });
-    wait_until("the prompt runs", || async { fleet.held_tokens().await > 0 }).await;
+    let pending = tokio::spawn(async move { client.send_prompt(&entry, &prompt(1_000, 4_000, 1)).await });
+    wait_until("the prompt runs", || async { fleet.reserved_tokens().await > 0 }).await;
     pending.abort();
-    wait_until("its memory is free", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("its memory is free", || async { fleet.reserved_tokens().await == 0 }).await;
     close_fleet(fleet).await;
 }
 
@@ -125,7 +125,7 @@
     });
     for outcome in futures_util::future::join_all(calls).await {
         assert!(outcome.status == 200 || outcome.failure.is_some(), "{outcome:?}");
-        assert!(outcome.took < deadline + DEADLINE_TOLERANCE, "{outcome:?}");
+        assert!(outcome.elapsed < deadline + DEADLINE_TOLERANCE, "{outcome:?}");
     }
     close_fleet(fleet).await;
 }
--- a/standin/tests/memory.rs
+++ b/standin/tests/memory.rs
@@ -19,13 +19,13 @@
     let pending: Vec<_> = (0..6)
         .map(|seed| {
             let (client, entry) = (fleet.client.clone(), fleet.entries[0].clone());
-            tokio::spawn(async move { client.prompt(&entry, &prompt(5_000, 3_000, seed)).await })
+            tokio::spawn(async move { client.send_prompt(&entry, &prompt(5_000, 3_000, seed)).await })
         })
         .collect();
-    wait_until("the prompts run", || async { fleet.held_tokens().await > 30_000 }).await;
+    wait_until("the prompts run", || async { fleet.reserved_tokens().await > 30_000 }).await;
     act(fleet).await;
     pending.iter().for_each(tokio::task::JoinHandle::abort);
-    wait_until("no memory is reserved", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("no memory is reserved", || async { fleet.reserved_tokens().await == 0 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,7 +63,7 @@
 async fn memory_is_released_after_an_engine_is_suspended_and_resumes() {
     let fleet = start_fleet_with_slow_entry_limit("memory-engine-frozen").await;
     let suspend = async |fleet: &Fleet| {
-        fleet.fault("market-advisor-0", &json!({ "freeze_ms": 2_000 })).await.expect("frozen");
+        fleet.inject_fault("market-advisor-0", &json!({ "freeze_ms": 2_000 })).await.expect("frozen");
         tokio::time::sleep(Duration::from_millis(2_100)).await;
     };
     assert_memory_released(&fleet, suspend).await;
@@ -78,6 +78,6 @@
     fleet.kill("market-advisor-0").expect("reaped");
     fleet.restart("market-advisor-0").expect("the process restarts");
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     close_fleet(fleet).await;
 }
--- a/standin/tests/placement.rs
+++ b/standin/tests/placement.rs
@@ -16,7 +16,7 @@
 
 async fn loaded_model(fleet: &Fleet, number: usize) -> Value {
     let address = &fleet.addresses[&format!("market-advisor-{number}")];
-    fleet.client.json("GET", address, "/loaded", "", None).await.expect("the engine answers").1
+    fleet.client.send_json("GET", address, "/loaded", "", None).await.expect("the engine answers").1
 }
 
 async fn set_version(fleet: &Fleet, version: &str) {
@@ -43,7 +43,7 @@
     let fleet = start_fleet(four_entry_spec("placement", true)).await;
     set_version(&fleet, "v2").await;
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     wait_until_all_loaded(&fleet, "v2").await;
     close_fleet(fleet).await;
 }
@@ -104,9 +104,9 @@
 async fn placement_pauses_during_a_log_outage_and_resumes_afterwards() {
     let fleet = start_fleet(four_entry_spec("placement-outage", true)).await;
     set_version(&fleet, "v2").await;
-    fleet.fault("log", &json!({ "outage_ms": 2_000 })).await.expect("the fault is taken");
+    fleet.inject_fault("log", &json!({ "outage_ms": 2_000 })).await.expect("the fault is taken");
     let prompt = prompt(500, 5, 1);
-    assert_eq!(fleet.client.prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
+    assert_eq!(fleet.client.send_prompt(&fleet.entries[0], &prompt).await.text, prompt.expected());
     wait_until_all_loaded(&fleet, "v2").await;
     close_fleet(fleet).await;
 }
--- a/standin/tests/platform_crashes.rs
+++ b/standin/tests/platform_crashes.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use rustix::process::Signal;
-use standin::platform::{Ask, Fault, KEY, Replica, Seen, Site, Spec, send};
+use standin::platform::{RequestSpec, Fault, KEY, Replica, Outcome, Site, Spec, send};
 
 /// Text in the body of a request that crashes a replica.
 const CRASH_MARKER: &str = "ends-replicas";
@@ -28,31 +28,31 @@
 
 /// Starts a site whose replicas crash on requests with `CRASH_MARKER` in the body.
 async fn start_site(name: &str) -> Site {
-    start_site_with_spec(Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) }).await
+    start_site_with_spec(Spec { entries: 3, engines: 8, plain_replicas: 4, ..Spec::small(name) }).await
 }
 
 async fn start_site_with_spec(spec: Spec) -> Site {
     let site = Site::start(spec).await.expect("the site starts");
-    site.engines.iter().chain(&site.plain).for_each(|replica| replica.end_under(CRASH_MARKER, RESTART_DELAY));
+    site.engines.iter().chain(&site.plain_replicas).for_each(|replica| replica.crash_on(CRASH_MARKER, RESTART_DELAY));
     site
 }
 
 /// Builds a prompt with the given body.
-fn prompt(id: &str, body: &str) -> Ask {
-    let request = Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500");
-    Ask { body: Bytes::from(body.to_owned()), ..request }
+fn prompt(id: &str, body: &str) -> RequestSpec {
+    let request = RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500");
+    RequestSpec { body: Bytes::from(body.to_owned()), ..request }
 }
 
 /// Builds a repeatable call with the given body.
-fn lookup(id: &str, body: &str) -> Ask {
-    let request = Ask::new("POST", "/look/1", id, KEY).with("deadline-ms", "2500");
-    Ask { body: Bytes::from(body.to_owned()), ..request }
+fn lookup(id: &str, body: &str) -> RequestSpec {
+    let request = RequestSpec::new("POST", "/look/1", id, KEY).with_header("deadline-ms", "2500");
+    RequestSpec { body: Bytes::from(body.to_owned()), ..request }
 }
 
 /// Returns how many requests with the marker reached `replicas`.
 fn count_marked_requests(replicas: &[Arc<Replica>]) -> usize {
     let marked = |body: &[u8]| body.windows(CRASH_MARKER.len()).any(|window| window == CRASH_MARKER.as_bytes());
-    replicas.iter().flat_map(|replica| replica.seen()).filter(|received| marked(&received.body)).count()
+    replicas.iter().flat_map(|replica| replica.received_requests()).filter(|received| marked(&received.body)).count()
 }
 
 /// Waits until the log of an entry contains a text.
@@ -66,12 +66,12 @@
     panic!("entry {entry} never logged {text:?}");
 }
 
-fn is_condemned(outcome: &Seen) -> bool {
+fn is_condemned(outcome: &Outcome) -> bool {
     outcome.status == 502 && outcome.body.contains("\"condemned\"")
 }
 
 /// Sends the same request through each entry in turn, `times` times in all, each time with another request ID.
-async fn send_repeatedly(site: &Site, times: usize, build_request: impl Fn(&str, &str) -> Ask) -> Vec<Seen> {
+async fn send_repeatedly(site: &Site, times: usize, build_request: impl Fn(&str, &str) -> RequestSpec) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     for number in 0..times {
         let request = build_request(&format!("again-{number}"), CRASH_MARKER);
@@ -98,9 +98,9 @@
     let site = start_site("crashes-call").await;
     send_repeatedly(&site, 12, lookup).await;
     assert!(
-        count_marked_requests(&site.plain) <= 3 + MAX_SENDS_AFTER,
+        count_marked_requests(&site.plain_replicas) <= 3 + MAX_SENDS_AFTER,
         "sent {} times",
-        count_marked_requests(&site.plain)
+        count_marked_requests(&site.plain_replicas)
     );
     site.close().expect("no invariant was breached");
 }
@@ -131,13 +131,13 @@
         assert!(is_condemned(&outcome), "{outcome:?}");
         // The answer does not claim that other attempts did not run, and gives no time to retry after.
         assert_eq!(outcome.header("retry-after"), "", "{outcome:?}");
-        assert!(outcome.took < Duration::from_millis(300), "{:?}", outcome.took);
+        assert!(outcome.elapsed < Duration::from_millis(300), "{:?}", outcome.elapsed);
     }
     tokio::time::sleep(RESTART_DELAY * 2).await;
     for entry in 0..site.addresses.len() {
         // The same client sends another body to the same path.
         let outcome = site.send(entry, &prompt(&format!("other-{entry}"), "as usual")).await;
-        assert!(outcome.whole && outcome.status == 200, "{outcome:?}");
+        assert!(outcome.is_complete && outcome.status == 200, "{outcome:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -155,7 +155,7 @@
     });
     let (others, _) = futures_util::future::join(join_all(harmless_requests), send_repeatedly(&site, 8, prompt)).await;
     assert!(!others.iter().any(is_condemned), "{others:?}");
-    let complete = others.iter().filter(|outcome| outcome.whole && outcome.status == 200).count();
+    let complete = others.iter().filter(|outcome| outcome.is_complete && outcome.status == 200).count();
     // A prompt that met two crashes has no attempts left.
     assert!(complete >= 22, "{complete} of 24 answers were complete");
     assert!(
@@ -176,7 +176,7 @@
         });
         join_all(sends)
     };
-    let crash_count = || site.engines.iter().map(|engine| engine.ends()).sum::<usize>();
+    let crash_count = || site.engines.iter().map(|engine| engine.crash_count()).sum::<usize>();
     let mut rounds = 0;
     while crash_count() < 3 {
         send_round(rounds).await;
@@ -197,7 +197,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn isolated_entries_learn_of_condemned_requests_from_the_store() {
-    let spec = Spec { entries: 3, engines: 8, apart: true, ..Spec::small("crashes-apart") };
+    let spec = Spec { entries: 3, engines: 8, is_isolated: true, ..Spec::small("crashes-apart") };
     let site = start_site_with_spec(spec).await;
     send_repeatedly(&site, 12, prompt).await;
     assert!(
@@ -210,11 +210,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_starting_entry_learns_of_condemned_requests_from_a_peer_while_the_store_is_unresponsive() {
-    let spec = Spec { entries: 3, engines: 8, seeded: true, ..Spec::small("crashes-late") };
+    let spec = Spec { entries: 3, engines: 8, has_seeds: true, ..Spec::small("crashes-late") };
     let mut site = start_site_with_spec(spec).await;
     send_repeatedly(&site, 6, prompt).await;
     let before = count_marked_requests(&site.engines);
-    site.doors[2].set(Fault::Silent);
+    site.store_listeners[2].set_fault(Fault::Unresponsive);
     site.restart(2).await.expect("the entry restarts");
     site.wait_ready(2, true).await.expect("the entry is ready");
     for number in 0..4 {
@@ -230,7 +230,7 @@
     let site = start_site("crashes-lifted").await;
     send_repeatedly(&site, 6, prompt).await;
     let before = count_marked_requests(&site.engines);
-    let store = site.doors[0].address.clone();
+    let store = site.store_listeners[0].address.clone();
     let (output, succeeded) = common::sorrelpass(&["quarantine", "--store", &store]);
     assert!(succeeded && output.contains("standing=condemned ends="), "{output}");
     let fingerprint = output.split(['=', ' ']).nth(1).expect("a fingerprint").to_owned();
@@ -239,10 +239,10 @@
         wait_for_log(&site, entry, "step=quarantine-lifted").await;
     }
     // The replicas are repaired and no longer crash on the marker.
-    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", RESTART_DELAY));
+    site.engines.iter().for_each(|replica| replica.crash_on("nothing-any-more", RESTART_DELAY));
     tokio::time::sleep(RESTART_DELAY * 2).await;
     let outcome = site.send(0, &prompt("mended", CRASH_MARKER)).await;
-    assert!(outcome.whole && outcome.status == 200, "{outcome:?}");
+    assert!(outcome.is_complete && outcome.status == 200, "{outcome:?}");
     assert_eq!(count_marked_requests(&site.engines), before + 1);
     assert!(
         !common::sorrelpass(&["quarantine", "--store", &store, "--lift", &fingerprint]).1,
@@ -262,9 +262,9 @@
     send_repeatedly(&site, 6, |id, _| prompt(id, &long_body)).await;
     let before = count_marked_requests(&site.engines);
     let same_fingerprint = [
-        prompt("later", &long_body).with("last-event-id", "3"),
-        prompt("hurried", &long_body).with("x-note", "any other header"),
-        Ask {
+        prompt("later", &long_body).with_header("last-event-id", "3"),
+        prompt("hurried", &long_body).with_header("x-note", "any other header"),
+        RequestSpec {
             headers: vec![
                 ("request-id", "sooner".into()),
                 ("authorization", format!("Bearer {KEY}")),
@@ -280,20 +280,20 @@
     }
     assert_eq!(count_marked_requests(&site.engines), before);
     tokio::time::sleep(RESTART_DELAY * 2).await;
-    site.engines.iter().for_each(|replica| replica.end_under("nothing-any-more", RESTART_DELAY));
-    let other_workspace = Ask {
+    site.engines.iter().for_each(|replica| replica.crash_on("nothing-any-more", RESTART_DELAY));
+    let other_workspace = RequestSpec {
         headers: prompt("w", "").headers.into_iter().map(|(name, value)| (name, value.replace(KEY, "key-1"))).collect(),
         ..prompt("w", &long_body)
     };
     let others = [
         other_workspace,
         prompt("longer", &format!("{long_body}x")),
-        Ask { path: "/prompt/1?again=1".to_owned(), ..prompt("query", &long_body) },
-        Ask { path: "/prompt/2".to_owned(), ..prompt("path", &long_body) },
+        RequestSpec { path: "/prompt/1?again=1".to_owned(), ..prompt("query", &long_body) },
+        RequestSpec { path: "/prompt/2".to_owned(), ..prompt("path", &long_body) },
     ];
     for request in others {
         let outcome = site.send(1, &request).await;
-        assert!(outcome.whole && outcome.status == 200, "{request:?}: {outcome:?}");
+        assert!(outcome.is_complete && outcome.status == 200, "{request:?}: {outcome:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -327,7 +327,7 @@
             count_marked_requests(&site.engines)
         );
         if signal == Signal::KILL {
-            site.wait_end(leader).await.expect("the entry exits");
+            site.wait_exit(leader).await.expect("the entry exits");
         }
         site.close().expect("no invariant was breached");
     }
@@ -356,18 +356,18 @@
 /// engine. If it counted twice, one more termination would condemn a harmless request permanently.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_end_that_two_entries_saw_counts_once() {
-    let spec = Spec { entries: 2, engines: 1, takes: Duration::from_secs(2), ..Spec::small("crashes-twice") };
+    let spec = Spec { entries: 2, engines: 1, service_time: Duration::from_secs(2), ..Spec::small("crashes-twice") };
     let site = start_site_with_spec(spec).await;
     // Only entry 0 observes the two earlier terminations, each caused by a request of its own.
     for number in 0..2 {
         site.send(0, &prompt(&format!("earlier-{number}"), &format!("{CRASH_MARKER} {number}"))).await;
         tokio::time::sleep(RESTART_DELAY * 3).await;
     }
-    let crash_count = |site: &Site| site.engines[0].ends();
+    let crash_count = |site: &Site| site.engines[0].crash_count();
     let before = crash_count(&site);
     // Both entries send the same harmless request while another request crashes the engine; the harmless request is
     // not sent again.
-    let harmless: Vec<Ask> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
+    let harmless: Vec<RequestSpec> = (0..2).map(|number| prompt(&format!("innocent-{number}"), "as usual")).collect();
     let sends = join_all((0..2).map(|entry| site.send(entry, &harmless[entry])));
     let fatal_send = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -411,7 +411,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_listen_a_moment_longer_are_seen_to_have_ended() {
     let site = start_site("crashes-linger").await;
-    site.engines.iter().for_each(|engine| engine.linger_under(CRASH_MARKER, RESTART_DELAY, Duration::from_millis(5)));
+    site.engines.iter().for_each(|engine| engine.crash_on_with_delay(CRASH_MARKER, RESTART_DELAY, Duration::from_millis(5)));
     send_repeatedly(&site, 12, prompt).await;
     assert!(
         count_marked_requests(&site.engines) <= 3 + MAX_SENDS_AFTER,
@@ -425,19 +425,19 @@
 /// crashes, or `None` if the two requests did not reach the same run.
 async fn crashes_of_two_fatal_requests() -> Option<usize> {
     let replica = Replica::start("engine-0", Duration::from_millis(5)).await.expect("the replica starts");
-    replica.end_under(CRASH_MARKER, Duration::from_millis(1));
-    let request = |id: &str| Ask { body: Bytes::from(CRASH_MARKER), ..Ask::new("POST", "/prompt/1", id, KEY) };
+    replica.crash_on(CRASH_MARKER, Duration::from_millis(1));
+    let request = |id: &str| RequestSpec { body: Bytes::from(CRASH_MARKER), ..RequestSpec::new("POST", "/prompt/1", id, KEY) };
     let (first, second) = (request("first"), request("second"));
     let second_send = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         send(&replica.address, "site.example", &second).await
     };
     let (first, second) = tokio::join!(send(&replica.address, "site.example", &first), second_send);
-    assert!(!first.unwrap_or_default().whole && !second.unwrap_or_default().whole);
+    assert!(!first.unwrap_or_default().is_complete && !second.unwrap_or_default().is_complete);
     tokio::time::sleep(SEND_INTERVAL).await;
-    let crash_count = replica.ends();
-    let received_at: Vec<_> = replica.seen().iter().map(|received| received.at).collect();
-    replica.end();
+    let crash_count = replica.crash_count();
+    let received_at: Vec<_> = replica.received_requests().iter().map(|received| received.received_at).collect();
+    replica.stop();
     // The replica crashes 15 ms after the first request. Under load the second request may reach the next run and
     // crash that one too.
     (received_at.len() == 2 && received_at[1] - received_at[0] < Duration::from_millis(12)).then_some(crash_count)
--- a/standin/tests/platform_evacuations.rs
+++ b/standin/tests/platform_evacuations.rs
@@ -8,7 +8,7 @@
 use common::leader;
 use common::load::{count_served, lookup, prompt, send_load};
 use rustix::process::Signal;
-use standin::platform::{Ask, Fault, KEY, Replica, Site, Spec};
+use standin::platform::{RequestSpec, Fault, KEY, Replica, Site, Spec};
 
 /// Failure domain that is evacuated; the other replicas are in the default one.
 const EVACUATED_DOMAIN: &str = "there";
@@ -18,32 +18,32 @@
 const MAX_REFUSAL_TIME: Duration = Duration::from_millis(300);
 
 /// Builds a prompt that needs prefill on several engines.
-fn long_prompt(id: &str) -> Ask {
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "60000,400").with("deadline-ms", "2500")
+fn long_prompt(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "60000,400").with_header("deadline-ms", "2500")
 }
 
 /// Builds a call that may run at most once.
-fn payment(id: &str) -> Ask {
-    Ask::new("POST", "/pay/1", id, KEY).with("deadline-ms", "2500")
+fn payment(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/pay/1", id, KEY).with_header("deadline-ms", "2500")
 }
 
 /// Starts a site with three entries, whose every second replica is in the evacuated domain.
 async fn start_site(name: &str) -> Site {
-    let spec = Spec { entries: 3, engines: 8, plain: 4, seeded: true, ..Spec::small(name) };
+    let spec = Spec { entries: 3, engines: 8, plain_replicas: 4, has_seeds: true, ..Spec::small(name) };
     let site = Site::start(spec).await.expect("the site starts");
-    evacuated_replicas(&site).for_each(|replica| replica.stand_in(EVACUATED_DOMAIN));
-    site.announce_all();
+    evacuated_replicas(&site).for_each(|replica| replica.set_failure_domain(EVACUATED_DOMAIN));
+    site.write_replica_records();
     tokio::time::sleep(APPLY_TIMEOUT).await;
     site
 }
 
 fn evacuated_replicas(site: &Site) -> impl Iterator<Item = &Arc<Replica>> {
-    site.engines.iter().step_by(2).chain(site.plain.iter().step_by(2))
+    site.engines.iter().step_by(2).chain(site.plain_replicas.iter().step_by(2))
 }
 
 /// Returns the number of requests that reached replicas of the evacuated domain since `since`.
 fn requests_since(site: &Site, since: Instant) -> usize {
-    evacuated_replicas(site).flat_map(|replica| replica.seen()).filter(|received| received.at >= since).count()
+    evacuated_replicas(site).flat_map(|replica| replica.received_requests()).filter(|received| received.received_at >= since).count()
 }
 
 /// Sends requests of all kinds for `duration` and asserts that all of them were served.
@@ -56,7 +56,7 @@
     );
     for (kind, outcomes) in [("short", short), ("long", long), ("look", lookups), ("pay", payments)] {
         let failed: Vec<_> =
-            outcomes.iter().filter(|outcome| outcome.status != 200 || !outcome.whole).take(3).collect();
+            outcomes.iter().filter(|outcome| outcome.status != 200 || !outcome.is_complete).take(3).collect();
         assert_eq!(count_served(&outcomes), outcomes.len(), "{kind}: {failed:?}");
     }
 }
@@ -71,7 +71,7 @@
     // Requests that already run in the domain complete.
     assert_all_served(&site, Duration::from_secs(4)).await;
     assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0);
-    site.end_evacuation(EVACUATED_DOMAIN);
+    site.cancel_evacuation(EVACUATED_DOMAIN);
     let ended = Instant::now();
     assert_all_served(&site, Duration::from_secs(3)).await;
     assert!(requests_since(&site, ended) > 0, "the domain is used again");
@@ -91,11 +91,11 @@
     let late_outcomes: Vec<_> = outcomes.iter().skip(20 * APPLY_TIMEOUT.as_secs() as usize).chain(&lookups).collect();
     for refused in &late_outcomes {
         let retry_after: f64 = refused.header("retry-after").parse().unwrap_or(0.0);
-        assert!(refused.status == 503 && refused.took < MAX_REFUSAL_TIME && retry_after >= 1.0, "{refused:?}");
+        assert!(refused.status == 503 && refused.elapsed < MAX_REFUSAL_TIME && retry_after >= 1.0, "{refused:?}");
     }
-    let received_requests = site.engines.iter().chain(&site.plain).flat_map(|replica| replica.seen());
-    assert_eq!(received_requests.filter(|received| received.at >= started + APPLY_TIMEOUT).count(), 0);
-    site.end_evacuation("here");
+    let received_requests = site.engines.iter().chain(&site.plain_replicas).flat_map(|replica| replica.received_requests());
+    assert_eq!(received_requests.filter(|received| received.received_at >= started + APPLY_TIMEOUT).count(), 0);
+    site.cancel_evacuation("here");
     tokio::time::sleep(APPLY_TIMEOUT).await;
     assert_all_served(&site, Duration::from_secs(1)).await;
     assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0, "the other domain stays evacuated");
@@ -116,7 +116,7 @@
     assert_all_served(&site, Duration::from_secs(1)).await;
     // An entry that the store refuses receives the evacuation from its peers.
     let refused_entry = (first + 1) % 3;
-    site.doors[refused_entry].set(Fault::TooMany);
+    site.store_listeners[refused_entry].set_fault(Fault::TooManyRequests);
     site.restart(refused_entry).await.expect("the process restarts");
     site.wait_ready(refused_entry, true).await.expect("ready");
     assert_all_served(&site, Duration::from_secs(1)).await;
@@ -133,18 +133,18 @@
     let started = Instant::now();
     site.evacuate(EVACUATED_DOMAIN);
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    site.doors.iter().for_each(|listener| listener.set(Fault::Unavailable));
+    site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::Unavailable));
     // Reads that the store already holds are answered first.
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    site.end_evacuation(EVACUATED_DOMAIN);
+    site.cancel_evacuation(EVACUATED_DOMAIN);
     assert_all_served(&site, Duration::from_secs(1)).await;
     assert_eq!(requests_since(&site, started + APPLY_TIMEOUT), 0, "no entry has received the end of the evacuation");
-    site.doors.iter().for_each(|listener| listener.set(Fault::None));
+    site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::None));
     tokio::time::sleep(APPLY_TIMEOUT * 2).await;
     let resumed = Instant::now();
     // The same domain is evacuated again just after the store returns.
     site.evacuate(EVACUATED_DOMAIN);
-    site.end_evacuation(EVACUATED_DOMAIN);
+    site.cancel_evacuation(EVACUATED_DOMAIN);
     assert_all_served(&site, Duration::from_secs(2)).await;
     assert!(requests_since(&site, resumed) > 0, "the domain is used again");
     site.close().expect("no invariant was breached");
@@ -170,8 +170,8 @@
 }
 
 fn assert_no_crashes(site: &Site) {
-    let replicas = site.engines.iter().chain(&site.plain);
-    let crashed: Vec<_> = replicas.filter(|replica| replica.ends() > 0).map(|replica| &replica.id).collect();
+    let replicas = site.engines.iter().chain(&site.plain_replicas);
+    let crashed: Vec<_> = replicas.filter(|replica| replica.crash_count() > 0).map(|replica| &replica.id).collect();
     assert!(crashed.is_empty(), "crashed replicas: {crashed:?}");
 }
 
@@ -179,8 +179,8 @@
 async fn cold_replicas_stay_within_their_rate_and_others_serve_the_remainder() {
     let duration = Duration::from_secs(5);
     let site = start_site_with_cold_replicas("cold", duration).await;
-    evacuated_replicas(&site).for_each(|replica| replica.turn_cold(duration, MAX_COLD_REQUESTS_PER_SECOND));
-    site.announce_all();
+    evacuated_replicas(&site).for_each(|replica| replica.set_cold_period(duration, MAX_COLD_REQUESTS_PER_SECOND));
+    site.write_replica_records();
     tokio::time::sleep(APPLY_TIMEOUT).await;
     let since = Instant::now();
     // The replicas are warm again in the last third.
@@ -204,8 +204,8 @@
     let site = start_site_with_cold_replicas("cold-return", duration).await;
     site.evacuate(EVACUATED_DOMAIN);
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    evacuated_replicas(&site).for_each(|replica| replica.turn_cold(duration, MAX_COLD_REQUESTS_PER_SECOND));
-    site.end_evacuation(EVACUATED_DOMAIN);
+    evacuated_replicas(&site).for_each(|replica| replica.set_cold_period(duration, MAX_COLD_REQUESTS_PER_SECOND));
+    site.cancel_evacuation(EVACUATED_DOMAIN);
     let (prompts, lookups) = tokio::join!(
         send_load(&site, 60, Duration::from_secs(4), prompt),
         send_load(&site, 60, Duration::from_secs(4), lookup)
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -14,7 +14,7 @@
 
 use futures_util::future::join_all;
 use rustix::process::Signal;
-use standin::platform::{Ask, KEY, Replica, Seen, Site, Spec};
+use standin::platform::{RequestSpec, KEY, Replica, Outcome, Site, Spec};
 
 /// Number of short prompts that are sent at the same time, below the number of slots of one engine.
 const BURST: usize = 12;
@@ -23,20 +23,20 @@
 /// Number of rounds: which of two simultaneous events an entry handles first is random.
 const ROUNDS: usize = 8;
 
-fn prompt(id: &str, tokens: u64) -> Ask {
+fn prompt(id: &str, tokens: u64) -> RequestSpec {
     let usage = format!("{tokens},400");
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", &usage).with("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", &usage).with_header("deadline-ms", "2500")
 }
 
 /// Sends `BURST` short prompts at the same time.
-async fn send_burst(site: &Site, entry: usize, prefix: &str) -> Vec<Seen> {
-    let requests: Vec<Ask> = (0..BURST).map(|number| prompt(&format!("{prefix}-{number}"), 500)).collect();
+async fn send_burst(site: &Site, entry: usize, prefix: &str) -> Vec<Outcome> {
+    let requests: Vec<RequestSpec> = (0..BURST).map(|number| prompt(&format!("{prefix}-{number}"), 500)).collect();
     join_all(requests.iter().map(|request| site.send(entry, request))).await
 }
 
 /// Returns the engines that received requests whose IDs begin with `prefix`.
 fn engines_reached(site: &Site, prefix: &str) -> Vec<String> {
-    let was_reached = |engine: &&Arc<Replica>| engine.seen().iter().any(|received| received.id.starts_with(prefix));
+    let was_reached = |engine: &&Arc<Replica>| engine.received_requests().iter().any(|received| received.id.starts_with(prefix));
     site.engines.iter().filter(was_reached).map(|engine| engine.id.clone()).collect()
 }
 
@@ -65,7 +65,7 @@
         };
         let (answer, ()) = tokio::join!(site.send(survivor, &long), suspend);
         let after = send_burst(&site, survivor, &format!("after-{round}")).await;
-        let served = after.iter().filter(|outcome| outcome.whole && outcome.status == 200).count();
+        let served = after.iter().filter(|outcome| outcome.is_complete && outcome.status == 200).count();
         assert_eq!(served, BURST, "round {round}, the long prompt: {answer:?}\n{}", site.log(survivor));
         site.restart(killed).await.expect("the entry restarts");
         site.wait_ready(killed, true).await.expect("the entry is ready");
@@ -79,9 +79,9 @@
 /// longest time for which a circuit breaker opens.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answered_while_its_entry_was_suspended_stays_eligible() {
-    let takes = Duration::from_millis(100);
+    let service_time = Duration::from_millis(100);
     for suspended in 0..2 {
-        let spec = Spec { entries: 2, takes, ..Spec::small(&format!("grants-answered-{suspended}")) };
+        let spec = Spec { entries: 2, service_time, ..Spec::small(&format!("grants-answered-{suspended}")) };
         let site = Site::start(spec).await.expect("the site starts");
         let suspend = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -91,7 +91,7 @@
             site.signal(suspended, Signal::CONT).expect("the entry resumes");
         };
         let (before, ()) = tokio::join!(send_burst(&site, suspended, "before"), suspend);
-        assert!(before.iter().all(|outcome| outcome.whole), "{before:?}");
+        assert!(before.iter().all(|outcome| outcome.is_complete), "{before:?}");
         tokio::time::sleep(Duration::from_millis(200)).await;
         send_burst(&site, suspended, "after").await;
         assert_eq!(engines_reached(&site, "after"), engines_reached(&site, "before"), "{}", site.log(suspended));
@@ -103,8 +103,8 @@
 /// aborted although each of its events had arrived in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_received_in_time_is_forwarded_by_a_resumed_entry() {
-    let takes = Duration::from_millis(50);
-    let site = Site::start(Spec { entries: 1, takes, ..Spec::small("grants-late") }).await.expect("the site starts");
+    let service_time = Duration::from_millis(50);
+    let site = Site::start(Spec { entries: 1, service_time, ..Spec::small("grants-late") }).await.expect("the site starts");
     for round in 0..ROUNDS {
         let suspend = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -113,10 +113,9 @@
             site.signal(0, Signal::CONT).expect("the entry resumes");
         };
         let id = format!("stream-{round}");
-        let request =
-            Ask::new("POST", "/prompt/1", &id, KEY).with("token-usage", "500,400").with("deadline-ms", "1000");
+        let request = RequestSpec::new("POST", "/prompt/1", &id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "1000");
         let (outcome, ()) = tokio::join!(site.send(0, &request), suspend);
-        assert!(outcome.whole && outcome.status == 200, "round {round}: {outcome:?}\n{}", site.log(0));
+        assert!(outcome.is_complete && outcome.status == 200, "round {round}: {outcome:?}\n{}", site.log(0));
     }
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_limits.rs
+++ b/standin/tests/platform_limits.rs
@@ -13,7 +13,7 @@
 
 use common::load::{count_served, lookup, max_requests, prompt, send_load};
 use rustix::process::Signal;
-use standin::platform::{Replica, Seen, Site, Spec};
+use standin::platform::{Replica, Outcome, Site, Spec};
 
 /// Length of the windows in which the bound holds.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -51,7 +51,7 @@
 }
 
 fn default_spec() -> Spec {
-    Spec { entries: 3, engines: 8, plain: 4, ..Spec::small("") }
+    Spec { entries: 3, engines: 8, plain_replicas: 4, ..Spec::small("") }
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -59,9 +59,9 @@
     let site = start_site("limits-engines", default_spec()).await;
     send_load(&site, 20, Duration::from_secs(1), prompt).await;
     let mut busiest: Vec<&Arc<Replica>> = site.engines.iter().collect();
-    busiest.sort_by_key(|engine| std::cmp::Reverse(engine.seen().len()));
-    busiest[0].name_limit(Some("2.3"));
-    busiest[1].name_limit(Some("1"));
+    busiest.sort_by_key(|engine| std::cmp::Reverse(engine.received_requests().len()));
+    busiest[0].set_rate_limit(Some("2.3"));
+    busiest[1].set_rate_limit(Some("1"));
     let since = Instant::now() + LIMIT_APPLY_TIMEOUT;
     let outcomes = send_load(&site, 20, Duration::from_secs(9), prompt).await;
     for (engine, rate) in [(busiest[0], 2.3), (busiest[1], 1.0)] {
@@ -82,8 +82,8 @@
 async fn a_rate_limited_plain_replica_stays_within_its_limit_and_others_serve_the_remainder() {
     let site = start_site("limits-plain", default_spec()).await;
     send_load(&site, 30, Duration::from_secs(1), lookup).await;
-    let busiest = site.plain.iter().max_by_key(|replica| replica.seen().len()).expect("there are replicas");
-    busiest.name_limit(Some("1"));
+    let busiest = site.plain_replicas.iter().max_by_key(|replica| replica.received_requests().len()).expect("there are replicas");
+    busiest.set_rate_limit(Some("1"));
     let since = Instant::now() + LIMIT_APPLY_TIMEOUT;
     let outcomes = send_load(&site, 30, Duration::from_secs(9), lookup).await;
     let max_requests = max_requests(busiest, since, WINDOW);
@@ -111,7 +111,7 @@
 fn assert_limited_throughput(
     replicas: &[Arc<Replica>],
     rate: f64,
-    outcomes: &[Seen],
+    outcomes: &[Outcome],
     since: Instant,
     duration: Duration,
 ) {
@@ -136,12 +136,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_beyond_the_limits_of_all_plain_replicas_are_refused_at_once() {
     let site = start_site("limits-all-plain", default_spec()).await;
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("5")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("5")));
     let (since, duration) = (Instant::now(), Duration::from_secs(9));
     let outcomes = send_load(&site, 40, duration, lookup).await;
-    assert_limited_throughput(&site.plain, 5.0, &outcomes, since, duration);
+    assert_limited_throughput(&site.plain_replicas, 5.0, &outcomes, since, duration);
     for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
-        assert!(refused.took < Duration::from_millis(150), "refused later than half the target latency: {refused:?}");
+        assert!(refused.elapsed < Duration::from_millis(150), "refused later than half the target latency: {refused:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -149,12 +149,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn prompts_beyond_the_limits_of_all_engines_are_refused() {
     let site = start_site("limits-all-engines", default_spec()).await;
-    site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.engines.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     let (since, duration) = (Instant::now(), Duration::from_secs(9));
     let outcomes = send_load(&site, 30, duration, prompt).await;
     assert_limited_throughput(&site.engines, 2.0, &outcomes, since, duration);
     for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
-        assert!(refused.took < Duration::from_millis(300), "refused later than the target latency: {refused:?}");
+        assert!(refused.elapsed < Duration::from_millis(300), "refused later than the target latency: {refused:?}");
     }
     site.close().expect("no invariant was breached");
 }
@@ -162,8 +162,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limit_holds_while_the_leader_is_suspended_and_killed() {
     let mut site = start_site("limits-leaders", Spec { entries: 4, ..default_spec() }).await;
-    site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.engines.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     let since = Instant::now() + RECOVERY_TIMEOUT;
     tokio::join!(
         send_load(&site, 30, Duration::from_secs(4), prompt),
@@ -186,7 +186,7 @@
         send_load(&site, 30, Duration::from_secs(4), prompt),
         send_load(&site, 20, Duration::from_secs(4), lookup)
     );
-    for replica in site.engines.iter().chain(&site.plain) {
+    for replica in site.engines.iter().chain(&site.plain_replicas) {
         let max_requests = max_requests(replica, since, WINDOW);
         assert!(
             max_requests <= bound_during_faults(2.0),
@@ -201,8 +201,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limit_holds_after_a_loss_of_all_entries() {
     let mut site = start_site("limits-loss", Spec { entries: 4, ..default_spec() }).await;
-    site.engines.iter().for_each(|replica| replica.name_limit(Some("2")));
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.engines.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     let since = Instant::now() + RECOVERY_TIMEOUT;
     tokio::join!(
         send_load(&site, 30, Duration::from_secs(4), prompt),
@@ -218,7 +218,7 @@
         send_load(&site, 30, Duration::from_secs(5), prompt),
         send_load(&site, 20, Duration::from_secs(5), lookup)
     );
-    for replica in site.engines.iter().chain(&site.plain) {
+    for replica in site.engines.iter().chain(&site.plain_replicas) {
         let max_requests = max_requests(replica, since, WINDOW);
         assert!(
             max_requests <= bound_during_faults(2.0),
@@ -233,7 +233,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_starting_entry_receives_limits_from_its_peers() {
     let mut site = start_site("limits-start", default_spec()).await;
-    site.plain.iter().for_each(|replica| replica.name_limit(Some("2")));
+    site.plain_replicas.iter().for_each(|replica| replica.set_rate_limit(Some("2")));
     send_load(&site, 20, Duration::from_secs(1), lookup).await;
     let follower = (last_joined_entry(&site) + 1) % site.addresses.len();
     let own_limit_reports = |site: &Site| site.log(follower).matches("before=None source=Own").count();
@@ -247,14 +247,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawn_limit_no_longer_applies() {
-    let site = start_site("limits-over", Spec { engines: 2, plain: 2, ..default_spec() }).await;
-    let replicas = || site.engines.iter().chain(&site.plain);
-    replicas().for_each(|replica| replica.name_limit(Some("1")));
+    let site = start_site("limits-over", Spec { engines: 2, plain_replicas: 2, ..default_spec() }).await;
+    let replicas = || site.engines.iter().chain(&site.plain_replicas);
+    replicas().for_each(|replica| replica.set_rate_limit(Some("1")));
     tokio::join!(
         send_load(&site, 10, Duration::from_secs(3), prompt),
         send_load(&site, 10, Duration::from_secs(3), lookup)
     );
-    replicas().for_each(|replica| replica.name_limit(None));
+    replicas().for_each(|replica| replica.set_rate_limit(None));
     // Each replica gets at least one request per second, whose response shows that the limit is gone.
     tokio::join!(
         send_load(&site, 10, Duration::from_secs(3), prompt),
--- a/standin/tests/platform_soak.rs
+++ b/standin/tests/platform_soak.rs
@@ -25,10 +25,10 @@
         faults,
         entries: 3,
         callers: 16,
-        fatal: false,
-        limits: false,
-        evacuations: false,
-        words: false,
+        has_fatal_requests: false,
+        has_rate_limits: false,
+        has_evacuations: false,
+        has_response_signals: false,
     }
 }
 
@@ -55,17 +55,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_31_with_fatal_requests() {
-    run_soak(Plan { fatal: true, ..plan_with_seed(31) }).await;
+    run_soak(Plan { has_fatal_requests: true, ..plan_with_seed(31) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_107_with_fatal_requests() {
-    run_soak(Plan { fatal: true, ..plan_with_seed(107) }).await;
+    run_soak(Plan { has_fatal_requests: true, ..plan_with_seed(107) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_201_beside_replicas_that_name_a_limit() {
-    run_soak(Plan { limits: true, ..plan_with_seed(201) }).await;
+    run_soak(Plan { has_rate_limits: true, ..plan_with_seed(201) }).await;
 }
 
 /// Guards against rules that together exclude all usable engines. Under load, six short prompts were held for 0.9 s
@@ -77,27 +77,27 @@
 /// for the whole time, and 15 first events 0.64 s after their sends, 8 s before the end of that time.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_326_beside_replicas_that_name_a_limit() {
-    run_soak(Plan { limits: true, ..plan_with_seed(326) }).await;
+    run_soak(Plan { has_rate_limits: true, ..plan_with_seed(326) }).await;
 }
 
 /// Makes the fault above more likely with more clients: of the seeds 301 to 316 with 48 clients, 303, 310 and 315 had
 /// prompts refused in the quiet phase.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_303_with_many_callers_beside_replicas_that_name_a_limit() {
-    run_soak(Plan { limits: true, callers: 48, ..plan_with_seed(303) }).await;
+    run_soak(Plan { has_rate_limits: true, callers: 48, ..plan_with_seed(303) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_401_with_evacuations() {
-    run_soak(Plan { evacuations: true, ..plan_with_seed(401) }).await;
+    run_soak(Plan { has_evacuations: true, ..plan_with_seed(401) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_6_with_draining_backoff_and_store_recovery() {
-    run_soak(Plan { words: true, ..plan_with_seed(6) }).await;
+    run_soak(Plan { has_response_signals: true, ..plan_with_seed(6) }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_1032_with_a_refusal_in_flight_when_the_backoff_ends() {
-    run_soak(Plan { words: true, ..plan_with_seed(1032) }).await;
+    run_soak(Plan { has_response_signals: true, ..plan_with_seed(1032) }).await;
 }
--- a/standin/tests/whole_path.rs
+++ b/standin/tests/whole_path.rs
@@ -9,10 +9,10 @@
 async fn a_streamed_prompt_is_answered_completely() {
     let fleet = start_small_fleet("stream").await;
     let prompt = prompt(1_000, 20, 7);
-    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!((outcome.status, outcome.error.as_deref()), (200, None));
     assert_eq!(outcome.text, prompt.expected());
-    assert!(outcome.ended && outcome.ttft.is_some());
+    assert!(outcome.is_complete && outcome.ttft.is_some());
     close_fleet(fleet).await;
 }
 
@@ -55,7 +55,7 @@
     let fleet = start_small_fleet("timeline").await;
     let mut prompt = prompt(1_000, 5, 9);
     prompt.headers.push(("x-request-id".into(), "vendor-42".into()));
-    let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
     assert_eq!(outcome.text, prompt.expected());
     let files: Vec<String> = fleet.log_files().iter().map(|file| file.display().to_string()).collect();
     let mut args = vec!["timeline", "--request", "vendor-42"];
