--- a/coord/benches/parcel.rs
+++ b/coord/benches/parcel.rs
@@ -15,7 +15,7 @@
 
 use std::hint::black_box;
 
-use coord::delta::{VersionCache, Version};
+use coord::delta::{Version, VersionCache};
 use divan::Bencher;
 
 const ROUTE_COUNTS: &[u64] = &[30, 240, 1_500];
@@ -70,12 +70,14 @@
 
 #[divan::bench(args = ROUTE_COUNTS)]
 fn decode_full(bencher: Bencher, routes: u64) {
-    let delta = version_cache(routes, 2).encode_newest(None).expect("encoding succeeds").expect("a newer version exists");
+    let delta =
+        version_cache(routes, 2).encode_newest(None).expect("encoding succeeds").expect("a newer version exists");
     bencher.with_inputs(VersionCache::default).bench_refs(|cache| black_box(cache.decode(&delta)));
 }
 
 #[divan::bench(args = ROUTE_COUNTS)]
 fn decode_change(bencher: Bencher, routes: u64) {
-    let delta = version_cache(routes, 2).encode_newest(Some(1)).expect("encoding succeeds").expect("a newer version exists");
+    let delta =
+        version_cache(routes, 2).encode_newest(Some(1)).expect("encoding succeeds").expect("a newer version exists");
     bencher.with_inputs(|| version_cache(routes, 1)).bench_refs(|cache| black_box(cache.decode(&delta)));
 }
--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -52,7 +52,15 @@
 fn job(prompt_tokens: u64, now: Moment) -> Job {
     let (first_event_target, gap_target_ms) = if prompt_tokens < 30_000 { (300, 250.0) } else { (4_000, 1_000.0) };
     let first_event_target = now + Duration::from_millis(first_event_target);
-    Job { prompt_tokens, max_output_tokens: 1_000, first_event_target, gap_target_ms, deadline: now + Duration::from_secs(10), priority: 1, fingerprint: None }
+    Job {
+        prompt_tokens,
+        max_output_tokens: 1_000,
+        first_event_target,
+        gap_target_ms,
+        deadline: now + Duration::from_secs(10),
+        priority: 1,
+        fingerprint: None,
+    }
 }
 
 /// Puts either planner implementation into the same loaded state.
--- a/coord/benches/quarantine.rs
+++ b/coord/benches/quarantine.rs
@@ -5,7 +5,7 @@
 //! verdicts. Recording a termination takes 2.5 and 273 µs with 100 and 4,000 of each.
 
 use coord::name::Name;
-use coord::quarantine::{Event, State, Weight, Fingerprint};
+use coord::quarantine::{Event, Fingerprint, State, Weight};
 
 fn main() {
     divan::main();
@@ -15,7 +15,9 @@
 #[divan::bench(args = [200, 20_000, 4 << 20])]
 fn fingerprint(bencher: divan::Bencher<'_, '_>, bytes: usize) {
     let body = vec![7; bytes];
-    bencher.bench(|| Fingerprint::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"]));
+    bencher.bench(|| {
+        Fingerprint::of([b"host".as_slice(), b"POST", b"/prompt/1?x=2", divan::black_box(&body), b"workspace"])
+    });
 }
 
 /// Looks up the status of a fingerprint beside `suspect_count` suspects and as many verdicts.
--- a/coord/examples/answer.rs
+++ b/coord/examples/answer.rs
@@ -1,7 +1,7 @@
 //! Delivers duplicate frames and frames of another attempt to a receiver, which passes on only the complete answer of
 //! the live attempt.
 
-use coord::answer::{Receiver, FrameDigest};
+use coord::answer::{FrameDigest, Receiver};
 use coord::name::Attempt;
 
 fn main() {
--- a/coord/examples/placement.rs
+++ b/coord/examples/placement.rs
@@ -4,7 +4,7 @@
 
 use coord::fence::Fence;
 use coord::name::{Incarnation, Name};
-use coord::placement::{Placements, Artifacts, Record};
+use coord::placement::{Artifacts, Placements, Record};
 use coord::time::Moment;
 
 fn claim(process: &str) -> Record {
--- a/coord/src/limit/mod.rs
+++ b/coord/src/limit/mod.rs
@@ -9,14 +9,14 @@
 //! [`TokenBucket`] counts the requests that may still be sent to a limited replica. [`GroupSize`] yields the share of a
 //! limit that the entries of one leader may use.
 
-mod token_bucket;
 mod group_size;
+mod token_bucket;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use self::token_bucket::TokenBucket;
 pub use self::group_size::GroupSize;
+pub use self::token_bucket::TokenBucket;
 
 use crate::name::Name;
 use crate::time::Moment;
@@ -132,7 +132,8 @@
     pub fn reset_for_restart(&mut self, replica: &str, now: Moment) -> bool {
         let Some(limit) = self.0.get_mut(replica) else { return false };
         let was_limited = limit.report.rate.is_some();
-        *limit = ReplicaLimit { report: TimedReport { rate: None, requested_at: now, received_at: now }, run_started: now };
+        *limit =
+            ReplicaLimit { report: TimedReport { rate: None, requested_at: now, received_at: now }, run_started: now };
         was_limited
     }
 
--- a/coord/src/planner/granted.rs
+++ b/coord/src/planner/granted.rs
@@ -19,7 +19,11 @@
 impl GrantedJob {
     /// Creates a job that is granted at `now` and whose first event is expected `expected_ms` milliseconds later.
     pub fn new(team: Team, expected_ms: f64, now: Moment) -> Self {
-        Self { team, granted_at: now, overdue_after: now + duration_from_ms(expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS) }
+        Self {
+            team,
+            granted_at: now,
+            overdue_after: now + duration_from_ms(expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS),
+        }
     }
 
     /// Returns whether the first event is so late that an engine must be at fault.
--- a/coord/src/planner/mod.rs
+++ b/coord/src/planner/mod.rs
@@ -42,12 +42,12 @@
 use self::snapshot::FleetSnapshot;
 pub use self::snapshot::{EngineCounts, Exclusion};
 use self::wait_queue::{Candidate, WaitQueue};
+use crate::backoff;
 use crate::engine::Profile;
 use crate::limit::TokenBucket;
 use crate::name::Name;
 use crate::pick::rendezvous;
 use crate::quarantine::Fingerprint;
-use crate::backoff;
 use crate::time::Moment;
 
 /// Bounds the number of engines that are listed to explain why prompts wait; 12 give a log line of some 300 bytes.
--- a/coord/src/planner/place/long.rs
+++ b/coord/src/planner/place/long.rs
@@ -80,7 +80,8 @@
             *index != decoder && (helpers == HelperScope::Any || self.state(*index).sequence_count == 0)
         };
         let others = with_budget.iter().copied().filter(is_suitable).take(parts - 1);
-        let helpers: Vec<Helper> = others.map(|index| Helper { engine: self.name(index).clone(), held_tokens: 0 }).collect();
+        let helpers: Vec<Helper> =
+            others.map(|index| Helper { engine: self.name(index).clone(), held_tokens: 0 }).collect();
         (helpers.len() == parts - 1).then(|| Team { decoder: self.name(decoder).clone(), helpers })
     }
 
--- a/coord/src/planner/rate_limited.rs
+++ b/coord/src/planner/rate_limited.rs
@@ -47,7 +47,8 @@
 impl Planner {
     /// Removes and returns the prompts for which the rate limits of all engines leave no capacity in time.
     pub(super) fn refuse_rate_limited(&mut self, now: Moment) -> Vec<Refusal> {
-        let limits: Option<Vec<&TokenBucket>> = self.fleet.engines().iter().map(|engine| engine.limit.as_ref()).collect();
+        let limits: Option<Vec<&TokenBucket>> =
+            self.fleet.engines().iter().map(|engine| engine.limit.as_ref()).collect();
         let Some(limits) = limits.filter(|limits| !limits.is_empty()) else { return Vec::new() };
         let candidates = self.waiting.list_ordered(now);
         let mut send_slots = SendSlots::new(limits, now);
--- a/coord/src/planner/wait_queue.rs
+++ b/coord/src/planner/wait_queue.rs
@@ -139,7 +139,8 @@
     }
 
     fn rank(&self, id: Id, prompt: &Prompt) -> Rank {
-        let sort_key = if self.cheapest_first { prompt.prefill_ms } else { prompt.job.first_event_target.as_micros() as f64 };
+        let sort_key =
+            if self.cheapest_first { prompt.prefill_ms } else { prompt.job.first_event_target.as_micros() as f64 };
         Rank { priority: prompt.job.priority, sort_key, id }
     }
 }
--- a/coord/src/quarantine.rs
+++ b/coord/src/quarantine.rs
@@ -236,7 +236,8 @@
     /// condemn a fingerprint just as those observed by one.
     pub fn persistent(&self, is_isolated: bool) -> impl Iterator<Item = Fingerprint> {
         let min_points = if is_isolated { SUSPECT_POINTS } else { PERSISTENT_POINTS };
-        let suspects = self.suspects().filter(move |(_, points)| *points >= min_points).map(|(fingerprint, _)| fingerprint);
+        let suspects =
+            self.suspects().filter(move |(_, points)| *points >= min_points).map(|(fingerprint, _)| fingerprint);
         self.condemned().chain(suspects)
     }
 
@@ -244,7 +245,11 @@
     pub fn events(&self) -> Vec<Event> {
         let condemned = self.condemned().map(Event::Condemned);
         let suspects = self.suspects().flat_map(|(fingerprint, _)| {
-            self.evidence(fingerprint).map(move |(run, weight)| Event::Terminated { fingerprint, run: run.clone(), weight })
+            self.evidence(fingerprint).map(move |(run, weight)| Event::Terminated {
+                fingerprint,
+                run: run.clone(),
+                weight,
+            })
         });
         condemned.chain(suspects).collect()
     }
@@ -267,7 +272,8 @@
         if points >= SUSPECT_POINTS {
             relayed.push(Event::Terminated { fingerprint, run, weight });
         }
-        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(fingerprint)) {
+        if points >= CONDEMNED_POINTS && (termination_count >= CERTAIN_TERMINATIONS || !self.is_ambiguous(fingerprint))
+        {
             relayed.extend(self.condemn(fingerprint));
         }
         self.evict();
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -123,7 +123,9 @@
     fn to_update(&self, now: Moment) -> Update {
         let state = match (self.has_record, self.availability) {
             (true, Availability::Unusable) => RecordState::Unusable(self.record.id.clone()),
-            (true, _) => RecordState::Present(Record { cold_remaining: self.cold_until.since(now), ..self.record.clone() }),
+            (true, _) => {
+                RecordState::Present(Record { cold_remaining: self.cold_until.since(now), ..self.record.clone() })
+            }
             (false, _) => RecordState::Removed(self.record.id.clone()),
         };
         Update { offset: self.changed_offset, state }
@@ -214,14 +216,17 @@
             return None;
         }
         let current = self.replicas.get(&id);
-        let (current_started_ms, started_ms) = (current.and_then(|current| current.record.started_ms), record.started_ms);
+        let (current_started_ms, started_ms) =
+            (current.and_then(|current| current.record.started_ms), record.started_ms);
         if current_started_ms.zip(started_ms).is_some_and(|(current, new)| new < current) {
             // The record belongs to an earlier run.
             return None;
         }
         let has_restarted = current_started_ms.zip(started_ms).is_some_and(|(current, new)| new > current);
-        let is_stated =
-            self.draining_runs.get(&id).is_some_and(|run| run.zip(started_ms).is_none_or(|(run, started_ms)| started_ms <= run));
+        let is_stated = self
+            .draining_runs
+            .get(&id)
+            .is_some_and(|run| run.zip(started_ms).is_none_or(|(run, started_ms)| started_ms <= run));
         // An announced end is final for its run, whereas an expired record can reappear together with its replica.
         let leaving =
             record.leaving || is_stated || (!has_restarted && current.is_some_and(|current| current.record.leaving));
@@ -236,8 +241,10 @@
         });
         // The end of the cold period is stored as a moment; in repeated records the remaining time shrinks, which is
         // not a change.
-        let record = Record { leaving, started_ms: started_ms.or(current_started_ms), cold_remaining: Duration::ZERO, ..record };
-        let changed = has_restarted || cold_changed || current.is_none_or(|current| current.availability != availability);
+        let record =
+            Record { leaving, started_ms: started_ms.or(current_started_ms), cold_remaining: Duration::ZERO, ..record };
+        let changed =
+            has_restarted || cold_changed || current.is_none_or(|current| current.availability != availability);
         let unchanged =
             current.filter(|current| current.has_record && current.record == record && !changed && !is_confirmed);
         let changed_offset = unchanged.map_or(offset, |current| current.changed_offset);
@@ -322,12 +329,16 @@
 
     /// Returns whether this run is already recorded as draining, or a later run is recorded.
     pub fn has_draining_run(&self, draining_run: &DrainingRun) -> bool {
-        let is_same_or_later =
-            |started_ms: Option<u64>| draining_run.started_ms.zip(started_ms).is_none_or(|(stated, current)| stated <= current);
-        let is_later = |started_ms: Option<u64>| draining_run.started_ms.zip(started_ms).is_some_and(|(stated, current)| stated < current);
+        let is_same_or_later = |started_ms: Option<u64>| {
+            draining_run.started_ms.zip(started_ms).is_none_or(|(stated, current)| stated <= current)
+        };
+        let is_later = |started_ms: Option<u64>| {
+            draining_run.started_ms.zip(started_ms).is_some_and(|(stated, current)| stated < current)
+        };
         let current = self.replicas.get(&draining_run.id).map(|current| &current.record);
-        let is_recorded = current
-            .is_some_and(|current| is_later(current.started_ms) || (current.leaving && is_same_or_later(current.started_ms)));
+        let is_recorded = current.is_some_and(|current| {
+            is_later(current.started_ms) || (current.leaving && is_same_or_later(current.started_ms))
+        });
         is_recorded || self.draining_runs.get(&draining_run.id).is_some_and(|run| is_same_or_later(*run))
     }
 
--- a/coord/src/route.rs
+++ b/coord/src/route.rs
@@ -69,7 +69,9 @@
 impl Route {
     /// Returns how long callers wait for the first event of a stream before they give up.
     pub fn client_timeout(&self) -> Duration {
-        MIN_CLIENT_TIMEOUT.max(self.latency_target * CLIENT_TIMEOUT_LATENCY_FACTOR).max(self.gap_target * CLIENT_TIMEOUT_GAP_FACTOR)
+        MIN_CLIENT_TIMEOUT
+            .max(self.latency_target * CLIENT_TIMEOUT_LATENCY_FACTOR)
+            .max(self.gap_target * CLIENT_TIMEOUT_GAP_FACTOR)
     }
 
     /// Returns the service for a request with the random number `point`, uniform in 0..1; `None` if all weights are
--- a/coord/src/scheduler/mod.rs
+++ b/coord/src/scheduler/mod.rs
@@ -13,10 +13,10 @@
 pub use self::message::*;
 use crate::claim::Key;
 use crate::estimate::Estimate;
+use crate::expiring_set::ExpiringSet;
 use crate::memory::Ledger;
 use crate::name::Attempt;
 use crate::queue::{Job, Order, Queue};
-use crate::expiring_set::ExpiringSet;
 use crate::span::Spans;
 use crate::time::Moment;
 
@@ -167,7 +167,8 @@
     /// Returns the remaining time of prefill on the engine that goes before that of `job`.
     fn prefill_ahead(&self, job: &Job, now: Moment) -> Duration {
         let prefill_priority = self.prefill_priority(job);
-        let spans = if prefill_priority == PrefillPriority::Huge { self.spans.prefill_time_left(now) } else { Duration::ZERO };
+        let spans =
+            if prefill_priority == PrefillPriority::Huge { self.spans.prefill_time_left(now) } else { Duration::ZERO };
         let running: Duration = self
             .running
             .values()
@@ -209,7 +210,11 @@
             return PrefillPriority::Huge;
         }
         let prefill_priority = prefill_priority(job, self.limits.short_tokens);
-        if prefill_priority == PrefillPriority::Short || self.limits.split_long_by_length { prefill_priority } else { PrefillPriority::Huge }
+        if prefill_priority == PrefillPriority::Short || self.limits.split_long_by_length {
+            prefill_priority
+        } else {
+            PrefillPriority::Huge
+        }
     }
 
     /// Returns the free slots and memory.
@@ -230,8 +235,13 @@
     /// Returns the total delay that `job` would add to other jobs, whose prefill it pauses or precedes.
     fn interference(&self, job: &Job, now: Moment) -> Duration {
         let prefill_priority = self.prefill_priority(job);
-        let paused = self.running.values().filter(|run| run.first_token_at.is_none() && run.prefill_priority < prefill_priority).count();
-        let spans = usize::from(prefill_priority > PrefillPriority::Huge && !self.spans.prefill_time_left(now).is_zero());
+        let paused = self
+            .running
+            .values()
+            .filter(|run| run.first_token_at.is_none() && run.prefill_priority < prefill_priority)
+            .count();
+        let spans =
+            usize::from(prefill_priority > PrefillPriority::Huge && !self.spans.prefill_time_left(now).is_zero());
         job.cost * (paused + spans) as u32
     }
 
@@ -302,7 +312,9 @@
             return;
         }
         let capacity = self.capacity(now);
-        let is_stuck = |job: &&Job| self.is_unhealthy || (!capacity.fits(job) && self.prefill_priority(job) != PrefillPriority::Short);
+        let is_stuck = |job: &&Job| {
+            self.is_unhealthy || (!capacity.fits(job) && self.prefill_priority(job) != PrefillPriority::Short)
+        };
         let evicted: Vec<Attempt> = self.queue.iter().filter(is_stuck).map(|job| job.attempt).collect();
         for attempt in evicted {
             self.queue.remove(attempt);
@@ -374,7 +386,7 @@
     }
 
     /// Records whether a held span is being prefilled; returns false if the span is not held.
-    pub fn set_span_prefill(&mut self, span: Attempt, filling: bool, now: Moment) -> bool {
+    pub fn set_prefill(&mut self, span: Attempt, filling: bool, now: Moment) -> bool {
         let Some(tokens) = self.spans.get_mut(span).map(|held| held.tokens) else { return false };
         let cost = self.cost(tokens);
         if let Some(held) = self.spans.get_mut(span) {
--- a/coord/tests/breaker.rs
+++ b/coord/tests/breaker.rs
@@ -10,7 +10,10 @@
 
 /// Returns the time until the breaker admits a request again, in milliseconds after `from`.
 fn time_until_admitted(breaker: &Breaker, from: u64) -> u64 {
-    (0..20_000).step_by(10).find(|ms| breaker.allows_request(at(from + ms))).expect("the breaker admits a request eventually")
+    (0..20_000)
+        .step_by(10)
+        .find(|ms| breaker.allows_request(at(from + ms)))
+        .expect("the breaker admits a request eventually")
 }
 
 #[test]
--- a/coord/tests/ends.rs
+++ b/coord/tests/ends.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use coord::termination::{IntervalAge, Terminations, Interval};
 use coord::name::Name;
+use coord::termination::{Interval, IntervalAge, Terminations};
 use coord::time::Moment;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -113,7 +113,8 @@
 #[test]
 fn the_number_of_recorded_terminations_is_bounded() {
     let mut terminations = Terminations::new("a");
-    let runs: Vec<Name> = (0..1_000).map(|number| observe(&mut terminations, "r", number * 100, number * 100 + 10)).collect();
+    let runs: Vec<Name> =
+        (0..1_000).map(|number| observe(&mut terminations, "r", number * 100, number * 100 + 10)).collect();
     let known = runs.iter().filter(|run| terminations.interval(run).is_some()).count();
     assert!((16..=64).contains(&known), "{known}");
     terminations.retain(|replica| replica != "r");
@@ -142,7 +143,8 @@
     let mut termination_count = 0;
     for now in (0..120_000).step_by(10) {
         for report in reports.extract_if(.., |report| report.arrives_at <= now) {
-            let name = registries[report.receiver].record_reported(&report.run, report.age.interval(clock(report.receiver, now)));
+            let name = registries[report.receiver]
+                .record_reported(&report.run, report.age.interval(clock(report.receiver, now)));
             names[report.receiver][report.termination].insert(name);
         }
         for (replica, next) in next_end.iter_mut().enumerate() {
--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use coord::evacuation::{Event as EvacuationEvent, Snapshot, Evacuations};
+use coord::evacuation::{Evacuations, Event as EvacuationEvent, Snapshot};
 use coord::name::Name;
-use coord::offset::{Formatted, era, encode, plain_offset};
-use coord::roster::{RecordState, Record, Roster, Update, Availability};
+use coord::offset::{Formatted, encode, era, plain_offset};
+use coord::roster::{Availability, Record, RecordState, Roster, Update};
 use coord::time::Moment;
 
 const NOW: Moment = Moment::from_millis(1_000);
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use coord::evacuation::{Event, Snapshot, Evacuations};
+use coord::evacuation::{Evacuations, Event, Snapshot};
 use coord::name::Name;
 use coord::roster::{self, Record, Roster};
 use coord::time::Moment;
--- a/coord/tests/limits.rs
+++ b/coord/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Which of several reported limits is in force for a replica, and how many requests it allows.
 
-use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
+use coord::limit::{GroupSize, RelayedReport, ReplicaLimits, TimedReport, TokenBucket};
 use coord::name::Name;
 use coord::time::Moment;
 
--- a/coord/tests/limits_machine.rs
+++ b/coord/tests/limits_machine.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
+use coord::limit::{GroupSize, RelayedReport, ReplicaLimits, TimedReport, TokenBucket};
 use coord::name::Name;
 use coord::time::Moment;
 use rand::rngs::SmallRng;
@@ -152,7 +152,8 @@
         self.apply_limits(leader);
         let leader_state = &mut self.entries[leader];
         if leader_state.limits.rate(&name).is_some() {
-            let Some(allowance) = leader_state.allowances.get_mut(&name).filter(|allowance| allowance.allows_request(now))
+            let Some(allowance) =
+                leader_state.allowances.get_mut(&name).filter(|allowance| allowance.allows_request(now))
             else {
                 return;
             };
--- a/coord/tests/parcel.rs
+++ b/coord/tests/parcel.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use assert_matches::assert_matches;
-use coord::delta::{Error, Delta, VersionCache, Version};
+use coord::delta::{Delta, Error, Version, VersionCache};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
--- a/coord/tests/parts.rs
+++ b/coord/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use coord::answer::{Receiver, FrameDigest, Verdict};
+use coord::answer::{FrameDigest, Receiver, Verdict};
 use coord::budget::Budget;
 use coord::claim::{Binding, Claims, Key};
 use coord::estimate::Quantile;
--- a/coord/tests/placement_random.rs
+++ b/coord/tests/placement_random.rs
@@ -7,7 +7,7 @@
 use coord::fence::Fence;
 use coord::intent::{Change, Config, Intent};
 use coord::name::{Incarnation, Name};
-use coord::placement::{Placements, Endpoint, Artifacts, Order, Record, roll_out};
+use coord::placement::{Artifacts, Endpoint, Order, Placements, Record, roll_out};
 use coord::time::Moment;
 use proptest::prelude::*;
 
--- a/coord/tests/plain/order.rs
+++ b/coord/tests/plain/order.rs
@@ -44,12 +44,16 @@
         let Some(engine) = self.engines.values().next() else { return false };
         let parts = if self.is_short(job) { 1 } else { self.policy.max_parts.min(self.engines.len()) };
         let pass_ms = engine.profile.pass_ms(engine.profile.slots / 2, 0);
-        now + duration_from_ms(self.prefill_ms(job) / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT) > job.first_event_target
+        now + duration_from_ms(self.prefill_ms(job) / parts as f64 + pass_ms * PASSES_TO_FIRST_EVENT)
+            > job.first_event_target
     }
 
     /// Returns the engine time to prefill a job's prompt, in milliseconds.
     pub fn prefill_ms(&self, job: &Job) -> f64 {
-        self.engines.values().next().map_or(job.prompt_tokens as f64, |engine| engine.profile.prefill_ms(job.prompt_tokens))
+        self.engines
+            .values()
+            .next()
+            .map_or(job.prompt_tokens as f64, |engine| engine.profile.prefill_ms(job.prompt_tokens))
     }
 
     /// Returns whether one engine can prefill the prompt without exceeding the gap target of an answer like its own.
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -41,8 +41,15 @@
 }
 
 /// Submits `number` short prompts with the same fingerprint and returns their engines.
-fn submit_and_pump(planner: &mut Planner, first: u64, number: u64, fingerprint: Option<Fingerprint>, now: Moment) -> Vec<Name> {
-    (first..first + number).for_each(|number| planner.submit(id(number), Job { fingerprint, ..short::job(3_000, now) }));
+fn submit_and_pump(
+    planner: &mut Planner,
+    first: u64,
+    number: u64,
+    fingerprint: Option<Fingerprint>,
+    now: Moment,
+) -> Vec<Name> {
+    (first..first + number)
+        .for_each(|number| planner.submit(id(number), Job { fingerprint, ..short::job(3_000, now) }));
     planner.grant_ready(now).into_iter().map(|grant| grant.team.decoder).collect()
 }
 
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -83,7 +83,13 @@
             EngineState::BreakerOpen => planner.record_failure(OTHER_ENTRY, &name(index), now),
             EngineState::RateLimited => planner.set_limit(&name(index), Some(0.0), 0.1, now),
             EngineState::Suspect => {
-                adopt(&mut planner, OTHER_ENTRY, index, &Job { fingerprint: Some(SUSPECT), ..short::job(500, now) }, now);
+                adopt(
+                    &mut planner,
+                    OTHER_ENTRY,
+                    index,
+                    &Job { fingerprint: Some(SUSPECT), ..short::job(500, now) },
+                    now,
+                );
             }
             EngineState::Full => (0..16).for_each(|_| {
                 let id = adopt(&mut planner, OTHER_ENTRY, index, &short::job(500, now), now);
--- a/coord/tests/planner_load/burst.rs
+++ b/coord/tests/planner_load/burst.rs
@@ -104,7 +104,8 @@
     // The effect of resending is tested separately.
     let policy = Policy { resend_unresponsive: false, ..Policy::default() };
     let with = simulate_with_faults(policy, &kinds, (10..16, 3.0), 0.0);
-    let without = simulate_with_faults(Policy { suspect_unresponsive_only: false, ..policy }, &kinds, (10..16, 3.0), 0.0);
+    let without =
+        simulate_with_faults(Policy { suspect_unresponsive_only: false, ..policy }, &kinds, (10..16, 3.0), 0.0);
     let (long, long_without) = (with[2].in_time_share(), without[2].in_time_share());
     assert!(long >= long_without + 0.02, "{long:.3} and {long_without:.3} of the longest in time");
     for (with, without) in with.iter().zip(&without) {
@@ -118,7 +119,8 @@
     kinds[2].arrivals_per_s = |_| 3.0;
     let hanging = (10..14, 1_000.0);
     let with = simulate_with_faults(Policy::default(), &kinds, hanging.clone(), 0.0);
-    let without = simulate_with_faults(Policy { resend_unresponsive: false, ..Policy::default() }, &kinds, hanging, 0.0);
+    let without =
+        simulate_with_faults(Policy { resend_unresponsive: false, ..Policy::default() }, &kinds, hanging, 0.0);
     for (with, without) in with.iter().zip(&without) {
         assert!(with.in_time_share() >= without.in_time_share() + 0.03, "{with:?} and {without:?}");
     }
@@ -129,7 +131,8 @@
 fn while_answers_are_lost_unresponsive_prompts_are_in_time_on_other_engines() {
     let kinds = long_burst();
     let with = simulate_with_faults(Policy::default(), &kinds, (0..0, 1.0), 0.15);
-    let without = simulate_with_faults(Policy { resend_unresponsive: false, ..Policy::default() }, &kinds, (0..0, 1.0), 0.15);
+    let without =
+        simulate_with_faults(Policy { resend_unresponsive: false, ..Policy::default() }, &kinds, (0..0, 1.0), 0.15);
     assert!(with[1].in_time_share() >= without[1].in_time_share() + 0.03, "{with:?} and {without:?}");
     for (with, without) in with.iter().zip(&without) {
         assert!(with.in_time_share() + 0.01 >= without.in_time_share(), "{with:?} and {without:?}");
--- a/coord/tests/planner_plain.rs
+++ b/coord/tests/planner_plain.rs
@@ -22,7 +22,8 @@
 impl PlannerPair {
     fn new(policy: Policy) -> Self {
         // The reference implementation does not support these settings.
-        let supported = Policy { prefer_idle_helpers: false, colocate_long: false, suspect_unresponsive_only: false, ..policy };
+        let supported =
+            Policy { prefer_idle_helpers: false, colocate_long: false, suspect_unresponsive_only: false, ..policy };
         let policy = Policy { resend_unresponsive: false, relax_exclusions: false, ..supported };
         Self { planner: Planner::new(policy, 7), reference: plain::Planner::new(policy, 7), running: Vec::new() }
     }
--- a/coord/tests/quarantine.rs
+++ b/coord/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! Conditions under which a fingerprint is condemned because replicas terminate while they hold its requests.
 
 use coord::name::Name;
-use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
+use coord::quarantine::{Event, Fingerprint, State, Status, Weight};
 
 fn fingerprint(number: u32) -> Fingerprint {
     Fingerprint(u128::from(number).to_be_bytes())
--- a/coord/tests/quarantine_machine.rs
+++ b/coord/tests/quarantine_machine.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use coord::name::Name;
-use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
+use coord::quarantine::{Event, Fingerprint, State, Status, Weight};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -116,7 +116,10 @@
         let victims = std::mem::take(&mut self.running[replica]);
         for request in &victims {
             let weight = if request.has_output { Weight::Faint } else { Weight::Strong };
-            self.publish(request.entry, Event::Terminated { fingerprint: request.fingerprint, run: run.clone(), weight });
+            self.publish(
+                request.entry,
+                Event::Terminated { fingerprint: request.fingerprint, run: run.clone(), weight },
+            );
         }
         for request in victims.into_iter().filter(|request| request.sends < MAX_SENDS) {
             let sent_again = Request { has_output: false, sends: request.sends + 1, ..request };
--- a/coord/tests/rests.rs
+++ b/coord/tests/rests.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use coord::name::Name;
 use coord::backoff::Backoffs;
+use coord::name::Name;
 use coord::time::Moment;
 
 const SECOND: Duration = Duration::from_secs(1);
--- a/coord/tests/roster_leavers.rs
+++ b/coord/tests/roster_leavers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coord::roster::{DrainingRun, RecordState, Record, Roster, Update, Availability};
+use coord::roster::{Availability, DrainingRun, Record, RecordState, Roster, Update};
 use coord::time::Moment;
 
 const NOW: Moment = Moment::from_millis(1_000);
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coord::name::Name;
-use coord::roster::{RecordState, Record, Roster, Update, Availability};
+use coord::roster::{Availability, Record, RecordState, Roster, Update};
 use coord::time::Moment;
 use proptest::prelude::*;
 
--- a/coord/tests/scheduler_machine.rs
+++ b/coord/tests/scheduler_machine.rs
@@ -11,7 +11,7 @@
 use coord::estimate::Estimate;
 use coord::name::Attempt;
 use coord::queue::{Fifo, Job, Order, Slack};
-use coord::scheduler::{Action, Limits, KeyState, Scheduler, CancelOutcome};
+use coord::scheduler::{Action, CancelOutcome, KeyState, Limits, Scheduler};
 use coord::time::Moment;
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
--- a/coord/tests/search.rs
+++ b/coord/tests/search.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use coord::search::{MAX_CANDIDATES_PER_ROUND, LeaderSearch};
+use coord::search::{LeaderSearch, MAX_CANDIDATES_PER_ROUND};
 use coord::time::Moment;
 use proptest::prelude::*;
 
--- a/coord/tests/windowed_budget.rs
+++ b/coord/tests/windowed_budget.rs
@@ -49,8 +49,9 @@
     let (allowance, processes) = (276.0, 103);
     let now = Moment::from_millis(20_000);
     let spend = |assumed_processes: usize| -> usize {
-        let mut parts: Vec<WindowedBudget> =
-            (0..processes).map(|_| WindowedBudget::new(0.2, allowance_per_process(allowance, assumed_processes), WINDOW)).collect();
+        let mut parts: Vec<WindowedBudget> = (0..processes)
+            .map(|_| WindowedBudget::new(0.2, allowance_per_process(allowance, assumed_processes), WINDOW))
+            .collect();
         parts.iter_mut().map(|budget| (0..20).filter(|_| budget.try_retry(now)).count()).sum()
     };
     assert!(spend(32) as f64 > allowance, "32 processes were assumed");
--- a/sorrelpass/src/config/mod.rs
+++ b/sorrelpass/src/config/mod.rs
@@ -187,7 +187,13 @@
     let vms_address = read_address(reader, "platform", "vms_address");
     let vms_poll_interval = reader.millis("platform", "vms_poll_ms", 50..=MAX_DURATION_MS, 1_000);
     let to_name = |address: SocketAddr| Name::from(address.to_string());
-    Some(Platform { log, log_address: to_name(log_address?), vms, vms_address: to_name(vms_address?), vms_poll_interval })
+    Some(Platform {
+        log,
+        log_address: to_name(log_address?),
+        vms,
+        vms_address: to_name(vms_address?),
+        vms_poll_interval,
+    })
 }
 
 fn read_entry(reader: &mut Reader) -> Option<Entry> {
--- a/sorrelpass/src/entry/body.rs
+++ b/sorrelpass/src/entry/body.rs
@@ -11,9 +11,9 @@
 
 use super::memory_budget::{self, MemoryBudget, Reservation};
 use super::prompt::{self, ApiFormat, Prompt};
+use crate::channel;
 use crate::config::Entry;
 use crate::failure::Failure;
-use crate::channel;
 
 /// Initial buffer capacity for a body without `Content-Length`.
 const INITIAL_CAPACITY_BYTES: usize = 4 * 1_024;
@@ -77,7 +77,11 @@
 }
 
 /// Parses a prompt body; a large one is parsed on the `parse` thread.
-pub async fn parse(parse_sender: &channel::Sender<ParseJob>, format: ApiFormat, body: &Bytes) -> Result<Prompt, Failure> {
+pub async fn parse(
+    parse_sender: &channel::Sender<ParseJob>,
+    format: ApiFormat,
+    body: &Bytes,
+) -> Result<Prompt, Failure> {
     if body.len() <= MAX_INLINE_PARSE_BYTES {
         return prompt::parse(format, body);
     }
--- a/sorrelpass/src/entry/caller_api.rs
+++ b/sorrelpass/src/entry/caller_api.rs
@@ -22,7 +22,7 @@
 use super::route::{self, GangPrompt, Request, RunPolicy};
 use super::{HandlerState, body, operator_api, ticket, upstream};
 use crate::failure::Failure;
-use crate::wire::{QuoteRequest, Call};
+use crate::wire::{Call, QuoteRequest};
 use crate::{event, metric, util};
 
 /// Number of parts of an answer that are buffered for a caller that reads slowly.
@@ -207,7 +207,11 @@
             ticket::TicketError::OtherWorkspace => "belongs to another workspace",
             ticket::TicketError::Expired => "has expired; whether it ran is no longer known",
         };
-        let ran = if error == ticket::TicketError::Expired { coord::name::ExecutionStatus::Unknown } else { coord::name::ExecutionStatus::No };
+        let ran = if error == ticket::TicketError::Expired {
+            coord::name::ExecutionStatus::Unknown
+        } else {
+            coord::name::ExecutionStatus::No
+        };
         Failure::bad_request("invalid_ticket", format!("the ticket {reason}")).with_ran(ran)
     })?;
     Ok(Some(RunPolicy::OnceTicket(Key { workspace, key }, verified.binding)))
--- a/sorrelpass/src/entry/claims.rs
+++ b/sorrelpass/src/entry/claims.rs
@@ -14,14 +14,14 @@
 
 use bytes::Bytes;
 use coord::claim::{Binding, Claims, Key};
-use coord::name::{Name, ExecutionStatus};
+use coord::name::{ExecutionStatus, Name};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, oneshot, watch};
 
 use super::{Shared, peer};
 use crate::failure::Failure;
 use crate::platform::Log;
-use crate::{event, channel, util, warn_event};
+use crate::{channel, event, util, warn_event};
 
 /// Number of partitions of the key space.
 pub const PARTITION_COUNT: u64 = 8;
--- a/sorrelpass/src/entry/config_log.rs
+++ b/sorrelpass/src/entry/config_log.rs
@@ -19,7 +19,7 @@
 use super::event_loop;
 use super::{Shared, peer};
 use crate::platform::{Batch, Log};
-use crate::{event, channel, util, warn_event};
+use crate::{channel, event, util, warn_event};
 
 /// Stream of plans and confirmations.
 const CONFIG_STREAM: &str = "config";
--- a/sorrelpass/src/entry/controller.rs
+++ b/sorrelpass/src/entry/controller.rs
@@ -12,7 +12,7 @@
 use coord::fence::Fence;
 use coord::membership::{Role, Vm};
 use coord::name::Name;
-use coord::placement::{Placements, Endpoint, Artifacts, Order, Record, roll_out};
+use coord::placement::{Artifacts, Endpoint, Order, Placements, Record, roll_out};
 use coord::time::Moment;
 use tokio::sync::watch;
 
@@ -166,8 +166,11 @@
             |vm: &&Vm| order(vm).is_some_and(|order| self.observed_loads.get(&vm.name) != Some(&order.load));
         let pending: Vec<Vm> = listed.iter().filter(is_pending).cloned().collect();
         self.query_loads(&pending).await;
-        let with_load =
-            |vm: Vm| Endpoint { loaded: self.observed_loads.get(&vm.name).cloned(), name: vm.name, service: vm.service };
+        let with_load = |vm: Vm| Endpoint {
+            loaded: self.observed_loads.get(&vm.name).cloned(),
+            name: vm.name,
+            service: vm.service,
+        };
         listed.into_iter().map(with_load).collect()
     }
 
--- a/sorrelpass/src/entry/event_loop/mod.rs
+++ b/sorrelpass/src/entry/event_loop/mod.rs
@@ -21,7 +21,7 @@
 use crate::config::Entry;
 use crate::failure::Failure;
 use crate::plugin::{self, PickerPlugin};
-use crate::{event, metric, channel, util};
+use crate::{channel, event, metric, util};
 
 /// Maximum number of unused retries that the retry budget accumulates.
 const MAX_SAVED_RETRIES: f64 = 100.0;
@@ -49,7 +49,8 @@
 impl EventLoop {
     fn new(settings: Entry) -> Self {
         let picker = plugin::find::<PickerPlugin>(settings.picker, |plugin| plugin.name);
-        let picker = picker.map_or_else(|| Box::new(coord::pick::LeastOutstanding) as Box<_>, |plugin| (plugin.build)());
+        let picker =
+            picker.map_or_else(|| Box::new(coord::pick::LeastOutstanding) as Box<_>, |plugin| (plugin.build)());
         let hash = xxhash_rust::xxh3::xxh3_64(settings.process.name.as_bytes());
         let sample = Sample { max_endpoints: settings.max_endpoints_per_service, hash };
         Self {
--- a/sorrelpass/src/entry/gang.rs
+++ b/sorrelpass/src/entry/gang.rs
@@ -18,7 +18,7 @@
 use super::upstream;
 use crate::http;
 use crate::util;
-use crate::wire::{self, PrefillRequest, PrefillResponse, HoldResponse, HoldRequest};
+use crate::wire::{self, HoldRequest, HoldResponse, PrefillRequest, PrefillResponse};
 
 /// Share of an engine's memory that a span may take; the rest is for other prompts and the output.
 const MAX_SPAN_SHARE: f64 = 0.85;
@@ -92,7 +92,9 @@
             loop {
                 match request_reservation(app, member, false).await {
                     Some(HoldResponse::Held) => break,
-                    Some(HoldResponse::RetryAfter(_)) if util::now() >= deadline => return Err(error("wait-for-memory")),
+                    Some(HoldResponse::RetryAfter(_)) if util::now() >= deadline => {
+                        return Err(error("wait-for-memory"));
+                    }
                     Some(HoldResponse::RetryAfter(wait)) => {
                         let wait = Duration::from_micros(wait).clamp(RETRY_DELAY_RANGE.0, RETRY_DELAY_RANGE.1);
                         tokio::time::sleep(util::jitter(wait)).await;
--- a/sorrelpass/src/entry/mod.rs
+++ b/sorrelpass/src/entry/mod.rs
@@ -39,7 +39,7 @@
 use crate::config::Entry;
 use crate::http::{self, Client};
 use crate::plugin::{self, LogPlugin, VmListPlugin};
-use crate::{event, metric, channel, timeline, util};
+use crate::{channel, event, metric, timeline, util};
 
 /// Capacity of each thread's command channel, in commands.
 const CHANNEL_CAPACITY: usize = 4_096;
--- a/sorrelpass/src/entry/operator_api.rs
+++ b/sorrelpass/src/entry/operator_api.rs
@@ -10,7 +10,7 @@
 use axum::response::{IntoResponse, Response};
 use coord::intent::{Change, Config, ValidationError};
 use coord::membership::Role;
-use coord::name::{Name, ExecutionStatus};
+use coord::name::{ExecutionStatus, Name};
 use coord::replay::{Record, Verdict};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
--- a/sorrelpass/src/entry/reply.rs
+++ b/sorrelpass/src/entry/reply.rs
@@ -4,7 +4,7 @@
 use axum::http::{HeaderName, HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
-use coord::name::{Name, ExecutionStatus};
+use coord::name::{ExecutionStatus, Name};
 use futures_util::stream;
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
--- a/sorrelpass/src/entry/route/gang_attempt.rs
+++ b/sorrelpass/src/entry/route/gang_attempt.rs
@@ -95,7 +95,12 @@
             excluded: self.tried_endpoints.clone(),
         };
         let domains = self.app.shared.call_event_loop(|reply| Command::TargetsByDomain(query, reply)).await.ok()?;
-        let quote_request = QuoteRequest { prompt_tokens: span_tokens, output_tokens: 0, chain: Chain::default(), ..self.quote_request() };
+        let quote_request = QuoteRequest {
+            prompt_tokens: span_tokens,
+            output_tokens: 0,
+            chain: Chain::default(),
+            ..self.quote_request()
+        };
         for targets in domains.into_iter().filter(|targets| targets.len() >= count) {
             let sample = targets.into_iter().take(MAX_MEMBERS_SAMPLED).collect();
             let mut quoted = upstream::request_quotes(self.app, sample, &quote_request).await;
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -8,7 +8,7 @@
 use axum::http::StatusCode;
 use bytes::Bytes;
 use coord::claim::{Binding, Key};
-use coord::name::{Incarnation, Name, ExecutionStatus};
+use coord::name::{ExecutionStatus, Incarnation, Name};
 use coord::prefix::Chain;
 use coord::scheduler::RefusalReason;
 use coord::time::{Moment, micros};
@@ -25,7 +25,7 @@
 use super::memory_budget::Reservation;
 use super::upstream::{self, AnswerPart, AttemptError, FrameStream};
 use crate::failure::Failure;
-use crate::wire::{QuoteRequest, Call, PrefillResponse, WorkRequest, WorkRefusal, Usage};
+use crate::wire::{Call, PrefillResponse, QuoteRequest, Usage, WorkRefusal, WorkRequest};
 use crate::{event, metric, util};
 
 /// Maximum number of candidate selections per request.
@@ -299,7 +299,9 @@
     fn deadline_failure(&self, ran: ExecutionStatus) -> Failure {
         let ran = if self.is_answer_started { ExecutionStatus::Partial } else { ran };
         let wait = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").with_ran(ran).with_retry_after(wait)
+        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out")
+            .with_ran(ran)
+            .with_retry_after(wait)
     }
 
     /// Proposes the best sidecar for a caller's key, and returns the binding that holds according to the
@@ -346,7 +348,8 @@
                     outcome
                 };
             };
-            let is_retryable = failure.ran == ExecutionStatus::Unknown && failure.code == LOST_CODE && !self.is_answer_started;
+            let is_retryable =
+                failure.ran == ExecutionStatus::Unknown && failure.code == LOST_CODE && !self.is_answer_started;
             if !is_retryable || self.time_left() <= BOUND_RETRY_DELAY {
                 return AttemptOutcome::Fail(failure);
             }
@@ -397,7 +400,12 @@
         }
     }
 
-    async fn relay_answer(&mut self, target: &Target, work: &WorkRequest, is_started: &mut bool) -> Result<(), AttemptError> {
+    async fn relay_answer(
+        &mut self,
+        target: &Target,
+        work: &WorkRequest,
+        is_started: &mut bool,
+    ) -> Result<(), AttemptError> {
         let body_without_text = self
             .request
             .gang_prompt
@@ -448,8 +456,11 @@
     /// Sends a part to the caller. Fails if the caller has disconnected or does not read in time.
     async fn send_to_caller(&self, part: AnswerPart) -> Result<(), AttemptError> {
         let timeout = self.app.shared.settings.caller_timeout;
-        let caller_lost =
-            |message: &str| AttemptError::Lost { ran: ExecutionStatus::Partial, step: CALLER_STEP.into(), message: message.into() };
+        let caller_lost = |message: &str| AttemptError::Lost {
+            ran: ExecutionStatus::Partial,
+            step: CALLER_STEP.into(),
+            message: message.into(),
+        };
         match tokio::time::timeout(timeout, self.request.parts.send(Ok(part))).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(caller_lost("the caller went away")),
@@ -478,7 +489,9 @@
             AttemptError::Lost { ran, step, message } => {
                 event!("attempt-lost", request = %self.request.id, at = %step, ran = ran.as_str(), reason = %message);
                 if step == CALLER_STEP {
-                    return AttemptOutcome::Fail(attempt_lost(ExecutionStatus::Partial, message).with_code("caller_too_slow"));
+                    return AttemptOutcome::Fail(
+                        attempt_lost(ExecutionStatus::Partial, message).with_code("caller_too_slow"),
+                    );
                 }
                 // The sidecar's clock may reach the deadline slightly before this one.
                 if self.time_left() <= MAX_CLOCK_SKEW {
--- a/sorrelpass/src/entry/upstream.rs
+++ b/sorrelpass/src/entry/upstream.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use coord::answer::{Receiver, Seal, Verdict};
-use coord::name::{Incarnation, ExecutionStatus};
+use coord::name::{ExecutionStatus, Incarnation};
 use coord::pick::Offer;
 use coord::scheduler::CancelOutcome;
 use futures_util::stream;
@@ -16,7 +16,7 @@
 use super::HandlerState;
 use super::event_loop::{Command, Target};
 use crate::http::{self, OutgoingBody};
-use crate::wire::{self, QuoteRequest, Frame, WorkRequest, QuoteResponse, WorkRefusal, FrameDecoder, Usage};
+use crate::wire::{self, Frame, FrameDecoder, QuoteRequest, QuoteResponse, Usage, WorkRefusal, WorkRequest};
 use crate::{event, timeline, util};
 
 /// An endpoint that answered a quote request.
--- a/sorrelpass/src/gateway/admission/follower.rs
+++ b/sorrelpass/src/gateway/admission/follower.rs
@@ -8,9 +8,9 @@
 
 use tokio::sync::mpsc;
 
-use super::super::peer_protocol::{PromptSpec, Placement, FollowerMessage};
 use super::super::now;
-use super::{Queue, PlacementError, own_id};
+use super::super::peer_protocol::{FollowerMessage, Placement, PromptSpec};
+use super::{PlacementError, Queue, own_id};
 
 /// Connection to the leader.
 pub(super) struct LeaderChannel {
--- a/sorrelpass/src/gateway/admission/leader.rs
+++ b/sorrelpass/src/gateway/admission/leader.rs
@@ -6,10 +6,10 @@
 use rand::seq::IteratorRandom;
 use tokio::sync::mpsc;
 
-use super::super::peer_protocol::{LeaderMessage, Placement, SyncRequest, FollowerMessage};
 use super::super::now;
+use super::super::peer_protocol::{FollowerMessage, LeaderMessage, Placement, SyncRequest};
 use super::super::quarantine::Source;
-use super::{Queue, OWN_ENTRY};
+use super::{OWN_ENTRY, Queue};
 
 /// Number of followers that read the store for a leader whose reads it does not answer. The store may refuse one of
 /// them as well.
@@ -51,7 +51,9 @@
                 self.with_planner(&service, |planner| planner.submit(id(number), spec.restore_job(now)));
             }
             FollowerMessage::Adopt { number, service, spec, team, is_prefilling } => {
-                self.with_planner(&service, |planner| planner.add_granted(id(number), &spec.restore_job(now), team, is_prefilling, now));
+                self.with_planner(&service, |planner| {
+                    planner.add_granted(id(number), &spec.restore_job(now), team, is_prefilling, now)
+                });
             }
             FollowerMessage::FirstEvent { number, service } => {
                 self.with_planner(&service, |planner| planner.record_first_event(id(number), now));
@@ -59,9 +61,14 @@
             FollowerMessage::Unresponsive { number, service } => {
                 self.with_planner(&service, |planner| planner.mark_unresponsive(id(number), now))
             }
-            FollowerMessage::End { number, service } => self.with_planner(&service, |planner| planner.finish(id(number), now)),
+            FollowerMessage::End { number, service } => {
+                self.with_planner(&service, |planner| planner.finish(id(number), now))
+            }
             FollowerMessage::Suspended(duration) => {
-                self.planners.borrow_mut().values_mut().for_each(|planner| planner.postpone_first_events(Some(entry), duration));
+                self.planners
+                    .borrow_mut()
+                    .values_mut()
+                    .for_each(|planner| planner.postpone_first_events(Some(entry), duration));
             }
             FollowerMessage::Failed { service, engine } => {
                 self.with_planner(&service, |planner| planner.record_failure(entry, &engine, now))
@@ -70,15 +77,27 @@
                 self.with_planner(&service, |planner| planner.set_backoff(entry, &engine, backoff, now));
             }
             // Reports about the store, quarantine and plain replicas do not affect planning.
-            FollowerMessage::SyncRequest(_) | FollowerMessage::SyncResponse { .. } | FollowerMessage::Quarantine(_) | FollowerMessage::Draining(_) => return,
-            FollowerMessage::Limits(_) | FollowerMessage::PermitRequest { .. } | FollowerMessage::Announce(_) | FollowerMessage::DelegatedRead { .. } => return,
+            FollowerMessage::SyncRequest(_)
+            | FollowerMessage::SyncResponse { .. }
+            | FollowerMessage::Quarantine(_)
+            | FollowerMessage::Draining(_) => return,
+            FollowerMessage::Limits(_)
+            | FollowerMessage::PermitRequest { .. }
+            | FollowerMessage::Announce(_)
+            | FollowerMessage::DelegatedRead { .. } => return,
         }
         self.request_planning();
     }
 
     /// Distributes an update. An update of this entry goes to its leader if there is one, and otherwise to the
     /// followers. An update of a follower goes to all followers. An update of the leader goes no further.
-    pub fn propagate<T>(&self, update: T, source: Source, report: fn(T) -> FollowerMessage, leader_message: fn(T) -> LeaderMessage) {
+    pub fn propagate<T>(
+        &self,
+        update: T,
+        source: Source,
+        report: fn(T) -> FollowerMessage,
+        leader_message: fn(T) -> LeaderMessage,
+    ) {
         match source {
             // If the leader is lost meanwhile, the next leader receives the full state.
             Source::Own if self.has_leader() => drop(self.report_to_leader(report(update))),
--- a/sorrelpass/src/gateway/admission/mod.rs
+++ b/sorrelpass/src/gateway/admission/mod.rs
@@ -22,8 +22,8 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use self::follower::LeaderChannel;
-use super::peer_protocol::{PromptSpec, HEARTBEAT_INTERVAL, LeaderMessage, Placement, FollowerMessage};
 use super::now;
+use super::peer_protocol::{FollowerMessage, HEARTBEAT_INTERVAL, LeaderMessage, Placement, PromptSpec};
 use crate::util;
 
 /// Interval at which waiting prompts are checked without a triggering event. Engines become free at times that the
@@ -283,7 +283,11 @@
             return;
         }
         self.with_planner(service, |planner| planner.set_backoff(OWN_ENTRY, engine, backoff, now()));
-        self.report_to_leader(FollowerMessage::EngineBackoff { service: service.clone(), engine: engine.clone(), backoff });
+        self.report_to_leader(FollowerMessage::EngineBackoff {
+            service: service.clone(),
+            engine: engine.clone(),
+            backoff,
+        });
     }
 
     /// Grants engines to waiting prompts after each event, and periodically while prompts wait.
@@ -434,8 +438,11 @@
             let (held_time, waiting, counts) = planner.starvation(now);
             if held_time >= EXPLAIN_AFTER {
                 self.last_explained.set(now);
-                let exclusions: Vec<String> =
-                    planner.exclusions().iter().map(|(engine, reason)| format!("{engine}:{}", reason.as_str())).collect();
+                let exclusions: Vec<String> = planner
+                    .exclusions()
+                    .iter()
+                    .map(|(engine, reason)| format!("{engine}:{}", reason.as_str()))
+                    .collect();
                 crate::event!("prompts-waiting", service = %service, for_ms = held_time.as_millis(), waiting, counts = ?counts, exclusions = exclusions.join(" "));
             }
         }
--- a/sorrelpass/src/gateway/backoff.rs
+++ b/sorrelpass/src/gateway/backoff.rs
@@ -7,14 +7,14 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use coord::name::Name;
 use coord::backoff::Backoffs as BackoffTable;
+use coord::name::Name;
 use coord::roster::Record;
 use platform::headers;
 use tokio::sync::Notify;
 
-use super::peer_protocol::FollowerMessage;
 use super::now;
+use super::peer_protocol::FollowerMessage;
 use super::state::Gateway;
 use crate::metric;
 
--- a/sorrelpass/src/gateway/call/intake.rs
+++ b/sorrelpass/src/gateway/call/intake.rs
@@ -13,14 +13,14 @@
 use hyper::{Request, StatusCode};
 use platform::headers;
 
-use super::super::response::{self, CallerResponse};
-use super::super::upstream::UpstreamRequest;
+use super::super::fingerprint;
 use super::super::now;
+use super::super::response::{self, CallerResponse};
 use super::super::state::{Gateway, Phase};
-use super::super::fingerprint;
+use super::super::upstream::UpstreamRequest;
 use super::{BUSY_RETRY_AFTER, PendingRequest};
-use crate::failure::Failure;
 use crate::body_tracker::TrackedBody;
+use crate::failure::Failure;
 use crate::{event, metric};
 
 /// Timeout of a request whose caller sends no deadline. The timeout of the route is a further bound.
@@ -97,7 +97,11 @@
     let service = route.choose_service(rand::random()).cloned().ok_or_else(no_service)?;
     let deadline = started + timeout.min(route.timeout);
     let upstream_request = UpstreamRequest { method: head.method, uri: head.uri, headers: head.headers, body };
-    let fingerprint = fingerprint::compute(&request_head.host, &upstream_request, workspace.as_ref().map(|workspace| &workspace.name));
+    let fingerprint = fingerprint::compute(
+        &request_head.host,
+        &upstream_request,
+        workspace.as_ref().map(|workspace| &workspace.name),
+    );
     event!("request", request = %request_head.id, work = %fingerprint, route = %route.name, service = %service, prompt_tokens = request_head.prompt_tokens.unwrap_or(0),
         version = gateway.table().version(), proof_age_ms = gateway.verification_age_ms().unwrap_or(0), allowed_ms = timeout.as_millis());
     Ok(PendingRequest {
@@ -135,7 +139,11 @@
 
 /// Finds the route and the workspace of a request. While the configuration has not been verified recently, API keys
 /// are not trusted, and a missing route or an unknown key is not reported.
-fn find_route(gateway: &Gateway, request_head: &headers::RequestHead, path: &str) -> Result<(Route, Option<Workspace>), Failure> {
+fn find_route(
+    gateway: &Gateway,
+    request_head: &headers::RequestHead,
+    path: &str,
+) -> Result<(Route, Option<Workspace>), Failure> {
     let table = gateway.table();
     if table.version() == 0 {
         return Err(Failure::unavailable("no_configuration", "no configuration is known yet", UNVERIFIED_RETRY_AFTER));
--- a/sorrelpass/src/gateway/call/mod.rs
+++ b/sorrelpass/src/gateway/call/mod.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::name::{Name, ExecutionStatus};
-use coord::quarantine::{Weight, Fingerprint};
+use coord::name::{ExecutionStatus, Name};
+use coord::quarantine::{Fingerprint, Weight};
 use coord::roster::Record;
 use coord::route::{Route, Workspace};
 use coord::time::Moment;
@@ -26,11 +26,11 @@
 use self::send::Outcome;
 pub use self::target::ReplicaSlot;
 use self::target::Target;
-use super::response::{self, CallerResponse};
-use super::upstream::{Connection, UpstreamRequest};
-use super::replica_picker::NO_RESPONSE_WEIGHT;
 use super::quarantine::{self, LostConnection};
+use super::replica_picker::NO_RESPONSE_WEIGHT;
+use super::response::{self, CallerResponse};
 use super::state::{Gateway, InFlight};
+use super::upstream::{Connection, UpstreamRequest};
 use super::{now, relay};
 use crate::failure::Failure;
 use crate::{event, metric};
@@ -236,7 +236,8 @@
             let delay = retry_after.unwrap_or(BUSY_RETRY_AFTER);
             return Failure::unavailable("overloaded", "no replica takes this now", delay);
         }
-        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost").with_ran(ExecutionStatus::Unknown)
+        Failure::new(StatusCode::BAD_GATEWAY, "answer_lost", "the replica's answer was lost")
+            .with_ran(ExecutionStatus::Unknown)
     }
 
     /// Returns the failure of a request whose deadline has passed.
@@ -249,7 +250,8 @@
             // the deadline has failed.
             self.record_failure(replica, NO_RESPONSE_WEIGHT);
         }
-        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out").with_ran(ExecutionStatus::Unknown)
+        Failure::new(StatusCode::GATEWAY_TIMEOUT, "deadline", "the time allowed has run out")
+            .with_ran(ExecutionStatus::Unknown)
     }
 }
 
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -9,11 +9,11 @@
 use hyper::StatusCode;
 use platform::headers;
 
-use super::super::upstream::{self, SendError};
 use super::super::replica_picker::{ERROR_RESPONSE_WEIGHT, NO_RESPONSE_WEIGHT, REFUSAL_WEIGHT};
-use super::super::{draining, limits, now, backoff};
+use super::super::upstream::{self, SendError};
+use super::super::{backoff, draining, limits, now};
 use super::target::{ReplicaSlot, Target};
-use super::{PendingRequest, OpenResponse};
+use super::{OpenResponse, PendingRequest};
 use crate::{event, metric, util};
 
 /// Outcome of an attempt.
@@ -121,7 +121,12 @@
     }
 
     /// Returns the values that this attempt adds to the caller's headers.
-    fn upstream_head(&self, record: &Record, helpers: Vec<headers::Helper>, last_event_id: Option<u64>) -> headers::UpstreamHead {
+    fn upstream_head(
+        &self,
+        record: &Record,
+        helpers: Vec<headers::Helper>,
+        last_event_id: Option<u64>,
+    ) -> headers::UpstreamHead {
         headers::UpstreamHead {
             replica: record.id.clone(),
             time_left: self.time_left(),
@@ -134,7 +139,8 @@
 
     /// Classifies a response head, and applies what it reports about the replica.
     fn classify(&mut self, opened: OpenResponse) -> Outcome {
-        let response = headers::decode_response(opened.response.status(), opened.response.headers(), &self.request_head.id);
+        let response =
+            headers::decode_response(opened.response.status(), opened.response.headers(), &self.request_head.id);
         let record = &opened.record;
         limits::observe_response(&self.gateway, record, &response, opened.sent_at);
         draining::observe_response(&self.gateway, record, &response);
--- a/sorrelpass/src/gateway/call/target.rs
+++ b/sorrelpass/src/gateway/call/target.rs
@@ -9,11 +9,11 @@
 use coord::time::Moment;
 use platform::headers;
 
-use super::super::ingest::EVACUATED_RETRY_AFTER;
 use super::super::admission::{Lease, PlacementError};
+use super::super::ingest::EVACUATED_RETRY_AFTER;
 use super::super::reservation::{self, Reservation};
 use super::super::state::{Gateway, Phase};
-use super::super::{limits, now, backoff};
+use super::super::{backoff, limits, now};
 use super::PendingRequest;
 use crate::{event, metric};
 
@@ -212,7 +212,8 @@
     /// Waits until engines are granted, for at most the time that the caller's deadline and the policy allow.
     async fn choose_engine_target(&self, tokens: u64) -> Result<Target, PlacementError> {
         let job = self.planner_job(tokens);
-        let max_wait = self.route.client_timeout().min(self.timeout).mul_f64(self.gateway.settings.policy.timeout_share);
+        let max_wait =
+            self.route.client_timeout().min(self.timeout).mul_f64(self.gateway.settings.policy.timeout_share);
         let until = (self.started + max_wait).max(now() + MIN_GRANT_WAIT);
         loop {
             if self.gateway.roster.borrow().usable(&self.service).next().is_none() {
@@ -332,7 +333,8 @@
         if demands.is_empty() {
             return Some((helpers, None));
         }
-        let reservation = reservation::acquire(&self.request_head.id, demands, self.gateway.bounds().reservation_duration()).await?;
+        let reservation =
+            reservation::acquire(&self.request_head.id, demands, self.gateway.bounds().reservation_duration()).await?;
         for helper in &mut helpers {
             helper.reservation = reservation.id(&helper.address);
         }
--- a/sorrelpass/src/gateway/delegates.rs
+++ b/sorrelpass/src/gateway/delegates.rs
@@ -10,8 +10,8 @@
 
 use coord::time::Moment;
 
-use super::peer_protocol::{SyncRequest, FollowerMessage};
 use super::now;
+use super::peer_protocol::{FollowerMessage, SyncRequest};
 use super::state::Gateway;
 use super::store_view;
 
--- a/sorrelpass/src/gateway/draining.rs
+++ b/sorrelpass/src/gateway/draining.rs
@@ -8,7 +8,7 @@
 use platform::headers;
 
 use super::ingest;
-use super::peer_protocol::{LeaderMessage, FollowerMessage};
+use super::peer_protocol::{FollowerMessage, LeaderMessage};
 use super::quarantine::Source;
 use super::state::Gateway;
 use crate::{event, metric};
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -12,15 +12,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
+use super::backoff;
 use super::delegates;
 use super::draining;
 use super::limits;
-use super::peer_protocol::{self, LeaderMessage, PEER_TIMEOUT, PeerConnection, FollowerMessage};
 use super::membership::{self, Announcement};
 use super::now;
+use super::peer_protocol::{self, FollowerMessage, LeaderMessage, PEER_TIMEOUT, PeerConnection};
 use super::peers::{self, LeaderConnection, Peer, SearchOutcome};
 use super::quarantine::{self, Source};
-use super::backoff;
 use super::state::{Gateway, Phase};
 use super::store_view;
 use crate::{event, warn_event};
@@ -318,7 +318,9 @@
     let mut next_sync = Instant::now();
     let mut inquiry = Poll::default();
     if !gateway.membership.is_announced() {
-        connection.send(FollowerMessage::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue).await?;
+        connection
+            .send(FollowerMessage::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue)
+            .await?;
     }
     for message in gateway.quarantine.sync_messages() {
         connection.send(FollowerMessage::Quarantine(message), &mut queue).await?;
--- a/sorrelpass/src/gateway/ingest.rs
+++ b/sorrelpass/src/gateway/ingest.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
+use coord::delta::Version;
 use coord::evacuation::{Event, Snapshot};
 use coord::offset::Formatted;
-use coord::delta::Version;
-use coord::roster::{Change, DrainingRun, Replica, Update, Availability};
-use platform::{evacuation, configuration};
+use coord::roster::{Availability, Change, DrainingRun, Replica, Update};
+use platform::{configuration, evacuation};
 
 use super::now;
-use super::topic_reader::RecordBatch;
 use super::state::Gateway;
+use super::topic_reader::RecordBatch;
 use crate::{debug_event, event, metric, warn_event};
 
 /// `retry-after` of requests to a service all of whose replicas are in evacuated failure domains. Operators need at
@@ -61,7 +61,10 @@
     let has_changed = if is_snapshot {
         let evacuated =
             records.filter_map(|(_, news)| if let Event::Started(domain) = news { Some(domain) } else { None });
-        register.apply_snapshot(Snapshot { next: batch.next_offset, domains: evacuated.collect() }, now() + STORE_RECOVERY_GRACE)
+        register.apply_snapshot(
+            Snapshot { next: batch.next_offset, domains: evacuated.collect() },
+            now() + STORE_RECOVERY_GRACE,
+        )
     } else {
         records.fold(false, |has_changed, (offset, news)| register.apply(offset, news) || has_changed)
     };
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -11,7 +11,7 @@
 
 use super::draining;
 use super::limits;
-use super::peer_protocol::{self, HEARTBEAT_INTERVAL, LeaderMessage, PeerConnection, FollowerMessage};
+use super::peer_protocol::{self, FollowerMessage, HEARTBEAT_INTERVAL, LeaderMessage, PeerConnection};
 use super::quarantine::{self, Source};
 use super::state::{Gateway, Phase};
 use super::store_view;
--- a/sorrelpass/src/gateway/limits/mod.rs
+++ b/sorrelpass/src/gateway/limits/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use coord::limit::{TokenBucket, GroupSize, RelayedReport, ReplicaLimits, TimedReport};
+use coord::limit::{GroupSize, RelayedReport, ReplicaLimits, TimedReport, TokenBucket};
 use coord::name::Name;
 use coord::roster::Record;
 use coord::time::Moment;
@@ -23,8 +23,8 @@
 pub use self::cold::expire_cold_limits;
 use self::permit::PermitRequests;
 pub use self::permit::take_permit;
-use super::peer_protocol::{LeaderMessage, FollowerMessage, Permit};
 use super::now;
+use super::peer_protocol::{FollowerMessage, LeaderMessage, Permit};
 use super::quarantine::Source;
 use super::state::Gateway;
 use crate::{event, metric, warn_event};
@@ -98,7 +98,12 @@
 
     /// Returns the full register for another entry, split into messages.
     pub fn sync_messages(&self) -> Vec<Vec<RelayedReport>> {
-        self.register.borrow().relayed_reports(now()).chunks(MAX_REPORTS_PER_MESSAGE).map(<[RelayedReport]>::to_vec).collect()
+        self.register
+            .borrow()
+            .relayed_reports(now())
+            .chunks(MAX_REPORTS_PER_MESSAGE)
+            .map(<[RelayedReport]>::to_vec)
+            .collect()
     }
 
     /// Grants a permit of the replica in `replicas` that has the earliest one, if it is due within `max_wait`.
@@ -106,7 +111,8 @@
     pub fn grant_permit(&self, replicas: &[Name], max_wait: Duration) -> Result<Permit, Duration> {
         let now = now();
         let mut allowances = self.allowances.borrow_mut();
-        let wait = |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.time_until_next(now));
+        let wait =
+            |name: &Name| allowances.get(name).map_or(Duration::ZERO, |allowance| allowance.time_until_next(now));
         let earliest = replicas.iter().map(|name| (wait(name), name)).min_by_key(|(wait, _)| *wait);
         let Some((delay, replica)) = earliest else { return Err(Duration::ZERO) };
         if delay > max_wait {
--- a/sorrelpass/src/gateway/limits/permit.rs
+++ b/sorrelpass/src/gateway/limits/permit.rs
@@ -12,8 +12,8 @@
 use coord::name::Name;
 use tokio::sync::oneshot;
 
-use super::super::peer_protocol::{FollowerMessage, Permit};
 use super::super::now;
+use super::super::peer_protocol::{FollowerMessage, Permit};
 use super::super::state::Gateway;
 
 /// Timeout for the leader's answer, which takes a few one-way latencies within a region. A leader that does not answer
--- a/sorrelpass/src/gateway/membership.rs
+++ b/sorrelpass/src/gateway/membership.rs
@@ -18,8 +18,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use super::peer_protocol::{LeaderMessage, FollowerMessage};
 use super::now;
+use super::peer_protocol::{FollowerMessage, LeaderMessage};
 use super::peers::{self, Peer};
 use super::state::Gateway;
 use crate::{event, metric, util, warn_event};
@@ -144,7 +144,9 @@
         gateway.membership.announcement_invalidated.notified().await;
         // A leader that this entry starts to follow later gets the announcement when the connection is established.
         if gateway.membership.is_announced()
-            || gateway.admission.report_to_leader(FollowerMessage::Announce(Announcement::of_this_process(&gateway, own_address)))
+            || gateway
+                .admission
+                .report_to_leader(FollowerMessage::Announce(Announcement::of_this_process(&gateway, own_address)))
         {
             continue;
         }
@@ -181,7 +183,10 @@
         if !append_missing(&gateway, &mut client, &announcements).await {
             tokio::time::sleep(ANNOUNCE_RETRY_DELAY).await;
             // An entry that left meanwhile sends its announcement to its next leader.
-            membership.pending.borrow_mut().extend(pending.into_iter().filter(|(entry, _)| gateway.admission.has_follower(*entry)));
+            membership
+                .pending
+                .borrow_mut()
+                .extend(pending.into_iter().filter(|(entry, _)| gateway.admission.has_follower(*entry)));
             membership.pending_added.notify_one();
             continue;
         }
--- a/sorrelpass/src/gateway/mod.rs
+++ b/sorrelpass/src/gateway/mod.rs
@@ -4,35 +4,35 @@
 //! than the activity itself (see `docs/design/08-platform.md`). Each activity is a task of its own; the tasks share
 //! [`state::Gateway`].
 
-mod response;
-mod upstream;
-mod ingest;
+mod admission;
+mod backoff;
 mod call;
 mod delegates;
-mod admission;
+mod draining;
+mod fingerprint;
 mod follower;
 mod health;
-mod reservation;
+mod ingest;
 mod leader;
-mod draining;
 mod limits;
-mod peer_protocol;
 mod membership;
 mod packed;
+mod peer_protocol;
 mod peers;
-mod replica_picker;
 pub mod quarantine;
-mod topic_reader;
 mod relay;
-mod backoff;
+mod replica_picker;
+mod reservation;
+mod response;
 mod server;
 mod slowdown;
 mod sse;
 mod state;
+mod store_reader;
 mod store_view;
 mod topic;
-mod store_reader;
-mod fingerprint;
+mod topic_reader;
+mod upstream;
 
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/sorrelpass/src/gateway/peer_protocol.rs
+++ b/sorrelpass/src/gateway/peer_protocol.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use coord::delta::Delta;
 use coord::evacuation;
 use coord::limit;
 use coord::name::Name;
-use coord::delta::Delta;
 use coord::planner::{self, Team};
 use coord::quarantine::Fingerprint;
 use coord::roster::DrainingRun;
--- a/sorrelpass/src/gateway/peers.rs
+++ b/sorrelpass/src/gateway/peers.rs
@@ -15,8 +15,8 @@
 use platform::store::{self, Client};
 use serde::{Deserialize, Serialize};
 
-use super::peer_protocol::{LeaderMessage, PeerConnection};
 use super::now;
+use super::peer_protocol::{LeaderMessage, PeerConnection};
 use crate::{event, metric, util, warn_event};
 
 /// Bounds the time to connect to another entry and to receive its first message: some round trips across a region.
@@ -113,7 +113,11 @@
 
 /// Searches for a leader among `peers`. Tries only the candidates that `search` selects for this round, and the leaders
 /// that these follow.
-pub async fn find_leader(search: &mut LeaderSearch<SocketAddr>, peers: &[Peer], own_address: SocketAddr) -> SearchOutcome {
+pub async fn find_leader(
+    search: &mut LeaderSearch<SocketAddr>,
+    peers: &[Peer],
+    own_address: SocketAddr,
+) -> SearchOutcome {
     let others = peers.iter().filter(|peer| peer.address != own_address);
     for address in search.next_candidates(others.map(|peer| peer.address), now()) {
         let Some(peer) = peers.iter().find(|peer| peer.address == address) else { continue };
--- a/sorrelpass/src/gateway/quarantine/evidence.rs
+++ b/sorrelpass/src/gateway/quarantine/evidence.rs
@@ -3,17 +3,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::termination::Interval;
 use coord::name::Name;
-use coord::quarantine::{Event, Weight, Fingerprint};
+use coord::quarantine::{Event, Fingerprint, Weight};
 use coord::roster::Record;
+use coord::termination::Interval;
 use coord::time::Moment;
 use platform::connection::ProbeResult;
 use tokio::sync::oneshot;
 
-use super::super::upstream;
 use super::super::now;
 use super::super::state::Gateway;
+use super::super::upstream;
 use super::{Source, apply_events};
 use crate::{event, metric};
 
@@ -80,12 +80,17 @@
             return;
         }
         let span = Interval { not_before: self.sent_at, not_after: now() };
-        let (run, is_new) = gateway.quarantine.terminations.borrow_mut().record_observed(&self.record.id, self.record.started_ms, span);
+        let (run, is_new) =
+            gateway.quarantine.terminations.borrow_mut().record_observed(&self.record.id, self.record.started_ms, span);
         if is_new {
             metric::record_replica_termination();
         }
         forget_removed_replicas(gateway);
-        apply_events(gateway, vec![Event::Terminated { fingerprint: self.fingerprint, run, weight: self.weight }], Source::Own);
+        apply_events(
+            gateway,
+            vec![Event::Terminated { fingerprint: self.fingerprint, run, weight: self.weight }],
+            Source::Own,
+        );
     }
 }
 
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -6,20 +6,20 @@
 
 mod evidence;
 pub mod record;
-pub mod store;
 mod relayed_event;
+pub mod store;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 
+use coord::quarantine::{Event, Fingerprint, State, Status};
 use coord::termination::Terminations;
-use coord::quarantine::{Event, State, Status, Fingerprint};
 use tokio::sync::{Notify, watch};
 
 pub use self::evidence::LostConnection;
 use self::record::Record;
 pub use self::relayed_event::RelayedEvent;
-use super::peer_protocol::{LeaderMessage, FollowerMessage};
+use super::peer_protocol::{FollowerMessage, LeaderMessage};
 use super::state::Gateway;
 use super::topic::TopicState;
 use crate::{event, metric, util, warn_event};
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -1,8 +1,8 @@
 //! Stored form of the quarantine: one record for each request fingerprint.
 
-use coord::termination::{Terminations, Interval};
 use coord::name::Name;
-use coord::quarantine::{Event, State, Status, Weight, Fingerprint};
+use coord::quarantine::{Event, Fingerprint, State, Status, Weight};
+use coord::termination::{Interval, Terminations};
 use coord::time::Moment;
 use eyre::{Result, WrapErr};
 use platform::store::KeyedRecord;
@@ -42,7 +42,10 @@
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
     /// does not contain the times of the terminations.
     pub fn with_local_run_names(self, terminations: &mut Terminations, now: Moment) -> Self {
-        let rename = |termination: Termination| Termination { run: terminations.record_reported(&termination.run, Interval::before(now)), ..termination };
+        let rename = |termination: Termination| Termination {
+            run: terminations.record_reported(&termination.run, Interval::before(now)),
+            ..termination
+        };
         Self { ends: self.ends.into_iter().map(rename).collect(), ..self }
     }
 
@@ -56,7 +59,11 @@
         if self.condemned {
             return vec![Event::Condemned(fingerprint)];
         }
-        let to_event = |termination: &Termination| Event::Terminated { fingerprint, run: termination.run.clone(), weight: termination.weight };
+        let to_event = |termination: &Termination| Event::Terminated {
+            fingerprint,
+            run: termination.run.clone(),
+            weight: termination.weight,
+        };
         self.ends.iter().map(to_event).collect()
     }
 }
--- a/sorrelpass/src/gateway/quarantine/relayed_event.rs
+++ b/sorrelpass/src/gateway/quarantine/relayed_event.rs
@@ -1,7 +1,7 @@
 //! Wire form of quarantine events between entries.
 
-use coord::termination::{IntervalAge, Terminations, Interval};
 use coord::quarantine::Event;
+use coord::termination::{Interval, IntervalAge, Terminations};
 use serde::{Deserialize, Serialize};
 
 use super::super::now;
@@ -29,7 +29,9 @@
         let now = now();
         let interval = self.termination_age.map_or(Interval::before(now), |age| age.interval(now));
         match self.event {
-            Event::Terminated { fingerprint, run, weight } => Event::Terminated { fingerprint, run: terminations.record_reported(&run, interval), weight },
+            Event::Terminated { fingerprint, run, weight } => {
+                Event::Terminated { fingerprint, run: terminations.record_reported(&run, interval), weight }
+            }
             other => other,
         }
     }
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 use coord::offset::Formatted;
-use coord::quarantine::{Event, State, Status, Fingerprint};
+use coord::quarantine::{Event, Fingerprint, State, Status};
 use eyre::Result;
 use platform::store::{Client, KeyedRecord, QUARANTINE_TOPIC};
 
 use super::super::now;
-use super::super::topic_reader::{RecordBatch, TopicReader};
 use super::super::state::Gateway;
 use super::super::store_reader;
+use super::super::topic_reader::{RecordBatch, TopicReader};
 use super::record::{self, Record};
 use super::{Source, apply_events};
 use crate::{event, metric, warn_event};
--- a/sorrelpass/src/gateway/relay.rs
+++ b/sorrelpass/src/gateway/relay.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::response::{CallerResponse, BodyError};
-use super::call::{PendingRequest, OpenResponse, ReplicaSlot};
+use super::call::{OpenResponse, PendingRequest, ReplicaSlot};
+use super::response::{BodyError, CallerResponse};
 use super::sse::Splitter;
 use super::{now, quarantine};
 use crate::{event, metric};
--- a/sorrelpass/src/gateway/slowdown.rs
+++ b/sorrelpass/src/gateway/slowdown.rs
@@ -34,8 +34,12 @@
     // Open connections by engine name.
     let mut clients: HashMap<Name, Client> = HashMap::new();
     loop {
-        tokio::time::sleep(if gateway.admission.has_leader() { FOLLOWER_CHECK_INTERVAL } else { LEADER_CHECK_INTERVAL })
-            .await;
+        tokio::time::sleep(if gateway.admission.has_leader() {
+            FOLLOWER_CHECK_INTERVAL
+        } else {
+            LEADER_CHECK_INTERVAL
+        })
+        .await;
         let due = gateway.admission.engines_to_poll().into_iter();
         let queries: Vec<Query> = due.filter_map(|due| prepare_query(&gateway, &mut clients, due)).collect();
         if queries.is_empty() {
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -15,14 +15,14 @@
 use coord::time::Moment;
 use tokio::sync::watch;
 
-use super::ingest::STORE_RECOVERY_GRACE;
 use super::admission::Queue;
+use super::backoff::Backoffs;
+use super::ingest::STORE_RECOVERY_GRACE;
 use super::limits::{self, Limits};
 use super::membership::Membership;
 use super::now;
-use super::replica_picker::ReplicaPicker;
 use super::quarantine::Quarantine;
-use super::backoff::Backoffs;
+use super::replica_picker::ReplicaPicker;
 use super::store_view::StoreView;
 use crate::config::{self, Bounds};
 
@@ -221,7 +221,11 @@
     /// Returns whether API keys may be accepted. That requires a recent verification of the configuration, or any
     /// verification if the deployment lets revoked keys stay valid during an outage of the store.
     pub fn is_verification_valid(&self) -> bool {
-        if self.bounds().revoke_strict { self.is_recently_verified() } else { self.store_view.configuration.age().is_some() }
+        if self.bounds().revoke_strict {
+            self.is_recently_verified()
+        } else {
+            self.store_view.configuration.age().is_some()
+        }
     }
 
     /// Returns whether the configuration was verified so recently that no accepted key can have been revoked for
--- a/sorrelpass/src/gateway/store_reader.rs
+++ b/sorrelpass/src/gateway/store_reader.rs
@@ -11,12 +11,12 @@
 use coord::time::Moment;
 use eyre::{Result, eyre};
 use platform::store::KeyedRecord;
-use platform::{replica, configuration};
+use platform::{configuration, replica};
 
 use super::ingest::{ApplyOutcome, STORE_RECOVERY_GRACE, Source};
-use super::topic_reader::{MIN_RETRY_DELAY, TopicReader};
 use super::state::Gateway;
-use super::{ingest, delegates, now};
+use super::topic_reader::{MIN_RETRY_DELAY, TopicReader};
+use super::{delegates, ingest, now};
 use crate::config::Bounds;
 use crate::warn_event;
 
@@ -78,7 +78,10 @@
 /// is too old. Before the first copy, waits until `first_read_by` at most.
 pub async fn wait_until_replica_read_due(gateway: &Gateway, first_read_by: Moment) {
     let max_age = max_replicas_age(&gateway.bounds());
-    gateway.store_view.wait_until_read_due(&gateway.store_view.replicas, max_age, first_read_by, || gateway.has_reader()).await;
+    gateway
+        .store_view
+        .wait_until_read_due(&gateway.store_view.replicas, max_age, first_read_by, || gateway.has_reader())
+        .await;
 }
 
 /// Keeps the routing table up to date until the process ends.
--- a/sorrelpass/src/gateway/store_view.rs
+++ b/sorrelpass/src/gateway/store_view.rs
@@ -8,16 +8,16 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
+use coord::delta::{Delta, Version, VersionCache};
 use coord::offset::Formatted;
-use coord::delta::{Delta, VersionCache, Version};
 use coord::quota::Bucket;
 use coord::time::Moment;
 use tokio::sync::Notify;
 
-use super::ingest::{ApplyOutcome, Source};
 use super::delegates::Delegates;
-use super::peer_protocol::{SyncRequest, SyncResponse};
+use super::ingest::{ApplyOutcome, Source};
 use super::packed::Packed;
+use super::peer_protocol::{SyncRequest, SyncResponse};
 use super::state::Gateway;
 use super::topic::TopicState;
 use super::{ingest, now, store_reader};
--- a/sorrelpass/src/gateway/topic.rs
+++ b/sorrelpass/src/gateway/topic.rs
@@ -10,8 +10,8 @@
 use coord::time::Moment;
 use tokio::sync::watch;
 
-use super::peer_protocol::CopyState;
 use super::now;
+use super::peer_protocol::CopyState;
 
 /// State of this process's copy of one topic.
 #[derive(Default)]
--- a/sorrelpass/src/gateway/topic_reader.rs
+++ b/sorrelpass/src/gateway/topic_reader.rs
@@ -8,8 +8,8 @@
 use platform::store::{Client, KeyedRecord, Read};
 
 use super::state::Gateway;
-use super::topic::TopicState;
 use super::store_reader;
+use super::topic::TopicState;
 use crate::{event, metric, warn_event};
 
 /// Bounds the time for a response of the store, which normally takes a few milliseconds, and 60 times as long
@@ -24,9 +24,11 @@
 const RETRY_DELAY: RetryDelay = RetryDelay { initial: MIN_RETRY_DELAY, max: Duration::from_millis(1_000) };
 /// Retry delay before the first snapshot, without which the entry cannot serve requests: some response times of the
 /// store.
-const INITIAL_RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(50), max: Duration::from_millis(200) };
+const INITIAL_RETRY_DELAY: RetryDelay =
+    RetryDelay { initial: Duration::from_millis(50), max: Duration::from_millis(200) };
 /// Retry delay of a follower, which gets the data from its leader once the store has recovered.
-const FOLLOWER_RETRY_DELAY: RetryDelay = RetryDelay { initial: Duration::from_millis(400), max: Duration::from_millis(2_000) };
+const FOLLOWER_RETRY_DELAY: RetryDelay =
+    RetryDelay { initial: Duration::from_millis(400), max: Duration::from_millis(2_000) };
 /// Bounds the failed calls per second of all followers together, for each topic. The calls do not stop, because one
 /// follower may be the only entry that the store answers. With this bound, 103 entries make half as many calls in an
 /// outage of 8 s as with independent retry delays.
--- a/sorrelpass/src/http.rs
+++ b/sorrelpass/src/http.rs
@@ -20,9 +20,9 @@
 use tokio_io_timeout::TimeoutStream;
 use tower::ServiceExt;
 
+use crate::body_tracker::TrackedBody;
 use crate::lingering_close::LingeringStream;
 use crate::timeline;
-use crate::body_tracker::TrackedBody;
 
 /// Body of a request that this process sends.
 pub type OutgoingBody = BoxBody<Bytes, Infallible>;
@@ -84,7 +84,13 @@
 
 /// Sends a request to `address` with a timestamp of the hybrid logical clock, and advances the clock by the response's
 /// timestamp.
-pub async fn call(client: &Client, address: &str, method: &str, path: &str, body: OutgoingBody) -> Result<Response<Incoming>> {
+pub async fn call(
+    client: &Client,
+    address: &str,
+    method: &str,
+    path: &str,
+    body: OutgoingBody,
+) -> Result<Response<Incoming>> {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
@@ -232,7 +238,8 @@
         .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
         .keep_alive_interval(KEEP_ALIVE_INTERVAL)
         .keep_alive_timeout(KEEP_ALIVE_TIMEOUT);
-    let connection = builder.serve_connection(TokioIo::new(LingeringStream::new(Box::pin(stream))), service).into_owned();
+    let connection =
+        builder.serve_connection(TokioIo::new(LingeringStream::new(Box::pin(stream))), service).into_owned();
     // An error here means that the caller closed the connection during a request, which is not a fault of this process.
     let _ = watcher.watch(connection).await;
 }
--- a/sorrelpass/src/main.rs
+++ b/sorrelpass/src/main.rs
@@ -2,6 +2,8 @@
 
 #![recursion_limit = "256"]
 
+mod body_tracker;
+mod channel;
 mod cmd;
 mod config;
 mod entry;
@@ -12,11 +14,9 @@
 mod metric;
 mod platform;
 mod plugin;
-mod channel;
 mod secret;
 mod sidecar;
 mod timeline;
-mod body_tracker;
 mod util;
 mod wire;
 
--- a/sorrelpass/src/sidecar/engine.rs
+++ b/sorrelpass/src/sidecar/engine.rs
@@ -16,7 +16,7 @@
 use super::Shared;
 use super::event_loop::Command;
 use super::job::{AnswerWriter, CallError, RequestBody};
-use crate::wire::{WorkRequest, Usage};
+use crate::wire::{Usage, WorkRequest};
 
 /// Returns the value of the engine's priority header; requests with a higher value run first.
 const fn priority_value(level: PrefillPriority) -> u16 {
@@ -62,7 +62,11 @@
         .map_err(|error| CallError::outcome_unknown("build-request", error.to_string()))?;
     thread_client().request(request).await.map_err(|error| {
         let call_error = CallError::outcome_unknown("call", error.to_string());
-        if error.is_connect() { CallError { ran: ExecutionStatus::No, step: "connect", ..call_error } } else { call_error }
+        if error.is_connect() {
+            CallError { ran: ExecutionStatus::No, step: "connect", ..call_error }
+        } else {
+            call_error
+        }
     })
 }
 
--- a/sorrelpass/src/sidecar/event_loop.rs
+++ b/sorrelpass/src/sidecar/event_loop.rs
@@ -8,7 +8,7 @@
 use coord::name::{Attempt, Name};
 use coord::prefix::{Cache, Chain};
 use coord::queue::Job;
-use coord::scheduler::{Action, PrefillPriority, KeyState, RefusalReason, Refusal, Scheduler, CancelOutcome};
+use coord::scheduler::{Action, CancelOutcome, KeyState, PrefillPriority, Refusal, RefusalReason, Scheduler};
 use coord::time::{Moment, micros};
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
@@ -16,8 +16,8 @@
 use super::transcript::Transcript;
 use crate::config::{EndpointKind, Sidecar};
 use crate::plugin::{self, OrderPlugin};
-use crate::wire::{QuoteRequest, HoldResponse, HoldRequest, WorkRequest, QuoteResponse};
-use crate::{event, metric, channel, util, warn_event};
+use crate::wire::{HoldRequest, HoldResponse, QuoteRequest, QuoteResponse, WorkRequest};
+use crate::{channel, event, metric, util, warn_event};
 
 /// Interval at which the scheduler advances while jobs wait or run.
 const ACTIVE_INTERVAL: Duration = Duration::from_millis(5);
@@ -195,9 +195,11 @@
             Command::Finish { attempt, output_tokens, has_not_run } => {
                 self.finish_attempt(attempt, output_tokens, has_not_run)
             }
-            Command::CancelAttempt { attempt, idempotency_key, reply } => self.cancel_attempt(attempt, idempotency_key.as_ref(), reply),
+            Command::CancelAttempt { attempt, idempotency_key, reply } => {
+                self.cancel_attempt(attempt, idempotency_key.as_ref(), reply)
+            }
             Command::ReserveSpan(request, reply) => drop(reply.send(self.reserve_span(request))),
-            Command::Prefill(span, active, reply) => drop(reply.send(self.scheduler.set_span_prefill(span, active, util::now()))),
+            Command::Prefill(id, begun, reply) => drop(reply.send(self.scheduler.set_prefill(id, begun, util::now()))),
             Command::ReleaseSpan(span) => self.release_span(span),
             Command::IsOwned(name, reply) => drop(reply.send(self.scheduler.owns(name))),
             Command::SpanFreed(span) => self.record_span_freed(span),
@@ -301,7 +303,12 @@
         self.chains.remove(&attempt);
     }
 
-    fn cancel_attempt(&mut self, attempt: Attempt, idempotency_key: Option<&Key>, reply: Option<oneshot::Sender<CancelOutcome>>) {
+    fn cancel_attempt(
+        &mut self,
+        attempt: Attempt,
+        idempotency_key: Option<&Key>,
+        reply: Option<oneshot::Sender<CancelOutcome>>,
+    ) {
         let outcome = self.scheduler.cancel_unstarted(attempt, idempotency_key, util::now());
         match outcome {
             CancelOutcome::NotRun => {
@@ -310,7 +317,9 @@
                 self.unbind_key(attempt);
             }
             // A call that may run at most once is not cancelled, so that its outcome becomes known.
-            CancelOutcome::Started if !self.key_by_attempt.contains_key(&attempt) => self.send_signal(attempt, Signal::Cancel),
+            CancelOutcome::Started if !self.key_by_attempt.contains_key(&attempt) => {
+                self.send_signal(attempt, Signal::Cancel)
+            }
             CancelOutcome::Started => {}
         }
         event!("void", attempt = %attempt, voided = ?outcome);
@@ -329,14 +338,20 @@
         let now = util::now();
         let lease_end = now + Duration::from_micros(request.lease_micros);
         if request.renew {
-            return if self.scheduler.renew_span(request.span, lease_end) { HoldResponse::Held } else { HoldResponse::Refused };
+            return if self.scheduler.renew_span(request.span, lease_end) {
+                HoldResponse::Held
+            } else {
+                HoldResponse::Refused
+            };
         }
         match self.scheduler.reserve_span(request.span, request.tokens, lease_end, now) {
             Ok(()) => {
                 event!("reserve-span", span = %request.span, tokens = request.tokens);
                 HoldResponse::Held
             }
-            Err(refused) if refused.reason == RefusalReason::QueueFull => HoldResponse::RetryAfter(micros(refused.retry_after)),
+            Err(refused) if refused.reason == RefusalReason::QueueFull => {
+                HoldResponse::RetryAfter(micros(refused.retry_after))
+            }
             Err(_) => HoldResponse::Refused,
         }
     }
--- a/sorrelpass/src/sidecar/job.rs
+++ b/sorrelpass/src/sidecar/job.rs
@@ -13,7 +13,7 @@
 use super::transcript::Transcript;
 use super::{Shared, engine, plain};
 use crate::event;
-use crate::wire::{self, Frame, WorkRequest, Usage};
+use crate::wire::{self, Frame, Usage, WorkRequest};
 
 /// A request body: the bytes that have been read, and the stream of the rest.
 pub struct RequestBody {
--- a/sorrelpass/src/sidecar/mod.rs
+++ b/sorrelpass/src/sidecar/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::config::Sidecar;
-use crate::{event, http, metric, channel, timeline, util};
+use crate::{channel, event, http, metric, timeline, util};
 
 /// Capacity of the event loop's command channel, in commands.
 const EVENT_LOOP_CHANNEL_CAPACITY: usize = 4_096;
--- a/sorrelpass/src/sidecar/plain.rs
+++ b/sorrelpass/src/sidecar/plain.rs
@@ -7,7 +7,7 @@
 use super::Shared;
 use super::engine::send;
 use super::job::{AnswerWriter, CallError, RequestBody};
-use crate::wire::{Frame, WorkRequest, Usage};
+use crate::wire::{Frame, Usage, WorkRequest};
 
 /// Hop-by-hop headers, which apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
--- a/sorrelpass/src/sidecar/server.rs
+++ b/sorrelpass/src/sidecar/server.rs
@@ -18,7 +18,7 @@
 use super::event_loop::{Command, OfferOutcome};
 use super::transcript::Transcript;
 use super::{job, order, span};
-use crate::wire::{self, Frame, WorkRequest, FrameDecoder};
+use crate::wire::{self, Frame, FrameDecoder, WorkRequest};
 use crate::{http, metric, timeline, util};
 
 /// Number of frames that are buffered for an entry that reads slowly.
@@ -84,7 +84,10 @@
         reply: Some(reply),
     })
     .await?;
-    Ok(with_clock_stamp(wire::encode(&wire::CancelResponse { incarnation: util::incarnation(), outcome: cancel_outcome })))
+    Ok(with_clock_stamp(wire::encode(&wire::CancelResponse {
+        incarnation: util::incarnation(),
+        outcome: cancel_outcome,
+    })))
 }
 
 async fn get_load(State(shared): State<Arc<Shared>>) -> Result<Response, StatusCode> {
@@ -142,7 +145,12 @@
 }
 
 /// Runs a call that may run at most once: buffers its body first, and records its answer.
-async fn run_work_once(shared: Arc<Shared>, work: WorkRequest, read: Bytes, body: Body) -> Result<Response, StatusCode> {
+async fn run_work_once(
+    shared: Arc<Shared>,
+    work: WorkRequest,
+    read: Bytes,
+    body: Body,
+) -> Result<Response, StatusCode> {
     let rest = http_body_util::Limited::new(body, MAX_ONCE_BODY_BYTES);
     let rest = rest.collect().await.map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?.to_bytes();
     let complete_body = Bytes::from([read, rest].concat());
--- a/sorrelpass/src/sidecar/span.rs
+++ b/sorrelpass/src/sidecar/span.rs
@@ -17,7 +17,7 @@
 use super::event_loop::Command;
 use super::job::RequestBody;
 use super::server::{call_event_loop, read_delimited, with_clock_stamp};
-use crate::wire::{self, PrefillRequest, PrefillResponse, HoldRequest};
+use crate::wire::{self, HoldRequest, PrefillRequest, PrefillResponse};
 use crate::{event, util, warn_event};
 
 /// Delay before a failed request to the engine is repeated.
@@ -54,7 +54,11 @@
     digest: u64,
 }
 
-async fn prefill_on_engine(shared: &Shared, request: PrefillRequest, body: RequestBody) -> eyre::Result<PrefillResponse> {
+async fn prefill_on_engine(
+    shared: &Shared,
+    request: PrefillRequest,
+    body: RequestBody,
+) -> eyre::Result<PrefillResponse> {
     let uri = format!("http://{}/spans/{}?digest={}", shared.settings.endpoint_address, request.span, request.digest);
     let response = thread_client().request(Request::post(uri).body(body.into_body())?).await?;
     let status = response.status();
--- a/sorrelpass/src/wire.rs
+++ b/sorrelpass/src/wire.rs
@@ -5,9 +5,9 @@
 
 use bytes::{Bytes, BytesMut};
 use coord::claim::Key;
-use coord::name::{Attempt, Incarnation, Name, ExecutionStatus};
+use coord::name::{Attempt, ExecutionStatus, Incarnation, Name};
 use coord::prefix::Chain;
-use coord::scheduler::{Quote, RefusalReason, CancelOutcome};
+use coord::scheduler::{CancelOutcome, Quote, RefusalReason};
 use eyre::{Result, WrapErr, eyre};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -167,7 +167,9 @@
     pub fn with_attempt(self, attempt: Attempt) -> Self {
         match self {
             Frame::Chunk { number, tokens, bytes, .. } => Frame::Chunk { attempt, number, tokens, bytes },
-            Frame::End { count, digest, usage, finish_reason, .. } => Frame::End { attempt, count, digest, usage, finish_reason },
+            Frame::End { count, digest, usage, finish_reason, .. } => {
+                Frame::End { attempt, count, digest, usage, finish_reason }
+            }
             frame => frame,
         }
     }
--- a/standin/src/cmd/soak.rs
+++ b/standin/src/cmd/soak.rs
@@ -92,8 +92,11 @@
     }
     outcomes.breaches.extend(fleet.read_breaches()?);
     let totals = ledger.totals(&fleet.run_counts().await);
-    let report =
-        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed });
+    let report = report::summarize(
+        &ledger,
+        totals,
+        PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed },
+    );
     print!("{}", report.format_table());
     for record in ledger.records.iter().filter(|record| record.is_breach()) {
         println!("breach: {} {} entry-{} {:?}", record.class, record.id, record.entry, record.outcome);
--- a/standin/src/compare.rs
+++ b/standin/src/compare.rs
@@ -64,7 +64,8 @@
 
 /// Returns the request rate, per second, that offers the share `load` of the capacity of `engines`.
 pub fn request_rate(deployment: Deployment, load: f64, engines: usize, engine_capacity: &Capacity) -> f64 {
-    let capacity = engines as f64 * engine_capacity.prefill_per_s * engine_capacity.speed * PREFILL_SHARE_WHILE_DECODING;
+    let capacity =
+        engines as f64 * engine_capacity.prefill_per_s * engine_capacity.speed * PREFILL_SHARE_WHILE_DECODING;
     load * capacity / deployment.mean_tokens(|_| true)
 }
 
@@ -100,8 +101,11 @@
     };
     let ledger = load_generator::send_arrivals(&plan, arrivals).await;
     let totals = ledger.totals(&fleet.run_counts().await);
-    let report =
-        report::summarize(&ledger, totals, PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed });
+    let report = report::summarize(
+        &ledger,
+        totals,
+        PrefillBaseline { prefill_per_s: engine_capacity.prefill_per_s * engine_capacity.speed },
+    );
     let dir = fleet.spec.dir.clone();
     fleet.shut_down().await?;
     let _ = std::fs::remove_dir_all(dir);
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -153,7 +153,8 @@
             self.running.iter().filter(|(_, sequence)| sequence.remaining_prefill == 0).map(|(id, _)| *id).collect();
         let mut decode_time = Duration::ZERO;
         if !decoding.is_empty() {
-            decode_time = self.capacity.decode_base_time + self.capacity.decode_time_per_sequence * decoding.len() as u32;
+            decode_time =
+                self.capacity.decode_base_time + self.capacity.decode_time_per_sequence * decoding.len() as u32;
         }
         let mut prefill_time = Duration::ZERO;
         if let Some((id, chunk)) = self.prefill_chunk() {
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-use super::model::{Event, Prompt, SequenceId, Capacity, TimingModel};
+use super::model::{Capacity, Event, Prompt, SequenceId, TimingModel};
 use crate::text;
 
 /// Mutable state of the engine, which a restart discards.
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 mod control;
 pub mod ports;
 
-pub use ports::{find_binary, allocate_address};
+pub use ports::{allocate_address, find_binary};
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
--- a/standin/src/load_generator.rs
+++ b/standin/src/load_generator.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
-use crate::client::{Client, Prompt, ClientResponse};
+use crate::client::{Client, ClientResponse, Prompt};
 use crate::fleet::workspace_key;
 use crate::ledger::{Ledger, Outcome, RequestRecord, classify};
 use crate::text;
--- a/standin/src/overhead.rs
+++ b/standin/src/overhead.rs
@@ -99,7 +99,8 @@
 /// Measures memory under prompts of a million tokens, on engines whose memory holds a complete prompt.
 pub async fn measure_large_prompts(counts: &[usize]) -> Result<Vec<LargePromptUsage>> {
     let engine_capacity = Capacity { speed: 100.0, memory: 20_000_000, ..Capacity::default() };
-    let fleet = Fleet::start(Spec { entries: 1, engines: 2, services: 1, engine_capacity, ..Spec::small("large") }).await?;
+    let fleet =
+        Fleet::start(Spec { entries: 1, engines: 2, services: 1, engine_capacity, ..Spec::small("large") }).await?;
     let model = fleet.spec.deployment.model();
     let mut results = Vec::new();
     for count in counts {
@@ -114,8 +115,9 @@
                 headers: Vec::new(),
             })
             .collect();
-        let requests =
-            futures_util::future::join_all(prompts.iter().map(|prompt| fleet.client.send_prompt(&fleet.entries[0], prompt)));
+        let requests = futures_util::future::join_all(
+            prompts.iter().map(|prompt| fleet.client.send_prompt(&fleet.entries[0], prompt)),
+        );
         tokio::pin!(requests);
         let mut peak = LargePromptUsage { prompts: *count, whole: 0, entry_mib: 0.0, sidecar_mib: 0.0 };
         let resident_mib = |name: &str| {
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -9,8 +9,8 @@
 pub mod soak;
 mod store;
 
-pub use client::{RequestSpec, Connection, Outcome, send};
+pub use client::{Connection, Outcome, RequestSpec, send};
 pub use proxy::{NetworkFault, Proxy};
-pub use replica::{Behavior, Replica, ReceivedRequest};
+pub use replica::{Behavior, ReceivedRequest, Replica};
 pub use site::{HOST, KEY, Proxies, Site, Spec};
-pub use store::{Snapshot, Fault, Store, StoreListener};
+pub use store::{Fault, Snapshot, Store, StoreListener};
--- a/standin/src/platform/site.rs
+++ b/standin/src/platform/site.rs
@@ -10,12 +10,12 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-use super::client::{self, RequestSpec, Outcome};
+use super::client::{self, Outcome, RequestSpec};
 use super::configuration::configuration;
 use super::proxy::Proxy;
 use super::replica::Replica;
 use super::store::{Store, StoreListener};
-use crate::fleet::{find_binary, allocate_address};
+use crate::fleet::{allocate_address, find_binary};
 
 /// Host name in all routes of the configuration.
 pub const HOST: &str = "site.example";
@@ -174,7 +174,8 @@
     /// Opens a store listener for a new entry, writes the entry's settings and starts its process.
     async fn add_entry(&mut self, index: usize, spec: &Spec) -> Result<()> {
         let store_listener = self.store.listen().await?;
-        let (entry_address, ready_address, peer_address) = (allocate_address()?, allocate_address()?, allocate_address()?);
+        let (entry_address, ready_address, peer_address) =
+            (allocate_address()?, allocate_address()?, allocate_address()?);
         let earlier_peers = &self.peer_addresses[..self.peer_addresses.len().min(MAX_SEEDS)];
         let seeds = if spec.has_seeds { earlier_peers.join(",") } else { String::new() };
         self.peer_addresses.push(peer_address.clone());
--- a/standin/src/platform/soak/caller.rs
+++ b/standin/src/platform/soak/caller.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use crate::platform::client::{self, RequestSpec, Connection, Outcome};
+use crate::platform::client::{self, Connection, Outcome, RequestSpec};
 use crate::platform::site::HOST;
 
 /// Range of the time that a caller waits before each request, in milliseconds.
@@ -106,7 +106,9 @@
 fn build_request(route: Route, id: &str, key: &str) -> RequestSpec {
     let prompt = |tokens: u32| {
         let usage = format!("{tokens},400");
-        RequestSpec::new("POST", "/prompt/1", id, key).with_header("token-usage", &usage).with_header("deadline-ms", "2500")
+        RequestSpec::new("POST", "/prompt/1", id, key)
+            .with_header("token-usage", &usage)
+            .with_header("deadline-ms", "2500")
     };
     match route {
         Route::Prompt => prompt(500),
--- a/standin/src/platform/soak/injector.rs
+++ b/standin/src/platform/soak/injector.rs
@@ -16,7 +16,7 @@
 use crate::platform::proxy::NetworkFault;
 use crate::platform::replica::{Behavior, Replica};
 use crate::platform::site::Site;
-use crate::platform::store::{Snapshot, Fault};
+use crate::platform::store::{Fault, Snapshot};
 
 /// Length of the fault-free phase at the end of a round, in which every request must succeed.
 const FAULT_FREE_PERIOD: Duration = Duration::from_millis(1_500);
--- a/standin/src/platform/soak/judge.rs
+++ b/standin/src/platform/soak/judge.rs
@@ -8,7 +8,7 @@
 use super::caller::{FATAL_BODY, Phase, RequestRecord, Route};
 use super::injector::Injector;
 use super::{BACKOFF, Plan, RATE_LIMIT, RECOVERY_TIMEOUT, REVOKE_TIMEOUT, Report, last_replicas};
-use crate::platform::replica::{Replica, ReceivedRequest};
+use crate::platform::replica::{ReceivedRequest, Replica};
 use crate::platform::site::Site;
 
 /// Bounds the time from a replica's announcement that it is draining to its last request: the default of the entries'
@@ -187,7 +187,8 @@
             requests.iter().map(|request| request.received_at).filter(|time| *time >= since).collect();
         let is_late = |request: &ReceivedRequest| {
             let is_binding = |notice: &Instant| {
-                request.received_at > *notice + DRAIN_TIMEOUT && !is_disturbed(entry, disturbances, *notice, request.received_at)
+                request.received_at > *notice + DRAIN_TIMEOUT
+                    && !is_disturbed(entry, disturbances, *notice, request.received_at)
             };
             notice_times.iter().any(is_binding)
         };
@@ -207,11 +208,13 @@
     for replica in site.engines.iter().chain(&site.plain_replicas) {
         for (entry, requests) in group_by_entry(replica, entry_by_id) {
             let refusals = requests.iter().filter(|request| request.has_backoff_request);
-            for refusal in
-                refusals.filter(|request| !is_disturbed(entry, disturbances, request.received_at, request.received_at + BACKOFF))
-            {
-                let is_in_backoff =
-                    |request: &&ReceivedRequest| request.received_at > refusal.received_at + BACKOFF_DELAY && request.received_at < refusal.received_at + BACKOFF;
+            for refusal in refusals.filter(|request| {
+                !is_disturbed(entry, disturbances, request.received_at, request.received_at + BACKOFF)
+            }) {
+                let is_in_backoff = |request: &&ReceivedRequest| {
+                    request.received_at > refusal.received_at + BACKOFF_DELAY
+                        && request.received_at < refusal.received_at + BACKOFF
+                };
                 max_count = max_count.max(requests.iter().filter(is_in_backoff).count());
             }
         }
--- a/standin/src/platform/soak/mod.rs
+++ b/standin/src/platform/soak/mod.rs
@@ -117,7 +117,8 @@
 pub async fn run(plan: &Plan) -> Result<Report> {
     let bounds = format!("revoke_ms = {}", REVOKE_TIMEOUT.as_millis());
     let name = format!("soak-{}", plan.seed);
-    let spec = Spec { entries: plan.entries, engines: 4, plain_replicas: 3, has_proxies: true, bounds, ..Spec::small(&name) };
+    let spec =
+        Spec { entries: plan.entries, engines: 4, plain_replicas: 3, has_proxies: true, bounds, ..Spec::small(&name) };
     let site = Site::start(spec).await?;
     if plan.has_evacuations {
         last_replicas(&site).for_each(|replica| replica.set_failure_domain(EVACUATED_DOMAIN));
--- a/standin/src/scale.rs
+++ b/standin/src/scale.rs
@@ -277,7 +277,8 @@
     let mut points: [Vec<(f64, f64)>; 4] = Default::default();
     let engine_capacity = Capacity { speed: 100.0, slots: 1_024, memory: 40_000_000, ..Capacity::default() };
     let fleet =
-        Fleet::start(Spec { entries: 1, engines: 1, services: 1, engine_capacity, ..Spec::small("scale-requests") }).await?;
+        Fleet::start(Spec { entries: 1, engines: 1, services: 1, engine_capacity, ..Spec::small("scale-requests") })
+            .await?;
     let sidecar = format!("sidecar-{}-0", fleet.spec.deployment.model());
     for rate in rates {
         let usage = measure_usage(&fleet, &sidecar, send_prompts(&fleet, *rate, output, duration)).await?;
--- a/standin/tests/common/load.rs
+++ b/standin/tests/common/load.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use standin::platform::{RequestSpec, HOST, KEY, Replica, ReceivedRequest, Outcome, Site, send};
+use standin::platform::{HOST, KEY, Outcome, ReceivedRequest, Replica, RequestSpec, Site, send};
 
 /// Time that a client waits for an answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -22,7 +22,9 @@
 
 /// Builds a short prompt.
 pub fn prompt(id: &str) -> RequestSpec {
-    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500")
 }
 
 /// Builds a call that may be repeated.
@@ -32,7 +34,12 @@
 
 /// Sends requests at a constant rate for `duration`, alternating between the entries, whatever the outcomes; returns
 /// the outcomes.
-pub async fn send_load(site: &Site, rate: u32, duration: Duration, build_request: fn(&str) -> RequestSpec) -> Vec<Outcome> {
+pub async fn send_load(
+    site: &Site,
+    rate: u32,
+    duration: Duration,
+    build_request: fn(&str) -> RequestSpec,
+) -> Vec<Outcome> {
     let addresses: Arc<[String]> = site.addresses.clone().into();
     let mut interval = tokio::time::interval(Duration::from_secs(1) / rate);
     let mut pending = Vec::new();
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use standin::client::{Prompt, ClientResponse};
+use standin::client::{ClientResponse, Prompt};
 use standin::fleet::{Fleet, Spec, workspace_key};
 use standin::platform::Site;
 use standin::text;
--- a/standin/tests/configuration.rs
+++ b/standin/tests/configuration.rs
@@ -211,8 +211,11 @@
     {
         assert!(message.contains(fault), "{message}");
     }
-    let wrong =
-        fleet.client.send_json("GET", &fleet.entries[0], "/v1/intents", "wrong", None).await.expect("a response arrives");
+    let wrong = fleet
+        .client
+        .send_json("GET", &fleet.entries[0], "/v1/intents", "wrong", None)
+        .await
+        .expect("a response arrives");
     assert_eq!(wrong.0, 401);
     close_fleet(fleet).await;
 }
--- a/standin/tests/history.rs
+++ b/standin/tests/history.rs
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 use serde_json::json;
 use standin::fleet::{Fleet, OPERATOR_KEY, Spec};
-use standin::history::{AtMostOnce, CompletedCall, Confirm, PlannedItem, IdempotentCall, is_linearizable};
+use standin::history::{AtMostOnce, CompletedCall, Confirm, IdempotentCall, PlannedItem, is_linearizable};
 
 /// Builds a history from (called, returned, operation) tuples, with times in milliseconds.
 fn history<O: Clone>(calls: &[(u64, u64, O)]) -> Vec<CompletedCall<O>> {
@@ -104,7 +104,12 @@
     close_fleet(fleet).await;
 }
 
-async fn record_plan_change(fleet: &Fleet, entry: usize, round: u64, deadline_ms: u64) -> Option<CompletedCall<Confirm>> {
+async fn record_plan_change(
+    fleet: &Fleet,
+    entry: usize,
+    round: u64,
+    deadline_ms: u64,
+) -> Option<CompletedCall<Confirm>> {
     let body =
         json!({ "changes": [{ "put_service": { "name": format!("raced-{round}"), "deadline_ms": deadline_ms } }] });
     let address = &fleet.entries[entry];
--- a/standin/tests/in_time.rs
+++ b/standin/tests/in_time.rs
@@ -71,7 +71,8 @@
 async fn a_job_that_never_started_is_reported_as_not_run() {
     let engine_capacity = Capacity { slots: 1, ..Spec::small("").engine_capacity };
     // The estimates are far too optimistic, so the sidecar accepts a job that it cannot start before its deadline.
-    let spec = Spec { engine_capacity, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine_spec("never-started") };
+    let spec =
+        Spec { engine_capacity, sidecar_settings: "short_share = 0.0\n".into(), ..one_engine_spec("never-started") };
     let fleet = start_fleet(spec).await;
     let mut long_prompt = prompt(1_000, 3_000, 1);
     long_prompt.deadline = Duration::from_secs(60);
--- a/standin/tests/platform_beliefs.rs
+++ b/standin/tests/platform_beliefs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standin::platform::{RequestSpec, Fault, KEY, Site, Spec};
+use standin::platform::{Fault, KEY, RequestSpec, Site, Spec};
 
 fn lookup(id: &str, key: &str) -> RequestSpec {
     RequestSpec::new("GET", "/look/1", id, key).with_header("deadline-ms", "800")
@@ -91,7 +91,11 @@
     for number in 0..6 {
         assert_eq!(site.send(0, &lookup(&format!("e{number}"), KEY)).await.status, 200);
     }
-    assert_eq!(site.plain_replicas[1].received_requests().len(), before, "a replica whose record is still missing is removed");
+    assert_eq!(
+        site.plain_replicas[1].received_requests().len(),
+        before,
+        "a replica whose record is still missing is removed"
+    );
     site.close().expect("no invariant was breached");
 }
 
--- a/standin/tests/platform_crashes.rs
+++ b/standin/tests/platform_crashes.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use rustix::process::Signal;
-use standin::platform::{RequestSpec, Fault, KEY, Replica, Outcome, Site, Spec, send};
+use standin::platform::{Fault, KEY, Outcome, Replica, RequestSpec, Site, Spec, send};
 
 /// Text in the body of a request that crashes a replica.
 const CRASH_MARKER: &str = "ends-replicas";
@@ -39,7 +39,9 @@
 
 /// Builds a prompt with the given body.
 fn prompt(id: &str, body: &str) -> RequestSpec {
-    let request = RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500");
+    let request = RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500");
     RequestSpec { body: Bytes::from(body.to_owned()), ..request }
 }
 
@@ -411,7 +413,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_listen_a_moment_longer_are_seen_to_have_ended() {
     let site = start_site("crashes-linger").await;
-    site.engines.iter().for_each(|engine| engine.crash_on_with_delay(CRASH_MARKER, RESTART_DELAY, Duration::from_millis(5)));
+    site.engines
+        .iter()
+        .for_each(|engine| engine.crash_on_with_delay(CRASH_MARKER, RESTART_DELAY, Duration::from_millis(5)));
     send_repeatedly(&site, 12, prompt).await;
     assert!(
         count_marked_requests(&site.engines) <= 3 + MAX_SENDS_AFTER,
@@ -426,7 +430,8 @@
 async fn crashes_of_two_fatal_requests() -> Option<usize> {
     let replica = Replica::start("engine-0", Duration::from_millis(5)).await.expect("the replica starts");
     replica.crash_on(CRASH_MARKER, Duration::from_millis(1));
-    let request = |id: &str| RequestSpec { body: Bytes::from(CRASH_MARKER), ..RequestSpec::new("POST", "/prompt/1", id, KEY) };
+    let request =
+        |id: &str| RequestSpec { body: Bytes::from(CRASH_MARKER), ..RequestSpec::new("POST", "/prompt/1", id, KEY) };
     let (first, second) = (request("first"), request("second"));
     let second_send = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
--- a/standin/tests/platform_eras.rs
+++ b/standin/tests/platform_eras.rs
@@ -6,7 +6,7 @@
 
 use common::load::{count_served, lookup as lookup_with_key, send_load};
 use rustix::process::Signal;
-use standin::platform::{RequestSpec, Snapshot, Fault, KEY, Site, Spec};
+use standin::platform::{Fault, KEY, RequestSpec, Site, Snapshot, Spec};
 
 /// Time within which a change in the store is in force at all entries.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(900);
--- a/standin/tests/platform_evacuations.rs
+++ b/standin/tests/platform_evacuations.rs
@@ -8,7 +8,7 @@
 use common::leader;
 use common::load::{count_served, lookup, prompt, send_load};
 use rustix::process::Signal;
-use standin::platform::{RequestSpec, Fault, KEY, Replica, Site, Spec};
+use standin::platform::{Fault, KEY, Replica, RequestSpec, Site, Spec};
 
 /// Failure domain that is evacuated; the other replicas are in the default one.
 const EVACUATED_DOMAIN: &str = "there";
@@ -19,7 +19,9 @@
 
 /// Builds a prompt that needs prefill on several engines.
 fn long_prompt(id: &str) -> RequestSpec {
-    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "60000,400").with_header("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "60000,400")
+        .with_header("deadline-ms", "2500")
 }
 
 /// Builds a call that may run at most once.
@@ -43,7 +45,10 @@
 
 /// Returns the number of requests that reached replicas of the evacuated domain since `since`.
 fn requests_since(site: &Site, since: Instant) -> usize {
-    evacuated_replicas(site).flat_map(|replica| replica.received_requests()).filter(|received| received.received_at >= since).count()
+    evacuated_replicas(site)
+        .flat_map(|replica| replica.received_requests())
+        .filter(|received| received.received_at >= since)
+        .count()
 }
 
 /// Sends requests of all kinds for `duration` and asserts that all of them were served.
@@ -93,7 +98,8 @@
         let retry_after: f64 = refused.header("retry-after").parse().unwrap_or(0.0);
         assert!(refused.status == 503 && refused.elapsed < MAX_REFUSAL_TIME && retry_after >= 1.0, "{refused:?}");
     }
-    let received_requests = site.engines.iter().chain(&site.plain_replicas).flat_map(|replica| replica.received_requests());
+    let received_requests =
+        site.engines.iter().chain(&site.plain_replicas).flat_map(|replica| replica.received_requests());
     assert_eq!(received_requests.filter(|received| received.received_at >= started + APPLY_TIMEOUT).count(), 0);
     site.cancel_evacuation("here");
     tokio::time::sleep(APPLY_TIMEOUT).await;
--- a/standin/tests/platform_facts.rs
+++ b/standin/tests/platform_facts.rs
@@ -7,7 +7,7 @@
 use common::leader;
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use standin::platform::{RequestSpec, Fault, KEY, Site, Spec};
+use standin::platform::{Fault, KEY, RequestSpec, Site, Spec};
 
 const OTHER_KEY: &str = "another-key";
 
@@ -46,7 +46,8 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before: Vec<u64> = site.store_listeners.iter().map(|listener| listener.call_count()).collect();
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let calls: Vec<u64> = site.store_listeners.iter().zip(before).map(|(listener, before)| listener.call_count() - before).collect();
+    let calls: Vec<u64> =
+        site.store_listeners.iter().zip(before).map(|(listener, before)| listener.call_count() - before).collect();
     assert!(calls[leader] >= 8, "the leader keeps reading: {calls:?}");
     // The data that followers receive stays recent enough on a machine that is not short of processor time.
     assert!(others.iter().all(|entry| calls[*entry] < calls[leader] / 2), "{calls:?}");
@@ -272,7 +273,8 @@
     }
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     for entry in 0..3 {
-        let unknown_route = RequestSpec::new("GET", "/nowhere/1", &format!("f{entry}"), KEY).with_header("deadline-ms", "2000");
+        let unknown_route =
+            RequestSpec::new("GET", "/nowhere/1", &format!("f{entry}"), KEY).with_header("deadline-ms", "2000");
         for request in [lookup(&format!("g{entry}"), OTHER_KEY), unknown_route] {
             let outcome = site.send(entry, &request).await;
             assert_eq!(outcome.status, 503, "entry {entry}: {outcome:?}");
@@ -285,7 +287,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_went_while_only_the_reader_was_cut_off_gets_nothing_late() {
-    let spec = Spec { entries: 3, plain_replicas: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
+    let spec =
+        Spec { entries: 3, plain_replicas: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
     let site = Site::start(spec).await.expect("the site starts");
     let (leader, others) = leader_and_followers(&site).await;
     // Whether the leader or an entry that reads for itself sees the removal first differs from round to round.
@@ -303,7 +306,11 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(removed_replica.received_requests().len(), before, "a replica got requests too long after its removal");
+        assert_eq!(
+            removed_replica.received_requests().len(),
+            before,
+            "a replica got requests too long after its removal"
+        );
     }
     site.close().expect("no invariant was breached");
 }
@@ -326,6 +333,10 @@
             assert_eq!(site.send(entry, &lookup(&format!("j{entry}-{number}"), KEY)).await.status, 200);
         }
     }
-    assert_eq!(removed_replica.received_requests().len(), before, "a replica missing from the first snapshot is removed");
+    assert_eq!(
+        removed_replica.received_requests().len(),
+        before,
+        "a replica missing from the first snapshot is removed"
+    );
     assert!(site.breached_invariants().is_empty());
 }
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -14,7 +14,7 @@
 
 use futures_util::future::join_all;
 use rustix::process::Signal;
-use standin::platform::{RequestSpec, KEY, Replica, Outcome, Site, Spec};
+use standin::platform::{KEY, Outcome, Replica, RequestSpec, Site, Spec};
 
 /// Number of short prompts that are sent at the same time, below the number of slots of one engine.
 const BURST: usize = 12;
@@ -36,7 +36,8 @@
 
 /// Returns the engines that received requests whose IDs begin with `prefix`.
 fn engines_reached(site: &Site, prefix: &str) -> Vec<String> {
-    let was_reached = |engine: &&Arc<Replica>| engine.received_requests().iter().any(|received| received.id.starts_with(prefix));
+    let was_reached =
+        |engine: &&Arc<Replica>| engine.received_requests().iter().any(|received| received.id.starts_with(prefix));
     site.engines.iter().filter(was_reached).map(|engine| engine.id.clone()).collect()
 }
 
@@ -104,7 +105,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_received_in_time_is_forwarded_by_a_resumed_entry() {
     let service_time = Duration::from_millis(50);
-    let site = Site::start(Spec { entries: 1, service_time, ..Spec::small("grants-late") }).await.expect("the site starts");
+    let site =
+        Site::start(Spec { entries: 1, service_time, ..Spec::small("grants-late") }).await.expect("the site starts");
     for round in 0..ROUNDS {
         let suspend = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -113,7 +115,9 @@
             site.signal(0, Signal::CONT).expect("the entry resumes");
         };
         let id = format!("stream-{round}");
-        let request = RequestSpec::new("POST", "/prompt/1", &id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "1000");
+        let request = RequestSpec::new("POST", "/prompt/1", &id, KEY)
+            .with_header("token-usage", "500,400")
+            .with_header("deadline-ms", "1000");
         let (outcome, ()) = tokio::join!(site.send(0, &request), suspend);
         assert!(outcome.is_complete && outcome.status == 200, "round {round}: {outcome:?}\n{}", site.log(0));
     }
--- a/standin/tests/platform_leaving.rs
+++ b/standin/tests/platform_leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::load::{count_served, lookup, prompt, receiving_entry, send_load};
-use standin::platform::{Behavior, RequestSpec, Fault, Replica, ReceivedRequest, Site, Spec};
+use standin::platform::{Behavior, Fault, ReceivedRequest, Replica, RequestSpec, Site, Spec};
 
 /// Time after the announcement reached an entry, after which a request from that entry is a breach.
 const DRAIN: Duration = Duration::from_millis(600);
@@ -14,7 +14,8 @@
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(400);
 
 async fn start_site(name: &str) -> Site {
-    let spec = Spec { entries: 3, engines: 8, plain_replicas: 4, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
+    let spec =
+        Spec { entries: 3, engines: 8, plain_replicas: 4, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
@@ -30,10 +31,13 @@
 /// announces the draining.
 fn assert_no_late_requests(site: &Site, replica: &Replica, since: Instant) {
     for entry in 0..site.addresses.len() {
-        let is_from_entry = |received: &ReceivedRequest| received.received_at >= since && receiving_entry(site, received) == entry;
-        let received_requests: Vec<ReceivedRequest> = replica.received_requests().into_iter().filter(is_from_entry).collect();
+        let is_from_entry =
+            |received: &ReceivedRequest| received.received_at >= since && receiving_entry(site, received) == entry;
+        let received_requests: Vec<ReceivedRequest> =
+            replica.received_requests().into_iter().filter(is_from_entry).collect();
         let Some(first) = received_requests.first() else { continue };
-        let late_count = received_requests.iter().filter(|received| received.received_at > first.received_at + DRAIN).count();
+        let late_count =
+            received_requests.iter().filter(|received| received.received_at > first.received_at + DRAIN).count();
         assert_eq!(
             late_count,
             0,
@@ -90,8 +94,11 @@
         send_load(&site, 30, Duration::from_millis(500), lookup).await;
         site.write_replica_records();
     }
-    let received_requests =
-        draining.received_requests().into_iter().filter(|received| received.received_at > since + DRAIN + PROPAGATION_TIMEOUT).count();
+    let received_requests = draining
+        .received_requests()
+        .into_iter()
+        .filter(|received| received.received_at > since + DRAIN + PROPAGATION_TIMEOUT)
+        .count();
     assert_eq!(received_requests, 0, "a heartbeat does not undo the draining");
     site.close().expect("no invariant was breached");
 }
@@ -113,7 +120,11 @@
     let before = site.plain_replicas[0].received_requests().len();
     let outcomes = send_load(&site, 30, Duration::from_secs(2), lookup).await;
     assert_eq!(count_served(&outcomes), outcomes.len());
-    assert_eq!(site.plain_replicas[0].received_requests().len(), before, "the other entries know that the replica is draining");
+    assert_eq!(
+        site.plain_replicas[0].received_requests().len(),
+        before,
+        "the other entries know that the replica is draining"
+    );
     // A starting entry reads that the replica is ready and receives from its peers that it is draining.
     site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::None));
     site.restart(2).await.expect("the entry restarts");
@@ -122,7 +133,11 @@
     for number in 0..20 {
         site.send(2, &lookup(&format!("second-{number}"))).await;
     }
-    assert_eq!(site.plain_replicas[0].received_requests().len(), before, "a starting entry learns that the replica is draining");
+    assert_eq!(
+        site.plain_replicas[0].received_requests().len(),
+        before,
+        "a starting entry learns that the replica is draining"
+    );
     site.close().expect("no invariant was breached");
 }
 
@@ -150,7 +165,10 @@
     let refused = send_load(&site, 30, Duration::from_secs(1), lookup).await;
     for outcome in &refused {
         assert_eq!(outcome.status, 503, "{outcome:?}");
-        assert!(!outcome.header("retry-after").is_empty() && outcome.elapsed < Duration::from_millis(150), "{outcome:?}");
+        assert!(
+            !outcome.header("retry-after").is_empty() && outcome.elapsed < Duration::from_millis(150),
+            "{outcome:?}"
+        );
     }
     assert_eq!(received_count(), before, "requests reported as not run reach no replica");
     site.close().expect("no invariant was breached");
--- a/standin/tests/platform_lifetimes.rs
+++ b/standin/tests/platform_lifetimes.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use serde_json::{Value, json};
-use standin::platform::{RequestSpec, KEY, Outcome, Site, Spec};
+use standin::platform::{KEY, Outcome, RequestSpec, Site, Spec};
 
 /// Time within which both entries know of a change in the store; the records are read four times in 2 s.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -13,7 +13,9 @@
 const TOPIC: &str = "keyed.servers";
 
 fn prompt(id: &str) -> RequestSpec {
-    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500")
 }
 
 /// The record of an engine with some fields changed.
@@ -167,8 +169,9 @@
             assert_eq!(count_logged(&site, entry, engine, "unusable"), 1, "entry {entry}: {label}");
         }
     }
-    let received_count =
-        |site: &Site| site.engines[..unusable_count].iter().map(|engine| engine.received_requests().len()).sum::<usize>();
+    let received_count = |site: &Site| {
+        site.engines[..unusable_count].iter().map(|engine| engine.received_requests().len()).sum::<usize>()
+    };
     for number in 0..8 {
         assert!(is_served(&site, &format!("odd-{number}")).await);
     }
--- a/standin/tests/platform_limits.rs
+++ b/standin/tests/platform_limits.rs
@@ -13,7 +13,7 @@
 
 use common::load::{count_served, lookup, max_requests, prompt, send_load};
 use rustix::process::Signal;
-use standin::platform::{Replica, Outcome, Site, Spec};
+use standin::platform::{Outcome, Replica, Site, Spec};
 
 /// Length of the windows in which the bound holds.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -82,7 +82,8 @@
 async fn a_rate_limited_plain_replica_stays_within_its_limit_and_others_serve_the_remainder() {
     let site = start_site("limits-plain", default_spec()).await;
     send_load(&site, 30, Duration::from_secs(1), lookup).await;
-    let busiest = site.plain_replicas.iter().max_by_key(|replica| replica.received_requests().len()).expect("there are replicas");
+    let busiest =
+        site.plain_replicas.iter().max_by_key(|replica| replica.received_requests().len()).expect("there are replicas");
     busiest.set_rate_limit(Some("1"));
     let since = Instant::now() + LIMIT_APPLY_TIMEOUT;
     let outcomes = send_load(&site, 30, Duration::from_secs(9), lookup).await;
@@ -141,7 +142,10 @@
     let outcomes = send_load(&site, 40, duration, lookup).await;
     assert_limited_throughput(&site.plain_replicas, 5.0, &outcomes, since, duration);
     for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
-        assert!(refused.elapsed < Duration::from_millis(150), "refused later than half the target latency: {refused:?}");
+        assert!(
+            refused.elapsed < Duration::from_millis(150),
+            "refused later than half the target latency: {refused:?}"
+        );
     }
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_members.rs
+++ b/standin/tests/platform_members.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
 use serde_json::json;
-use standin::platform::{RequestSpec, Fault, HOST, Site, Spec, send};
+use standin::platform::{Fault, HOST, RequestSpec, Site, Spec, send};
 
 /// Time within which the entries of a site have found each other.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -233,7 +233,8 @@
         std::future::ready(count_received_updates(&site, joining_entry) >= REPLICAS)
     })
     .await;
-    let (calls, sent) = (site.store_listeners[joining_entry].call_count(), metric_total(&site, leader, "sorrelpass_peer_bytes").await);
+    let (calls, sent) =
+        (site.store_listeners[joining_entry].call_count(), metric_total(&site, leader, "sorrelpass_peer_bytes").await);
     site.restart(joining_entry).await.expect("the process restarts");
     site.wait_ready(joining_entry, true).await.expect("ready");
     wait_until("the joining entry has all records again", || {
@@ -242,7 +243,10 @@
     .await;
     let bytes = (metric_total(&site, leader, "sorrelpass_peer_bytes").await - sent) / REPLICAS as f64;
     assert!(bytes < MAX_BYTES_PER_RECORD, "{bytes} bytes per replica");
-    assert!(site.store_listeners[joining_entry].call_count() <= calls + 1, "the joining entry reads nothing from the store");
+    assert!(
+        site.store_listeners[joining_entry].call_count() <= calls + 1,
+        "the joining entry reads nothing from the store"
+    );
     assert_eq!(site.log(joining_entry).matches("step=replica ").count(), 0, "one log line for all replicas");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_once.rs
+++ b/standin/tests/platform_once.rs
@@ -3,10 +3,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use standin::platform::{Behavior, RequestSpec, KEY, Site, Spec};
+use standin::platform::{Behavior, KEY, RequestSpec, Site, Spec};
 
 fn payment(id: &str) -> RequestSpec {
-    RequestSpec { body: Bytes::from("levy 500"), ..RequestSpec::new("POST", "/pay/1", id, KEY) }.with_header("deadline-ms", "1000")
+    RequestSpec { body: Bytes::from("levy 500"), ..RequestSpec::new("POST", "/pay/1", id, KEY) }
+        .with_header("deadline-ms", "1000")
 }
 
 fn lookup(id: &str) -> RequestSpec {
@@ -29,9 +30,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_is_lost_is_not_called_not_run() {
     let site = start_site("once-lost").await;
-    for (id, behavior) in
-        [("a1", Behavior::DropResponse), ("a2", Behavior::WrongRequestId), ("a3", Behavior::MissingSeal), ("a4", Behavior::UnconfirmedRefusal)]
-    {
+    for (id, behavior) in [
+        ("a1", Behavior::DropResponse),
+        ("a2", Behavior::WrongRequestId),
+        ("a3", Behavior::MissingSeal),
+        ("a4", Behavior::UnconfirmedRefusal),
+    ] {
         queue_on_all(&site, &[behavior]);
         let outcome = site.send(0, &payment(id)).await;
         assert_eq!(outcome.status, 502, "{behavior:?}: {outcome:?}");
--- a/standin/tests/platform_path.rs
+++ b/standin/tests/platform_path.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use common::status_line_of_an_endless_head;
 use serde_json::json;
-use standin::platform::{Behavior, RequestSpec, HOST, KEY, Site, Spec};
+use standin::platform::{Behavior, HOST, KEY, RequestSpec, Site, Spec};
 
 fn prompt(id: &str, tokens: u64) -> RequestSpec {
     RequestSpec { body: Bytes::from("a question"), ..RequestSpec::new("POST", "/prompt/x?y=1", id, KEY) }
@@ -62,8 +62,12 @@
 
     let outcome = site.send(1, &prompt("bb02", 700_000)).await;
     assert_eq!(outcome.body, complete_stream("bb02"), "{outcome:?}");
-    let received_requests: Vec<_> =
-        site.engines.iter().flat_map(|engine| engine.received_requests()).filter(|received| received.id == "bb02").collect();
+    let received_requests: Vec<_> = site
+        .engines
+        .iter()
+        .flat_map(|engine| engine.received_requests())
+        .filter(|received| received.id == "bb02")
+        .collect();
     let helpers = received_requests[0]
         .headers
         .get("helpers")
@@ -110,7 +114,8 @@
     let no_key = site.send(0, &RequestSpec { headers: vec![("request-id", "d2".into())], ..lookup("d2") }).await;
     let wrong_key = site.send(0, &RequestSpec::new("GET", "/look/1", "d3", "nobody")).await;
     let deadline = site.send(0, &lookup("d4").with_header("deadline-ms", "soon")).await;
-    let large_body = site.send(0, &RequestSpec { method: "POST", body: Bytes::from(vec![b'x'; 70_000]), ..lookup("d5") }).await;
+    let large_body =
+        site.send(0, &RequestSpec { method: "POST", body: Bytes::from(vec![b'x'; 70_000]), ..lookup("d5") }).await;
     let large_head = site.send(0, &lookup("d6").with_header("x-long", &"y".repeat(40_000))).await;
     let statuses = [no_route, no_key, wrong_key, deadline, large_body, large_head].map(|outcome| outcome.status);
     assert_eq!(statuses, [404, 401, 401, 400, 413, 431]);
@@ -148,7 +153,8 @@
     let site = start_site("path-public").await;
     site.configure(&[KEY], |config| config["routes"][2]["public"] = json!(true));
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let request = RequestSpec { headers: vec![("request-id", "f1".into())], ..RequestSpec::new("GET", "/look/1", "", "") };
+    let request =
+        RequestSpec { headers: vec![("request-id", "f1".into())], ..RequestSpec::new("GET", "/look/1", "", "") };
     assert_eq!(site.send(0, &request).await.status, 200);
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_processes.rs
+++ b/standin/tests/platform_processes.rs
@@ -8,10 +8,12 @@
 
 use common::leader;
 use rustix::process::Signal;
-use standin::platform::{Behavior, RequestSpec, Fault, HOST, KEY, Site, Spec};
+use standin::platform::{Behavior, Fault, HOST, KEY, RequestSpec, Site, Spec};
 
 fn prompt(id: &str) -> RequestSpec {
-    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500")
 }
 
 fn payment(id: &str) -> RequestSpec {
@@ -129,8 +131,9 @@
         config["routes"][0]["timeout_ms"] = serde_json::json!(20_000);
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let waiting_prompt =
-        RequestSpec::new("POST", "/prompt/1", "k1", KEY).with_header("token-usage", "5000000,400").with_header("deadline-ms", "20000");
+    let waiting_prompt = RequestSpec::new("POST", "/prompt/1", "k1", KEY)
+        .with_header("token-usage", "5000000,400")
+        .with_header("deadline-ms", "20000");
     let ending = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         site.signal(0, Signal::TERM).expect("the signal is sent");
--- a/standin/tests/platform_rest.rs
+++ b/standin/tests/platform_rest.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::load::{count_served, lookup, prompt, receiving_entry, send_load};
-use standin::platform::{Behavior, RequestSpec, Replica, ReceivedRequest, Outcome, Site, Spec};
+use standin::platform::{Behavior, Outcome, ReceivedRequest, Replica, RequestSpec, Site, Spec};
 
 /// Backoff that replicas ask for, also as the text in their responses.
 const BACKOFF: Duration = Duration::from_secs(2);
@@ -142,7 +142,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_wait_for_a_short_backoff_of_the_only_replica() {
-    let site = Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-short") }).await.expect("the site starts");
+    let site = Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-short") })
+        .await
+        .expect("the site starts");
     site.plain_replicas[0].set_backoff(Some("0.1"));
     site.send(0, &lookup("load-0")).await;
     site.plain_replicas[0].set_backoff(None);
@@ -156,8 +158,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_backoff_time_is_ignored() {
     for text in ["0", "-3", "soon", "Thu, 03 Dec 2026 11:00:00 GMT"] {
-        let site =
-            Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-none") }).await.expect("the site starts");
+        let site = Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-none") })
+            .await
+            .expect("the site starts");
         site.plain_replicas[0].set_backoff(Some(text));
         site.send(0, &lookup("load-0")).await;
         site.plain_replicas[0].set_backoff(None);
--- a/standin/tests/platform_streams.rs
+++ b/standin/tests/platform_streams.rs
@@ -4,10 +4,12 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use standin::platform::{Behavior, RequestSpec, KEY, Replica, Outcome, Site, Spec};
+use standin::platform::{Behavior, KEY, Outcome, Replica, RequestSpec, Site, Spec};
 
 fn prompt(id: &str) -> RequestSpec {
-    RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", "500,400").with_header("deadline-ms", "2500")
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500")
 }
 
 fn complete_stream(id: &str) -> String {
@@ -28,7 +30,8 @@
     assert_eq!(outcome.body, complete_stream("a1").split_inclusive("\n\n").take(6).collect::<String>());
     while site.send(0, &prompt("spend")).await.body != complete_stream("spend") {}
     // Each entry prefers different engines; the engine that answered last is the one preferred for short answers.
-    let last_request_at = |engine: &Arc<Replica>| engine.received_requests().last().map(|received| received.received_at);
+    let last_request_at =
+        |engine: &Arc<Replica>| engine.received_requests().last().map(|received| received.received_at);
     let last_engine =
         (0..site.engines.len()).max_by_key(|index| last_request_at(&site.engines[*index])).expect("an engine answered");
     site.engines[last_engine].queue_behaviors([Behavior::AbortAfter(3)]);
@@ -37,8 +40,12 @@
         let id = format!("r{number}");
         let outcome = site.send(0, &prompt(&id)).await;
         assert_eq!(outcome.body, complete_stream(&id), "{outcome:?}");
-        let received_requests: Vec<_> =
-            site.engines.iter().flat_map(|engine| engine.received_requests()).filter(|received| received.id == id).collect();
+        let received_requests: Vec<_> = site
+            .engines
+            .iter()
+            .flat_map(|engine| engine.received_requests())
+            .filter(|received| received.id == id)
+            .collect();
         if received_requests.len() == 2 {
             resumed = received_requests.into_iter().find_map(|received| received.headers.get("last-event-id").cloned());
             break;
@@ -142,7 +149,8 @@
     let site = start_site("streams-pace").await;
     tokio::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(site.send(0, &prompt("first")).await.status, 200);
-    let slow_engine = site.engines.iter().position(|engine| engine.run_count("first") > 0).expect("an engine ran the prompt");
+    let slow_engine =
+        site.engines.iter().position(|engine| engine.run_count("first") > 0).expect("an engine ran the prompt");
     site.engines[slow_engine].set_reported_slowdown(6.0);
     site.engines[slow_engine].queue_behaviors([Behavior::Stall(600)]);
     assert_eq!(site.send(0, &prompt("late")).await.status, 200);
