--- a/standin/tests/bad_input.rs
+++ b/standin/tests/bad_input.rs
@@ -8,12 +8,12 @@
     call_headers, close_fleet, prompt, start_fleet, start_small_fleet, status_line_of_an_endless_head, wait_until,
 };
 use serde_json::{Value, json};
-use standin::client::Seen;
+use standin::client::ClientResponse;
 use standin::fleet::{Fleet, Spec, workspace_key};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-async fn post_prompt(fleet: &Fleet, body: &str, extra_headers: &[(&str, &str)]) -> Seen {
+async fn post_prompt(fleet: &Fleet, body: &str, extra_headers: &[(&str, &str)]) -> ClientResponse {
     let mut headers = call_headers(None);
     headers.extend(extra_headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())));
     fleet.client.call("POST", &fleet.entries[0], "/v1/chat/completions", &headers, body.to_owned()).await
@@ -101,7 +101,7 @@
     }
     let (status, models) = fleet
         .client
-        .json("GET", &fleet.entries[0], "/v1/models", &workspace_key(0), None)
+        .send_json("GET", &fleet.entries[0], "/v1/models", &workspace_key(0), None)
         .await
         .expect("a response arrives");
     assert_eq!((status, &models["data"][0]["id"]), (200, &Value::from("market-advisor")));
@@ -113,14 +113,14 @@
     let settings = "max_body_bytes = 200000\nbody_budget_bytes = 400000\n".to_owned();
     let fleet = start_fleet(Spec { entry_settings: settings, ..Spec::small("oversized") }).await;
     let large = prompt(60_000, 3, 1);
-    let outcome = fleet.client.prompt(&fleet.entries[0], &large).await;
+    let outcome = fleet.client.send_prompt(&fleet.entries[0], &large).await;
     assert_eq!((outcome.status, outcome.code()), (413, "body_too_large"), "{outcome:?}");
     let body = json!({ "changes": [{ "put_intent": { "model": "market-advisor", "service": "market-advisor",
         "workspaces": ["*"], "context_tokens": 1_000 } }] });
     fleet.publish(&body["changes"]).await.expect("the change is accepted");
     wait_until("the limit is in force", || async {
         let long = prompt(2_000, 3, 1);
-        fleet.client.prompt(&fleet.entries[0], &long).await.code() == "context_length_exceeded"
+        fleet.client.send_prompt(&fleet.entries[0], &long).await.code() == "context_length_exceeded"
     })
     .await;
     close_fleet(fleet).await;
@@ -196,11 +196,11 @@
         assert_eq!(read_status_line(&mut second, Duration::from_millis(50)).await, None, "the body waits");
         drop(first);
         assert_eq!(read_status_line(&mut second, Duration::from_millis(600)).await, None, "the body is accepted");
-        let outcome = fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await;
+        let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await;
         assert_eq!(outcome.code(), "bodies_in_flight", "the second body holds the budget: {outcome:?}");
         drop(second);
         wait_until("the budget is back", || async {
-            fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.ended
+            fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.is_complete
         })
         .await;
     }
@@ -216,8 +216,8 @@
     let mut waiting = Vec::new();
     for _ in 0..20 {
         waiting.push(send_partial_body(&fleet, 190_000).await);
-        let outcome = fleet.client.prompt(&fleet.entries[0], &prompt(1_000, 3, 1)).await;
-        assert!(outcome.ended, "{outcome:?}");
+        let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt(1_000, 3, 1)).await;
+        assert!(outcome.is_complete, "{outcome:?}");
     }
     for stream in &mut waiting {
         let line = read_status_line(stream, Duration::from_secs(5)).await.expect("a response arrives");
@@ -242,12 +242,12 @@
     );
     blocking_body.write_all(head.as_bytes()).await.expect("sent");
     wait_until("the budget is used up", || async {
-        fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.code() == "bodies_in_flight"
+        fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.code() == "bodies_in_flight"
     })
     .await;
     drop(blocking_body);
     wait_until("the budget is back", || async {
-        fleet.client.prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.ended
+        fleet.client.send_prompt(&fleet.entries[0], &prompt(10_000, 3, 1)).await.is_complete
     })
     .await;
     close_fleet(fleet).await;
@@ -280,7 +280,7 @@
         log.contains("code=caller_too_slow") || log.contains("step=caller-gone")
     })
     .await;
-    wait_until("the engine is free", || async { fleet.held_tokens().await == 0 }).await;
+    wait_until("the engine is free", || async { fleet.reserved_tokens().await == 0 }).await;
     close_fleet(fleet).await;
 }
 
@@ -294,7 +294,7 @@
     for seed in 0..40 {
         let mut prompt = prompt(200, 2, seed);
         prompt.key = workspace_key(3);
-        let outcome = fleet.client.prompt(&fleet.entries[0], &prompt).await;
+        let outcome = fleet.client.send_prompt(&fleet.entries[0], &prompt).await;
         if outcome.status == 429 {
             refusal = Some(outcome);
             break;
--- a/standin/tests/platform_eras.rs
+++ b/standin/tests/platform_eras.rs
@@ -6,7 +6,7 @@
 
 use common::load::{count_served, lookup as lookup_with_key, send_load};
 use rustix::process::Signal;
-use standin::platform::{Ask, Copy, Fault, KEY, Site, Spec};
+use standin::platform::{Fault, KEY, RequestSpec, Site, Snapshot, Spec};
 
 /// Time within which a change in the store is in force at all entries.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(900);
@@ -17,36 +17,36 @@
 /// Interval between two heartbeats of a replica.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-fn lookup(id: &str, key: &str) -> Ask {
-    Ask::new("GET", "/look/1", id, key).with("deadline-ms", "800")
+fn lookup(id: &str, key: &str) -> RequestSpec {
+    RequestSpec::new("GET", "/look/1", id, key).with_header("deadline-ms", "800")
 }
 
 async fn start_site(name: &str) -> Site {
-    let spec = Spec { entries: 3, plain: 3, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
+    let spec = Spec { entries: 3, plain_replicas: 3, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
 fn set_store_fault(site: &Site, fault: Fault) {
-    site.doors.iter().for_each(|listener| listener.set(fault));
+    site.store_listeners.iter().for_each(|listener| listener.set_fault(fault));
 }
 
 /// Makes the store unavailable and restores it from `copy`; `write` runs before an entry can read the store again.
-async fn restore_store(site: &Site, copy: Copy, write: impl FnOnce(&Site)) {
+async fn restore_store(site: &Site, copy: Snapshot, write: impl FnOnce(&Site)) {
     set_store_fault(site, Fault::Unavailable);
     tokio::time::sleep(OUTAGE).await;
-    site.store.come_back_from(copy);
+    site.store.restore(copy);
     write(site);
     set_store_fault(site, Fault::None);
 }
 
 fn write_heartbeat(site: &Site, replica: usize) {
-    let replica = &site.plain[replica];
-    site.store.put("keyed.servers", &replica.id, replica.record("ledger", "ready"));
+    let replica = &site.plain_replicas[replica];
+    site.store.put("keyed.servers", &replica.id, replica.store_record("ledger", "ready"));
 }
 
 /// Returns the number of requests that reached a plain replica.
 fn request_count(site: &Site, replica: usize) -> usize {
-    site.plain[replica].seen().len()
+    site.plain_replicas[replica].received_requests().len()
 }
 
 async fn send_to_all(site: &Site, id: &str, key: &str) -> Vec<u16> {
@@ -60,14 +60,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_at_an_offset_that_was_given_out_before_is_in_force_at_all_entries() {
     let site = start_site("eras-change").await;
-    let copy = site.store.copy();
+    let copy = site.store.snapshot();
     for _ in 0..4 {
         site.configure(&[KEY], |_| {});
     }
     tokio::time::sleep(APPLY_TIMEOUT).await;
     restore_store(&site, copy, |site| {
-        site.configure_again(&[KEY]);
-        site.announce_all();
+        site.rewrite_configuration(&[KEY]);
+        site.write_replica_records();
     })
     .await;
     tokio::time::sleep(APPLY_TIMEOUT).await;
@@ -85,13 +85,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_below_the_known_end_of_a_log_that_has_grown_past_it_again_is_not_missed() {
     let site = start_site("eras-grown").await;
-    let copy = site.store.copy();
-    site.announce_all();
-    site.announce_all();
+    let copy = site.store.snapshot();
+    site.write_replica_records();
+    site.write_replica_records();
     tokio::time::sleep(APPLY_TIMEOUT).await;
     restore_store(&site, copy, |site| {
-        site.configure_again(&[KEY]);
-        site.store.put("keyed.servers", "plain-0", site.plain[0].record("ledger", "draining"));
+        site.rewrite_configuration(&[KEY]);
+        site.store.put("keyed.servers", "plain-0", site.plain_replicas[0].store_record("ledger", "draining"));
         (0..8).for_each(|_| [1, 2].into_iter().for_each(|replica| write_heartbeat(site, replica)));
     })
     .await;
@@ -106,10 +106,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_whose_removal_the_store_has_lost_gets_nothing_until_it_writes_again() {
     let site = start_site("eras-removed").await;
-    let copy = site.store.copy();
+    let copy = site.store.snapshot();
     site.store.put("keyed.servers", "plain-0", "");
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    restore_store(&site, copy, |site| site.configure_again(&[KEY])).await;
+    restore_store(&site, copy, |site| site.rewrite_configuration(&[KEY])).await;
     let before = request_count(&site, 0);
     for _ in 0..4 {
         [1, 2].into_iter().for_each(|replica| write_heartbeat(&site, replica));
@@ -126,14 +126,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_whose_records_the_store_has_lost_are_used_until_they_should_have_written_again() {
     let site = start_site("eras-lapsed").await;
-    for replica in &site.plain {
+    for replica in &site.plain_replicas {
         site.store.put("keyed.servers", &replica.id, "");
     }
-    let copy = site.store.copy();
-    site.announce_all();
+    let copy = site.store.snapshot();
+    site.write_replica_records();
     tokio::time::sleep(APPLY_TIMEOUT).await;
     assert_eq!(send_to_all(&site, "before", KEY).await, [200; 3]);
-    restore_store(&site, copy, |site| site.configure_again(&[KEY])).await;
+    restore_store(&site, copy, |site| site.rewrite_configuration(&[KEY])).await;
     let outcomes = send_load(&site, 20, RECOVERY_GRACE / 2, lookup_with_key).await;
     assert_eq!(count_served(&outcomes), outcomes.len(), "replicas are used until their records are due");
     write_heartbeat(&site, 0);
@@ -152,20 +152,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_stays_evacuated_while_the_store_has_lost_the_record() {
     let site = start_site("eras-evacuation").await;
-    site.plain[0].stand_in("there");
-    site.announce_all();
+    site.plain_replicas[0].set_failure_domain("there");
+    site.write_replica_records();
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    let copy = site.store.copy();
+    let copy = site.store.snapshot();
     site.evacuate("there");
     tokio::time::sleep(APPLY_TIMEOUT).await;
     let before = request_count(&site, 0);
-    restore_store(&site, copy, |site| site.announce_all()).await;
+    restore_store(&site, copy, |site| site.write_replica_records()).await;
     send_load(&site, 30, RECOVERY_GRACE / 2, lookup_with_key).await;
-    site.configure_again(&[KEY]);
+    site.rewrite_configuration(&[KEY]);
     site.evacuate("there");
     send_load(&site, 30, RECOVERY_GRACE, lookup_with_key).await;
     assert_eq!(request_count(&site, 0), before, "the evacuation has not ended");
-    site.end_evacuation("there");
+    site.cancel_evacuation("there");
     tokio::time::sleep(APPLY_TIMEOUT).await;
     send_load(&site, 30, Duration::from_secs(1), lookup_with_key).await;
     assert!(request_count(&site, 0) > before, "the evacuation has ended");
@@ -176,10 +176,10 @@
 async fn a_configuration_older_than_the_one_in_force_verifies_nothing() {
     let spec = Spec { bounds: "revoke_ms = 2000".to_owned(), ..Spec::small("eras-older") };
     let site = Site::start(spec).await.expect("the site starts");
-    let copy = site.store.copy();
+    let copy = site.store.snapshot();
     site.configure(&["another"], |_| {});
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    restore_store(&site, copy, |site| site.announce_all()).await;
+    restore_store(&site, copy, |site| site.write_replica_records()).await;
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for entry in 0..2 {
         assert_eq!(
@@ -189,7 +189,7 @@
         );
         assert_eq!(site.send(entry, &lookup(&format!("old-{entry}"), KEY)).await.status, 503);
     }
-    site.configure_again(&["another"]);
+    site.rewrite_configuration(&["another"]);
     for entry in 0..2 {
         site.wait_ready(entry, true).await.expect("the newest configuration is back");
         assert_eq!(site.send(entry, &lookup(&format!("back-{entry}"), "another")).await.status, 200);
@@ -202,8 +202,8 @@
 async fn a_store_that_has_lost_every_configuration_verifies_nothing() {
     let spec = Spec { bounds: "revoke_ms = 2000".to_owned(), ..Spec::small("eras-none") };
     let site = Site::start(spec).await.expect("the site starts");
-    let copy = site.store.copy().without("keyed.op");
-    restore_store(&site, copy, |site| site.announce_all()).await;
+    let copy = site.store.snapshot().without_topic("keyed.op");
+    restore_store(&site, copy, |site| site.write_replica_records()).await;
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for entry in 0..2 {
         assert_eq!(
@@ -212,7 +212,7 @@
             "the key may have been revoked"
         );
     }
-    site.configure_again(&[KEY]);
+    site.rewrite_configuration(&[KEY]);
     for entry in 0..2 {
         site.wait_ready(entry, true).await.expect("the configuration is back");
     }
@@ -223,15 +223,15 @@
 async fn announcements_that_the_store_has_lost_are_written_again_in_a_few_calls() {
     let mut site = start_site("eras-announced").await;
     tokio::time::sleep(APPLY_TIMEOUT).await;
-    let copy = site.store.copy();
+    let copy = site.store.snapshot();
     site.restart(2).await.expect("the entry restarts");
     site.wait_ready(2, true).await.expect("the entry is ready");
     tokio::time::sleep(APPLY_TIMEOUT).await;
     let announced = |site: &Site| site.store.value("keyed.peers", site.peer_address(2));
     let newest = announced(&site);
     restore_store(&site, copy, |site| {
-        site.configure_again(&[KEY]);
-        site.announce_all();
+        site.rewrite_configuration(&[KEY]);
+        site.write_replica_records();
     })
     .await;
     assert_ne!(announced(&site), newest, "the copy is older");
@@ -248,18 +248,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_verdict_that_the_store_has_lost_is_written_again() {
     let site = start_site("eras-verdict").await;
-    site.plain.iter().for_each(|replica| replica.end_under("fatal", HEARTBEAT_INTERVAL));
-    let copy = site.store.copy();
+    site.plain_replicas.iter().for_each(|replica| replica.crash_on("fatal", HEARTBEAT_INTERVAL));
+    let copy = site.store.snapshot();
     for number in 0..10 {
-        let request = Ask { body: "fatal".into(), ..lookup(&format!("fatal-{number}"), KEY) };
+        let request = RequestSpec { body: "fatal".into(), ..lookup(&format!("fatal-{number}"), KEY) };
         site.send(number % 3, &request).await;
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
     let verdicts = site.store.keys("keyed.quarantine");
     assert_eq!(verdicts.len(), 1, "{}", site.log(0));
     restore_store(&site, copy, |site| {
-        site.configure_again(&[KEY]);
-        site.announce_all();
+        site.rewrite_configuration(&[KEY]);
+        site.write_replica_records();
     })
     .await;
     assert!(site.store.keys("keyed.quarantine").is_empty(), "the copy is older");
--- a/standin/tests/platform_facts.rs
+++ b/standin/tests/platform_facts.rs
@@ -7,12 +7,12 @@
 use common::leader;
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use standin::platform::{Ask, Fault, KEY, Site, Spec};
+use standin::platform::{Fault, KEY, RequestSpec, Site, Spec};
 
 const OTHER_KEY: &str = "another-key";
 
-fn lookup(id: &str, key: &str) -> Ask {
-    Ask::new("GET", "/look/1", id, key).with("deadline-ms", "2000")
+fn lookup(id: &str, key: &str) -> RequestSpec {
+    RequestSpec::new("GET", "/look/1", id, key).with_header("deadline-ms", "2000")
 }
 
 async fn start_site(name: &str, bounds: &str) -> Site {
@@ -44,9 +44,10 @@
     let site = start_site("facts-calls", "").await;
     let (leader, others) = leader_and_followers(&site).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let before: Vec<u64> = site.doors.iter().map(|listener| listener.calls()).collect();
+    let before: Vec<u64> = site.store_listeners.iter().map(|listener| listener.call_count()).collect();
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let calls: Vec<u64> = site.doors.iter().zip(before).map(|(listener, before)| listener.calls() - before).collect();
+    let calls: Vec<u64> =
+        site.store_listeners.iter().zip(before).map(|(listener, before)| listener.call_count() - before).collect();
     assert!(calls[leader] >= 8, "the leader keeps reading: {calls:?}");
     // The data that followers receive stays recent enough on a machine that is not short of processor time.
     assert!(others.iter().all(|entry| calls[*entry] < calls[leader] / 2), "{calls:?}");
@@ -58,22 +59,22 @@
     let site = start_site("facts-cut-off", "").await;
     let (_, others) = leader_and_followers(&site).await;
     let cut_off = others[0];
-    site.doors[cut_off].set(Fault::Silent);
+    site.store_listeners[cut_off].set_fault(Fault::Unresponsive);
     // Longer than a verification by the entry itself stays valid.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     assert_eq!(site.send(cut_off, &lookup("a1", KEY)).await.status, 200);
     site.configure(&[OTHER_KEY], |_| {});
     wait_for_status(&site, cut_off, KEY, 401, Duration::from_secs(2)).await;
     wait_for_status(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
-    let (draining, ready) = (&site.plain[0], &site.plain[1]);
-    site.store.put("keyed.servers", &draining.id, draining.record("ledger", "draining"));
+    let (draining, ready) = (&site.plain_replicas[0], &site.plain_replicas[1]);
+    site.store.put("keyed.servers", &draining.id, draining.store_record("ledger", "draining"));
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let before = draining.seen().len();
+    let before = draining.received_requests().len();
     for number in 0..10 {
         assert_eq!(site.send(cut_off, &lookup(&format!("b{number}"), OTHER_KEY)).await.status, 200);
     }
-    assert_eq!(draining.seen().len(), before, "a draining replica gets no requests");
-    assert!(ready.seen().len() >= 10);
+    assert_eq!(draining.received_requests().len(), before, "a draining replica gets no requests");
+    assert!(ready.received_requests().len() >= 10);
     site.close().expect("no invariant was breached");
 }
 
@@ -98,7 +99,7 @@
     let site = start_site(name, "revoke_ms = 3000").await;
     let (leader, others) = leader_and_followers(&site).await;
     let (cut_off, reader) = (others[0], others[1]);
-    site.doors[cut_off].set(Fault::Unavailable);
+    site.store_listeners[cut_off].set_fault(Fault::Unavailable);
     site.configure(&[KEY, OTHER_KEY], |config| add_routes(config, routes));
     wait_for_status(&site, cut_off, OTHER_KEY, 200, Duration::from_secs(2)).await;
     // Keys are revoked one after the other, for longer than a verification stays valid.
@@ -114,13 +115,13 @@
         );
     }
     // Only the third entry still reads the store; its data goes up to the leader and down to the other follower.
-    site.doors[leader].set(Fault::Unavailable);
+    site.store_listeners[leader].set_fault(Fault::Unavailable);
     tokio::time::sleep(revoke).await;
     site.configure(&[KEY], |config| add_routes(config, routes));
     wait_for_status(&site, cut_off, OTHER_KEY, 401, Duration::from_secs(3)).await;
     assert_eq!(site.send(cut_off, &lookup("l1", KEY)).await.status, 200, "the third entry reads for all");
     // No entry reads the store any more.
-    site.doors[reader].set(Fault::Unavailable);
+    site.store_listeners[reader].set_fault(Fault::Unavailable);
     tokio::time::sleep(revoke).await;
     for entry in 0..3 {
         assert_eq!(
@@ -166,8 +167,8 @@
 async fn a_key_is_refused_in_time_when_the_entry_that_reads_is_frozen_and_the_store_is_silent() {
     let site = start_site("facts-frozen", "revoke_ms = 2500").await;
     let (leader, others) = leader_and_followers(&site).await;
-    for listener in &site.doors {
-        listener.set(Fault::Silent);
+    for listener in &site.store_listeners {
+        listener.set_fault(Fault::Unresponsive);
     }
     site.signal(leader, Signal::STOP).expect("the entry is suspended");
     site.configure(&[OTHER_KEY], |_| {});
@@ -178,8 +179,8 @@
         let outcome = site.send(*entry, &lookup(&format!("c{entry}"), KEY)).await;
         assert_eq!(outcome.status, 503, "entry {entry}: {outcome:?}");
     }
-    for listener in &site.doors {
-        listener.set(Fault::None);
+    for listener in &site.store_listeners {
+        listener.set_fault(Fault::None);
     }
     for entry in 0..3 {
         wait_for_status(&site, entry, OTHER_KEY, 200, Duration::from_secs(5)).await;
@@ -211,16 +212,16 @@
 async fn through_an_outage_of_the_store_entries_stay_together_and_serve_at_once_after_it() {
     let site = start_site("facts-outage", "revoke_ms = 2500").await;
     leader_and_followers(&site).await;
-    for listener in &site.doors {
-        listener.set(Fault::Unavailable);
+    for listener in &site.store_listeners {
+        listener.set_fault(Fault::Unavailable);
     }
     for entry in 0..3 {
         site.wait_ready(entry, false).await.expect("no entry has a verified configuration");
     }
     // Long enough for the interval between searches for a leader to grow, if there were any searches.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    for listener in &site.doors {
-        listener.set(Fault::None);
+    for listener in &site.store_listeners {
+        listener.set_fault(Fault::None);
     }
     let restored_at = Instant::now();
     for entry in 0..3 {
@@ -244,7 +245,7 @@
 async fn entries_that_follow_one_cut_off_from_the_store_read_for_themselves_in_time() {
     let site = start_site("facts-reader-cut", "config_apply_ms = 800").await;
     let (leader, others) = leader_and_followers(&site).await;
-    site.doors[leader].set(Fault::Silent);
+    site.store_listeners[leader].set_fault(Fault::Unresponsive);
     // A read that the store already holds could still return the change.
     tokio::time::sleep(Duration::from_millis(800)).await;
     site.configure(&[KEY, OTHER_KEY], |_| {});
@@ -267,12 +268,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_denied_on_an_old_proof() {
     let site = start_site("facts-deny", "config_apply_ms = 1500").await;
-    for listener in &site.doors {
-        listener.set(Fault::Unavailable);
+    for listener in &site.store_listeners {
+        listener.set_fault(Fault::Unavailable);
     }
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     for entry in 0..3 {
-        let unknown_route = Ask::new("GET", "/nowhere/1", &format!("f{entry}"), KEY).with("deadline-ms", "2000");
+        let unknown_route =
+            RequestSpec::new("GET", "/nowhere/1", &format!("f{entry}"), KEY).with_header("deadline-ms", "2000");
         for request in [lookup(&format!("g{entry}"), OTHER_KEY), unknown_route] {
             let outcome = site.send(entry, &request).await;
             assert_eq!(outcome.status, 503, "entry {entry}: {outcome:?}");
@@ -285,25 +287,30 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_went_while_only_the_reader_was_cut_off_gets_nothing_late() {
-    let spec = Spec { entries: 3, plain: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
+    let spec =
+        Spec { entries: 3, plain_replicas: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
     let site = Site::start(spec).await.expect("the site starts");
     let (leader, others) = leader_and_followers(&site).await;
     // Whether the leader or an entry that reads for itself sees the removal first differs from round to round.
-    for (round, removed_replica) in site.plain.iter().take(3).enumerate() {
-        site.doors[leader].set(Fault::Unavailable);
+    for (round, removed_replica) in site.plain_replicas.iter().take(3).enumerate() {
+        site.store_listeners[leader].set_fault(Fault::Unavailable);
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         site.store.put("keyed.servers", &removed_replica.id, "");
         let removed_at = Instant::now();
-        site.doors[leader].set(Fault::None);
+        site.store_listeners[leader].set_fault(Fault::None);
         tokio::time::sleep(Duration::from_millis(2_000).saturating_sub(removed_at.elapsed())).await;
-        let before = removed_replica.seen().len();
+        let before = removed_replica.received_requests().len();
         for number in 0..10 {
             for entry in &others {
                 assert_eq!(site.send(*entry, &lookup(&format!("i{entry}-{round}-{number}"), KEY)).await.status, 200);
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(removed_replica.seen().len(), before, "a replica got requests too long after its removal");
+        assert_eq!(
+            removed_replica.received_requests().len(),
+            before,
+            "a replica got requests too long after its removal"
+        );
     }
     site.close().expect("no invariant was breached");
 }
@@ -314,18 +321,22 @@
     let (leader, others) = leader_and_followers(site).await;
     let (restarted, cut_off) = (others[0], others[1]);
     // Only the restarted entry reaches the store, and it has never seen the removed replica.
-    site.doors[leader].set(Fault::Unavailable);
-    site.doors[cut_off].set(Fault::Unavailable);
-    let removed_replica = site.plain[0].clone();
+    site.store_listeners[leader].set_fault(Fault::Unavailable);
+    site.store_listeners[cut_off].set_fault(Fault::Unavailable);
+    let removed_replica = site.plain_replicas[0].clone();
     site.store.put("keyed.servers", &removed_replica.id, "");
     site.restart(restarted).await.expect("the entry starts");
     tokio::time::sleep(Duration::from_millis(3_500)).await;
-    let before = removed_replica.seen().len();
+    let before = removed_replica.received_requests().len();
     for number in 0..10 {
         for entry in 0..3 {
             assert_eq!(site.send(entry, &lookup(&format!("j{entry}-{number}"), KEY)).await.status, 200);
         }
     }
-    assert_eq!(removed_replica.seen().len(), before, "a replica missing from the first snapshot is removed");
+    assert_eq!(
+        removed_replica.received_requests().len(),
+        before,
+        "a replica missing from the first snapshot is removed"
+    );
     assert!(site.breached_invariants().is_empty());
 }
--- a/standin/tests/platform_leaving.rs
+++ b/standin/tests/platform_leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::load::{count_served, lookup, prompt, receiving_entry, send_load};
-use standin::platform::{Act, Ask, Fault, Replica, Run, Site, Spec};
+use standin::platform::{Behavior, Fault, ReceivedRequest, Replica, RequestSpec, Site, Spec};
 
 /// Time after the announcement reached an entry, after which a request from that entry is a breach.
 const DRAIN: Duration = Duration::from_millis(600);
@@ -14,26 +14,30 @@
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(400);
 
 async fn start_site(name: &str) -> Site {
-    let spec = Spec { entries: 3, engines: 8, plain: 4, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
+    let spec =
+        Spec { entries: 3, engines: 8, plain_replicas: 4, bounds: "drain_ms = 600".to_owned(), ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
 fn make_store_unavailable(site: &Site) {
-    site.doors.iter().for_each(|listener| listener.set(Fault::Unavailable));
+    site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::Unavailable));
 }
 
 fn busiest(replicas: &[Arc<Replica>]) -> &Arc<Replica> {
-    replicas.iter().max_by_key(|replica| replica.seen().len()).expect("there are replicas")
+    replicas.iter().max_by_key(|replica| replica.received_requests().len()).expect("there are replicas")
 }
 
 /// Asserts that no entry sends a request to the replica later than `DRAIN` after the first one, whose response
 /// announces the draining.
 fn assert_no_late_requests(site: &Site, replica: &Replica, since: Instant) {
     for entry in 0..site.addresses.len() {
-        let is_from_entry = |received: &Run| received.at >= since && receiving_entry(site, received) == entry;
-        let received_requests: Vec<Run> = replica.seen().into_iter().filter(is_from_entry).collect();
+        let is_from_entry =
+            |received: &ReceivedRequest| received.received_at >= since && receiving_entry(site, received) == entry;
+        let received_requests: Vec<ReceivedRequest> =
+            replica.received_requests().into_iter().filter(is_from_entry).collect();
         let Some(first) = received_requests.first() else { continue };
-        let late_count = received_requests.iter().filter(|received| received.at > first.at + DRAIN).count();
+        let late_count =
+            received_requests.iter().filter(|received| received.received_at > first.received_at + DRAIN).count();
         assert_eq!(
             late_count,
             0,
@@ -48,7 +52,7 @@
 async fn drain_busiest_under_load(
     site: &Site,
     replicas: &[Arc<Replica>],
-    build_request: fn(&str) -> Ask,
+    build_request: fn(&str) -> RequestSpec,
     with_store: bool,
 ) {
     send_load(site, 30, Duration::from_secs(1), build_request).await;
@@ -56,19 +60,19 @@
     if !with_store {
         make_store_unavailable(site);
     }
-    draining.say_leaving();
+    draining.set_draining();
     let since = Instant::now();
     let outcomes = send_load(site, 30, Duration::from_secs(3), build_request).await;
     assert_no_late_requests(site, draining, since);
     assert_eq!(count_served(&outcomes), outcomes.len(), "the other replicas have capacity for all requests");
-    let slowest = outcomes.iter().map(|outcome| outcome.took).max().unwrap_or_default();
+    let slowest = outcomes.iter().map(|outcome| outcome.elapsed).max().unwrap_or_default();
     assert!(slowest < Duration::from_millis(700), "a request waited for the draining replica: {slowest:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_plain_replica_gets_no_new_requests_during_a_store_outage() {
     let site = start_site("leaving-plain").await;
-    drain_busiest_under_load(&site, &site.plain, lookup, false).await;
+    drain_busiest_under_load(&site, &site.plain_replicas, lookup, false).await;
     site.close().expect("no invariant was breached");
 }
 
@@ -83,15 +87,18 @@
 async fn a_ready_record_does_not_undo_an_announced_draining() {
     let site = start_site("leaving-heartbeats").await;
     send_load(&site, 30, Duration::from_secs(1), lookup).await;
-    let draining = busiest(&site.plain);
-    draining.say_leaving();
+    let draining = busiest(&site.plain_replicas);
+    draining.set_draining();
     let since = Instant::now();
     for _ in 0..4 {
         send_load(&site, 30, Duration::from_millis(500), lookup).await;
-        site.announce_all();
+        site.write_replica_records();
     }
-    let received_requests =
-        draining.seen().into_iter().filter(|received| received.at > since + DRAIN + PROPAGATION_TIMEOUT).count();
+    let received_requests = draining
+        .received_requests()
+        .into_iter()
+        .filter(|received| received.received_at > since + DRAIN + PROPAGATION_TIMEOUT)
+        .count();
     assert_eq!(received_requests, 0, "a heartbeat does not undo the draining");
     site.close().expect("no invariant was breached");
 }
@@ -100,29 +107,37 @@
 async fn draining_announced_to_one_entry_is_observed_by_all() {
     let mut site = start_site("leaving-news").await;
     make_store_unavailable(&site);
-    site.plain[0].say_leaving();
+    site.plain_replicas[0].set_draining();
     // Sends through one entry only, until the replica has answered.
     for number in 0..40 {
         site.send(1, &lookup(&format!("first-{number}"))).await;
-        if !site.plain[0].seen().is_empty() {
+        if !site.plain_replicas[0].received_requests().is_empty() {
             break;
         }
     }
-    assert!(!site.plain[0].seen().is_empty(), "the replica got a request");
+    assert!(!site.plain_replicas[0].received_requests().is_empty(), "the replica got a request");
     tokio::time::sleep(PROPAGATION_TIMEOUT).await;
-    let before = site.plain[0].seen().len();
+    let before = site.plain_replicas[0].received_requests().len();
     let outcomes = send_load(&site, 30, Duration::from_secs(2), lookup).await;
     assert_eq!(count_served(&outcomes), outcomes.len());
-    assert_eq!(site.plain[0].seen().len(), before, "the other entries know that the replica is draining");
+    assert_eq!(
+        site.plain_replicas[0].received_requests().len(),
+        before,
+        "the other entries know that the replica is draining"
+    );
     // A starting entry reads that the replica is ready and receives from its peers that it is draining.
-    site.doors.iter().for_each(|listener| listener.set(Fault::None));
+    site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::None));
     site.restart(2).await.expect("the entry restarts");
     site.wait_ready(2, true).await.expect("the entry is ready");
     tokio::time::sleep(PROPAGATION_TIMEOUT).await;
     for number in 0..20 {
         site.send(2, &lookup(&format!("second-{number}"))).await;
     }
-    assert_eq!(site.plain[0].seen().len(), before, "a starting entry learns that the replica is draining");
+    assert_eq!(
+        site.plain_replicas[0].received_requests().len(),
+        before,
+        "a starting entry learns that the replica is draining"
+    );
     site.close().expect("no invariant was breached");
 }
 
@@ -131,9 +146,9 @@
     let site = start_site("leaving-refusal").await;
     make_store_unavailable(&site);
     send_load(&site, 30, Duration::from_secs(1), lookup).await;
-    let draining = busiest(&site.plain);
-    draining.say_leaving();
-    draining.next([Act::Refuse; 100]);
+    let draining = busiest(&site.plain_replicas);
+    draining.set_draining();
+    draining.queue_behaviors([Behavior::Refuse; 100]);
     let since = Instant::now();
     send_load(&site, 30, Duration::from_secs(2), lookup).await;
     assert_no_late_requests(&site, draining, since);
@@ -143,14 +158,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_refused_at_once_with_retry_after_when_all_replicas_are_draining() {
     let site = start_site("leaving-all").await;
-    site.plain.iter().for_each(|replica| replica.say_leaving());
+    site.plain_replicas.iter().for_each(|replica| replica.set_draining());
     send_load(&site, 30, Duration::from_secs(2), lookup).await;
-    let received_count = || site.plain.iter().map(|replica| replica.seen().len()).sum::<usize>();
+    let received_count = || site.plain_replicas.iter().map(|replica| replica.received_requests().len()).sum::<usize>();
     let before = received_count();
     let refused = send_load(&site, 30, Duration::from_secs(1), lookup).await;
     for outcome in &refused {
         assert_eq!(outcome.status, 503, "{outcome:?}");
-        assert!(!outcome.header("retry-after").is_empty() && outcome.took < Duration::from_millis(150), "{outcome:?}");
+        assert!(
+            !outcome.header("retry-after").is_empty() && outcome.elapsed < Duration::from_millis(150),
+            "{outcome:?}"
+        );
     }
     assert_eq!(received_count(), before, "requests reported as not run reach no replica");
     site.close().expect("no invariant was breached");
--- a/standin/tests/platform_lifetimes.rs
+++ b/standin/tests/platform_lifetimes.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use serde_json::{Value, json};
-use standin::platform::{Ask, KEY, Seen, Site, Spec};
+use standin::platform::{KEY, Outcome, RequestSpec, Site, Spec};
 
 /// Time within which both entries know of a change in the store; the records are read four times in 2 s.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -12,13 +12,15 @@
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const TOPIC: &str = "keyed.servers";
 
-fn prompt(id: &str) -> Ask {
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500")
+fn prompt(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500")
 }
 
 /// The record of an engine with some fields changed.
 fn edited_record(site: &Site, engine: usize, state: &str, change: impl FnOnce(&mut Value)) -> String {
-    let mut record: Value = serde_json::from_str(&site.engines[engine].record("advisor", state)).expect("JSON");
+    let mut record: Value = serde_json::from_str(&site.engines[engine].store_record("advisor", state)).expect("JSON");
     change(&mut record);
     record.to_string()
 }
@@ -31,8 +33,8 @@
 async fn is_served(site: &Site, id: &str) -> bool {
     let mut served = 0;
     for entry in 0..site.addresses.len() {
-        let outcome: Seen = site.send(entry, &prompt(&format!("{id}-{entry}"))).await;
-        served += usize::from(outcome.status == 200 && outcome.whole);
+        let outcome: Outcome = site.send(entry, &prompt(&format!("{id}-{entry}"))).await;
+        served += usize::from(outcome.status == 200 && outcome.is_complete);
     }
     assert!(served == 0 || served == site.addresses.len(), "the entries disagree");
     served > 0
@@ -146,7 +148,7 @@
 async fn an_unusable_record_ejects_only_its_replica_until_the_replica_writes_again() {
     let unusable = unusable_records();
     let unusable_count = unusable.len();
-    let mut site = Site::start(Spec { engines: unusable_count + 1, verbose: true, ..Spec::small("lifetimes-odd") })
+    let mut site = Site::start(Spec { engines: unusable_count + 1, is_verbose: true, ..Spec::small("lifetimes-odd") })
         .await
         .expect("the site starts");
     // An entry can eject only a replica that it knows.
@@ -167,8 +169,9 @@
             assert_eq!(count_logged(&site, entry, engine, "unusable"), 1, "entry {entry}: {label}");
         }
     }
-    let received_count =
-        |site: &Site| site.engines[..unusable_count].iter().map(|engine| engine.seen().len()).sum::<usize>();
+    let received_count = |site: &Site| {
+        site.engines[..unusable_count].iter().map(|engine| engine.received_requests().len()).sum::<usize>()
+    };
     for number in 0..8 {
         assert!(is_served(&site, &format!("odd-{number}")).await);
     }
--- a/standin/tests/platform_members.rs
+++ b/standin/tests/platform_members.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
 use serde_json::json;
-use standin::platform::{Ask, Fault, HOST, Site, Spec, send};
+use standin::platform::{Fault, HOST, RequestSpec, Site, Spec, send};
 
 /// Time within which the entries of a site have found each other.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -30,7 +30,7 @@
 }
 
 async fn start_site_with_bounds(name: &str, entries: usize, bounds: &str) -> Site {
-    let spec = Spec { entries, seeded: true, bounds: bounds.to_owned(), ..Spec::small(name) };
+    let spec = Spec { entries, has_seeds: true, bounds: bounds.to_owned(), ..Spec::small(name) };
     let site = Site::start(spec).await.expect("the site starts");
     tokio::time::sleep(DISCOVERY_TIMEOUT).await;
     site
@@ -38,8 +38,8 @@
 
 /// Returns the number of calls to the store by all entries but the leader.
 fn calls_of_others(site: &Site, leader: usize) -> u64 {
-    let others = site.doors.iter().enumerate().filter(|(entry, _)| *entry != leader);
-    others.map(|(_, listener)| listener.calls()).sum()
+    let others = site.store_listeners.iter().enumerate().filter(|(entry, _)| *entry != leader);
+    others.map(|(_, listener)| listener.call_count()).sum()
 }
 
 /// Returns the entries that follow no other entry, according to the last line about this in each log.
@@ -49,7 +49,7 @@
         let last_leader_changes = ["step=leader-lost", "step=leader-left", "step=start "].map(|step| log.rfind(step));
         log.rfind("step=following") > last_leader_changes.into_iter().max().flatten()
     };
-    (0..site.doors.len()).filter(|entry| !is_follower(entry)).collect()
+    (0..site.store_listeners.len()).filter(|entry| !is_follower(entry)).collect()
 }
 
 /// Waits until all entries follow one leader and returns it: the first entry in most runs, another if that one started
@@ -114,12 +114,12 @@
     let mut site = start_site("members-turned-away", 6).await;
     let leader = leader(&site).await;
     let refused_entry = if leader == 3 { 4 } else { 3 };
-    site.doors[refused_entry].set(Fault::TooMany);
-    let before = site.doors[refused_entry].calls();
+    site.store_listeners[refused_entry].set_fault(Fault::TooManyRequests);
+    let before = site.store_listeners[refused_entry].call_count();
     site.restart(refused_entry).await.expect("the process restarts");
     site.wait_ready(refused_entry, true).await.expect("ready");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let calls = site.doors[refused_entry].calls() - before;
+    let calls = site.store_listeners[refused_entry].call_count() - before;
     assert!(calls < 3, "{calls} calls");
     site.close().expect("no invariant was breached");
 }
@@ -132,7 +132,7 @@
         let site = start_site(&format!("members-deputies-{entries}"), entries).await;
         let leader = leader(&site).await;
         let before = calls_of_others(&site, leader);
-        site.doors[leader].set(Fault::TooMany);
+        site.store_listeners[leader].set_fault(Fault::TooManyRequests);
         tokio::time::sleep(Duration::from_secs(4)).await;
         let calls = calls_of_others(&site, leader) - before;
         let [configuration, records, quarantine] = calls_by_topic(&site, leader).await;
@@ -167,8 +167,8 @@
 
 /// Returns the value of a metric of an entry, summed over the lines that contain `label`.
 async fn metric_with_label(site: &Site, entry: usize, name: &str, label: &str) -> f64 {
-    let request = Ask { headers: Vec::new(), ..Ask::new("GET", "/metrics", "", "") };
-    let outcome = send(&site.ready[entry], HOST, &request).await.expect("the metrics");
+    let request = RequestSpec { headers: Vec::new(), ..RequestSpec::new("GET", "/metrics", "", "") };
+    let outcome = send(&site.ready_addresses[entry], HOST, &request).await.expect("the metrics");
     let lines = outcome.body.lines().filter(|line| line.starts_with(name) && line.contains(label));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
@@ -233,7 +233,8 @@
         std::future::ready(count_received_updates(&site, joining_entry) >= REPLICAS)
     })
     .await;
-    let (calls, sent) = (site.doors[joining_entry].calls(), metric_total(&site, leader, "sorrelpass_peer_bytes").await);
+    let (calls, sent) =
+        (site.store_listeners[joining_entry].call_count(), metric_total(&site, leader, "sorrelpass_peer_bytes").await);
     site.restart(joining_entry).await.expect("the process restarts");
     site.wait_ready(joining_entry, true).await.expect("ready");
     wait_until("the joining entry has all records again", || {
@@ -242,7 +243,10 @@
     .await;
     let bytes = (metric_total(&site, leader, "sorrelpass_peer_bytes").await - sent) / REPLICAS as f64;
     assert!(bytes < MAX_BYTES_PER_RECORD, "{bytes} bytes per replica");
-    assert!(site.doors[joining_entry].calls() <= calls + 1, "the joining entry reads nothing from the store");
+    assert!(
+        site.store_listeners[joining_entry].call_count() <= calls + 1,
+        "the joining entry reads nothing from the store"
+    );
     assert_eq!(site.log(joining_entry).matches("step=replica ").count(), 0, "one log line for all replicas");
     site.close().expect("no invariant was breached");
 }
--- a/standin/tests/platform_processes.rs
+++ b/standin/tests/platform_processes.rs
@@ -8,14 +8,16 @@
 
 use common::leader;
 use rustix::process::Signal;
-use standin::platform::{Act, Ask, Fault, HOST, KEY, Site, Spec};
+use standin::platform::{Behavior, Fault, HOST, KEY, RequestSpec, Site, Spec};
 
-fn prompt(id: &str) -> Ask {
-    Ask::new("POST", "/prompt/1", id, KEY).with("token-usage", "500,400").with("deadline-ms", "2500")
+fn prompt(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/prompt/1", id, KEY)
+        .with_header("token-usage", "500,400")
+        .with_header("deadline-ms", "2500")
 }
 
-fn payment(id: &str) -> Ask {
-    Ask::new("POST", "/pay/1", id, KEY).with("deadline-ms", "2000")
+fn payment(id: &str) -> RequestSpec {
+    RequestSpec::new("POST", "/pay/1", id, KEY).with_header("deadline-ms", "2000")
 }
 
 async fn start_site(name: &str, entries: usize, bounds: &str) -> Site {
@@ -36,14 +38,14 @@
     for entry in 0..entries {
         let id = format!("{round}{entry}");
         let outcome = site.send(entry, &prompt(&id)).await;
-        assert_eq!((outcome.status, outcome.whole), (200, true), "entry {entry}: {outcome:?}");
+        assert_eq!((outcome.status, outcome.is_complete), (200, true), "entry {entry}: {outcome:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_end_finishes_what_runs_and_refuses_what_it_cannot_finish() {
     let mut site = start_site("processes-end", 2, "grace_s = 6").await;
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_000)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(1_000)]));
     // A persistent connection that its client uses until the server closes it.
     let mut connection = TcpStream::connect(&site.addresses[0]).expect("the connection opens");
     let raw_request = |id: &str| {
@@ -57,7 +59,7 @@
         site.wait_ready(0, false).await.expect("the entry stops being ready");
     };
     let (outcome, ()) = tokio::join!(running, ending);
-    assert_eq!((outcome.status, outcome.whole), (200, true), "{outcome:?}");
+    assert_eq!((outcome.status, outcome.is_complete), (200, true), "{outcome:?}");
     connection.write_all(raw_request("a2").as_bytes()).expect("the request is sent");
     let mut answer = [0; 512];
     let read = connection.read(&mut answer).expect("the response arrives");
@@ -70,7 +72,7 @@
         idle_connection.read(&mut [0; 16])
     });
     assert_eq!(closed.await.expect("the reading thread ends").expect("the connection is closed cleanly"), 0);
-    assert!(site.wait_end(0).await.expect("the entry exits"), "the entry exits successfully");
+    assert!(site.wait_exit(0).await.expect("the entry exits"), "the entry exits successfully");
     assert!(site.log(0).contains("step=stopped in_flight=0"));
     site.close().expect("no invariant was breached");
 }
@@ -79,7 +81,7 @@
 async fn a_request_that_comes_too_late_before_the_end_is_refused_as_not_run() {
     let site = start_site("processes-late", 1, "grace_s = 6").await;
     // A running request keeps the process up.
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_900)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(1_900)]));
     let long_call = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         site.send(0, &payment("b1")).await
@@ -92,14 +94,14 @@
     let (long_call, late_call) = tokio::join!(long_call, late_call);
     assert_eq!(long_call.status, 200, "{long_call:?}");
     assert!(late_call.status == 503 || late_call.status == 0, "{late_call:?}");
-    assert_eq!(site.plain.iter().map(|replica| replica.ran("b2")).sum::<usize>(), 0);
+    assert_eq!(site.plain_replicas.iter().map(|replica| replica.run_count("b2")).sum::<usize>(), 0);
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_faulty_settings_file_is_refused_at_a_reload_and_no_request_is_cut() {
     let site = start_site("processes-reload", 1, "").await;
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(500)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(500)]));
     let file = site.settings_file(0);
     let valid_settings = std::fs::read_to_string(&file).expect("the settings are readable");
     std::fs::write(&file, valid_settings.replace("store = ", "colour = red\nstore = "))
@@ -129,8 +131,9 @@
         config["routes"][0]["timeout_ms"] = serde_json::json!(20_000);
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let waiting_prompt =
-        Ask::new("POST", "/prompt/1", "k1", KEY).with("token-usage", "5000000,400").with("deadline-ms", "20000");
+    let waiting_prompt = RequestSpec::new("POST", "/prompt/1", "k1", KEY)
+        .with_header("token-usage", "5000000,400")
+        .with_header("deadline-ms", "20000");
     let ending = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         site.signal(0, Signal::TERM).expect("the signal is sent");
@@ -138,15 +141,15 @@
     let (outcome, ()) = tokio::join!(site.send(0, &waiting_prompt), ending);
     assert_eq!(outcome.status, 503, "{outcome:?}");
     assert!(!outcome.header("retry-after").is_empty());
-    assert!(outcome.took < Duration::from_secs(4), "{:?}", outcome.took);
-    assert!(site.wait_end(0).await.expect("the entry exits"), "the entry exits successfully");
+    assert!(outcome.elapsed < Duration::from_secs(4), "{:?}", outcome.elapsed);
+    assert!(site.wait_exit(0).await.expect("the entry exits"), "the entry exits successfully");
     site.close().expect("no invariant was breached");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reloaded_bounds_are_in_force_at_once() {
     let site = start_site("processes-bounds", 1, "revoke_ms = 20000").await;
-    site.doors[0].set(Fault::Silent);
+    site.store_listeners[0].set_fault(Fault::Unresponsive);
     let file = site.settings_file(0);
     let settings = std::fs::read_to_string(&file).expect("the settings are readable");
     std::fs::write(&file, settings.replace("revoke_ms = 20000", "revoke_ms = 1000")).expect("the settings are written");
@@ -175,8 +178,8 @@
         }
     });
     for outcome in futures_util::future::join_all(requests).await {
-        assert_eq!((outcome.status, outcome.whole), (200, true), "{outcome:?}");
-        assert!(outcome.took < Duration::from_millis(1_200), "{:?}", outcome.took);
+        assert_eq!((outcome.status, outcome.is_complete), (200, true), "{outcome:?}");
+        assert!(outcome.elapsed < Duration::from_millis(1_200), "{:?}", outcome.elapsed);
     }
     site.signal(first_leader, Signal::CONT).expect("the entry resumes");
     site.restart(first_leader).await.expect("the entry restarts");
@@ -207,13 +210,13 @@
 async fn an_entry_that_the_store_turns_away_plans_for_nobody() {
     let mut site = start_site("processes-turned-away", 3, "").await;
     let first_leader = leader(&site, 3).await;
-    site.doors[first_leader].set(Fault::TooMany);
+    site.store_listeners[first_leader].set_fault(Fault::TooManyRequests);
     site.restart(first_leader).await.expect("the entry restarts");
     tokio::time::sleep(Duration::from_millis(500)).await;
     for entry in (0..3).filter(|entry| *entry != first_leader) {
         let outcome = site.send(entry, &prompt(&format!("h{entry}"))).await;
-        assert_eq!((outcome.status, outcome.whole), (200, true), "entry {entry}: {outcome:?}");
-        assert!(outcome.took < Duration::from_secs(1), "{:?}", outcome.took);
+        assert_eq!((outcome.status, outcome.is_complete), (200, true), "entry {entry}: {outcome:?}");
+        assert!(outcome.elapsed < Duration::from_secs(1), "{:?}", outcome.elapsed);
     }
     let refused = site.send(first_leader, &prompt("h9")).await;
     assert_eq!(refused.status, 503, "{refused:?}");
@@ -226,26 +229,26 @@
     let first_leader = leader(&site, 3).await;
     // An entry that first met another entry searches for an older one after 3 s.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    site.doors[first_leader].set(Fault::Silent);
+    site.store_listeners[first_leader].set_fault(Fault::Unresponsive);
     // Longer than a verification stays valid: the followers read the store and send their data to the leader.
     tokio::time::sleep(Duration::from_secs(4)).await;
     for entry in 0..3 {
         let outcome = site.send(entry, &prompt(&format!("i{entry}"))).await;
-        assert_eq!((outcome.status, outcome.whole), (200, true), "entry {entry}: {outcome:?}");
-        assert!(outcome.took < Duration::from_secs(1), "{:?}", outcome.took);
+        assert_eq!((outcome.status, outcome.is_complete), (200, true), "entry {entry}: {outcome:?}");
+        assert!(outcome.elapsed < Duration::from_secs(1), "{:?}", outcome.elapsed);
         assert!(!site.log(entry).contains("step=leader-lost"), "entry {entry} keeps its leader");
     }
     // When no entry reaches the store, no entry can know which keys were revoked.
-    site.doors.iter().for_each(|listener| listener.set(Fault::Silent));
+    site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::Unresponsive));
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     for entry in 0..3 {
         let outcome = site.send(entry, &prompt(&format!("j{entry}"))).await;
         assert_eq!(outcome.status, 503, "entry {entry}: {outcome:?}");
-        assert!(outcome.took < Duration::from_millis(500), "the refusal took {:?}", outcome.took);
+        assert!(outcome.elapsed < Duration::from_millis(500), "the refusal took {:?}", outcome.elapsed);
         assert!(!site.log(entry).contains("step=leader-lost"), "entry {entry} has no better leader");
     }
     // One entry that reads the store is enough for all.
-    site.doors[(first_leader + 1) % 3].set(Fault::None);
+    site.store_listeners[(first_leader + 1) % 3].set_fault(Fault::None);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert_served_by_all(&site, 3, "k").await;
     site.close().expect("no invariant was breached");
@@ -256,7 +259,7 @@
     let site = start_site("processes-handover", 3, "grace_s = 6").await;
     let former_leader = leader(&site, 3).await;
     // A running request keeps the process up; requests that it still accepts are planned together with all others.
-    site.plain.iter().for_each(|replica| replica.next([Act::Stall(1_500)]));
+    site.plain_replicas.iter().for_each(|replica| replica.queue_behaviors([Behavior::Stall(1_500)]));
     let request = payment("p1");
     let running = site.send(former_leader, &request);
     let ending = async {
@@ -277,15 +280,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_comes_back_while_the_store_is_away_learns_all_from_the_others() {
-    for fault in [Fault::Silent, Fault::Unavailable] {
+    for fault in [Fault::Unresponsive, Fault::Unavailable] {
         let bounds = "revoke_strict = false".to_owned();
-        let spec = Spec { entries: 3, bounds, seeded: true, ..Spec::small("processes-back") };
+        let spec = Spec { entries: 3, bounds, has_seeds: true, ..Spec::small("processes-back") };
         let mut site = Site::start(spec).await.expect("the site starts");
         let former_leader = leader(&site, 3).await;
         // The last entry knows the addresses of all others.
         let restarted = if former_leader == 2 { 1 } else { 2 };
         wait_for_log(&site, restarted, "step=announced address", 1).await;
-        site.doors.iter().for_each(|listener| listener.set(fault));
+        site.store_listeners.iter().for_each(|listener| listener.set_fault(fault));
         tokio::time::sleep(Duration::from_millis(500)).await;
         site.restart(restarted).await.expect("the entry starts");
         let started = Instant::now();
@@ -293,10 +296,10 @@
         assert!(started.elapsed() < Duration::from_millis(2_500), "{fault:?}: {:?}", started.elapsed());
         for (number, request) in [prompt("q1"), payment("q2")].iter().enumerate() {
             let outcome = site.send(restarted, request).await;
-            assert_eq!((outcome.status, outcome.whole), (200, true), "{fault:?} {number}: {outcome:?}");
+            assert_eq!((outcome.status, outcome.is_complete), (200, true), "{fault:?} {number}: {outcome:?}");
         }
         // After the store returns, the entry is listed like all others.
-        site.doors.iter().for_each(|listener| listener.set(Fault::None));
+        site.store_listeners.iter().for_each(|listener| listener.set_fault(Fault::None));
         wait_for_log(&site, restarted, "step=announced address", 2).await;
         let listed_peers = site.store.keys("keyed.peers");
         assert_eq!(
--- a/standin/tests/platform_rest.rs
+++ b/standin/tests/platform_rest.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::load::{count_served, lookup, prompt, receiving_entry, send_load};
-use standin::platform::{Act, Ask, Replica, Run, Seen, Site, Spec};
+use standin::platform::{Behavior, Outcome, ReceivedRequest, Replica, RequestSpec, Site, Spec};
 
 /// Backoff that replicas ask for, also as the text in their responses.
 const BACKOFF: Duration = Duration::from_secs(2);
@@ -23,7 +23,7 @@
 const MAX_REFUSAL_TIME: Duration = Duration::from_millis(100);
 
 async fn start_site(name: &str) -> Site {
-    let spec = Spec { entries: 3, engines: 8, plain: 4, ..Spec::small(name) };
+    let spec = Spec { entries: 3, engines: 8, plain_replicas: 4, ..Spec::small(name) };
     Site::start(spec).await.expect("the site starts")
 }
 
@@ -31,27 +31,27 @@
 async fn busiest_first<'a>(
     site: &Site,
     replicas: &'a [Arc<Replica>],
-    build_request: fn(&str) -> Ask,
+    build_request: fn(&str) -> RequestSpec,
 ) -> Vec<&'a Arc<Replica>> {
     send_load(site, 30, Duration::from_secs(1), build_request).await;
     let mut busiest: Vec<&Arc<Replica>> = replicas.iter().collect();
-    busiest.sort_by_key(|replica| std::cmp::Reverse(replica.seen().len()));
+    busiest.sort_by_key(|replica| std::cmp::Reverse(replica.received_requests().len()));
     busiest
 }
 
 /// Returns the maximum number of requests from one entry during a backoff that the replica asked that entry for.
 fn max_requests_in_backoff(site: &Site, replica: &Replica) -> usize {
-    let received_requests: Vec<Run> = replica.seen();
-    let requests_in_backoff = |refusal: &Run| {
-        let is_in_backoff = |received: &&Run| {
-            let after = received.at.saturating_duration_since(refusal.at);
+    let received_requests: Vec<ReceivedRequest> = replica.received_requests();
+    let requests_in_backoff = |refusal: &ReceivedRequest| {
+        let is_in_backoff = |received: &&ReceivedRequest| {
+            let after = received.received_at.saturating_duration_since(refusal.received_at);
             after > BACKOFF_APPLY_TIMEOUT
                 && after < BACKOFF
                 && receiving_entry(site, received) == receiving_entry(site, refusal)
         };
         received_requests.iter().filter(is_in_backoff).count()
     };
-    received_requests.iter().filter(|received| !received.ran).map(requests_in_backoff).max().unwrap_or(0)
+    received_requests.iter().filter(|received| !received.was_run).map(requests_in_backoff).max().unwrap_or(0)
 }
 
 fn assert_backoffs_observed(site: &Site, replicas: &[Arc<Replica>]) {
@@ -66,10 +66,10 @@
 }
 
 /// Asserts that refusals come within `max_elapsed`, with a time to retry after that fits the backoff.
-fn assert_refused_at_once(outcomes: &[Seen], max_elapsed: Duration) {
+fn assert_refused_at_once(outcomes: &[Outcome], max_elapsed: Duration) {
     for refused in outcomes.iter().filter(|outcome| outcome.status != 200) {
         assert_eq!(refused.status, 503, "{refused:?}");
-        assert!(refused.took < max_elapsed, "{refused:?}");
+        assert!(refused.elapsed < max_elapsed, "{refused:?}");
         let after: f64 = refused.header("retry-after").parse().expect("a time to retry after");
         assert!(after > 0.0 && after < 2.0 * BACKOFF.as_secs_f64(), "{refused:?}");
     }
@@ -78,9 +78,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_plain_replica_in_backoff_causes_no_refusals() {
     let site = start_site("rest-plain-one").await;
-    busiest_first(&site, &site.plain, lookup).await[0].ask_rest(Some(BACKOFF_HEADER));
+    busiest_first(&site, &site.plain_replicas, lookup).await[0].set_backoff(Some(BACKOFF_HEADER));
     let outcomes = send_load(&site, 30, Duration::from_secs(7), lookup).await;
-    assert_backoffs_observed(&site, &site.plain);
+    assert_backoffs_observed(&site, &site.plain_replicas);
     assert_eq!(count_served(&outcomes), outcomes.len(), "three other replicas have capacity for all requests");
     site.close().expect("no invariant was breached");
 }
@@ -88,7 +88,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_replica_that_refuses_without_retry_after_causes_no_refusals() {
     let site = start_site("refuses-plain-one").await;
-    busiest_first(&site, &site.plain, lookup).await[0].next([Act::Refuse; 1_000]);
+    busiest_first(&site, &site.plain_replicas, lookup).await[0].queue_behaviors([Behavior::Refuse; 1_000]);
     let outcomes = send_load(&site, 30, Duration::from_secs(7), lookup).await;
     assert_eq!(count_served(&outcomes), outcomes.len(), "three other replicas have capacity for all requests");
     site.close().expect("no invariant was breached");
@@ -98,7 +98,7 @@
 async fn engines_in_backoff_get_no_prompts_and_others_serve_them() {
     let site = start_site("rest-engines-two").await;
     let busiest = busiest_first(&site, &site.engines, prompt).await;
-    busiest[..2].iter().for_each(|engine| engine.ask_rest(Some(BACKOFF_HEADER)));
+    busiest[..2].iter().for_each(|engine| engine.set_backoff(Some(BACKOFF_HEADER)));
     let outcomes = send_load(&site, 30, Duration::from_secs(7), prompt).await;
     assert_backoffs_observed(&site, &site.engines);
     assert_eq!(count_served(&outcomes), outcomes.len(), "six other engines have capacity for all prompts");
@@ -108,12 +108,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_are_refused_during_the_backoff_of_all_plain_replicas_and_served_after_it() {
     let site = start_site("rest-plain-all").await;
-    site.plain.iter().for_each(|replica| replica.ask_rest(Some(BACKOFF_HEADER)));
+    site.plain_replicas.iter().for_each(|replica| replica.set_backoff(Some(BACKOFF_HEADER)));
     let refused = send_load(&site, 30, Duration::from_secs(5), lookup).await;
-    assert_backoffs_observed(&site, &site.plain);
+    assert_backoffs_observed(&site, &site.plain_replicas);
     assert_eq!(count_served(&refused), 0);
     assert_refused_at_once(&refused, Duration::from_millis(250));
-    site.plain.iter().for_each(|replica| replica.ask_rest(None));
+    site.plain_replicas.iter().for_each(|replica| replica.set_backoff(None));
     tokio::time::sleep(BACKOFF).await;
     let outcomes = send_load(&site, 30, Duration::from_secs(1), lookup).await;
     assert_eq!(count_served(&outcomes), outcomes.len(), "the backoff is over");
@@ -123,17 +123,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn prompts_are_refused_during_the_backoff_of_all_engines_and_served_after_it() {
     let site = start_site("rest-engines-all").await;
-    site.engines.iter().for_each(|engine| engine.ask_rest(Some(BACKOFF_HEADER)));
+    site.engines.iter().for_each(|engine| engine.set_backoff(Some(BACKOFF_HEADER)));
     let refused = send_load(&site, 30, Duration::from_secs(5), prompt).await;
     assert_backoffs_observed(&site, &site.engines);
     assert_eq!(count_served(&refused), 0);
-    let prompt_refusals = refused.iter().filter(|outcome| outcome.took < MAX_REFUSAL_TIME).count();
+    let prompt_refusals = refused.iter().filter(|outcome| outcome.elapsed < MAX_REFUSAL_TIME).count();
     assert!(
         prompt_refusals > refused.len() / 2,
         "only {prompt_refusals} of {} prompts refused at once: waiting is useless when the backoff outlasts their timeout",
         refused.len()
     );
-    site.engines.iter().for_each(|engine| engine.ask_rest(None));
+    site.engines.iter().for_each(|engine| engine.set_backoff(None));
     tokio::time::sleep(BACKOFF).await;
     let outcomes = send_load(&site, 30, Duration::from_secs(1), prompt).await;
     assert_eq!(count_served(&outcomes), outcomes.len(), "the backoff is over");
@@ -142,10 +142,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_wait_for_a_short_backoff_of_the_only_replica() {
-    let site = Site::start(Spec { entries: 1, plain: 1, ..Spec::small("rest-short") }).await.expect("the site starts");
-    site.plain[0].ask_rest(Some("0.1"));
+    let site = Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-short") })
+        .await
+        .expect("the site starts");
+    site.plain_replicas[0].set_backoff(Some("0.1"));
     site.send(0, &lookup("load-0")).await;
-    site.plain[0].ask_rest(None);
+    site.plain_replicas[0].set_backoff(None);
     let sent = Instant::now();
     let outcome = site.send(0, &lookup("load-1")).await;
     assert_eq!(outcome.status, 200, "{outcome:?}");
@@ -156,11 +158,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_backoff_time_is_ignored() {
     for text in ["0", "-3", "soon", "Thu, 03 Dec 2026 11:00:00 GMT"] {
-        let site =
-            Site::start(Spec { entries: 1, plain: 1, ..Spec::small("rest-none") }).await.expect("the site starts");
-        site.plain[0].ask_rest(Some(text));
+        let site = Site::start(Spec { entries: 1, plain_replicas: 1, ..Spec::small("rest-none") })
+            .await
+            .expect("the site starts");
+        site.plain_replicas[0].set_backoff(Some(text));
         site.send(0, &lookup("load-0")).await;
-        site.plain[0].ask_rest(None);
+        site.plain_replicas[0].set_backoff(None);
         let outcome = site.send(0, &lookup("load-1")).await;
         assert_eq!(outcome.status, 200, "{text}: {outcome:?}");
         site.close().expect("no invariant was breached");
