--- a/coord/benches/parcel.rs
+++ b/coord/benches/delta.rs
@@ -1,6 +1,6 @@
 //! Run time and size of deltas that transfer a configuration to a receiver.
 //!
-//! Run with `cargo bench -p coord --bench parcel`. The configuration consists of distinct routes, one of which
+//! Run with `cargo bench -p coord --bench delta`. The configuration consists of distinct routes, one of which
 //! changes. Sizes are printed first. For comparison: without deltas, peers relay at most 32 KB, and each receiver
 //! reads a larger configuration in full from the store.
 //!
--- a/coord/src/delta.rs
+++ b/coord/src/delta.rs
@@ -6,7 +6,7 @@
 //! and the receiver fetches the document elsewhere.
 //!
 //! A configuration of 240 routes and 24 workspaces has about 48 KB. A delta with the full version has 4 KB, and one
-//! with a single changed route about 40 bytes; `benches/parcel.rs` also lists the run times.
+//! with a single changed route about 40 bytes; `benches/delta.rs` also lists the run times.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
--- a/coord/tests/inquiry.rs
+++ b/coord/tests/poll.rs
@@ -16,17 +16,17 @@
 /// Sends a request every `period_ms`, if allowed, on a link that transfers one response at a time in `answer_ms`.
 fn simulate(period_ms: u64, answer_ms: u64) -> Counts {
     let start = Moment::from_micros(1_000_000_000);
-    let mut inquiry = Poll::default();
+    let mut poll = Poll::default();
     let mut in_transit: VecDeque<(Moment, u64)> = VecDeque::new();
     let mut counts = Counts::default();
     for ms in 0..10_000 {
         let now = start + Duration::from_millis(ms);
         while let Some((_, number)) = in_transit.pop_front_if(|(at, _)| *at <= now) {
-            counts.accepted += usize::from(inquiry.record_response(number).is_some());
+            counts.accepted += usize::from(poll.record_response(number).is_some());
         }
-        if ms % period_ms == 0 && inquiry.may_send(now) {
+        if ms % period_ms == 0 && poll.may_send(now) {
             let free_at = in_transit.back().map_or(now, |(at, _)| *at);
-            in_transit.push_back((free_at + Duration::from_millis(answer_ms), inquiry.record_request(now)));
+            in_transit.push_back((free_at + Duration::from_millis(answer_ms), poll.record_request(now)));
             counts.sent += 1;
         }
     }
@@ -45,23 +45,23 @@
 #[test]
 fn a_lost_response_is_requested_again_and_no_longer_counts() {
     let now = Moment::from_micros(1_000_000_000);
-    let mut inquiry = Poll::default();
-    assert!(inquiry.is_unused() && inquiry.may_send(now));
-    let lost = inquiry.record_request(now);
-    assert!(!inquiry.may_send(now + Duration::from_millis(900)));
+    let mut poll = Poll::default();
+    assert!(poll.is_unused() && poll.may_send(now));
+    let lost = poll.record_request(now);
+    assert!(!poll.may_send(now + Duration::from_millis(900)));
     let later = now + Duration::from_millis(1_100);
-    assert!(inquiry.may_send(later));
-    let next = inquiry.record_request(later);
-    assert_eq!(inquiry.record_response(lost), None);
-    assert_eq!(inquiry.record_response(next), Some(later));
-    assert_eq!(inquiry.record_response(next), None, "a response counts once");
+    assert!(poll.may_send(later));
+    let next = poll.record_request(later);
+    assert_eq!(poll.record_response(lost), None);
+    assert_eq!(poll.record_response(next), Some(later));
+    assert_eq!(poll.record_response(next), None, "a response counts once");
 }
 
 /// Returns the delay of a requester that has already sent its first request.
 fn next_delay(is_complete: bool) -> Duration {
-    let mut inquiry = Poll::default();
-    inquiry.record_request(Moment::ZERO);
-    inquiry.next_delay(Duration::from_millis(250), is_complete, 0.5)
+    let mut poll = Poll::default();
+    poll.record_request(Moment::ZERO);
+    poll.next_delay(Duration::from_millis(250), is_complete, 0.5)
 }
 
 #[test]
--- a/sorrelpass/src/gateway/follower.rs
+++ b/sorrelpass/src/gateway/follower.rs
@@ -316,7 +316,7 @@
     let bounds = gateway.bounds();
     let sync_interval = MAX_SYNC_INTERVAL.min(bounds.propagation().min(bounds.drain) / MIN_SYNCS_PER_BOUND);
     let mut next_sync = Instant::now();
-    let mut inquiry = Poll::default();
+    let mut poll = Poll::default();
     if !gateway.membership.is_announced() {
         connection
             .send(FollowerMessage::Announce(Announcement::of_this_process(gateway, own_address)), &mut queue)
@@ -342,7 +342,7 @@
                     LeaderMessage::Grant { number, placement } => gateway.admission.handle_grant(number, placement),
                     LeaderMessage::Refuse { number, retry_after } => gateway.admission.refuse_prompt(number, retry_after),
                     LeaderMessage::SyncResponse { number, mut response } => {
-                        let Some(requested_at) = inquiry.record_response(number) else { continue };
+                        let Some(requested_at) = poll.record_response(number) else { continue };
                         let successors = response.successors.take();
                         store_view::apply_sync_response(gateway, response, requested_at);
                         if let Some(successors) = successors {
@@ -374,10 +374,10 @@
                 connection.send(report, &mut queue).await?;
             }
             () = tokio::time::sleep_until(next_sync), if gateway.settings.policy.delegated_reads => {
-                let delay = inquiry.next_delay(sync_interval, gateway.store_view.is_complete(), rand::random_range(0.0..1.0));
+                let delay = poll.next_delay(sync_interval, gateway.store_view.is_complete(), rand::random_range(0.0..1.0));
                 next_sync = Instant::now() + delay;
-                if inquiry.may_send(now()) {
-                    let request = store_view::sync_request(gateway, inquiry.record_request(now()));
+                if poll.may_send(now()) {
+                    let request = store_view::sync_request(gateway, poll.record_request(now()));
                     connection.send(FollowerMessage::SyncRequest(request), &mut queue).await?;
                 }
             }
--- a/sorrelpass/src/gateway/leader.rs
+++ b/sorrelpass/src/gateway/leader.rs
@@ -99,7 +99,7 @@
     for runs in draining::sync_messages(gateway) {
         connection.send(LeaderMessage::Draining(runs), queue).await?;
     }
-    let mut inquiry = Poll::default();
+    let mut poll = Poll::default();
     let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
     heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -110,13 +110,13 @@
                     connection.send(LeaderMessage::SyncResponse { number: request.number, response }, queue).await?;
                     // A follower reads the store itself once the data from here are too old, and may then have newer
                     // ones.
-                    if store_reader::is_store_view_stale(gateway) && gateway.settings.policy.delegated_reads && inquiry.may_send(now()) {
-                        let request = store_view::sync_request(gateway, inquiry.record_request(now()));
+                    if store_reader::is_store_view_stale(gateway) && gateway.settings.policy.delegated_reads && poll.may_send(now()) {
+                        let request = store_view::sync_request(gateway, poll.record_request(now()));
                         connection.send(LeaderMessage::SyncRequest(request), queue).await?;
                     }
                 }
                 FollowerMessage::SyncResponse { number, response } => {
-                    if let Some(requested_at) = inquiry.record_response(number) {
+                    if let Some(requested_at) = poll.record_response(number) {
                         store_view::apply_sync_response(gateway, response, requested_at);
                     }
                 }
