--- a/standin/tests/platform_beliefs.rs
+++ b/standin/tests/platform_beliefs.rs
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_recent_proof_no_key_is_trusted_and_the_entry_is_not_ready() {
+async fn without_a_recent_verification_no_key_is_trusted_and_the_entry_is_not_ready() {
     for fault in [Fault::Unresponsive, Fault::Unavailable, Fault::TooManyRequests] {
         let site = start_site("beliefs-proof", "revoke_ms = 3000").await;
         // All entries lose the store, because an entry that alone loses it gets its data from the other one.
--- a/standin/tests/platform_crashes.rs
+++ b/standin/tests/platform_crashes.rs
@@ -338,7 +338,7 @@
 /// Covers the fault above without depending on chance: there are only two engines, so the entry that received their
 /// terminations from a peer sends the request to the same two again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_heard_of_ends_tells_those_that_it_sees_next_from_them() {
+async fn terminations_received_from_a_peer_are_distinguished_from_later_ones() {
     let site = start_site_with_spec(Spec { entries: 3, engines: 2, ..Spec::small("crashes-heard") }).await;
     let leader = leader(&site);
     let others: Vec<usize> = (0..3).filter(|entry| *entry != leader).collect();
@@ -357,7 +357,7 @@
 /// A termination that two entries observe counts once, even if one of them observed an earlier termination of the same
 /// engine. If it counted twice, one more termination would condemn a harmless request permanently.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_end_that_two_entries_saw_counts_once() {
+async fn a_termination_observed_by_two_entries_counts_once() {
     let spec = Spec { entries: 2, engines: 1, service_time: Duration::from_secs(2), ..Spec::small("crashes-twice") };
     let site = start_site_with_spec(spec).await;
     // Only entry 0 observes the two earlier terminations, each caused by a request of its own.
@@ -411,7 +411,7 @@
 /// after the other; on a busy machine a probe in between finds it listening (`probe ... listening`), and its
 /// termination is no evidence.
 #[tokio::test(flavor = "multi_thread")]
-async fn replicas_that_listen_a_moment_longer_are_seen_to_have_ended() {
+async fn replicas_that_keep_listening_briefly_count_as_terminated() {
     let site = start_site("crashes-linger").await;
     site.engines
         .iter()
--- a/standin/tests/platform_facts.rs
+++ b/standin/tests/platform_facts.rs
@@ -266,7 +266,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_denied_on_an_old_proof() {
+async fn nothing_is_denied_on_an_old_verification() {
     let site = start_site("facts-deny", "config_apply_ms = 1500").await;
     for listener in &site.store_listeners {
         listener.set_fault(Fault::Unavailable);
@@ -286,7 +286,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_that_went_while_only_the_reader_was_cut_off_gets_nothing_late() {
+async fn a_replica_removed_while_only_the_leader_was_cut_off_gets_no_late_requests() {
     let spec =
         Spec { entries: 3, plain_replicas: 4, bounds: "drain_ms = 2000".to_owned(), ..Spec::small("facts-went") };
     let site = Site::start(spec).await.expect("the site starts");
--- a/standin/tests/platform_once.rs
+++ b/standin/tests/platform_once.rs
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_is_lost_is_not_called_not_run() {
+async fn a_lost_answer_is_not_reported_as_not_run() {
     let site = start_site("once-lost").await;
     for (id, behavior) in [
         ("a1", Behavior::DropResponse),
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_time_runs_out_during_its_send_is_not_called_not_run() {
+async fn a_call_whose_deadline_expires_during_its_send_is_not_reported_as_not_run() {
     let site = start_site("once-stall").await;
     queue_on_all(&site, &[Behavior::Stall(2_500)]);
     let outcome = site.send(0, &payment("b1")).await;
--- a/standin/tests/platform_path.rs
+++ b/standin/tests/platform_path.rs
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn memory_that_cannot_be_had_everywhere_is_given_back_everywhere() {
+async fn a_partial_memory_reservation_is_released_on_all_engines() {
     let site = start_site("path-memory").await;
     site.engines[0].refuse_reservations(true);
     let outcome = site.send(0, &prompt("cc01", 1_200_000)).await;
--- a/standin/tests/platform_processes.rs
+++ b/standin/tests/platform_processes.rs
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn prompts_are_served_when_the_entry_that_plans_is_killed_and_when_it_freezes() {
+async fn prompts_are_served_when_the_leader_is_killed_and_when_it_is_suspended() {
     let mut site = start_site("processes-kill", 3, "").await;
     let first_leader = leader(&site, 3).await;
     assert_served_by_all(&site, 3, "d").await;
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_the_store_turns_away_plans_for_nobody() {
+async fn an_entry_refused_by_the_store_leads_no_other() {
     let mut site = start_site("processes-turned-away", 3, "").await;
     let first_leader = leader(&site, 3).await;
     site.store_listeners[first_leader].set_fault(Fault::TooManyRequests);
@@ -279,7 +279,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_comes_back_while_the_store_is_away_learns_all_from_the_others() {
+async fn an_entry_restarted_during_a_store_outage_gets_its_data_from_peers() {
     for fault in [Fault::Unresponsive, Fault::Unavailable] {
         let bounds = "revoke_strict = false".to_owned();
         let spec = Spec { entries: 3, bounds, has_seeds: true, ..Spec::small("processes-back") };
