--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -24,7 +24,7 @@
 
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::name::Name;
 use coord::planner::{Id, Job, Planner, Policy, Team};
 use coord::time::Moment;
@@ -68,7 +68,7 @@
     ($planner:expr, $size:expr, $now:expr) => {{
         let (engines, waiting) = $size;
         let mut planner = $planner;
-        planner.set_engines((0..engines).map(|index| (name(index), figures(10, 73))));
+        planner.set_engines((0..engines).map(|index| (name(index), profile(10, 73))));
         for index in 0..engines {
             for sequence in 0..4 {
                 let id = Id { entry: OTHER_ENTRY, number: (index * 4 + sequence) as u64 };
--- a/coord/tests/common/mod.rs
+++ b/coord/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use coord::engine::Profile;
 
 /// Returns the parameters of an engine with `slots` slots and `stride` token steps per pass with decoding requests.
-pub fn figures(slots: u32, stride: u32) -> Arc<Profile> {
+pub fn profile(slots: u32, stride: u32) -> Arc<Profile> {
     Arc::new(Profile {
         slots,
         memory: 450_000,
--- a/coord/tests/planner_absent.rs
+++ b/coord/tests/planner_absent.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Planner, Policy};
 use coord::time::Moment;
@@ -19,7 +19,7 @@
 
 fn planner() -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
-    planner.set_engines((0..4).map(|index| (format!("engine-{index}").into(), figures(16, 46))));
+    planner.set_engines((0..4).map(|index| (format!("engine-{index}").into(), profile(16, 46))));
     planner
 }
 
--- a/coord/tests/planner_backoff.rs
+++ b/coord/tests/planner_backoff.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Planner, Policy};
 use coord::time::Moment;
@@ -22,7 +22,7 @@
 /// Returns a planner with `ENGINES` engines, of which the first `in_backoff` asked entry 1 to back off.
 fn planner(in_backoff: usize) -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
-    planner.set_engines((0..ENGINES).map(|index| (name(index), figures(16, 46))));
+    planner.set_engines((0..ENGINES).map(|index| (name(index), profile(16, 46))));
     (0..in_backoff).for_each(|index| planner.set_backoff(1, &name(index), BACKOFF, NOW));
     planner
 }
--- a/coord/tests/planner_ends.rs
+++ b/coord/tests/planner_ends.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::name::Name;
 use coord::planner::{Id, Job, Planner, Policy};
 use coord::quarantine::Fingerprint;
@@ -16,7 +16,7 @@
 
 fn planner(engines: usize) -> Planner {
     let mut planner = Planner::new(Policy::default(), 0);
-    planner.set_engines((0..engines).map(|index| (format!("engine-{index:02}").into(), figures(16, 46))));
+    planner.set_engines((0..engines).map(|index| (format!("engine-{index:02}").into(), profile(16, 46))));
     planner
 }
 
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::name::Name;
 use coord::planner::{Exclusion, Grant, Id, Job, Planner, Policy};
 use coord::quarantine::Fingerprint;
@@ -59,7 +59,7 @@
 /// Returns a planner with engines in these states, and the moment at which they have them.
 fn planner_with(states: &[EngineState]) -> (Planner, Moment) {
     let mut planner = Planner::new(Policy::default(), 0);
-    planner.set_engines((0..states.len()).map(|index| (name(index), figures(16, 46))));
+    planner.set_engines((0..states.len()).map(|index| (name(index), profile(16, 46))));
     let unreachable_at = Moment::from_millis(10_000);
     let now = unreachable_at + Duration::from_millis(1_000);
     let team_of = |index: usize| coord::planner::Team { decoder: name(index), helpers: Vec::new() };
--- a/coord/tests/planner_load/burst.rs
+++ b/coord/tests/planner_load/burst.rs
@@ -4,7 +4,7 @@
 
 use coord::planner::Policy;
 
-use crate::common::figures;
+use crate::common::profile;
 use crate::mix::{Distribution, PromptKind};
 use crate::play::{Outcomes, Simulation};
 
@@ -45,7 +45,7 @@
 ) -> Vec<Outcomes> {
     let mut totals = vec![Outcomes::default(); kinds.len()];
     for seed in 1..=4 {
-        let mut simulation = Simulation::new(policy, figures(10, 73), seed);
+        let mut simulation = Simulation::new(policy, profile(10, 73), seed);
         simulation.slow = slow.clone();
         simulation.lost_share = lost_share;
         let (by_kind, _) = simulation.run(kinds, Duration::from_secs(20), u64::MAX);
@@ -60,7 +60,7 @@
     let mut largest = Outcomes::default();
     for seed in 1..=4 {
         let (by_kind, of_largest) =
-            Simulation::new(policy, figures(10, 73), seed).run(kinds, Duration::from_secs(20), 400_000);
+            Simulation::new(policy, profile(10, 73), seed).run(kinds, Duration::from_secs(20), 400_000);
         totals.iter_mut().zip(by_kind).for_each(|(total, outcomes)| total.add(outcomes));
         largest.add(of_largest);
     }
--- a/coord/tests/planner_machine.rs
+++ b/coord/tests/planner_machine.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::engine::Profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Planner, Policy};
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 
 fn engines(count: usize) -> Vec<(Name, Arc<Profile>)> {
-    (0..count).map(|index| (format!("engine-{index:02}").into(), figures(16, 46))).collect()
+    (0..count).map(|index| (format!("engine-{index:02}").into(), profile(16, 46))).collect()
 }
 
 fn planner(count: usize) -> Planner {
@@ -25,7 +25,7 @@
 }
 
 fn job(prompt_tokens: u64, now: Moment) -> Job {
-    let (aim, gap_target_ms, timeout) = match prompt_tokens {
+    let (first_event_target_ms, gap_target_ms, timeout) = match prompt_tokens {
         0..30_000 => (300, 200.0, 2_000),
         30_000..120_000 => (1_500, 500.0, 6_000),
         _ => (3_000, 800.0, 12_000),
@@ -33,7 +33,7 @@
     Job {
         prompt_tokens,
         max_output_tokens: 2_000,
-        first_event_target: now + Duration::from_millis(aim),
+        first_event_target: now + Duration::from_millis(first_event_target_ms),
         gap_target_ms,
         deadline: now + Duration::from_millis(timeout),
         priority: 1,
@@ -356,14 +356,14 @@
 fn simulate_with_slow_engine(slow: &Name, factor: f64) -> Vec<usize> {
     let mut planner = planner(6);
     let mut first_events: BTreeMap<(u64, u64), Id> = BTreeMap::new();
-    let mut ends: BTreeMap<(u64, u64), Id> = BTreeMap::new();
+    let mut end_times: BTreeMap<(u64, u64), Id> = BTreeMap::new();
     let mut grants_per_second = vec![0; 10];
     for ms in 0..10_000u64 {
         let now = Moment::from_millis(10_000 + ms);
         while let Some(entry) = first_events.first_entry().filter(|entry| entry.key().0 <= ms) {
             planner.record_first_event(entry.remove(), now);
         }
-        while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= ms) {
+        while let Some(entry) = end_times.first_entry().filter(|entry| entry.key().0 <= ms) {
             planner.finish(entry.remove(), now);
         }
         if ms % 20 == 0 {
@@ -374,7 +374,7 @@
             grants_per_second[ms as usize / 1_000] += usize::from(is_slow);
             let slowdown = if is_slow { factor } else { 1.0 };
             first_events.insert((ms + (80.0 * slowdown) as u64, number), grant.id);
-            ends.insert((ms + (500.0 * slowdown) as u64, number), grant.id);
+            end_times.insert((ms + (500.0 * slowdown) as u64, number), grant.id);
         }
     }
     grants_per_second
--- a/coord/tests/planner_plain.rs
+++ b/coord/tests/planner_plain.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::figures;
+use common::profile;
 use coord::name::Name;
 use coord::planner::{Grant, Id, Job, Planner, Policy, Team};
 use coord::time::Moment;
@@ -29,8 +29,8 @@
     }
 
     fn set_engines(&mut self, engines: &BTreeSet<Name>, slots: u32) {
-        self.planner.set_engines(engines.iter().map(|name| (name.clone(), figures(slots, 46))));
-        self.reference.set_engines(engines.iter().map(|name| (name.clone(), figures(slots, 46))));
+        self.planner.set_engines(engines.iter().map(|name| (name.clone(), profile(slots, 46))));
+        self.reference.set_engines(engines.iter().map(|name| (name.clone(), profile(slots, 46))));
     }
 
     fn end(&mut self, id: Id, now: Moment) {
@@ -50,7 +50,7 @@
 }
 
 fn job(prompt_tokens: u64, urgency: u64, now: Moment) -> Job {
-    let (aim, gap_target_ms, timeout) = match prompt_tokens {
+    let (first_event_target_ms, gap_target_ms, timeout) = match prompt_tokens {
         0..30_000 => (300, if urgency.is_multiple_of(7) { 0.0 } else { 200.0 }, 2_000),
         30_000..120_000 => (1_500, 500.0, 6_000),
         _ => (3_000, 800.0, 12_000),
@@ -60,7 +60,7 @@
     Job {
         prompt_tokens,
         max_output_tokens: 500 + urgency * 100,
-        first_event_target: now + millis(aim) - elapsed,
+        first_event_target: now + millis(first_event_target_ms) - elapsed,
         gap_target_ms,
         deadline: now + millis(timeout) - elapsed,
         priority: 1 + (urgency % 5 / 4) as u32,
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -184,10 +184,10 @@
                 }
                 sent_offset = offset;
                 for number in 0..5 {
-                    let standing = |roster: &Roster| roster.get(&name(number)).map(|known| known.availability);
+                    let availability = |roster: &Roster| roster.get(&name(number)).map(|known| known.availability);
                     // A replica that appeared and disappeared unreported counts as gone.
-                    let receiver = standing(&receiver).unwrap_or(Availability::Gone);
-                    prop_assert_eq!(standing(&reader).unwrap_or(Availability::Gone), receiver);
+                    let receiver = availability(&receiver).unwrap_or(Availability::Gone);
+                    prop_assert_eq!(availability(&reader).unwrap_or(Availability::Gone), receiver);
                 }
             }
         }
@@ -310,7 +310,7 @@
             if step == 5 {
                 let other = receiver.get("replica-1").map(|known| (known.availability, known.record.started_ms));
                 // A replica that appeared and disappeared unreported counts as gone.
-                let takes_work = other.is_some_and(|(standing, _)| standing == Availability::Ready);
+                let takes_work = other.is_some_and(|(availability, _)| availability == Availability::Ready);
                 prop_assert_eq!(takes_work, known.takes_work());
             }
         }
--- a/sorrelpass/src/gateway/admission/mod.rs
+++ b/sorrelpass/src/gateway/admission/mod.rs
@@ -174,8 +174,8 @@
     }
 
     /// Sets the engines of a service.
-    pub fn set_engines(&self, service: &Name, figures: &Arc<Profile>, engines: impl Iterator<Item = Name>) {
-        let engines: Vec<(Name, Arc<Profile>)> = engines.map(|name| (name, figures.clone())).collect();
+    pub fn set_engines(&self, service: &Name, profile: &Arc<Profile>, engines: impl Iterator<Item = Name>) {
+        let engines: Vec<(Name, Arc<Profile>)> = engines.map(|name| (name, profile.clone())).collect();
         let mut planners = self.planners.borrow_mut();
         let planner = planners.entry(service.clone()).or_insert_with(|| self.new_planner());
         planner.set_engines(engines);
--- a/sorrelpass/src/gateway/ingest.rs
+++ b/sorrelpass/src/gateway/ingest.rs
@@ -60,13 +60,13 @@
     let records = batch.records.iter().filter_map(|record| Some((record.offset, evacuation::decode(record)?)));
     let has_changed = if is_snapshot {
         let evacuated =
-            records.filter_map(|(_, news)| if let Event::Started(domain) = news { Some(domain) } else { None });
+            records.filter_map(|(_, event)| if let Event::Started(domain) = event { Some(domain) } else { None });
         register.apply_snapshot(
             Snapshot { next: batch.next_offset, domains: evacuated.collect() },
             now() + STORE_RECOVERY_GRACE,
         )
     } else {
-        records.fold(false, |has_changed, (offset, news)| register.apply(offset, news) || has_changed)
+        records.fold(false, |has_changed, (offset, event)| register.apply(offset, event) || has_changed)
     };
     drop(register);
     if has_changed {
@@ -158,15 +158,15 @@
         event!("replicas", changed = changes.len(), ready);
     }
     for change in changes {
-        let standing = match change.availability {
+        let availability = match change.availability {
             Availability::Ready => "ready",
             Availability::Unusable => "unusable",
             Availability::Expired(_) => "lapsed",
             Availability::Gone => "gone",
         };
         match source {
-            Source::Store | Source::Response => event!("replica", peer = %change.id, standing),
-            Source::Peer => debug_event!("replica", peer = %change.id, standing),
+            Source::Store | Source::Response => event!("replica", peer = %change.id, standing = availability),
+            Source::Peer => debug_event!("replica", peer = %change.id, standing = availability),
         }
         if change.is_cold {
             event!("replica-cold", peer = %change.id);
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -152,8 +152,8 @@
     let quarantine = &gateway.quarantine;
     match event {
         Event::Terminated { run, weight, .. } => {
-            let ends = quarantine.register.borrow().evidence(fingerprint).count();
-            event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends);
+            let termination_count = quarantine.register.borrow().evidence(fingerprint).count();
+            event!("suspect", work = %fingerprint, run = %run, weight = ?weight, ends = termination_count);
         }
         Event::Cleared(_) => event!("suspect-cleared", work = %fingerprint),
         Event::Condemned(_) => {
--- a/sorrelpass/src/gateway/quarantine/record.rs
+++ b/sorrelpass/src/gateway/quarantine/record.rs
@@ -32,11 +32,11 @@
 impl Record {
     /// Returns the evidence and verdict of a register for a fingerprint.
     pub fn for_fingerprint(register: &State, fingerprint: Fingerprint) -> Self {
-        let ends = register
+        let terminations = register
             .evidence(fingerprint)
             .chain(register.terminations(fingerprint))
             .map(|(run, weight)| Termination { run: run.clone(), weight });
-        Self { condemned: register.status(fingerprint) == Status::Condemned, ends: ends.collect() }
+        Self { condemned: register.status(fingerprint) == Status::Condemned, ends: terminations.collect() }
     }
 
     /// Replaces the names of the runs with the names that they have in this process. The record was read at `now`, and
--- a/sorrelpass/src/gateway/quarantine/store.rs
+++ b/sorrelpass/src/gateway/quarantine/store.rs
@@ -146,5 +146,6 @@
 /// Returns whether a register has more evidence against a fingerprint than the store.
 fn has_new_evidence(register: &State, fingerprint: Fingerprint, stored_record: &Record) -> bool {
     let local = Record::for_fingerprint(register, fingerprint);
-    !stored_record.condemned && (local.condemned || local.ends.iter().any(|end| !stored_record.ends.contains(end)))
+    !stored_record.condemned
+        && (local.condemned || local.ends.iter().any(|termination| !stored_record.ends.contains(termination)))
 }
