--- a/coord/benches/planner.rs
+++ b/coord/benches/planner.rs
@@ -102,7 +102,7 @@
     });
 }
 
-/// Same as `planner`, with rate-limited engines and advancing time.
+/// Measures grants as `planner` does, but with rate-limited engines and advancing time.
 #[divan::bench(args = LIMITED_SIZES)]
 fn limited_planner(bencher: Bencher, (engines, waiting, limited_engines): (usize, u64, usize)) {
     let mut now = Moment::from_millis(10_000);
--- a/coord/src/name.rs
+++ b/coord/src/name.rs
@@ -34,7 +34,7 @@
 pub enum ExecutionStatus {
     /// The request was not executed and never will be.
     No,
-    /// Neither execution nor its absence is proven.
+    /// It is not known whether the request was executed.
     Unknown,
     /// The request was executed, and only part of its answer was delivered.
     Partial,
--- a/coord/src/planner/snapshot.rs
+++ b/coord/src/planner/snapshot.rs
@@ -132,17 +132,17 @@
 /// Rule that excludes an engine from short prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// Its rate limit is exhausted.
+    /// The engine's rate limit is exhausted.
     RateLimited,
-    /// It failed too often recently.
+    /// The engine failed too often recently.
     Failing,
-    /// A trial request is in flight there.
+    /// A trial request is in flight at the engine.
     TrialInFlight,
-    /// It runs a request that is suspected of crashing engines.
+    /// The engine runs a request that is suspected of crashing engines.
     Suspect,
-    /// All its slots are granted.
+    /// All slots of the engine are granted.
     Full,
-    /// Its pending prefill would already exceed the gap target of an answer that decodes there.
+    /// The engine's pending prefill would already exceed the gap target of an answer that it decodes.
     Prefilling,
 }
 
--- a/coord/src/planner/unresponsive.rs
+++ b/coord/src/planner/unresponsive.rs
@@ -18,8 +18,8 @@
 
 /// Factor by which the time to a first event must exceed the prediction before the prompt counts as unresponsive.
 const TIMEOUT_FACTOR: f64 = 3.0;
-/// Time by which it must additionally exceed the prediction, in milliseconds. A factor of two and 300 ms resent long
-/// prompts needlessly on slow engines, and the share in time fell from 0.896 to 0.877.
+/// Time added to the scaled prediction before the prompt counts as unresponsive, in milliseconds. A factor of two and
+/// 300 ms resent long prompts needlessly on slow engines, and the share in time fell from 0.896 to 0.877.
 const TIMEOUT_MARGIN_MS: f64 = 800.0;
 
 /// Returns the time after the grant from which on a prompt counts as unresponsive.
--- a/coord/src/replay.rs
+++ b/coord/src/replay.rs
@@ -68,7 +68,7 @@
         /// Revision that the plan produced.
         revision: u64,
     },
-    /// Another plan changed an item after the base revision.
+    /// An item of the plan was changed by another plan after the base revision.
     Conflict {
         /// Item that both plans change.
         item: Resource,
--- a/coord/src/roster.rs
+++ b/coord/src/roster.rs
@@ -136,7 +136,7 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     replicas: BTreeMap<Name, Replica>,
-    /// Until this time a missing record counts as expired.
+    /// Time until which a missing record counts as expired.
     grace_until: Moment,
     /// End offset of the latest full snapshot. A record below it that was missing from the snapshot is removed.
     snapshot_end: u64,
--- a/coord/tests/backoff.rs
+++ b/coord/tests/backoff.rs
@@ -34,8 +34,8 @@
     assert_eq!(backoffs.earliest_end(names[..2].iter(), at(0)), Some(SECOND));
     assert_eq!(backoffs.earliest_end(names.iter(), at(0)), Some(Duration::ZERO));
     assert_eq!(backoffs.earliest_end([].iter(), at(0)), None);
-    let resting: Vec<_> = backoffs.active(at(2_000)).collect();
-    assert_eq!(resting, [(&names[0], SECOND)]);
+    let active: Vec<_> = backoffs.active(at(2_000)).collect();
+    assert_eq!(active, [(&names[0], SECOND)]);
 }
 
 #[test]
--- a/coord/tests/evacuation.rs
+++ b/coord/tests/evacuation.rs
@@ -188,8 +188,8 @@
     let (mut reader, mut receiver) = (Roster::default(), Roster::default());
     reader.apply(1, roster::RecordState::Present(record(1, 0, COLD_TIME)), now);
     let later = now + COLD_TIME / 2;
-    for sighting in reader.updates_since(0, later) {
-        receiver.apply(sighting.offset, sighting.state, later);
+    for update in reader.updates_since(0, later) {
+        receiver.apply(update.offset, update.state, later);
     }
     assert_eq!(cold(&receiver, later).len(), 1);
     assert!(cold(&receiver, now + COLD_TIME).is_empty());
--- a/coord/tests/planner_left.rs
+++ b/coord/tests/planner_left.rs
@@ -19,7 +19,7 @@
 
 /// Entry whose prompts are checked.
 const CHECKED_ENTRY: u64 = 0;
-/// Another entry, whose requests also change the state of the engines.
+/// Entry whose requests change the state of the engines but are not checked.
 const OTHER_ENTRY: u64 = 1;
 /// Share of the engines that counts as most of them.
 const MIN_USABLE_SHARE: f64 = 0.6;
@@ -29,17 +29,17 @@
 /// State of an engine that the planner is brought to assume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EngineState {
-    /// Idle, with no fault known.
+    /// The engine is idle, with no fault known.
     Idle,
-    /// Its circuit breaker is open after a recent failure.
+    /// The engine's circuit breaker is open after a recent failure.
     BreakerOpen,
-    /// The entry failed to reach it recently; another entry has reached it since.
+    /// The checked entry failed to reach the engine recently; another entry has reached it since.
     Unreachable,
-    /// Its rate limit is exhausted.
+    /// The engine's rate limit is exhausted.
     RateLimited,
-    /// It runs a request that is suspected of crashing engines.
+    /// The engine runs a request that is suspected of crashing engines.
     Suspect,
-    /// All its slots are granted.
+    /// All slots of the engine are granted.
     Full,
 }
 
--- a/coord/tests/planner_load/turnover.rs
+++ b/coord/tests/planner_load/turnover.rs
@@ -114,7 +114,7 @@
         let unreported = earned_shares(Policy::default(), Fault::Slow(engines, slowdown));
         assert!(reported[0] >= unreported[0] + 0.02, "short prompts: {reported:?} and {unreported:?}");
         assert!(reported[1] >= unreported[1], "middle ones: {reported:?} and {unreported:?}");
-        // Some 100 prompts of this kind are simulated, and each accounts for 0.01 to 0.04 of the value.
+        // Only some 100 of the longest prompts are simulated, and each accounts for 0.01 to 0.04 of the value.
         assert!(reported[2] + 0.05 >= unreported[2], "the longest: {reported:?} and {unreported:?}");
     }
 }
--- a/coord/tests/poll.rs
+++ b/coord/tests/poll.rs
@@ -1,4 +1,4 @@
-//! Pacing of requests on links of different speeds: responses count, and no request is wasted.
+//! Pacing of poll requests on links of different speeds: responses are accepted, and no request is wasted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/sorrelpass/src/entry/peer.rs
+++ b/sorrelpass/src/entry/peer.rs
@@ -29,7 +29,7 @@
 /// Configuration of one endpoint, as sent to its sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointConfig {
-    /// Revision of the configuration that it is taken from.
+    /// Revision of the configuration that the endpoint's part is taken from.
     pub revision: u64,
     /// Whether an operator has drained the endpoint.
     pub drained: bool,
--- a/sorrelpass/src/entry/route/mod.rs
+++ b/sorrelpass/src/entry/route/mod.rs
@@ -340,8 +340,7 @@
             let may_run_already = round > 0;
             let outcome = self.attempt(target, Some(binding.incarnation), Some(key), may_run_already).await;
             let AttemptOutcome::Fail(failure) = outcome else {
-                // This attempt did not run, but an earlier one may have been accepted before its answer was
-                // lost.
+                // The last attempt did not run, but an earlier one may have been accepted and its answer lost.
                 return if may_run_already && matches!(outcome, AttemptOutcome::TryAnother) {
                     AttemptOutcome::Fail(outcome_unknown(binding))
                 } else {
--- a/sorrelpass/src/gateway/ingest.rs
+++ b/sorrelpass/src/gateway/ingest.rs
@@ -106,7 +106,7 @@
 pub enum Source {
     /// This entry read the update from the store.
     Store,
-    /// Another entry sent the update; its log has a line for each change.
+    /// Another entry sent the update. The entry that received the update first logged a line for each change.
     Peer,
     /// The replica reported the update itself, in a response to this entry.
     Response,
--- a/sorrelpass/src/gateway/quarantine/mod.rs
+++ b/sorrelpass/src/gateway/quarantine/mod.rs
@@ -30,11 +30,11 @@
 /// Origin of an event or another update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// This entry observed it or read it in the store.
+    /// This entry observed the event or read it in the store.
     Own,
-    /// The leader sent it.
+    /// The leader sent the event.
     Leader,
-    /// A follower sent it.
+    /// A follower sent the event.
     Follower,
 }
 
--- a/sorrelpass/src/gateway/state.rs
+++ b/sorrelpass/src/gateway/state.rs
@@ -41,9 +41,10 @@
 /// seed itself or has no seeds. An existing leader is found within some 20 ms; if there is none, a longer wait would
 /// delay all entries.
 const SEED_FIRST_READ_DELAY: Duration = Duration::from_millis(60);
-/// The same time for an entry that joins via its seeds. Within it, the processes that start together accept
-/// connections and one of them has read the store for all. If all of them read it, the snapshots of 3,000 replicas
-/// for 300 entries take longer than the timeout of a store call.
+/// Time after the start for which an entry that joins via its seeds waits for a leader's data before it reads the
+/// store. Within this time, entries that start together accept connections and one of them has read the store for
+/// all. If all of them read it, the snapshots of 3,000 replicas for 300 entries take longer than the timeout of a
+/// store call.
 const JOINING_FIRST_READ_DELAY: Duration = Duration::from_millis(1_500);
 /// Fraction of the deployment's retry share that the entries use, so that retries around the boundary of two windows
 /// never exceed the share.
--- a/standin/tests/bad_input.rs
+++ b/standin/tests/bad_input.rs
@@ -165,7 +165,7 @@
     Some(String::from_utf8_lossy(&line[..read]).lines().next().unwrap_or_default().to_owned())
 }
 
-/// Budget in use by a body that stays: a body that does not fit beside it is refused.
+/// While an unfinished body occupies part of the budget, a body that exceeds the remainder is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_that_exceeds_the_remaining_budget_is_refused() {
     let fleet = start_fleet_with_small_budget("budget-held").await;
