--- a/coord/tests/eras.rs
+++ b/coord/tests/eras.rs
@@ -9,7 +9,7 @@
 use coord::time::Moment;
 
 const NOW: Moment = Moment::from_millis(1_000);
-const GRACE: Duration = Duration::from_millis(500);
+const RECOVERY_GRACE: Duration = Duration::from_millis(500);
 
 fn record() -> Record {
     Record {
@@ -65,17 +65,20 @@
 fn a_replica_whose_record_was_lost_is_used_for_the_grace_period() {
     let mut roster = Roster::default();
     roster.apply(3, RecordState::Present(record()), NOW);
-    roster.record_store_recovery(NOW, GRACE);
+    roster.record_store_recovery(NOW, RECOVERY_GRACE);
     roster.apply_snapshot(encode(1, 2), Vec::new(), NOW);
     assert!(takes_work(&roster));
     let mut rewritten = roster;
     rewritten.apply(encode(1, 4), RecordState::Present(record()), NOW);
-    assert!(takes_work(&rewritten) && rewritten.expire(NOW + GRACE).is_empty(), "the record was written again");
+    assert!(
+        takes_work(&rewritten) && rewritten.expire(NOW + RECOVERY_GRACE).is_empty(),
+        "the record was written again"
+    );
     let mut roster = Roster::default();
     roster.apply(3, RecordState::Present(record()), NOW);
-    roster.record_store_recovery(NOW, GRACE);
+    roster.record_store_recovery(NOW, RECOVERY_GRACE);
     roster.apply_snapshot(encode(1, 2), Vec::new(), NOW);
-    assert_eq!(roster.expire(NOW + GRACE)[0].availability, Availability::Gone);
+    assert_eq!(roster.expire(NOW + RECOVERY_GRACE)[0].availability, Availability::Gone);
 }
 
 fn domains(names: &[&str]) -> std::collections::BTreeSet<Name> {
@@ -91,22 +94,22 @@
     let mut evacuations = Evacuations::default();
     evacuations.apply(6, EvacuationEvent::Started("a".into()));
     evacuations.apply(7, EvacuationEvent::Started("b".into()));
-    assert!(!evacuations.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE));
+    assert!(!evacuations.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + RECOVERY_GRACE));
     assert_eq!(evacuations.snapshot().domains, domains(&["a", "b"]));
     evacuations.apply(encode(1, 2), EvacuationEvent::Started("a".into()));
     assert!(!evacuations.expire(NOW), "the grace period is not over");
-    assert!(evacuations.expire(NOW + GRACE));
+    assert!(evacuations.expire(NOW + RECOVERY_GRACE));
     assert_eq!(evacuations.snapshot().domains, domains(&["a"]), "only the repeated evacuation stays in force");
-    assert!(!evacuations.expire(NOW + GRACE + GRACE));
+    assert!(!evacuations.expire(NOW + RECOVERY_GRACE + RECOVERY_GRACE));
 }
 
 #[test]
 fn a_domain_whose_evacuation_ends_after_the_recovery_is_used_at_once() {
     let mut evacuations = Evacuations::default();
     evacuations.apply(6, EvacuationEvent::Started("a".into()));
-    evacuations.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + GRACE);
+    evacuations.apply_snapshot(snapshot(encode(1, 2), &[]), NOW + RECOVERY_GRACE);
     assert!(evacuations.apply(encode(1, 2), EvacuationEvent::Ended("a".into())));
-    evacuations.apply_snapshot(snapshot(encode(1, 3), &[]), NOW + GRACE);
+    evacuations.apply_snapshot(snapshot(encode(1, 3), &[]), NOW + RECOVERY_GRACE);
     assert!(evacuations.snapshot().domains.is_empty());
 }
 
--- a/coord/tests/roster_machine.rs
+++ b/coord/tests/roster_machine.rs
@@ -8,7 +8,7 @@
 use coord::time::Moment;
 use proptest::prelude::*;
 
-const GRACE: Duration = Duration::from_secs(2);
+const RECOVERY_GRACE: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -84,7 +84,7 @@
                     expected.newest.remove(&number);
                     roster.apply(expected.offset, RecordState::Removed(name(number)), now);
                 }
-                Step::StoreRecovered => roster.record_store_recovery(now, GRACE),
+                Step::StoreRecovered => roster.record_store_recovery(now, RECOVERY_GRACE),
                 Step::Redeliver(number) => {
                     // An outdated update that arrives again has no effect.
                     if let Some((offset, _)) = expected.newest.get(&number).filter(|(offset, _)| *offset > 1) {
@@ -114,7 +114,7 @@
                 }
             }
         }
-        roster.expire(now + GRACE + GRACE);
+        roster.expire(now + RECOVERY_GRACE + RECOVERY_GRACE);
         for number in &expected.known {
             let gone = roster.get(&name(*number)).is_none_or(|replica| replica.availability == Availability::Gone);
             prop_assert_eq!(gone, expected.ended.contains(number) || !expected.newest.contains_key(number));
--- a/standin/src/platform/soak/injector.rs
+++ b/standin/src/platform/soak/injector.rs
@@ -29,7 +29,7 @@
 ///
 /// The report writes the kinds out under their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum InjectionKind {
     /// An entry is killed, and restarted later.
     Kill,
     /// An entry is suspended, and resumed later.
@@ -65,24 +65,25 @@
 }
 
 /// Kinds that [`Plan::has_response_signals`] adds.
-const RESPONSE_SIGNAL_KINDS: [Kind; 3] = [Kind::Leave, Kind::Rest, Kind::Return];
+const RESPONSE_SIGNAL_KINDS: [InjectionKind; 3] = [InjectionKind::Leave, InjectionKind::Rest, InjectionKind::Return];
 
 /// Kinds in rounds with maintenance only.
-const MAINTENANCE_KINDS: [Kind; 4] = [Kind::Stop, Kind::Reload, Kind::Keys, Kind::Compact];
+const MAINTENANCE_KINDS: [InjectionKind; 4] =
+    [InjectionKind::Stop, InjectionKind::Reload, InjectionKind::Keys, InjectionKind::Compact];
 /// Kinds in rounds with faults.
-const FAULT_KINDS: [Kind; 12] = [
-    Kind::Kill,
-    Kind::Freeze,
-    Kind::Stop,
-    Kind::Reload,
-    Kind::Store,
-    Kind::StoreWay,
-    Kind::Compact,
-    Kind::Answers,
-    Kind::ReplicaWay,
-    Kind::CallerWay,
-    Kind::Keys,
-    Kind::Drain,
+const FAULT_KINDS: [InjectionKind; 12] = [
+    InjectionKind::Kill,
+    InjectionKind::Freeze,
+    InjectionKind::Stop,
+    InjectionKind::Reload,
+    InjectionKind::Store,
+    InjectionKind::StoreWay,
+    InjectionKind::Compact,
+    InjectionKind::Answers,
+    InjectionKind::ReplicaWay,
+    InjectionKind::CallerWay,
+    InjectionKind::Keys,
+    InjectionKind::Drain,
 ];
 
 /// Action that reverts a fault. Numbers are indices of entries, except for `ClearNetworkFault`.
@@ -106,7 +107,7 @@
     /// Reverts of the faults in force, each with the time at which it is due.
     pending_reverts: Vec<(Instant, Revert)>,
     /// Number of injections so far, by kind; includes those that did nothing for lack of a suitable target.
-    pub fault_counts: BTreeMap<Kind, usize>,
+    pub fault_counts: BTreeMap<InjectionKind, usize>,
     /// Time at which each API key was removed, by the key's number.
     pub revoked_keys: BTreeMap<u64, Instant>,
     /// Replicas whose records changed to `draining`, and when.
@@ -161,48 +162,48 @@
     }
 
     /// Injects a fault of this kind, and schedules its revert. Does nothing if the kind has no suitable target now.
-    async fn inject(&mut self, kind: Kind) -> Result<()> {
+    async fn inject(&mut self, kind: InjectionKind) -> Result<()> {
         *self.fault_counts.entry(kind).or_default() += 1;
         let revert_at = self.random_revert_time();
         match kind {
-            Kind::Kill => {
+            InjectionKind::Kill => {
                 let Some(entry) = self.choose_running_entry() else { return Ok(()) };
                 self.record_disturbance(Some(entry));
                 self.site.signal(entry, Signal::KILL)?;
                 self.pending_reverts.push((revert_at, Revert::RestartEntry(entry)));
             }
-            Kind::Freeze => {
+            InjectionKind::Freeze => {
                 let Some(entry) = self.choose_running_entry() else { return Ok(()) };
                 self.record_disturbance(Some(entry));
                 self.site.signal(entry, Signal::STOP)?;
                 self.pending_reverts.push((revert_at, Revert::ResumeEntry(entry)));
             }
-            Kind::Stop => {
+            InjectionKind::Stop => {
                 let Some(entry) = self.choose_running_entry() else { return Ok(()) };
                 self.record_disturbance(Some(entry));
                 self.site.signal(entry, Signal::TERM)?;
                 self.pending_reverts.push((revert_at, Revert::AwaitExit(entry)));
             }
-            Kind::Reload => {
+            InjectionKind::Reload => {
                 let Some(entry) = self.choose_running_entry().filter(|entry| self.site.has_started(*entry)) else {
                     return Ok(());
                 };
                 self.site.signal(entry, Signal::HUP)?;
             }
-            Kind::Store => self.inject_store_fault(revert_at),
-            Kind::StoreWay => self.inject_network_fault(0, revert_at),
-            Kind::ReplicaWay => self.inject_network_fault(1, revert_at),
-            Kind::CallerWay => self.inject_network_fault(2, revert_at),
-            Kind::Compact => {
+            InjectionKind::Store => self.inject_store_fault(revert_at),
+            InjectionKind::StoreWay => self.inject_network_fault(0, revert_at),
+            InjectionKind::ReplicaWay => self.inject_network_fault(1, revert_at),
+            InjectionKind::CallerWay => self.inject_network_fault(2, revert_at),
+            InjectionKind::Compact => {
                 ["keyed.op", "keyed.servers", "keyed.peers"].iter().for_each(|topic| self.site.store.compact(topic))
             }
-            Kind::Answers => self.queue_bad_responses(),
-            Kind::Keys => self.rotate_keys(),
-            Kind::Drain => self.drain_replica(),
-            Kind::Evacuate => self.toggle_evacuation(),
-            Kind::Leave => self.announce_draining(),
-            Kind::Rest => self.start_backoff(revert_at),
-            Kind::Return => self.snapshot_or_restore_store(revert_at),
+            InjectionKind::Answers => self.queue_bad_responses(),
+            InjectionKind::Keys => self.rotate_keys(),
+            InjectionKind::Drain => self.drain_replica(),
+            InjectionKind::Evacuate => self.toggle_evacuation(),
+            InjectionKind::Leave => self.announce_draining(),
+            InjectionKind::Rest => self.start_backoff(revert_at),
+            InjectionKind::Return => self.snapshot_or_restore_store(revert_at),
         }
         Ok(())
     }
@@ -388,7 +389,7 @@
     pub async fn run_round(&mut self, plan: &Plan, is_maintenance: bool) -> Result<()> {
         let mut kinds = if is_maintenance { MAINTENANCE_KINDS.to_vec() } else { FAULT_KINDS.to_vec() };
         if plan.has_evacuations {
-            kinds.push(Kind::Evacuate);
+            kinds.push(InjectionKind::Evacuate);
         }
         if plan.has_response_signals {
             kinds.extend(RESPONSE_SIGNAL_KINDS);
@@ -397,7 +398,7 @@
         self.shared.uses_stale_keys.store(true, Ordering::Relaxed);
         let injection_end = Instant::now() + plan.faults;
         while Instant::now() < injection_end {
-            let kind = *kinds.choose(&mut self.rng).unwrap_or(&Kind::Reload);
+            let kind = *kinds.choose(&mut self.rng).unwrap_or(&InjectionKind::Reload);
             self.inject(kind).await?;
             let interval =
                 Duration::from_millis(self.rng.random_range(INJECTION_INTERVAL_MS.0..INJECTION_INTERVAL_MS.1));
--- a/standin/src/platform/soak/mod.rs
+++ b/standin/src/platform/soak/mod.rs
@@ -21,8 +21,8 @@
 use rand::{RngExt, SeedableRng};
 
 use self::caller::{FATAL_BODY, SharedState, api_key, run_caller, run_fatal_caller};
+pub use self::injector::InjectionKind;
 use self::injector::Injector;
-pub use self::injector::Kind;
 use self::judge::check_guarantees;
 use super::replica::Replica;
 use super::site::{Site, Spec};
@@ -84,7 +84,7 @@
     /// Number of responses by status; status 0 counts requests without a response.
     pub statuses: BTreeMap<u16, usize>,
     /// Number of injected faults by kind.
-    pub fault_counts: BTreeMap<Kind, usize>,
+    pub fault_counts: BTreeMap<InjectionKind, usize>,
     /// Number of fatal requests that reached engines.
     pub fatal_request_count: usize,
     /// Number of engine crashes.
--- a/standin/tests/platform_grants.rs
+++ b/standin/tests/platform_grants.rs
@@ -17,7 +17,7 @@
 use standin::platform::{KEY, Outcome, Replica, RequestSpec, Site, Spec};
 
 /// Number of short prompts that are sent at the same time, below the number of slots of one engine.
-const BURST: usize = 12;
+const CONCURRENT_PROMPTS: usize = 12;
 /// Length of a suspension, longer than a prompt waits for its engines.
 const SUSPENSION: Duration = Duration::from_millis(1_500);
 /// Number of rounds: which of two simultaneous events an entry handles first is random.
@@ -28,9 +28,10 @@
     RequestSpec::new("POST", "/prompt/1", id, KEY).with_header("token-usage", &usage).with_header("deadline-ms", "2500")
 }
 
-/// Sends `BURST` short prompts at the same time.
+/// Sends `CONCURRENT_PROMPTS` short prompts at the same time.
 async fn send_burst(site: &Site, entry: usize, prefix: &str) -> Vec<Outcome> {
-    let requests: Vec<RequestSpec> = (0..BURST).map(|number| prompt(&format!("{prefix}-{number}"), 500)).collect();
+    let requests: Vec<RequestSpec> =
+        (0..CONCURRENT_PROMPTS).map(|number| prompt(&format!("{prefix}-{number}"), 500)).collect();
     join_all(requests.iter().map(|request| site.send(entry, request))).await
 }
 
@@ -67,7 +68,7 @@
         let (answer, ()) = tokio::join!(site.send(survivor, &long), suspend);
         let after = send_burst(&site, survivor, &format!("after-{round}")).await;
         let served = after.iter().filter(|outcome| outcome.is_complete && outcome.status == 200).count();
-        assert_eq!(served, BURST, "round {round}, the long prompt: {answer:?}\n{}", site.log(survivor));
+        assert_eq!(served, CONCURRENT_PROMPTS, "round {round}, the long prompt: {answer:?}\n{}", site.log(survivor));
         site.restart(killed).await.expect("the entry restarts");
         site.wait_ready(killed, true).await.expect("the entry is ready");
         tokio::time::sleep(Duration::from_millis(500)).await;
--- a/standin/tests/platform_leaving.rs
+++ b/standin/tests/platform_leaving.rs
@@ -9,7 +9,7 @@
 use standin::platform::{Behavior, Fault, ReceivedRequest, Replica, RequestSpec, Site, Spec};
 
 /// Time after the announcement reached an entry within which it may still send requests; a later request is a breach.
-const DRAIN_GRACE: Duration = Duration::from_millis(600);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time within which an announcement that one entry received reaches the others.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -27,7 +27,7 @@
     replicas.iter().max_by_key(|replica| replica.received_requests().len()).expect("there are replicas")
 }
 
-/// Asserts that no entry sends a request to the replica later than `DRAIN_GRACE` after the first one, whose response
+/// Asserts that no entry sends a request to the replica later than `DRAIN_TIMEOUT` after the first one, whose response
 /// announces the draining.
 fn assert_no_late_requests(site: &Site, replica: &Replica, since: Instant) {
     for entry in 0..site.addresses.len() {
@@ -36,8 +36,10 @@
         let received_requests: Vec<ReceivedRequest> =
             replica.received_requests().into_iter().filter(is_from_entry).collect();
         let Some(first) = received_requests.first() else { continue };
-        let late_count =
-            received_requests.iter().filter(|received| received.received_at > first.received_at + DRAIN_GRACE).count();
+        let late_count = received_requests
+            .iter()
+            .filter(|received| received.received_at > first.received_at + DRAIN_TIMEOUT)
+            .count();
         assert_eq!(
             late_count,
             0,
@@ -97,7 +99,7 @@
     let received_requests = draining
         .received_requests()
         .into_iter()
-        .filter(|received| received.received_at > since + DRAIN_GRACE + PROPAGATION_TIMEOUT)
+        .filter(|received| received.received_at > since + DRAIN_TIMEOUT + PROPAGATION_TIMEOUT)
         .count();
     assert_eq!(received_requests, 0, "a heartbeat does not undo the draining");
     site.close().expect("no invariant was breached");
