--- a/sorrelpass/src/gateway/admission/mod.rs
+++ b/sorrelpass/src/gateway/admission/mod.rs
@@ -246,7 +246,7 @@
     }
 
     /// Returns the engines to poll for their slowdown factor, with their services. The list is empty at a follower,
-    /// since only an entry that plans polls.
+    /// since its leader polls for it.
     pub fn engines_to_poll(&self) -> Vec<(Name, Name)> {
         if self.has_leader() {
             return Vec::new();
