--- a/coord/src/planner/snapshot.rs
+++ b/coord/src/planner/snapshot.rs
@@ -273,7 +273,7 @@
         self.with_suspect > 0 && !self.leaves_too_few(self.with_suspect, policy)
     }
 
-    /// Returns whether so many engines are half-open that long prompts must use them too.
+    /// Returns whether long prompts must use half-open engines too, because too few engines remain without them.
     pub fn needs_half_open(&self, policy: &Policy) -> bool {
         self.leaves_too_few(self.half_open, policy)
     }
--- a/coord/tests/plain/place/long.rs
+++ b/coord/tests/plain/place/long.rs
@@ -39,7 +39,7 @@
         available
     }
 
-    /// Returns whether so many engines are half-open that long prompts must use them too.
+    /// Returns whether long prompts must use half-open engines too, because too few engines remain without them.
     fn needs_half_open(&self) -> bool {
         let half_open = self.planner.health.count_half_open(self.now) as f64;
         half_open >= self.planner.engines.len() as f64 * (1.0 - self.policy().min_usable_share)
--- a/sorrelpass/src/gateway/call/send.rs
+++ b/sorrelpass/src/gateway/call/send.rs
@@ -178,7 +178,7 @@
     /// replica.
     fn handle_refusal(&mut self, record: &Record, response: &headers::ResponseHead) -> Outcome {
         let backoff = response.backoff().unwrap_or_default();
-        event!("not-executed", request = %self.request_head.id, peer = %record.id, status = response.status.as_u16(), responsible = response.responsible_address.as_deref().unwrap_or(""),
+        event!("not-run", request = %self.request_head.id, peer = %record.id, status = response.status.as_u16(), responsible = response.responsible_address.as_deref().unwrap_or(""),
             backoff_ms = backoff.as_millis());
         self.possible_executions -= 1;
         let responsible = self.responsible_replica(record, response);
